--- a/benchmarks/clients.py
+++ b/benchmarks/clients.py
@@ -33,12 +33,13 @@
     def answer(self, body: bytes) -> tuple[bytes, int]:
         if self.delta:
             got = discovery_pb2.DeltaDiscoveryResponse.FromString(body)
-            return discovery_pb2.DeltaDiscoveryRequest(
-                type_url=EDS, response_nonce=got.nonce).SerializeToString(), len(got.resources)
+            return discovery_pb2.DeltaDiscoveryRequest(type_url=EDS, response_nonce=got.nonce).SerializeToString(), len(
+                got.resources
+            )
         got = discovery_pb2.DiscoveryResponse.FromString(body)
         return discovery_pb2.DiscoveryRequest(
-            type_url=EDS, response_nonce=got.nonce, version_info=got.version_info,
-            resource_names=self.names).SerializeToString(), len(got.resources)
+            type_url=EDS, response_nonce=got.nonce, version_info=got.version_info, resource_names=self.names
+        ).SerializeToString(), len(got.resources)
 
     async def run(self) -> None:
         """Follow for ever; a stream that breaks is dialled again, as gateways do."""
@@ -52,8 +53,9 @@
     async def follow(self) -> None:
         options = [("grpc.use_local_subchannel_pool", 1), ("grpc.max_receive_message_length", 1 << 26)]
         async with grpc.aio.insecure_channel(f"127.0.0.1:{self.port}", options) as channel:
-            call = channel.stream_stream(SERVICE + ("DeltaAggregatedResources" if self.delta
-                                                    else "StreamAggregatedResources"))()
+            call = channel.stream_stream(
+                SERVICE + ("DeltaAggregatedResources" if self.delta else "StreamAggregatedResources")
+            )()
             await call.write(self.opening())
             while (body := await call.read()) is not grpc.aio.EOF:
                 reply, count = self.answer(body)
--- a/benchmarks/fanout.py
+++ b/benchmarks/fanout.py
@@ -79,8 +79,10 @@
         (self.folder / "pilot.ini").write_text(SETTINGS.format(seed=self.seed, upstream=address))
         port = self.folder / "port"
         self.log = (self.folder / "log").open("w")
-        self.pilot = subprocess.Popen([sys.executable, "-m", "damsonpick", "run", str(self.folder / "pilot.ini"),
-                                       "--port-file", str(port)], stderr=self.log)
+        self.pilot = subprocess.Popen(
+            [sys.executable, "-m", "damsonpick", "run", str(self.folder / "pilot.ini"), "--port-file", str(port)],
+            stderr=self.log,
+        )
         while not port.exists():
             await asyncio.sleep(0.02)
         self.port = port.read_text().strip()
@@ -97,8 +99,17 @@
             if mine <= 0:
                 break
             worker = await asyncio.create_subprocess_exec(
-                sys.executable, str(HERE / "clients.py"), self.port, str(mine), self.variant, str(SLICES),
-                f"{prefix}{w}", stdin=subprocess.PIPE, stdout=subprocess.PIPE, limit=1 << 22)
+                sys.executable,
+                str(HERE / "clients.py"),
+                self.port,
+                str(mine),
+                self.variant,
+                str(SLICES),
+                f"{prefix}{w}",
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                limit=1 << 22,
+            )
             self.workers.append(worker)
             asyncio.get_running_loop().create_task(self._collect(worker))
         await self.until(lambda: self.full() - before >= count, 120)
@@ -144,7 +155,8 @@
         for t, name, *_ in came:
             firsts.setdefault(name, t - start)
         return {
-            "last_ack_ms": max(firsts.values()) * 1e3, "median_ack_ms": statistics.median(firsts.values()) * 1e3,
+            "last_ack_ms": max(firsts.values()) * 1e3,
+            "median_ack_ms": statistics.median(firsts.values()) * 1e3,
             "bytes_out": sum(size for _, _, size, _, _ in came) / self.gateways,
             "bytes_in": sum(reply for *_, reply in came) / self.gateways,
             "resources": sum(c for *_, c, _ in came) / self.gateways,
@@ -180,9 +192,15 @@
         await run.end()
     lasts = sorted(d["last_ack_ms"] for d in drains)
     return {
-        "gateways": gateways, "variant": variant, "seed": seed, "join_s": round(joined, 2),
-        "drain_last_ack_ms": {"p50": round(statistics.median(lasts), 1), "p99": round(lasts[-1], 1),
-                              "min": round(lasts[0], 1)},
+        "gateways": gateways,
+        "variant": variant,
+        "seed": seed,
+        "join_s": round(joined, 2),
+        "drain_last_ack_ms": {
+            "p50": round(statistics.median(lasts), 1),
+            "p99": round(lasts[-1], 1),
+            "min": round(lasts[0], 1),
+        },
         "drain_median_ack_ms": round(statistics.median(d["median_ack_ms"] for d in drains), 1),
         "update_bytes_out": round(statistics.mean(d["bytes_out"] for d in drains)),
         "update_bytes_in": round(statistics.mean(d["bytes_in"] for d in drains)),
@@ -222,11 +240,24 @@
             for variant in ("delta", "sotw"):
                 rows.append(await measure(gateways, variant, seed, args.changes))
                 print(json.dumps(rows[-1]), flush=True)
-    machine = {"python": platform.python_version(), "cores": os.cpu_count(), "system": platform.system(),
-               "memory_gb": round(psutil.virtual_memory().total / 2**30)}
+    machine = {
+        "python": platform.python_version(),
+        "cores": os.cpu_count(),
+        "system": platform.system(),
+        "memory_gb": round(psutil.virtual_memory().total / 2**30),
+    }
     if args.out:
-        args.out.write_text(json.dumps({"command": "python benchmarks/fanout.py --out benchmarks/fanout.json",
-                                        "machine": machine, "rows": rows}, indent=1) + "\n")
+        args.out.write_text(
+            json.dumps(
+                {
+                    "command": "python benchmarks/fanout.py --out benchmarks/fanout.json",
+                    "machine": machine,
+                    "rows": rows,
+                },
+                indent=1,
+            )
+            + "\n"
+        )
 
 
 asyncio.run(main())
--- a/benchmarks/hand_pilot.py
+++ b/benchmarks/hand_pilot.py
@@ -32,9 +32,13 @@
 
     def _by_hand(self, planner: Planner) -> list[api.Event]:
         usable = [n for n in sorted(planner.usable()) if not planner.tender(n)] or sorted(planner.usable())
-        tables = {(zone, kind.name): plans.normal({
-            n: planner.endpoints[n].weight * (OWN if self.zone_of(n) == zone else 1.0) for n in usable})
-            for zone in self.settings.pilot.zones for kind in self.kinds}
+        tables = {
+            (zone, kind.name): plans.normal(
+                {n: planner.endpoints[n].weight * (OWN if self.zone_of(n) == zone else 1.0) for n in usable}
+            )
+            for zone in self.settings.pilot.zones
+            for kind in self.kinds
+        }
         return self._tables(tables, planner)
 
 
--- a/benchmarks/knowledge_cost.py
+++ b/benchmarks/knowledge_cost.py
@@ -70,12 +70,21 @@
     listed = {n: entry(n) for n in made.endpoints}
     tell, (events, _) = timed(lambda: recall.events(ageing.fade(found, SECOND), listed, range(len(made.slices))))
     new = Planner(made.settings, 1)
-    new.handle(NOW, [api.ListChanged("restored", tuple(listed.values())),
-                     *(api.CustodyChanged(k, True) for k in made.slices)])
+    new.handle(
+        NOW, [api.ListChanged("restored", tuple(listed.values())), *(api.CustodyChanged(k, True) for k in made.slices)]
+    )
     heard, _ = timed(lambda: new.handle(NOW + 1, events))
     whole = sum(steps) + encode + save
-    return {"bytes": len(data), "cpu_ms": cpu, "longest_stall_ms": max(steps), "in_one_go_ms": whole,
-            "stall_to_one_go": max(steps) / whole, "thread_ms": encode + save, "read_ms": read, "told_ms": tell + heard}
+    return {
+        "bytes": len(data),
+        "cpu_ms": cpu,
+        "longest_stall_ms": max(steps),
+        "in_one_go_ms": whole,
+        "stall_to_one_go": max(steps) / whole,
+        "thread_ms": encode + save,
+        "read_ms": read,
+        "told_ms": tell + heard,
+    }
 
 
 def main() -> None:
@@ -88,15 +97,27 @@
         made = planner(servers, slices, random.Random(1))
         with tempfile.TemporaryDirectory() as scratch:
             runs = [once(made, Path(scratch)) for _ in range(args.repeat + 1)][1:]
-        row = {"servers": servers, "slices": slices, **{
-            key: {"median": round(statistics.median(r[key] for r in runs), 3),
-                  "least": round(min(r[key] for r in runs), 3), "most": round(max(r[key] for r in runs), 3)}
-            for key in runs[0]}}
+        row = {
+            "servers": servers,
+            "slices": slices,
+            **{
+                key: {
+                    "median": round(statistics.median(r[key] for r in runs), 3),
+                    "least": round(min(r[key] for r in runs), 3),
+                    "most": round(max(r[key] for r in runs), 3),
+                }
+                for key in runs[0]
+            },
+        }
         print(json.dumps(row), flush=True)
         rows.append(row)
-    result = {"command": "python -m benchmarks.knowledge_cost --out benchmarks/knowledge_cost.json", "seed": 1,
-              "repeats": args.repeat, "machine": {"python": platform.python_version(), "cores": os.cpu_count()},
-              "rows": rows}
+    result = {
+        "command": "python -m benchmarks.knowledge_cost --out benchmarks/knowledge_cost.json",
+        "seed": 1,
+        "repeats": args.repeat,
+        "machine": {"python": platform.python_version(), "cores": os.cpu_count()},
+        "rows": rows,
+    }
     if args.out:
         args.out.write_text(json.dumps(result, indent=1) + "\n")
 
--- a/benchmarks/knowledge_kills.py
+++ b/benchmarks/knowledge_kills.py
@@ -36,17 +36,36 @@
 
 def script() -> Script:
     shared = {"aim": "1.5 s", "deadline": "4 s", "work": "300 ms"}
-    return Script.model_validate({
-        "day": {"length": "1 h", "rate": 1, "gateways": GATEWAYS, "servers": 16, "load": 0.35, "cores": 2,
-                "slices": 96},
-        "classes": {"page": {**shared, "share": 0.6},
-                    "tally": {**shared, "share": 0.4, "worth": 2, "effect": "non_idempotent"}},
-        "troubles": {},
-        "pilot": {
-            "rules": {"drain_grace": "2.5 s", "bare_limit": "2.5 s", "cold_share": "0.2", "cold_time": "10 s",
-                      "fall_multiple": "4", "fall_time": "1.5 s"},
-            "channel": {"lines_per_second": "4000", "limit": "8000"},
-            "knowledge": {"every": "100 ms"}}})
+    return Script.model_validate(
+        {
+            "day": {
+                "length": "1 h",
+                "rate": 1,
+                "gateways": GATEWAYS,
+                "servers": 16,
+                "load": 0.35,
+                "cores": 2,
+                "slices": 96,
+            },
+            "classes": {
+                "page": {**shared, "share": 0.6},
+                "tally": {**shared, "share": 0.4, "worth": 2, "effect": "non_idempotent"},
+            },
+            "troubles": {},
+            "pilot": {
+                "rules": {
+                    "drain_grace": "2.5 s",
+                    "bare_limit": "2.5 s",
+                    "cold_share": "0.2",
+                    "cold_time": "10 s",
+                    "fall_multiple": "4",
+                    "fall_time": "1.5 s",
+                },
+                "channel": {"lines_per_second": "4000", "limit": "8000"},
+                "knowledge": {"every": "100 ms"},
+            },
+        }
+    )
 
 
 def read(folder: Path) -> dict[str, Any]:
@@ -105,15 +124,35 @@
     joined = joins(folder, [start for start, _ in lives])
     late = [t for t in joined if t > 2]
     log = (folder / "pilot.log").read_text()
-    return {"kills": kills, "files torn": torn, "generations lost": lost, "damaged on purpose": kills // 10,
-            "damaged and refused": refused, "said in the log": log.count("knowledge_refused"),
-            "restarts that were told of it": log.count('"event": "recalled"'),
-            "joined_s": {"median": round(statistics.median(joined), 3), "p99": round(sorted(joined)[
-                int(0.99 * len(joined))], 3), "most": round(max(joined), 3), "over 2 s": len(late),
-                "lives that ended before all had joined": len(lives) - len(joined)},
-            "requests": outcome.requests, "service": round(outcome.service, 4), "rules kept": outcome.kept,
-            "rules": [{"rule": r.name, "tested": r.tested, "worst": round(r.worst, 3), "limit": r.limit,
-                       "breaches": len(r.breaches)} for r in outcome.rules]}
+    return {
+        "kills": kills,
+        "files torn": torn,
+        "generations lost": lost,
+        "damaged on purpose": kills // 10,
+        "damaged and refused": refused,
+        "said in the log": log.count("knowledge_refused"),
+        "restarts that were told of it": log.count('"event": "recalled"'),
+        "joined_s": {
+            "median": round(statistics.median(joined), 3),
+            "p99": round(sorted(joined)[int(0.99 * len(joined))], 3),
+            "most": round(max(joined), 3),
+            "over 2 s": len(late),
+            "lives that ended before all had joined": len(lives) - len(joined),
+        },
+        "requests": outcome.requests,
+        "service": round(outcome.service, 4),
+        "rules kept": outcome.kept,
+        "rules": [
+            {
+                "rule": r.name,
+                "tested": r.tested,
+                "worst": round(r.worst, 3),
+                "limit": r.limit,
+                "breaches": len(r.breaches),
+            }
+            for r in outcome.rules
+        ],
+    }
 
 
 def joins(folder: Path, starts: list[int]) -> list[float]:
@@ -139,9 +178,12 @@
     args = parser.parse_args()
     with tempfile.TemporaryDirectory() as scratch:
         found = anyio.run(campaign, Path(scratch), args.kills, args.seed)
-    result = {"command": f"python -m benchmarks.knowledge_kills --kills {args.kills} --out "
-              "benchmarks/knowledge_kills.json", "seed": args.seed,
-              "machine": {"python": platform.python_version(), "cores": os.cpu_count()}, **found}
+    result = {
+        "command": f"python -m benchmarks.knowledge_kills --kills {args.kills} --out benchmarks/knowledge_kills.json",
+        "seed": args.seed,
+        "machine": {"python": platform.python_version(), "cores": os.cpu_count()},
+        **found,
+    }
     print(json.dumps(result, indent=1))
     if args.out:
         args.out.write_text(json.dumps(result, indent=1) + "\n")
--- a/benchmarks/knowledge_restart.py
+++ b/benchmarks/knowledge_restart.py
@@ -51,14 +51,32 @@
 
 def script(scenario: str) -> Script:
     shared = {"aim": "1.5 s", "deadline": "4 s", "work": "300 ms"}
-    return Script.model_validate({
-        "day": {"length": f"{END} s", "rate": 3, "gateways": 12, "servers": 16, "load": 0.5, "cores": 2, "slices": 96},
-        "classes": {"page": {**shared, "share": 0.6}, "tally": {**shared, "share": 0.4, "worth": 2}},
-        "troubles": SCENARIOS[scenario],
-        "pilot": {
-            "rules": {"drain_grace": "2.5 s", "bare_limit": "2.5 s", "cold_share": "0.2", "cold_time": "10 s",
-                      "fall_multiple": "4", "fall_time": "1.5 s"},
-            "channel": {"lines_per_second": "4000", "limit": "8000"}}})
+    return Script.model_validate(
+        {
+            "day": {
+                "length": f"{END} s",
+                "rate": 3,
+                "gateways": 12,
+                "servers": 16,
+                "load": 0.5,
+                "cores": 2,
+                "slices": 96,
+            },
+            "classes": {"page": {**shared, "share": 0.6}, "tally": {**shared, "share": 0.4, "worth": 2}},
+            "troubles": SCENARIOS[scenario],
+            "pilot": {
+                "rules": {
+                    "drain_grace": "2.5 s",
+                    "bare_limit": "2.5 s",
+                    "cold_share": "0.2",
+                    "cold_time": "10 s",
+                    "fall_multiple": "4",
+                    "fall_time": "1.5 s",
+                },
+                "channel": {"lines_per_second": "4000", "limit": "8000"},
+            },
+        }
+    )
 
 
 def wrong(kept: Snapshot, seed: int) -> Snapshot:
@@ -67,11 +85,16 @@
     rates = [p.rates for p in kept.pieces]
     rng.shuffle(rates)
     return msgspec.structs.replace(
-        kept, servers=tuple(msgspec.structs.replace(s, speed=min(2.0, max(0.1, 1 / s.speed**2 if s.speed < 0.7
-                                                                           else rng.choice((0.3, 1.8)))))
-                            for s in kept.servers),
+        kept,
+        servers=tuple(
+            msgspec.structs.replace(
+                s, speed=min(2.0, max(0.1, 1 / s.speed**2 if s.speed < 0.7 else rng.choice((0.3, 1.8))))
+            )
+            for s in kept.servers
+        ),
         pieces=tuple(msgspec.structs.replace(p, rates=r) for p, r in zip(kept.pieces, rates, strict=True)),
-        fleet=Fleet(kept.fleet.best * 5, kept.fleet.pace * 5))
+        fleet=Fleet(kept.fleet.best * 5, kept.fleet.pace * 5),
+    )
 
 
 def tamper(folder: Path, arm: str, seed: int) -> None:
@@ -116,8 +139,15 @@
 
     outcome = player.judge(folder, player.limits(load(stage.settings_file)))
     done = [e for e in player.records(folder) if e["e"] == "done" and at <= e["begun"] < at + WINDOW * SECOND]
-    return {"scenario": scenario, "arm": arm, "seed": seed, "service": player.service(done), "requests": len(done),
-            "kept": outcome.kept, "broken": [r.name for r in outcome.rules if r.breaches]}
+    return {
+        "scenario": scenario,
+        "arm": arm,
+        "seed": seed,
+        "service": player.service(done),
+        "requests": len(done),
+        "kept": outcome.kept,
+        "broken": [r.name for r in outcome.rules if r.breaches],
+    }
 
 
 def one(job: tuple[str, str, int]) -> dict[str, Any]:
@@ -134,8 +164,11 @@
 
 def interval(figures: list[float]) -> dict[str, float]:
     mean = statistics.mean(figures)
-    half = stats.t.ppf(0.975, len(figures) - 1) * statistics.stdev(figures) / len(figures) ** 0.5 \
-        if len(figures) > 1 else 0.0
+    half = (
+        stats.t.ppf(0.975, len(figures) - 1) * statistics.stdev(figures) / len(figures) ** 0.5
+        if len(figures) > 1
+        else 0.0
+    )
     return {"mean": round(mean, 4), "half_width": round(float(half), 4)}
 
 
@@ -172,11 +205,16 @@
     jobs = [(scenario, arm, seed) for seed in range(1, args.seeds + 1) for scenario in SCENARIOS for arm in ARMS]
     with ThreadPoolExecutor(args.jobs) as pool:
         rows = list(pool.map(one, jobs))
-    result = {"command": f"python -m benchmarks.knowledge_restart --seeds {args.seeds} --jobs {args.jobs} "
-              "--out benchmarks/knowledge_restart.json", "seeds": args.seeds,
-              "machine": {"python": platform.python_version(), "cores": os.cpu_count(), "days at once": args.jobs},
-              "result": summed(rows), "days": len(rows), "rules broken": [r for r in rows if not r["kept"]],
-              "rows": rows}
+    result = {
+        "command": f"python -m benchmarks.knowledge_restart --seeds {args.seeds} --jobs {args.jobs} "
+        "--out benchmarks/knowledge_restart.json",
+        "seeds": args.seeds,
+        "machine": {"python": platform.python_version(), "cores": os.cpu_count(), "days at once": args.jobs},
+        "result": summed(rows),
+        "days": len(rows),
+        "rules broken": [r for r in rows if not r["kept"]],
+        "rows": rows,
+    }
     print(json.dumps(result["result"], indent=1))
     if args.out:
         args.out.write_text(json.dumps(result, indent=1) + "\n")
--- a/benchmarks/proxy_faults.py
+++ b/benchmarks/proxy_faults.py
@@ -104,8 +104,11 @@
     settings = ProxySettings(
         proxy=Own(name="p", zone="a"),
         limits=Limits(connect_time=SECOND // 5, stall_time=SECOND // 4, hold=SECOND // 10, churn=5000.0),
-        classes={"page": RequestClass(deadline=SECOND // 2, aim=SECOND // 5),
-                 "write": RequestClass(deadline=SECOND // 2, effect="non_idempotent")})
+        classes={
+            "page": RequestClass(deadline=SECOND // 2, aim=SECOND // 5),
+            "write": RequestClass(deadline=SECOND // 2, effect="non_idempotent"),
+        },
+    )
     proxy = Proxy(settings, structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()]), seed=seed)
     ends: Counter[str] = Counter()
     writes: set[str] = set()
@@ -114,8 +117,10 @@
         holdings = proxy.router.holdings
         holdings.tables["slice/0"] = Table({n: (1000, "a") for n in [*fleet.names, "127.0.0.1:1"]}, {})
         holdings.clusters = {("page", "a"): "slice/0", ("write", "a"): "slice/0"}
-        holdings.retries = {("page", "slice/0"): ("connect-failure,refused-stream,5xx,reset", 2),
-                            ("write", "slice/0"): ("connect-failure,refused-stream,5xx,reset", 2)}
+        holdings.retries = {
+            ("page", "slice/0"): ("connect-failure,refused-stream,5xx,reset", 2),
+            ("write", "slice/0"): ("connect-failure,refused-stream,5xx,reset", 2),
+        }
         proxy._took(EDS, [("slice/0", "1", b"")], [])
         numbers = iter(range(requests))
 
@@ -131,9 +136,17 @@
             for _ in range(jobs):
                 clients.start_soon(client)
     doubled = [rid for rid in writes if fleet.ran[rid] > 1]
-    return {"requests": sum(ends.values()), "answered": ends["answered"], "refused": ends["refused"],
-            "cut": ends["cut"], "unanswered": ends["unanswered"], "doubled_writes": len(doubled),
-            "kinds": len(fleet.kinds), "runs": sum(fleet.ran.values()), "by_kind": dict(fleet.kinds)}
+    return {
+        "requests": sum(ends.values()),
+        "answered": ends["answered"],
+        "refused": ends["refused"],
+        "cut": ends["cut"],
+        "unanswered": ends["unanswered"],
+        "doubled_writes": len(doubled),
+        "kinds": len(fleet.kinds),
+        "runs": sum(fleet.ran.values()),
+        "by_kind": dict(fleet.kinds),
+    }
 
 
 async def one(port: int, rid: str, kind: str) -> str:
@@ -142,8 +155,10 @@
     try:
         with anyio.fail_after(10):
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
-                await stream.send(b"POST / HTTP/1.1\r\nHost: x\r\nx-damson-class: %s\r\nx-request-id: %s\r\n"
-                                  b"connection: close\r\ncontent-length: 1\r\n\r\nx" % (kind.encode(), rid.encode()))
+                await stream.send(
+                    b"POST / HTTP/1.1\r\nHost: x\r\nx-damson-class: %s\r\nx-request-id: %s\r\n"
+                    b"connection: close\r\ncontent-length: 1\r\n\r\nx" % (kind.encode(), rid.encode())
+                )
                 while True:
                     data += await stream.receive()
     except anyio.EndOfStream:
@@ -169,8 +184,16 @@
         rows.append({"seed": seed, **anyio.run(campaign, args.requests, seed)})
         print(json.dumps(rows[-1]), flush=True)
     if args.out:
-        args.out.write_text(json.dumps({"command": "python -m benchmarks.proxy_faults --requests 10000 --out "
-                                        "benchmarks/proxy_faults.json", "rows": rows}, indent=1) + "\n")
+        args.out.write_text(
+            json.dumps(
+                {
+                    "command": "python -m benchmarks.proxy_faults --requests 10000 --out benchmarks/proxy_faults.json",
+                    "rows": rows,
+                },
+                indent=1,
+            )
+            + "\n"
+        )
     return 1 if any(r["doubled_writes"] or r["unanswered"] for r in rows) else 0
 
 
--- a/benchmarks/proxy_rate.py
+++ b/benchmarks/proxy_rate.py
@@ -104,9 +104,11 @@
     from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
     from damsonpick.xds.names import EDS
 
-    settings = ProxySettings(proxy=Own(name="p", zone="a", slices=slices),
-                             limits=Limits(per_server=1000, churn=1e6, waiting=4000, connections=4000),
-                             classes={"page": RequestClass(deadline=10_000_000_000)})
+    settings = ProxySettings(
+        proxy=Own(name="p", zone="a", slices=slices),
+        limits=Limits(per_server=1000, churn=1e6, waiting=4000, connections=4000),
+        classes={"page": RequestClass(deadline=10_000_000_000)},
+    )
     made = Proxy(settings, structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()]), seed=1)
     async with made.running():
         made._took(EDS, filled(made.router.holdings, ports, slices, lines), [])
@@ -124,8 +126,9 @@
 
     kind = Kind("page", 10**9, 10**10, "read_like")
     clock = Clock()
-    gateway = Gateway("g", "a", True, str, {"page": kind}, clock, Recorder(Path(os.devnull), clock.now), Links(),
-                      random.Random(1))
+    gateway = Gateway(
+        "g", "a", True, str, {"page": kind}, clock, Recorder(Path(os.devnull), clock.now), Links(), random.Random(1)
+    )
     gateway.holdings.tables["slice/0"] = Table({f"127.0.0.1:{p}": (1000, "a") for p in ports}, {})
 
     async def handle(headers: dict[str, str]) -> http.Answer:
@@ -191,23 +194,34 @@
 
 def latency(port: int, per_second: float, folder: Path) -> dict[str, int]:
     path = folder / "load.ini"
-    path.write_text(f"[load]\ntarget = 127.0.0.1:{port}\nrate = {per_second:.0f}\nlength = 6 s\n"
-                    "connections = 64\n[class page]\nshare = 1\n")
-    done = subprocess.run([sys.executable, "-m", "damsonpick", "load", str(path), "--json"], capture_output=True,
-                          text=True, check=True)
+    path.write_text(
+        f"[load]\ntarget = 127.0.0.1:{port}\nrate = {per_second:.0f}\nlength = 6 s\n"
+        "connections = 64\n[class page]\nshare = 1\n"
+    )
+    done = subprocess.run(
+        [sys.executable, "-m", "damsonpick", "load", str(path), "--json"], capture_output=True, text=True, check=True
+    )
     return json.loads(done.stdout)["classes"]["page"]["latency_us"]
 
 
 def start(*words: str) -> tuple[subprocess.Popen, list[int]]:
-    process = subprocess.Popen([sys.executable, "-m", "benchmarks.proxy_rate", "--role", *words],
-                               stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "benchmarks.proxy_rate", "--role", *words],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     return process, [int(p) for p in process.stdout.readline().split()]
 
 
 def measure(repeat: int, seconds: float) -> list[dict]:
     rows = []
-    fronts = {"relay": ("relay",), "proxy": ("proxy", "1", "4"), "proxy, 400 slices x 60 lines": ("proxy", "400", "60"),
-              "stand-in gateway": ("standin",)}
+    fronts = {
+        "relay": ("relay",),
+        "proxy": ("proxy", "1", "4"),
+        "proxy, 400 slices x 60 lines": ("proxy", "400", "60"),
+        "stand-in gateway": ("standin",),
+    }
     behind, ports = start("servers")
     texts = [str(p) for p in ports]
     for k in range(repeat):
@@ -236,10 +250,16 @@
     for name in dict.fromkeys(r["front"] for r in rows):
         mine = [r for r in rows if r["front"] == name]
         found[name] = {
-            f"rate_to_relay_{c}": [round(f(r[f"per_second_{c}"] / relay_[r["run"]][f"per_second_{c}"] for r in mine), 3)
-                                   for f in (min, statistics.median, max)] for c in (1, 64, 1000)}
-        found[name]["added_us"] = {p: round(statistics.median(
-            r["latency_us"][p] - relay_[r["run"]]["latency_us"][p] for r in mine)) for p in ("p50", "p99", "p99.9")}
+            f"rate_to_relay_{c}": [
+                round(f(r[f"per_second_{c}"] / relay_[r["run"]][f"per_second_{c}"] for r in mine), 3)
+                for f in (min, statistics.median, max)
+            ]
+            for c in (1, 64, 1000)
+        }
+        found[name]["added_us"] = {
+            p: round(statistics.median(r["latency_us"][p] - relay_[r["run"]]["latency_us"][p] for r in mine))
+            for p in ("p50", "p99", "p99.9")
+        }
     return found
 
 
@@ -253,8 +273,12 @@
     args = parser.parse_args()
     if args.role:
         role, *more = args.role
-        job = {"servers": lambda: servers(), "relay": lambda: relay(args.ports), "standin": lambda: standin(args.ports),
-               "proxy": lambda: proxy(args.ports, *map(int, more))}[role]
+        job = {
+            "servers": lambda: servers(),
+            "relay": lambda: relay(args.ports),
+            "standin": lambda: standin(args.ports),
+            "proxy": lambda: proxy(args.ports, *map(int, more)),
+        }[role]
         if role == "proxy":
             anyio.run(job, backend_options={"use_uvloop": True})  # as `damsonpick proxy` runs it
         else:
@@ -265,9 +289,19 @@
     print(json.dumps(result, indent=1))
     if args.out:
         machine = {"python": platform.python_version(), "cores": os.cpu_count()}
-        args.out.write_text(json.dumps({"command": "python -m benchmarks.proxy_rate --out benchmarks/proxy_rate.json",
-                                        "machine": machine, "columns": "[min, median, max]", "summary": result,
-                                        "rows": rows}, indent=1) + "\n")
+        args.out.write_text(
+            json.dumps(
+                {
+                    "command": "python -m benchmarks.proxy_rate --out benchmarks/proxy_rate.json",
+                    "machine": machine,
+                    "columns": "[min, median, max]",
+                    "summary": result,
+                    "rows": rows,
+                },
+                indent=1,
+            )
+            + "\n"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/sasp.py
+++ b/benchmarks/sasp.py
@@ -49,10 +49,19 @@
     published = Published(("page",), 400)
     for n in range(400):
         published.restore(n, {name(1 + n % MEMBERS): 1.0, name(1 + (n + 7) % MEMBERS): 1.0})
-    registry = Registry(Limits(2000, 1000), lambda text: "fleet" if text == b"all" else f"slices {int(text) % 400}",
-                        lambda lb: "register")
-    desk = Desk(published, registry, Pace(random.Random(1)), lambda n: 1.0 + n % 5, lambda n: Known(True, True, True),
-                lambda: 0.0)
+    registry = Registry(
+        Limits(2000, 1000),
+        lambda text: "fleet" if text == b"all" else f"slices {int(text) % 400}",
+        lambda lb: "register",
+    )
+    desk = Desk(
+        published,
+        registry,
+        Pace(random.Random(1)),
+        lambda n: 1.0 + n % 5,
+        lambda n: Known(True, True, True),
+        lambda: 0.0,
+    )
     session = SaspSession(desk, lambda lb: "a", Meter(1e9))
     listed = tuple(member(name(k)) for k in range(1, MEMBERS + 1))
     keys = [Group(b"lb", b"all")] if groups == 1 else [Group(b"lb", b"%d" % n) for n in range(groups)]
@@ -69,8 +78,13 @@
             size = len(session.receive(NOW, request))
             count += 1
         found[how] = count / (time.process_time() - start)
-    return {"groups": groups, "polls_per_s": round(found["kept"], 1), "made_anew_per_s": round(found["made anew"], 1),
-            "kept_to_made_anew": round(found["kept"] / found["made anew"], 2), "bytes": size}
+    return {
+        "groups": groups,
+        "polls_per_s": round(found["kept"], 1),
+        "made_anew_per_s": round(found["made anew"], 1),
+        "kept_to_made_anew": round(found["kept"] / found["made anew"], 2),
+        "bytes": size,
+    }
 
 
 async def crowd(address: str, polling: bool) -> None:
@@ -105,8 +119,12 @@
 
 @contextlib.contextmanager
 def crowded(address: str, polling: bool) -> Any:
-    process = subprocess.Popen([sys.executable, "-m", "benchmarks.sasp", "--crowd", address, str(int(polling))],
-                               stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "benchmarks.sasp", "--crowd", address, str(int(polling))],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     try:
         assert process.stdout.readline().strip() == "ready"
         yield process
@@ -124,8 +142,10 @@
     pushes: list[Any] = []
     gate, rng = Gate(pilot.folder, f"g-{time.monotonic_ns()}"), random.Random(repeats)
     found: dict[str, list[float]] = {"push": [], "xds": []}
-    async with connect(address, f"push-{time.monotonic_ns()}".encode(), pushes.append) as client, \
-            anyio.create_task_group() as group:
+    async with (
+        connect(address, f"push-{time.monotonic_ns()}".encode(), pushes.append) as client,
+        anyio.create_task_group() as group,
+    ):
         group.start_soon(gate.follower.run)
         await client.hello(LbFlag.PUSH)
         await client.register(b"all", [member(name(k)) for k in range(1, MEMBERS + 1)])
@@ -138,8 +158,9 @@
             start, when = time.perf_counter(), {}
             listed(pilot, k)
             while len(when) < 2:
-                if "push" not in when and any(w.member.endpoint == name(k) and not w.weight for p in pushes
-                                              for g in p.groups for w in g.weights):
+                if "push" not in when and any(
+                    w.member.endpoint == name(k) and not w.weight for p in pushes for g in p.groups for w in g.weights
+                ):
                     when["push"] = time.perf_counter() - start
                 if "xds" not in when and not any(name(k) in gate.holdings.open_lines(n) for n in gate.holdings.tables):
                     when["xds"] = time.perf_counter() - start
@@ -153,8 +174,11 @@
 
 
 def row(times: list[float]) -> dict[str, float]:
-    return {"median_ms": round(statistics.median(times), 1), "least": round(min(times), 1),
-            "most": round(max(times), 1)}
+    return {
+        "median_ms": round(statistics.median(times), 1),
+        "least": round(min(times), 1),
+        "most": round(max(times), 1),
+    }
 
 
 async def sockets(folder: Path, repeats: int) -> dict[str, Any]:
@@ -179,13 +203,26 @@
             process.stdin.close()
             rate = float(process.stdout.read().split()[-1])
         medians = {k: (statistics.median(quiet[k]), statistics.median(storm[k])) for k in quiet}
-        return {"storm": {
-            "balancers": BALANCERS, "polls_per_s": round(rate), **{
-                k: {"quiet": row(quiet[k]), "storm": row(storm[k]),
-                    "storm_to_quiet": round(medians[k][1] / medians[k][0], 2)} for k in quiet}},
-            "sessions": {"pilot_mib": round(empty / 2**20, 1),
-                         "kib_a_session": round((full - empty) / 1024 / BALANCERS, 1),
-                         "cpu_without": idle, "cpu_with_500_idle": busy}}
+        return {
+            "storm": {
+                "balancers": BALANCERS,
+                "polls_per_s": round(rate),
+                **{
+                    k: {
+                        "quiet": row(quiet[k]),
+                        "storm": row(storm[k]),
+                        "storm_to_quiet": round(medians[k][1] / medians[k][0], 2),
+                    }
+                    for k in quiet
+                },
+            },
+            "sessions": {
+                "pilot_mib": round(empty / 2**20, 1),
+                "kib_a_session": round((full - empty) / 1024 / BALANCERS, 1),
+                "cpu_without": idle,
+                "cpu_with_500_idle": busy,
+            },
+        }
     finally:
         pilot.stop()
 
@@ -206,10 +243,13 @@
     if args.crowd:
         anyio.run(crowd, args.crowd[0], args.crowd[1] == "1")
         return
-    result: dict[str, Any] = {"command": "python -m benchmarks.sasp --out benchmarks/sasp.json", "seed": 1,
-                              "repeats": args.repeat,
-                              "machine": {"python": platform.python_version(), "cores": os.cpu_count()},
-                              "polls": [polls(n) for n in (1, 100, 1000)]}
+    result: dict[str, Any] = {
+        "command": "python -m benchmarks.sasp --out benchmarks/sasp.json",
+        "seed": 1,
+        "repeats": args.repeat,
+        "machine": {"python": platform.python_version(), "cores": os.cpu_count()},
+        "polls": [polls(n) for n in (1, 100, 1000)],
+    }
     print(json.dumps(result["polls"]), flush=True)
     # in memory where there is such a folder: a rename over a file waits for a disk, and the drain is seen meanwhile
     with tempfile.TemporaryDirectory(dir="/dev/shm" if Path("/dev/shm").is_dir() else None) as scratch:
--- a/benchmarks/simhost_advised.py
+++ b/benchmarks/simhost_advised.py
@@ -30,8 +30,11 @@
     usable = planner.usable()
     cores = {n: max(1, min(64, round(planner.endpoints[n].weight))) for n in usable}
     servers = tuple(Server(n, "", max(1e-3, c * planner.pace / 0.9), cores[n]) for n, c in sorted(usable.items()))
-    pieces = tuple(Piece(p.number, p.heat, tuple(p.homes), tuple(map(p.wanted, p.homes)))
-                   for _, p in sorted(planner.slices.items()) if p.homes)
+    pieces = tuple(
+        Piece(p.number, p.heat, tuple(p.homes), tuple(map(p.wanted, p.homes)))
+        for _, p in sorted(planner.slices.items())
+        if p.homes
+    )
     found = divide(LinesProblem(kinds, servers, pieces, Costs(move=0.1)))
     return [TableAdvised(n, lines, False) for n, lines in sorted(found.items())]
 
--- a/benchmarks/solver_scenarios.py
+++ b/benchmarks/solver_scenarios.py
@@ -43,17 +43,33 @@
 
 def script(kind: str, arm: str) -> Script:
     shared = {"aim": "1.5 s", "deadline": "4 s", "work": "300 ms"}
-    return Script.model_validate({
-        "day": {"length": "28 s", "rate": 3, "gateways": 12, "servers": 16, "load": 0.55, "cores": 2,
-                "slices": 96 if arm == "slices" else 0},
-        "classes": {"page": {**shared, "share": 0.6}, "tally": {**shared, "share": 0.4, "worth": 2}},
-        "troubles": TROUBLES[kind],
-        "pilot": {
-            "rules": {"drain_grace": "2.5 s", "bare_limit": "2.5 s", "cold_share": "0.2", "cold_time": "10 s",
-                      "fall_multiple": "4", "fall_time": "1.5 s"},
-            "channel": {"lines_per_second": "4000", "limit": "8000"},
-            "solver": {"every": "2 s", "cross": "0.02"}},
-    })
+    return Script.model_validate(
+        {
+            "day": {
+                "length": "28 s",
+                "rate": 3,
+                "gateways": 12,
+                "servers": 16,
+                "load": 0.55,
+                "cores": 2,
+                "slices": 96 if arm == "slices" else 0,
+            },
+            "classes": {"page": {**shared, "share": 0.6}, "tally": {**shared, "share": 0.4, "worth": 2}},
+            "troubles": TROUBLES[kind],
+            "pilot": {
+                "rules": {
+                    "drain_grace": "2.5 s",
+                    "bare_limit": "2.5 s",
+                    "cold_share": "0.2",
+                    "cold_time": "10 s",
+                    "fall_multiple": "4",
+                    "fall_time": "1.5 s",
+                },
+                "channel": {"lines_per_second": "4000", "limit": "8000"},
+                "solver": {"every": "2 s", "cross": "0.02"},
+            },
+        }
+    )
 
 
 async def play(kind: str, arm: str, seed: int) -> dict[str, object]:
@@ -61,9 +77,17 @@
     with tempfile.TemporaryDirectory() as scratch:
         outcome = await player.play(script(kind, arm), seed, Path(scratch), pilot)
         ideal = knowing(Path(scratch)) if arm == "solver" else None
-    return {"kind": kind, "arm": arm, "seed": seed, "service": outcome.service, "requests": outcome.requests,
-            "kept": outcome.kept, "broken": [r.name for r in outcome.rules if r.breaches], "ends": outcome.ends,
-            "knowing": ideal}
+    return {
+        "kind": kind,
+        "arm": arm,
+        "seed": seed,
+        "service": outcome.service,
+        "requests": outcome.requests,
+        "kept": outcome.kept,
+        "broken": [r.name for r in outcome.rules if r.breaches],
+        "ends": outcome.ends,
+        "knowing": ideal,
+    }
 
 
 def knowing(folder: Path) -> float:
@@ -103,8 +127,12 @@
         worth = sum(kinds[k].worth * r for (_, k), r in came.items())
         if servers and worth:
             free = Costs(cross=0.0, move=0.0, least=0.0, margin=0.0, spread=0.0)
-            made = plan(program, Problem(tuple(kinds.values()), tuple(servers), tuple(
-                (z, k, r) for (z, k), r in sorted(came.items())), free))
+            made = plan(
+                program,
+                Problem(
+                    tuple(kinds.values()), tuple(servers), tuple((z, k, r) for (z, k), r in sorted(came.items())), free
+                ),
+            )
             asked += worth
             served += min(worth, max(0.0, made.value))
         t += SECOND
@@ -133,7 +161,8 @@
             "solver_less_hand": interval([a - b for a, b in zip(service["solver"], service["hand"], strict=True)]),
             "solver_less_slices": interval([a - b for a, b in zip(service["solver"], service["slices"], strict=True)]),
             "gap_to_all_knowing": interval([by["solver", s]["knowing"] - by["solver", s]["service"] for s in seeds]),
-            "rules_kept": all(r["kept"] for r in by.values())}
+            "rules_kept": all(r["kept"] for r in by.values()),
+        }
     return found
 
 
@@ -148,10 +177,13 @@
 
     async def one(kind: str, arm: str, seed: int) -> None:
         async with gate:
-            code = ("import asyncio, json, sys; sys.path.insert(0, 'benchmarks'); import solver_scenarios as s; "
-                    f"print(json.dumps(asyncio.run(s.play({kind!r}, {arm!r}, {seed}))))")
-            process = await asyncio.create_subprocess_exec(sys.executable, "-c", code, cwd=ROOT,
-                                                           stdout=asyncio.subprocess.PIPE)
+            code = (
+                "import asyncio, json, sys; sys.path.insert(0, 'benchmarks'); import solver_scenarios as s; "
+                f"print(json.dumps(asyncio.run(s.play({kind!r}, {arm!r}, {seed}))))"
+            )
+            process = await asyncio.create_subprocess_exec(
+                sys.executable, "-c", code, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+            )
             out, _ = await process.communicate()
             rows.append(json.loads(out.splitlines()[-1]))
 
@@ -160,9 +192,18 @@
     print(json.dumps(result, indent=1))
     if args.out:
         machine = {"python": platform.python_version(), "cores": os.cpu_count(), "jobs": args.jobs}
-        args.out.write_text(json.dumps({"command": "python benchmarks/solver_scenarios.py --out "
-                                        "benchmarks/solver_scenarios.json", "machine": machine, "summary": result,
-                                        "rows": rows}, indent=1) + "\n")
+        args.out.write_text(
+            json.dumps(
+                {
+                    "command": "python benchmarks/solver_scenarios.py --out benchmarks/solver_scenarios.json",
+                    "machine": machine,
+                    "summary": result,
+                    "rows": rows,
+                },
+                indent=1,
+            )
+            + "\n"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/solver_time.py
+++ b/benchmarks/solver_time.py
@@ -32,19 +32,24 @@
 
 def fleet(servers: int, zones: int, rng: random.Random) -> Problem:
     names = [f"z{k}" for k in range(zones)]
-    made = tuple(Server(f"s{k}", names[k % zones], rng.choice((3, 6)) * rng.uniform(0.6, 1.6), rng.choice((3, 6)))
-                 for k in range(servers))
+    made = tuple(
+        Server(f"s{k}", names[k % zones], rng.choice((3, 6)) * rng.uniform(0.6, 1.6), rng.choice((3, 6)))
+        for k in range(servers)
+    )
     capacity = sum(s.capacity for s in made)
-    demand = tuple((z, k.name, 0.6 * capacity / zones / 2 / k.work * rng.uniform(0.5, 1.5))
-                   for z in names for k in KINDS)
+    demand = tuple(
+        (z, k.name, 0.6 * capacity / zones / 2 / k.work * rng.uniform(0.5, 1.5)) for z in names for k in KINDS
+    )
     return Problem(KINDS, made, demand, Costs())
 
 
 def shaken(problem: Problem, shares: dict[str, float], rng: random.Random) -> Problem:
     return problem._replace(
-        servers=tuple(s._replace(capacity=s.capacity * rng.uniform(0.97, 1.03), share=shares[s.name])
-                      for s in problem.servers),
-        demand=tuple((z, c, r * rng.uniform(0.97, 1.03)) for z, c, r in problem.demand))
+        servers=tuple(
+            s._replace(capacity=s.capacity * rng.uniform(0.97, 1.03), share=shares[s.name]) for s in problem.servers
+        ),
+        demand=tuple((z, c, r * rng.uniform(0.97, 1.03)) for z, c, r in problem.demand),
+    )
 
 
 def by_scipy(problem: Problem) -> float:
@@ -55,9 +60,16 @@
     low, high = np.array(lp.row_lower_), np.array(lp.row_upper_)
     up, down, same = np.isfinite(high) & (low != high), np.isfinite(low) & (low != high), low == high
     from scipy.sparse import vstack
-    linprog(lp.col_cost_, A_ub=vstack([a[up], -a[down]]), b_ub=np.concatenate([high[up], -low[down]]),
-            A_eq=a[same] if same.any() else None, b_eq=high[same] if same.any() else None,
-            bounds=list(zip(lp.col_lower_, lp.col_upper_, strict=True)), method="highs")
+
+    linprog(
+        lp.col_cost_,
+        A_ub=vstack([a[up], -a[down]]),
+        b_ub=np.concatenate([high[up], -low[down]]),
+        A_eq=a[same] if same.any() else None,
+        b_eq=high[same] if same.any() else None,
+        bounds=list(zip(lp.col_lower_, lp.col_upper_, strict=True)),
+        method="highs",
+    )
     return time.perf_counter() - start
 
 
@@ -74,9 +86,16 @@
         warm.append(time.perf_counter() - start)
         if k < 3:
             dull.append(by_scipy(problem))
-    return {"servers": servers, "zones": zones, "seed": seed, "cold_ms": cold * 1e3, "warm_ms": warm,
-            "scipy_ms": dull, "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-            "status": made.status}
+    return {
+        "servers": servers,
+        "zones": zones,
+        "seed": seed,
+        "cold_ms": cold * 1e3,
+        "warm_ms": warm,
+        "scipy_ms": dull,
+        "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
+        "status": made.status,
+    }
 
 
 def main() -> None:
@@ -91,23 +110,46 @@
         return
     rows = []
     for servers, zones in SIZES:
-        runs = [json.loads(subprocess.run([sys.executable, __file__, "--one", str(servers), str(zones), str(seed),
-                                           str(args.repeat)], check=True, capture_output=True, text=True
-                                          ).stdout.splitlines()[-1]) for seed in range(1, args.seeds + 1)]
+        runs = [
+            json.loads(
+                subprocess.run(
+                    [sys.executable, __file__, "--one", str(servers), str(zones), str(seed), str(args.repeat)],
+                    check=True,
+                    capture_output=True,
+                    text=True,
+                ).stdout.splitlines()[-1]
+            )
+            for seed in range(1, args.seeds + 1)
+        ]
         warm = [x * 1e3 for r in runs for x in r["warm_ms"]]
         dull = [x * 1e3 for r in runs for x in r["scipy_ms"]]
-        rows.append({"servers": servers, "zones": zones,
-                     "cold_ms": [round(f(r["cold_ms"] for r in runs), 1) for f in (min, statistics.median, max)],
-                     "warm_ms": [round(f(warm), 1) for f in (min, statistics.median, max)],
-                     "scipy_ms": [round(f(dull), 1) for f in (min, statistics.median, max)],
-                     "scipy_to_warm": round(statistics.median(dull) / statistics.median(warm), 2),
-                     "memory_mb": round(max(r["memory_mb"] for r in runs))})
+        rows.append(
+            {
+                "servers": servers,
+                "zones": zones,
+                "cold_ms": [round(f(r["cold_ms"] for r in runs), 1) for f in (min, statistics.median, max)],
+                "warm_ms": [round(f(warm), 1) for f in (min, statistics.median, max)],
+                "scipy_ms": [round(f(dull), 1) for f in (min, statistics.median, max)],
+                "scipy_to_warm": round(statistics.median(dull) / statistics.median(warm), 2),
+                "memory_mb": round(max(r["memory_mb"] for r in runs)),
+            }
+        )
         print(json.dumps(rows[-1]), flush=True)
     if args.out:
         machine = {"python": platform.python_version(), "cores": os.cpu_count()}
-        args.out.write_text(json.dumps({"command": "python benchmarks/solver_time.py --out "
-                                        "benchmarks/solver_time.json", "seeds": args.seeds, "machine": machine,
-                                        "columns": "[min, median, max]", "rows": rows}, indent=1) + "\n")
+        args.out.write_text(
+            json.dumps(
+                {
+                    "command": "python benchmarks/solver_time.py --out benchmarks/solver_time.json",
+                    "seeds": args.seeds,
+                    "machine": machine,
+                    "columns": "[min, median, max]",
+                    "rows": rows,
+                },
+                indent=1,
+            )
+            + "\n"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -96,8 +96,9 @@
 def deltas(folder: Path, count: int, rng: random.Random) -> dict[str, object]:
     published, catalogue = filled(folder)
     found: dict[str, object] = {"gateways": count}
-    fleets = {checks: [Gateway(catalogue, checks, f"g{k}", k < READERS) for k in range(count)]
-              for checks in (True, False)}
+    fleets = {
+        checks: [Gateway(catalogue, checks, f"g{k}", k < READERS) for k in range(count)] for checks in (True, False)
+    }
     for checks, fleet in fleets.items():
         runs = [g.take(1) for g in fleet]
         found[f"whole, roots {'checked' if checks else 'not stated'}"] = _row(runs)
@@ -114,8 +115,11 @@
                 g.session.change(change.lines, Due(change.seq, 1, change.cost()))
             row = _row([g.take(2) for g in fleet])
             whole = found[f"whole, roots {'checked' if checks else 'not stated'}"]
-            row |= {"refresh_ms": round(refresh * 1e3, 2), "bytes_to_whole": round(row["bytes"] / whole["bytes"], 5),
-                    "pilot_cpu_to_whole": round(row["pilot_us"] / whole["pilot_us"], 4)}
+            row |= {
+                "refresh_ms": round(refresh * 1e3, 2),
+                "bytes_to_whole": round(row["bytes"] / whole["bytes"], 5),
+                "pilot_cpu_to_whole": round(row["pilot_us"] / whole["pilot_us"], 4),
+            }
             found[f"{name}, roots {'checked' if checks else 'not stated'}"] = row
     first = fleets[True][0].holdings.versions[EDS]
     assert all(g.holdings.versions[EDS] == first for f in fleets.values() for g in f[:READERS])
@@ -155,8 +159,12 @@
     keeper.start(0)
     start = time.perf_counter()
     for k in range(count):
-        change = published.apply([api.SetLine(rng.randrange(SLICES), server(rng.randrange(LINES)), rng.uniform(1, 9))
-                                  for _ in range(rng.randint(1, 10))])
+        change = published.apply(
+            [
+                api.SetLine(rng.randrange(SLICES), server(rng.randrange(LINES)), rng.uniform(1, 9))
+                for _ in range(rng.randint(1, 10))
+            ]
+        )
         catalogue.refresh(change.lines)
         keeper.note(k, change.lines, "module")
     took = time.perf_counter() - start
@@ -168,8 +176,13 @@
     opened = time.perf_counter() - start
     start = time.perf_counter()
     again.history.at(1)
-    return {"versions": count, "bytes_a_version": round(size / count), "ms_a_version": round(took / count * 1e3, 3),
-            "start_s": round(opened, 3), "oldest_state_s": round(time.perf_counter() - start, 3)}
+    return {
+        "versions": count,
+        "bytes_a_version": round(size / count),
+        "ms_a_version": round(took / count * 1e3, 3),
+        "start_s": round(opened, 3),
+        "oldest_state_s": round(time.perf_counter() - start, 3),
+    }
 
 
 # -- the way back, through sockets
@@ -232,13 +245,27 @@
         for k in range(50):
             holdings = Holdings()
             watch = Watched(f"g{k}", holdings)
-            gates.append(Follower(f"g{k}", "ab"[k % 2], lambda: [f"127.0.0.1:{pilot.port}"], holdings,
-                                  Clock(), Redial(rng, 0.05, 0.3), lambda *a: None, lambda: {}, watch.said, LOG))
+            gates.append(
+                Follower(
+                    f"g{k}",
+                    "ab"[k % 2],
+                    lambda: [f"127.0.0.1:{pilot.port}"],
+                    holdings,
+                    Clock(),
+                    Redial(rng, 0.05, 0.3),
+                    lambda *a: None,
+                    lambda: {},
+                    watch.said,
+                    LOG,
+                )
+            )
             watched.append(watch)
             group.start_soon(gates[-1].run)
         for k in range(10):
-            settings = ProxySettings(proxy=Own(name=f"p{k}", zone="ab"[k % 2], slices=100, port_file=pilot.port_file),
-                                     classes={"page": RequestClass(deadline=10**9)})
+            settings = ProxySettings(
+                proxy=Own(name=f"p{k}", zone="ab"[k % 2], slices=100, port_file=pilot.port_file),
+                classes={"page": RequestClass(deadline=10**9)},
+            )
             proxy = Proxy(settings, LOG, seed=k)
             watch = Watched(f"p{k}", proxy.router.holdings)
             proxy.follower.said = watch.said
@@ -293,11 +320,17 @@
     await _until(pilot, 60, True)
     took = anyio.current_time() - start
     reached = sum(w.reaches() for w in watched)
-    return {"rollback_said_s": round(said, 3), "all_verified_s": round(took, 3), "lines": done["lines"],
-            "drain_in_reach_s": round(first_drain, 3), "drained_in_reach_at_the_end": reached,
-            "drain_while_going_back_s": round(max(w.late for w in watched), 3),
-            "bare_at_the_end": sum(len(w.since) for w in watched),
-            "longest_bare_s": round(max(w.longest for w in watched), 4), "messages": sum(w.seen for w in watched)}
+    return {
+        "rollback_said_s": round(said, 3),
+        "all_verified_s": round(took, 3),
+        "lines": done["lines"],
+        "drain_in_reach_s": round(first_drain, 3),
+        "drained_in_reach_at_the_end": reached,
+        "drain_while_going_back_s": round(max(w.late for w in watched), 3),
+        "bare_at_the_end": sum(len(w.since) for w in watched),
+        "longest_bare_s": round(max(w.longest for w in watched), 4),
+        "messages": sum(w.seen for w in watched),
+    }
 
 
 async def _run(proxy: Proxy) -> None:
@@ -330,9 +363,13 @@
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
     result: dict[str, object] = {
-        "command": "python -m benchmarks.versions --out benchmarks/versions.json", "seed": args.seed,
-        "machine": {"python": platform.python_version(), "cores": os.cpu_count()}, "hash": hashes(), "deltas": [],
-        "back": []}
+        "command": "python -m benchmarks.versions --out benchmarks/versions.json",
+        "seed": args.seed,
+        "machine": {"python": platform.python_version(), "cores": os.cpu_count()},
+        "hash": hashes(),
+        "deltas": [],
+        "back": [],
+    }
     with tempfile.TemporaryDirectory() as scratch:
         folder = Path(scratch)
         for count in (100, 1000):
--- a/benchmarks/versions_kills.py
+++ b/benchmarks/versions_kills.py
@@ -78,8 +78,13 @@
     if work is not None:
         await anyio.to_thread.run_sync(work.wait)
         await say(pilot, "release")
-    found = {"back": back, "rest_s": rest, "roots": len({g["root"] for g in held["gateways"]}), "bare": bare(gates),
-             "drain_s": left}
+    found = {
+        "back": back,
+        "rest_s": rest,
+        "roots": len({g["root"] for g in held["gateways"]}),
+        "bare": bare(gates),
+        "drain_s": left,
+    }
     listed(pilot, set())
     return found
 
@@ -105,12 +110,20 @@
         pilot.stop()
     rests = sorted(t["rest_s"] for t in turns)
     late = [t for t in turns if t["drain_s"] is None or t["drain_s"] > GRACE]
-    return {"turns": kills, "killed": kill, "rollbacks": sum(t["back"] for t in turns),
-            "ended_with_one_verified_version": sum(t["roots"] == 1 for t in turns),
-            "bare_slices": sum(t["bare"] for t in turns), "drains_over_the_grace": len(late),
-            "longest_drain_s": round(max((t["drain_s"] or 99.0) for t in turns), 3),
-            "rest_s": {"median": round(statistics.median(rests), 3), "p95": round(rests[int(0.95 * len(rests))], 3),
-                       "most": round(rests[-1], 3)}}
+    return {
+        "turns": kills,
+        "killed": kill,
+        "rollbacks": sum(t["back"] for t in turns),
+        "ended_with_one_verified_version": sum(t["roots"] == 1 for t in turns),
+        "bare_slices": sum(t["bare"] for t in turns),
+        "drains_over_the_grace": len(late),
+        "longest_drain_s": round(max((t["drain_s"] or 99.0) for t in turns), 3),
+        "rest_s": {
+            "median": round(statistics.median(rests), 3),
+            "p95": round(rests[int(0.95 * len(rests))], 3),
+            "most": round(rests[-1], 3),
+        },
+    }
 
 
 def main() -> None:
@@ -121,7 +134,9 @@
     args = parser.parse_args()
     result: dict[str, Any] = {
         "command": f"python -m benchmarks.versions_kills --kills {args.kills} --out benchmarks/versions_kills.json",
-        "seed": args.seed, "machine": {"python": platform.python_version(), "cores": os.cpu_count()}}
+        "seed": args.seed,
+        "machine": {"python": platform.python_version(), "cores": os.cpu_count()},
+    }
     for name, kill, count in (("killed", True, args.kills), ("not killed", False, max(10, args.kills // 10))):
         with tempfile.TemporaryDirectory() as scratch:
             result[name] = anyio.run(campaign, Path(scratch), count, args.seed, kill)
--- a/damsonpick/badday/player.py
+++ b/damsonpick/badday/player.py
@@ -23,8 +23,14 @@
 class Outcome:
     """What a day showed."""
 
-    def __init__(self, rules: list[Result], service: float, requests: int, ends: dict[str, int],
-                 fronts: dict[str, float] | None = None) -> None:
+    def __init__(
+        self,
+        rules: list[Result],
+        service: float,
+        requests: int,
+        ends: dict[str, int],
+        fronts: dict[str, float] | None = None,
+    ) -> None:
         self.rules, self.service, self.requests, self.ends = rules, service, requests, ends
         self.fronts = fronts or {}  # service by front, where there are two
 
@@ -33,14 +39,29 @@
         return not any(rule.breaches for rule in self.rules)
 
     def as_dict(self) -> dict[str, Any]:
-        return {"kept": self.kept, "service": round(self.service, 4), "requests": self.requests, "ends": self.ends,
-                **({"fronts": {n: round(s, 4) for n, s in self.fronts.items()}} if self.fronts else {}),
-                "rules": [{"rule": r.name, "tested": r.tested, "worst": round(r.worst, 3), "limit": r.limit,
-                           "unit": r.unit, "breaches": [b._asdict() for b in r.breaches]} for r in self.rules]}
-
-
-async def play(script: Script, seed: int, folder: Path, pilot: list[str] | None = None,
-               proxies: bool = False) -> Outcome:
+        return {
+            "kept": self.kept,
+            "service": round(self.service, 4),
+            "requests": self.requests,
+            "ends": self.ends,
+            **({"fronts": {n: round(s, 4) for n, s in self.fronts.items()}} if self.fronts else {}),
+            "rules": [
+                {
+                    "rule": r.name,
+                    "tested": r.tested,
+                    "worst": round(r.worst, 3),
+                    "limit": r.limit,
+                    "unit": r.unit,
+                    "breaches": [b._asdict() for b in r.breaches],
+                }
+                for r in self.rules
+            ],
+        }
+
+
+async def play(
+    script: Script, seed: int, folder: Path, pilot: list[str] | None = None, proxies: bool = False
+) -> Outcome:
     """Play one day in `folder`, which must be empty, and judge it."""
     stage = Stage(script, seed, folder, pilot or PILOT, proxies)
 
@@ -72,10 +93,18 @@
     """The rules' figures from a pilot's settings."""
     r, c = settings.rules, settings.channel
     return Limits(
-        slices=settings.table_count(), bare=r.bare_limit, grace=r.drain_grace, cold_time=r.cold_time,
-        fall_multiple=r.fall_multiple, fall_time=r.fall_time,
-        waiting=c.limit if c.lines_per_second else float("inf"), head=c.head, messages=c.messages, window=c.window,
-        effects={n: (k.effect, k.key_scope, k.key_window) for n, k in settings.classes.items()})
+        slices=settings.table_count(),
+        bare=r.bare_limit,
+        grace=r.drain_grace,
+        cold_time=r.cold_time,
+        fall_multiple=r.fall_multiple,
+        fall_time=r.fall_time,
+        waiting=c.limit if c.lines_per_second else float("inf"),
+        head=c.head,
+        messages=c.messages,
+        window=c.window,
+        effects={n: (k.effect, k.key_scope, k.key_window) for n, k in settings.classes.items()},
+    )
 
 
 def records(folder: Path) -> Iterable[dict[str, Any]]:
@@ -96,8 +125,10 @@
     done = [e for e in events if e["e"] == "done"]
     first = min((e["begun"] for e in done), default=0) + LEAD
     counted = [e for e in done if e["begun"] >= first]
-    over = {"sasp": [e for e in counted if e["gw"].startswith("lb-")],
-            "xds": [e for e in counted if not e["gw"].startswith("lb-")]}
+    over = {
+        "sasp": [e for e in counted if e["gw"].startswith("lb-")],
+        "xds": [e for e in counted if not e["gw"].startswith("lb-")],
+    }
     ends: dict[str, int] = {}
     for e in counted:
         how = "late" if e["ok"] and e["ms"] > e["aim"] else e["how"]
--- a/damsonpick/badday/report.py
+++ b/damsonpick/badday/report.py
@@ -16,8 +16,15 @@
 BREACHES = 5  # shown for each rule
 
 
-def rehearse(days: tuple[Path, ...], seed: int | None, times: int, keep: Path | None, pilot: list[str] | None,
-             as_json: bool, proxies: bool = False) -> int:
+def rehearse(
+    days: tuple[Path, ...],
+    seed: int | None,
+    times: int,
+    keep: Path | None,
+    pilot: list[str] | None,
+    as_json: bool,
+    proxies: bool = False,
+) -> int:
     """Exit code: 0 all rules kept, 1 one broken, 2 a script cannot be read."""
     try:
         scripts = [(path, load(path)) for path in days]
@@ -37,8 +44,7 @@
     return 0 if kept else 1
 
 
-def _one(path: Path, script: Script, seed: int, keep: Path | None, pilot: list[str] | None,
-         proxies: bool) -> Outcome:
+def _one(path: Path, script: Script, seed: int, keep: Path | None, pilot: list[str] | None, proxies: bool) -> Outcome:
     with tempfile.TemporaryDirectory(prefix="badday-") as scratch:
         folder = Path(scratch)
         if keep is not None:
@@ -48,15 +54,20 @@
 
 
 def _print(path: Path, seed: int, outcome: Outcome) -> None:
-    click.echo(f"{path} (seed {seed}): {'all rules kept' if outcome.kept else 'A RULE WAS BROKEN'}; service "
-               f"{outcome.service:.3f} over {outcome.requests} requests (stand-ins on loopback)")
+    click.echo(
+        f"{path} (seed {seed}): {'all rules kept' if outcome.kept else 'A RULE WAS BROKEN'}; service "
+        f"{outcome.service:.3f} over {outcome.requests} requests (stand-ins on loopback)"
+    )
     click.echo("  ends: " + ", ".join(f"{how} {n}" for how, n in sorted(outcome.ends.items())))
     for rule in outcome.rules:
         mark = "kept  " if not rule.breaches else "BROKEN"
-        click.echo(f"  {mark}  {rule.name:<30} tested {rule.tested:>7}  worst {rule.worst:8.3f} of "
-                   f"{rule.limit:g} {rule.unit}")
+        click.echo(
+            f"  {mark}  {rule.name:<30} tested {rule.tested:>7}  worst {rule.worst:8.3f} of {rule.limit:g} {rule.unit}"
+        )
         for breach in rule.breaches[:BREACHES]:
-            click.echo(f"          at {breach.t / 1e9:.3f} gateway {breach.gateway} slice {breach.slice} "
-                       f"server {breach.server}: {breach.text}")
+            click.echo(
+                f"          at {breach.t / 1e9:.3f} gateway {breach.gateway} slice {breach.slice} "
+                f"server {breach.server}: {breach.text}"
+            )
         if len(rule.breaches) > BREACHES:
             click.echo(f"          and {len(rule.breaches) - BREACHES} more")
--- a/damsonpick/badday/script.py
+++ b/damsonpick/badday/script.py
@@ -51,9 +51,28 @@
 class Trouble(Section):
     """[trouble NAME]: what goes wrong, when, for how long, and how much. See docs/operators/badday.md."""
 
-    kind: Literal["crash", "deploy", "shrink", "slow", "hang", "fast_errors", "hot_key", "zone_cut", "counter_down",
-                  "report_late", "origin_slow", "false_reports", "balancer_stall", "class_fail", "flapping", "preempt",
-                  "pilot_restart", "rush", "half_building", "answers_lost"]
+    kind: Literal[
+        "crash",
+        "deploy",
+        "shrink",
+        "slow",
+        "hang",
+        "fast_errors",
+        "hot_key",
+        "zone_cut",
+        "counter_down",
+        "report_late",
+        "origin_slow",
+        "false_reports",
+        "balancer_stall",
+        "class_fail",
+        "flapping",
+        "preempt",
+        "pilot_restart",
+        "rush",
+        "half_building",
+        "answers_lost",
+    ]
     at: Duration
     len: Duration = 10_000_000_000
     part: Share = 0.2
@@ -74,8 +93,9 @@
     Raises:
         SettingsError: with every problem found, each with section, key, value and remedy.
     """
-    script, problems = sections.read(path, Script, ("day", *PILOT_SECTIONS),
-                                     {"class": "classes", "trouble": "troubles"}, whole="pilot")
+    script, problems = sections.read(
+        path, Script, ("day", *PILOT_SECTIONS), {"class": "classes", "trouble": "troubles"}, whole="pilot"
+    )
     problems += _across(script)
     if problems:
         raise SettingsError(path, problems)
@@ -86,6 +106,7 @@
     found = []
     for name, trouble in script.troubles.items():
         if trouble.at >= script.day.length:
-            found.append(Problem(f"trouble {name}", "at", f"{trouble.at / 1e9:g} s",
-                                 "is after the day's end; start it earlier"))
+            found.append(
+                Problem(f"trouble {name}", "at", f"{trouble.at / 1e9:g} s", "is after the day's end; start it earlier")
+            )
     return found
--- a/damsonpick/badday/stage.py
+++ b/damsonpick/badday/stage.py
@@ -54,8 +54,15 @@
         self.group = group
         day, rules = self.script.day, self.limits()
         for k in range(day.servers):
-            make = Make(day.zones[k % len(day.zones)], day.cores, self.rng.choice((0.8, 1.0, 1.25)),
-                        rules["cold_share"], rules["cold_time"], rules["fall_multiple"], rules["fall_time"])
+            make = Make(
+                day.zones[k % len(day.zones)],
+                day.cores,
+                self.rng.choice((0.8, 1.0, 1.25)),
+                rules["cold_share"],
+                rules["cold_time"],
+                rules["fall_multiple"],
+                rules["fall_time"],
+            )
             server = ResultsServer(make, self.clock, self.record, random.Random(f"{self.seed} server {k}"))
             await server.start(group, cold=False)
             self.servers.append(server)
@@ -75,8 +82,14 @@
         """The pilot's settings file for this day."""
         day = self.script.day
         parts: dict[str, dict[str, Any]] = {
-            "pilot": {"name": "pilot-0", "zone": day.zones[0], "zones": ", ".join(day.zones), "state": "state",
-                      "seed": self.seed, "clock_rate": day.rate},
+            "pilot": {
+                "name": "pilot-0",
+                "zone": day.zones[0],
+                "zones": ", ".join(day.zones),
+                "state": "state",
+                "seed": self.seed,
+                "clock_rate": day.rate,
+            },
             "listen": {"xds": "127.0.0.1:0"},
             "tables": {"slices": day.slices},
             **self.script.pilot,
@@ -86,11 +99,17 @@
         }
         for name, kind in self.script.classes.items():
             parts[f"class {name}"] = {
-                "aim": f"{kind.aim} ns", "deadline": f"{kind.deadline} ns", "worth": kind.worth,
-                "effect": kind.effect, "key_scope": kind.key_scope, "key_window": f"{kind.key_window} ns",
-                "work": f"{kind.work} ns"}
-        return "".join(f"[{name}]\n" + "".join(f"{k} = {v}\n" for k, v in keys.items()) + "\n"
-                       for name, keys in parts.items())
+                "aim": f"{kind.aim} ns",
+                "deadline": f"{kind.deadline} ns",
+                "worth": kind.worth,
+                "effect": kind.effect,
+                "key_scope": kind.key_scope,
+                "key_window": f"{kind.key_window} ns",
+                "work": f"{kind.work} ns",
+            }
+        return "".join(
+            f"[{name}]\n" + "".join(f"{k} = {v}\n" for k, v in keys.items()) + "\n" for name, keys in parts.items()
+        )
 
     async def start_pilot(self) -> None:
         """Start the pilot and wait until its port is open."""
@@ -98,7 +117,10 @@
         log = (self.folder / "pilot.log").open("a")
         self.pilot = await anyio.open_process(
             [*self.command, "run", str(self.settings_file), "--port-file", str(self.port_file)],
-            stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL, stderr=log)
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.DEVNULL,
+            stderr=log,
+        )
         log.close()
         with anyio.move_on_after(20):
             while not self.port_file.exists():
@@ -112,26 +134,48 @@
     async def start_fleet(self) -> None:
         day = self.script.day
         capacity = sum(s.make.cores * s.make.speed for s in self.servers)  # ms of work each ms
-        mean = sum(k.share * k.work for k in self.script.classes.values()) / sum(
-            k.share for k in self.script.classes.values()) / 1e9
-        gateways = [{"name": f"gw-{k}", "zone": day.zones[k % len(day.zones)], "delta": self.proxies or k % 4 != 3}
-                    for k in range(day.gateways)]
+        mean = (
+            sum(k.share * k.work for k in self.script.classes.values())
+            / sum(k.share for k in self.script.classes.values())
+            / 1e9
+        )
+        gateways = [
+            {"name": f"gw-{k}", "zone": day.zones[k % len(day.zones)], "delta": self.proxies or k % 4 != 3}
+            for k in range(day.gateways)
+        ]
         balancers = [{"name": f"lb-{k}", "zone": day.zones[k % len(day.zones)]} for k in range(day.balancers)]
         parts = 3 if self.proxies else 1  # real proxies cost more of a process
         for part in range(parts):
             setup = {
-                "clock_rate": day.rate, "seed": self.seed, "part": part, "proxies": self.proxies,
-                "record": str(self.folder / f"gateways-{part}.jsonl"), "pilot_zone": day.zones[0],
-                "port_file": str(self.port_file), "slices": day.slices,
+                "clock_rate": day.rate,
+                "seed": self.seed,
+                "part": part,
+                "proxies": self.proxies,
+                "record": str(self.folder / f"gateways-{part}.jsonl"),
+                "pilot_zone": day.zones[0],
+                "port_file": str(self.port_file),
+                "slices": day.slices,
                 "rate": day.load * capacity / (mean * 1.083) / parts,  # the mean of the drawn factor on work
-                "kinds": [{"name": n, "aim": k.aim, "deadline": k.deadline, "effect": k.effect, "share": k.share,
-                           "work": k.work / 1e6, "worth": k.worth} for n, k in self.script.classes.items()],
-                "gateways": gateways[part::parts], "balancers": balancers[part::parts],
+                "kinds": [
+                    {
+                        "name": n,
+                        "aim": k.aim,
+                        "deadline": k.deadline,
+                        "effect": k.effect,
+                        "share": k.share,
+                        "work": k.work / 1e6,
+                        "worth": k.worth,
+                    }
+                    for n, k in self.script.classes.items()
+                ],
+                "gateways": gateways[part::parts],
+                "balancers": balancers[part::parts],
                 "members": {s.address: s.make.zone for s in self.servers},
             }
             with (self.folder / "fleet.log").open("a") as log:
-                fleet = await anyio.open_process([sys.executable, "-m", "damsonpick.standins.fleet"],
-                                                 stdout=subprocess.DEVNULL, stderr=log)
+                fleet = await anyio.open_process(
+                    [sys.executable, "-m", "damsonpick.standins.fleet"], stdout=subprocess.DEVNULL, stderr=log
+                )
             await fleet.stdin.send(json.dumps(setup).encode() + b"\n")
             self.fleets.append(fleet)
 
--- a/damsonpick/badday/troubles.py
+++ b/damsonpick/badday/troubles.py
@@ -32,7 +32,7 @@
     batch = max(1, round(t.size * len(stage.servers)))
     rounds = -(-len(struck) // batch)
     for k in range(rounds):
-        group = struck[k * batch:(k + 1) * batch]
+        group = struck[k * batch : (k + 1) * batch]
         for server in group:
             await stage.tell(server, "terminating")
         await stage.wait(t.extra * SECOND)
@@ -191,12 +191,24 @@
 
 
 ALL: dict[str, Callable[[Stage, Trouble], Awaitable[None]]] = {
-    "crash": crash, "deploy": deploy, "shrink": shrink, "preempt": preempt, "flapping": flapping,
-    "slow": _mark("slow", lambda t: t.size, 1.0), "hang": _mark("hang", lambda t: True, False),
+    "crash": crash,
+    "deploy": deploy,
+    "shrink": shrink,
+    "preempt": preempt,
+    "flapping": flapping,
+    "slow": _mark("slow", lambda t: t.size, 1.0),
+    "hang": _mark("hang", lambda t: True, False),
     "answers_lost": _mark("losing", lambda t: min(1.0, t.size), 0.0),
-    "fast_errors": _mark("errors", lambda t: min(1.0, t.size), 0.0), "class_fail": class_fail, "hot_key": hot_key,
-    "rush": rush, "zone_cut": zone_cut, "counter_down": counter_down, "report_late": report_late,
-    "origin_slow": origin_slow, "balancer_stall": balancer_stall, "pilot_restart": pilot_restart,
+    "fast_errors": _mark("errors", lambda t: min(1.0, t.size), 0.0),
+    "class_fail": class_fail,
+    "hot_key": hot_key,
+    "rush": rush,
+    "zone_cut": zone_cut,
+    "counter_down": counter_down,
+    "report_late": report_late,
+    "origin_slow": origin_slow,
+    "balancer_stall": balancer_stall,
+    "pilot_restart": pilot_restart,
     "false_reports": false_reports,
     "half_building": half_building,
 }
--- a/damsonpick/choice.py
+++ b/damsonpick/choice.py
@@ -75,8 +75,12 @@
         age = max(0, now - view[4]) / SECOND
         keep, recent = math.exp(-age / EVIDENCE_TAU), math.exp(-age / LATE_TAU)
         new = report.tries, good, good * report.latency, span
-        view[:] = [*(old * keep + more for old, more in zip(view, new, strict=False)), now,
-                   view[5] * recent + good, view[6] * recent + good * report.latency]
+        view[:] = [
+            *(old * keep + more for old, more in zip(view, new, strict=False)),
+            now,
+            view[5] * recent + good,
+            view[6] * recent + good * report.latency,
+        ]
         self.heard = now
         views = [v for v in self.views.values() if now - v[4] < 2 * EVIDENCE_TAU * SECOND]
         self.tries, answered, time = (sum(v[k] for v in views) for k in range(3))
@@ -115,8 +119,9 @@
 
     def astray(self) -> bool:
         """The store does not hold what is wanted."""
-        return (self.lines.keys() != dict.fromkeys(self.homes).keys()
-                or any(self.lines.get(n, w) != w for n, w in self.weights.items()))
+        return self.lines.keys() != dict.fromkeys(self.homes).keys() or any(
+            self.lines.get(n, w) != w for n, w in self.weights.items()
+        )
 
 
 class Channel:
@@ -402,8 +407,12 @@
             for home in filter(self.tender, list(piece.homes)):
                 heat = piece.part(home)
                 over = load[home] > COLD_HEADROOM * mean * cap[home]
-                if over and (len(piece.homes) > 1 if piece.laid else  # all are homes, others take its part
-                             self.roomiest(cap, load, heat, mean, piece.homes)):
+                if over and (
+                    len(piece.homes) > 1
+                    if piece.laid
+                    # all are homes, others take its part
+                    else self.roomiest(cap, load, heat, mean, piece.homes)
+                ):
                     piece.homes.remove(home)
                     load[home] -= heat
             if not piece.homes and cap and (piece.weights or not piece.laid):  # some tables are to be empty
@@ -477,8 +486,11 @@
             piece.warmth = {n: w for n, w in piece.warmth.items() if w > 0.01}
         # Gone and in no table: forgotten once no proxy that was away may come back with a line of it.
         named = {n: True for p in self.slices.values() for n in (*p.lines, *p.homes)}
-        self.gone = {n: self.gone.get(n, self.now) for n, e in self.endpoints.items()
-                     if e.state == "terminated" and n not in named}
+        self.gone = {
+            n: self.gone.get(n, self.now)
+            for n, e in self.endpoints.items()
+            if e.state == "terminated" and n not in named
+        }
         gone = {n: True for n, since in self.gone.items() if self.now - since > AWAY}
         self.endpoints = {n: e for n, e in self.endpoints.items() if n not in gone}
         while len(self.shut) > SHUT_MOST:
@@ -488,8 +500,14 @@
         """Exception (doubt: listed weight does not tell speed): capacity follows latency, and the share that
         is answered, against the fleet's. Covers slow, overloaded, ageing, hung and failing ones, whatever
         they report; none is taken out, which threw its load on the next. Harm: costly keys look slow."""
-        warm = [e for e in self.endpoints.values() if e.state == "in_service" and self.ramp(e) >= 1
-                and e.tries >= MIN_TRIES and self.now - e.heard <= 2 * self.span]
+        warm = [
+            e
+            for e in self.endpoints.values()
+            if e.state == "in_service"
+            and self.ramp(e) >= 1
+            and e.tries >= MIN_TRIES
+            and self.now - e.heard <= 2 * self.span
+        ]
         times = sorted(e.latency for e in warm if e.latency > 0) or [1.0]
         middle = times[len(times) // 2]
         # A link cut around us is no dead server, nor a lossy one: half of the zones must tell of it.
@@ -516,8 +534,15 @@
         good = max(good, min(share * let_in, good / max(0.1, self.covered(cap))))
         # The middle of what all zones met: slow links, or servers, that are fewer than half do not shed.
         # A view that heard nothing since fades: a jam that is over would else be seen where few still ask.
-        views, seen = sorted((v[6] / v[5], v[5] * math.exp((v[4] - self.now) / SECOND / LATE_TAU))
-                             for e in fresh for v in e.views.values() if v[5] > 0), 0.0
+        views, seen = (
+            sorted(
+                (v[6] / v[5], v[5] * math.exp((v[4] - self.now) / SECOND / LATE_TAU))
+                for e in fresh
+                for v in e.views.values()
+                if v[5] > 0
+            ),
+            0.0,
+        )
         half = sum(n for _, n in views) / 2
         late = next((time for time, n in views if (seen := seen + n) >= half), 0.0) / self.aim
         if self.taken_over:  # what the levels of the earlier life let in is the first allowance
@@ -551,8 +576,7 @@
         zones = len(dict.fromkeys(self.met.values())) or 1
         homes = {h: True for p in self.slices.values() for h in p.homes if h in cap}
         late = self.now - 2 * self.span
-        seen = sum(cap[h] * min(1.0, self.endpoints[h].seen / zones) for h in homes
-                   if self.endpoints[h].heard >= late)
+        seen = sum(cap[h] * min(1.0, self.endpoints[h].seen / zones) for h in homes if self.endpoints[h].heard >= late)
         return seen / (sum(cap[h] for h in homes) or 1.0)
 
     def levels(self, share: float, rates: list[float]) -> tuple[float, ...]:
@@ -602,7 +626,8 @@
         first, as one message a proxy and as much as the channel has room for."""
         back = [n for n, out in self.shut.items() if out and not self.barred(n)]
         if not self.channel.proxies or not (
-                self.dirty or self.greet or self.restate or back or self.wanted != self.level):
+            self.dirty or self.greet or self.restate or back or self.wanted != self.level
+        ):
             return
         room = [self.channel.room(self.now, urgency) for urgency in (RULE, FAILURE, BALANCE, LEISURE)]
         if max(room) < 1:
@@ -612,7 +637,7 @@
         # proxies. It goes before all: the message after next is too late. Old lines leave the tables when
         # nothing else waits, and only then may an endpoint come back.
         flips = [api.Withdraw(n, True) for n in stale if self.barred(n) and not self.shut.get(n)]
-        lines: list[api.Action] = flips[:max(0, room[RULE])]
+        lines: list[api.Action] = flips[: max(0, room[RULE])]
         out = {f.endpoint: True for f in lines}
         self.shut.update(out)
         again = room[FAILURE] / (2 if self.dirty else 1)  # what is said again leaves room for bare slices
@@ -622,10 +647,11 @@
         if (self.greet or self.wanted != self.level) and room[FAILURE] > len(lines) + 2:
             self.greet, self.level = False, self.wanted
             lines += [api.Admit(None, (k,), level, RETRY) for k, level in enumerate(self.wanted)]
-        todo = sorted(((*self.orders(p), p) for p in self.dirty.values()),
-                      key=lambda t: (t[0], -t[3].heat, t[3].number))
+        todo = sorted(
+            ((*self.orders(p), p) for p in self.dirty.values()), key=lambda t: (t[0], -t[3].heat, t[3].number)
+        )
         if lines or room[BALANCE] > 0:  # a return alone is not worth a message kept for rules
-            backs = [api.Withdraw(n, False) for n in back if n not in stale][:max(0, room[RULE] - len(lines))]
+            backs = [api.Withdraw(n, False) for n in back if n not in stale][: max(0, room[RULE] - len(lines))]
             self.shut.update((b.endpoint, False) for b in backs)
             lines += backs
             self.changed |= bool(backs)
@@ -634,7 +660,7 @@
         self.landed, sole = True, self.settings.sole_owner  # a sole owner's line replaces the old
         for urgency, adds, drops, piece in todo:
             if piece.laid:  # it may be longer than a message: what fits, and the rest with the next
-                adds = adds[:max(0, int(room[urgency]) - len(lines) - len(drops))]
+                adds = adds[: max(0, int(room[urgency]) - len(lines) - len(drops))]
             if len(lines) + len(adds) + len(drops) <= room[urgency]:
                 moves = moves or urgency != LEISURE
                 lines += [api.SetLine(piece.number, n, piece.wanted(n)) for n in adds]
@@ -679,22 +705,26 @@
                     self.at.append(at)
                     self.heat.append(heat)
         self.start = list(self.at)
-        self.warmest = [[place[n] for n, _ in sorted(p.warmth.items(), key=lambda i: -i[1]) if n in place]
-                        for p, _ in self.units]
+        self.warmest = [
+            [place[n] for n, _ in sorted(p.warmth.items(), key=lambda i: -i[1]) if n in place] for p, _ in self.units
+        ]
         self.total, self.weight = sum(self.load) or 1.0, sum(self.cap) or 1.0
         self.most = COLD_HEADROOM * planner.part(self.total, self.weight)  # heat per capacity where cold
         self.level = [x / w for x, w in zip(self.load, self.cap, strict=True)]
         # Squares of heat and count per capacity; warmth lost by moves, in heat; units away from their start.
-        self.sums = (sum(x * x / w for x, w in zip(self.load, self.cap, strict=True)),
-                     sum(len(x) ** 2 / w for x, w in zip(self.on, self.cap, strict=True)), 0.0, 0)
+        self.sums = (
+            sum(x * x / w for x, w in zip(self.load, self.cap, strict=True)),
+            sum(len(x) ** 2 / w for x, w in zip(self.on, self.cap, strict=True)),
+            0.0,
+            0,
+        )
 
     def skewed(self) -> bool:
         """The slop gate: some endpoint's count or heat per weight is off the mean by more than the slop."""
         if len(self.names) < 2 or not self.units:
             return False
         even = (self.load, self.total / self.weight), (map(len, self.on), len(self.units) / self.weight)
-        return any(abs(x / w - mean) > SLOP * mean
-                   for have, mean in even for x, w in zip(have, self.cap, strict=True))
+        return any(abs(x / w - mean) > SLOP * mean for have, mean in even for x, w in zip(have, self.cap, strict=True))
 
     def spread(self, squares: float, total: float) -> float:
         """Spread per weight, against the mean: 0 is even. Exception (scaled to 1 for all on the smallest,
@@ -702,8 +732,11 @@
         return math.sqrt(max(0.0, squares * self.weight / (total * total) - 1))
 
     def cost(self, heat_sq: float, count_sq: float, lost: float) -> float:
-        return (COUNT_COST * self.spread(count_sq, len(self.units))
-                + HEAT_COST * self.spread(heat_sq, self.total) + WARM_COST * lost / self.total)
+        return (
+            COUNT_COST * self.spread(count_sq, len(self.units))
+            + HEAT_COST * self.spread(heat_sq, self.total)
+            + WARM_COST * lost / self.total
+        )
 
     def trial(self, moves: list[tuple[int, int]]) -> tuple[float, float, float, int]:
         """The sums after a step, in constant time, as its moves are between two endpoints. Changes nothing:
@@ -781,6 +814,6 @@
         for unit, (piece, k) in enumerate(self.units):
             home, to = self.names[self.start[unit]], self.names[self.at[unit]]
             # List, starts or charge may have changed since the search began: such moves are left out.
-            ours = self.planner.slices.get(piece.number) is piece and piece.homes[k:k + 1] == [home]
+            ours = self.planner.slices.get(piece.number) is piece and piece.homes[k : k + 1] == [home]
             if ours and to in usable and to not in piece.homes and not piece.laid:
                 piece.homes[k] = to
--- a/damsonpick/cli/knowledge.py
+++ b/damsonpick/cli/knowledge.py
@@ -53,19 +53,41 @@
     age, aged = _aged(found)
     kept = found.snapshot
     if as_json:
-        click.echo(json.dumps({"which": found.which, "sequence": kept.sequence, "age_s": age.ns / 1e9,
-                               "doubt": age.doubt, "written": msgspec.to_builtins(kept),
-                               "aged": msgspec.to_builtins(aged)}))
+        click.echo(
+            json.dumps(
+                {
+                    "which": found.which,
+                    "sequence": kept.sequence,
+                    "age_s": age.ns / 1e9,
+                    "doubt": age.doubt,
+                    "written": msgspec.to_builtins(kept),
+                    "aged": msgspec.to_builtins(aged),
+                }
+            )
+        )
         return
-    click.echo(f"snapshot {kept.sequence} of {kept.pilot} ({found.which}), {age.ns / 1e9:.1f} s old"
-               + (f"; {age.doubt}" if age.doubt else ""))
-    click.echo(f"best {kept.fleet.best:.1f} answers/s, now {aged.fleet.best:.1f}; "
-               f"{len(kept.pieces)} slices with {sum(map(sum, (p.rates for p in kept.pieces))):.1f} requests/s, now "
-               f"{sum(map(sum, (p.rates for p in aged.pieces))):.1f}")
-    rows(["server", "process started", "speed", "aged", "last good answer"],
-         [[s.endpoint, s.started or "long ago", f"{s.speed:.3f}", f"{now.speed:.3f}",
-           f"{(kept.clock - s.answered) / 1e9:.1f} s before it was written" if s.answered else "not known"]
-          for s, now in zip(kept.servers, aged.servers, strict=True)])
+    click.echo(
+        f"snapshot {kept.sequence} of {kept.pilot} ({found.which}), {age.ns / 1e9:.1f} s old"
+        + (f"; {age.doubt}" if age.doubt else "")
+    )
+    click.echo(
+        f"best {kept.fleet.best:.1f} answers/s, now {aged.fleet.best:.1f}; "
+        f"{len(kept.pieces)} slices with {sum(map(sum, (p.rates for p in kept.pieces))):.1f} requests/s, now "
+        f"{sum(map(sum, (p.rates for p in aged.pieces))):.1f}"
+    )
+    rows(
+        ["server", "process started", "speed", "aged", "last good answer"],
+        [
+            [
+                s.endpoint,
+                s.started or "long ago",
+                f"{s.speed:.3f}",
+                f"{now.speed:.3f}",
+                f"{(kept.clock - s.answered) / 1e9:.1f} s before it was written" if s.answered else "not known",
+            ]
+            for s, now in zip(kept.servers, aged.servers, strict=True)
+        ],
+    )
 
 
 @knowledge.command()
@@ -136,21 +158,44 @@
     if as_json:
         click.echo(json.dumps(reply))
         return
-    rows(["source", "answers", "believed", "servers", "for", "why"],
-         [[s["source"], "yes" if s["up"] else "no", "yes" if s["believed"] else "", s["servers"],
-           f"{s['since_s']} s" if s["since_s"] is not None else "-", s["why"]] for s in reply["sources"]])
+    rows(
+        ["source", "answers", "believed", "servers", "for", "why"],
+        [
+            [
+                s["source"],
+                "yes" if s["up"] else "no",
+                "yes" if s["believed"] else "",
+                s["servers"],
+                f"{s['since_s']} s" if s["since_s"] is not None else "-",
+                s["why"],
+            ]
+            for s in reply["sources"]
+        ],
+    )
     if not reply["live"]:
         click.echo("no source has answered yet: the list is the one kept on disk")
     for dispute in reply["disputes"]:
         click.echo(dispute)
     if reply["held_for_s"] is not None:
-        click.echo(f"servers are held that the list no longer names, for {reply['held_for_s']} s; "
-                   "`damsonpick list accept` lets them go")
+        click.echo(
+            f"servers are held that the list no longer names, for {reply['held_for_s']} s; "
+            "`damsonpick list accept` lets them go"
+        )
     click.echo()
-    rows(["server", "zone", "state", "trust", "spoken for", "held"],
-         [[e["endpoint"], e["zone"], e["state"], f"{e['trust']:g}",
-           f"{e['spoken_for_s']} s ago" if e["spoken_for_s"] is not None else "not known", "yes" if e["held"] else ""]
-          for e in reply["servers"]])
+    rows(
+        ["server", "zone", "state", "trust", "spoken for", "held"],
+        [
+            [
+                e["endpoint"],
+                e["zone"],
+                e["state"],
+                f"{e['trust']:g}",
+                f"{e['spoken_for_s']} s ago" if e["spoken_for_s"] is not None else "not known",
+                "yes" if e["held"] else "",
+            ]
+            for e in reply["servers"]
+        ],
+    )
 
 
 @listing.command("accept")
--- a/damsonpick/cli/main.py
+++ b/damsonpick/cli/main.py
@@ -88,8 +88,10 @@
         click.echo(str(error), err=True)
         sys.exit(WRONG)
     except (RuntimeError, OSError) as error:
-        click.echo(f"[listen] xds = {settings.listen.xds}: cannot be opened ({error}); free the port or "
-                   "choose another", err=True)
+        click.echo(
+            f"[listen] xds = {settings.listen.xds}: cannot be opened ({error}); free the port or choose another",
+            err=True,
+        )
         sys.exit(WRONG)
 
 
@@ -106,19 +108,36 @@
         click.echo(json.dumps(reply))
         return
     channel = reply["channel"]
-    click.echo(f"{reply['pilot']}: start {reply['epoch']}, port {reply['port']}, change {reply['published']}, "
-               f"{reply['slices']} slices, module {reply['module']}, list: {reply['list']}")
-    click.echo("let in: " + ", ".join(f"{k} {v:.0%}" for k, v in reply["levels"].items())
-               + f"; waiting lines {channel['waiting']:g} of {channel['limit']:g} (most so far {channel['most']:g})")
+    click.echo(
+        f"{reply['pilot']}: start {reply['epoch']}, port {reply['port']}, change {reply['published']}, "
+        f"{reply['slices']} slices, module {reply['module']}, list: {reply['list']}"
+    )
+    click.echo(
+        "let in: "
+        + ", ".join(f"{k} {v:.0%}" for k, v in reply["levels"].items())
+        + f"; waiting lines {channel['waiting']:g} of {channel['limit']:g} (most so far {channel['most']:g})"
+    )
     click.echo()
-    rows(["gateway", "zone", "variant", "acknowledged", "behind", "waiting", "rejected"],
-          [[g["gateway"], g["zone"], g["variant"], g["acknowledged"], g["published"] - g["acknowledged"],
-            f"{g['waiting_lines']} lines, {g['waiting_s']} s",
-            "; ".join(f"{n}: {w}" for n, w in g["rejected"].items()) or "-"] for g in reply["gateways"]])
+    rows(
+        ["gateway", "zone", "variant", "acknowledged", "behind", "waiting", "rejected"],
+        [
+            [
+                g["gateway"],
+                g["zone"],
+                g["variant"],
+                g["acknowledged"],
+                g["published"] - g["acknowledged"],
+                f"{g['waiting_lines']} lines, {g['waiting_s']} s",
+                "; ".join(f"{n}: {w}" for n, w in g["rejected"].items()) or "-",
+            ]
+            for g in reply["gateways"]
+        ],
+    )
     click.echo()
-    rows(["server", "state", "lines", "weight", "speed", "why"],
-          [[e["endpoint"], e["state"], e["lines"], f"{e['weight']:g}", e["speed"], e["why"]]
-           for e in reply["endpoints"]])
+    rows(
+        ["server", "state", "lines", "weight", "speed", "why"],
+        [[e["endpoint"], e["state"], e["lines"], f"{e['weight']:g}", e["speed"], e["why"]] for e in reply["endpoints"]],
+    )
 
 
 @main.command()
@@ -132,10 +151,18 @@
         click.echo(json.dumps(reply))
         return
     out = set(reply["withdrawn"])
-    rows(["slice", "version", "change", "servers"],
-          [[t["slice"], t["version"], t["changed"],
-            ", ".join(f"{n} {w:g}{'*' if n in out else ''}" for n, w in sorted(t["lines"].items())) or "none"]
-           for t in reply["tables"]])
+    rows(
+        ["slice", "version", "change", "servers"],
+        [
+            [
+                t["slice"],
+                t["version"],
+                t["changed"],
+                ", ".join(f"{n} {w:g}{'*' if n in out else ''}" for n, w in sorted(t["lines"].items())) or "none",
+            ]
+            for t in reply["tables"]
+        ],
+    )
 
 
 @main.command()
@@ -154,8 +181,9 @@
 
     try:
         settings = load(file)
-        anyio.run(program.serve, settings, configure(log_format, "info"), port_file,
-                  backend_options={"use_uvloop": True})
+        anyio.run(
+            program.serve, settings, configure(log_format, "info"), port_file, backend_options={"use_uvloop": True}
+        )
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(WRONG)
@@ -190,9 +218,19 @@
     if as_json:
         click.echo(json.dumps(found))
         return
-    rows(["class", "requests", "per second", *(f"p{p:g} us" for p in results.PERCENTILES), "ends"],
-          [[n, v["requests"], v["per_second"], *v["latency_us"].values(),
-            ", ".join(f"{k} {c}" for k, c in v["ends"].items())] for n, v in found["classes"].items()])
+    rows(
+        ["class", "requests", "per second", *(f"p{p:g} us" for p in results.PERCENTILES), "ends"],
+        [
+            [
+                n,
+                v["requests"],
+                v["per_second"],
+                *v["latency_us"].values(),
+                ", ".join(f"{k} {c}" for k, c in v["ends"].items()),
+            ]
+            for n, v in found["classes"].items()
+        ],
+    )
     click.echo(f"the sender was late by {found['sender_late_us']} us at its worst")
     if compared:
         rows(["class", "figure", "earlier", "now", "ratio"], compared)
@@ -222,29 +260,58 @@
     if as_json:
         click.echo(json.dumps(reply))
         return
-    click.echo(f"plan: {reply['status']}" + (f", worth {reply['value']} a second, solved in {reply['solved_in_ms']} ms"
-                                             if "value" in reply else ""))
-    rows(["class", "let in", "worth shed"], [[c["class"], f"{c['let_in']:.1%}", c["shed_worth"]]
-                                              for c in reply["classes"]])
+    click.echo(
+        f"plan: {reply['status']}"
+        + (f", worth {reply['value']} a second, solved in {reply['solved_in_ms']} ms" if "value" in reply else "")
+    )
+    rows(
+        ["class", "let in", "worth shed"],
+        [[c["class"], f"{c['let_in']:.1%}", c["shed_worth"]] for c in reply["classes"]],
+    )
     click.echo()
     rows(["building", "price of work"], [[b["building"], b["price_of_work"]] for b in reply["buildings"]])
     click.echo()
-    rows(["server", "building", "share", "was", "used", "limits", "a core more", "why"],
-          [[s["server"], s["building"], f"{s['share']:.2%}", f"{s['was']:.2%}", f"{s['used']:.0%}",
-            ", ".join(s["limits"]) or "-", s["price_of_a_core"], s["why"]] for s in reply["servers"]])
+    rows(
+        ["server", "building", "share", "was", "used", "limits", "a core more", "why"],
+        [
+            [
+                s["server"],
+                s["building"],
+                f"{s['share']:.2%}",
+                f"{s['was']:.2%}",
+                f"{s['used']:.0%}",
+                ", ".join(s["limits"]) or "-",
+                s["price_of_a_core"],
+                s["why"],
+            ]
+            for s in reply["servers"]
+        ],
+    )
 
 
 @main.command()
 @click.argument("days", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("--seed", type=int, help="Draws fleet, traffic and who is struck; the script's own if not given.")
-@click.option("--times", default=1, show_default=True, type=click.IntRange(1, 100),
-              help="Play each day so often, with the next seeds.")
+@click.option(
+    "--times",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 100),
+    help="Play each day so often, with the next seeds.",
+)
 @click.option("--keep", type=click.Path(path_type=Path), help="Keep settings, records and logs in this folder.")
 @click.option("--proxies", is_flag=True, help="Real proxies as data plane, in place of stand-in forwarding.")
 @click.option("--pilot", help="The command that runs a pilot, in place of this program's own.")
 @as_json
-def badday(days: tuple[Path, ...], seed: int | None, times: int, keep: Path | None, proxies: bool,
-           pilot: str | None, as_json: bool) -> None:
+def badday(
+    days: tuple[Path, ...],
+    seed: int | None,
+    times: int,
+    keep: Path | None,
+    proxies: bool,
+    pilot: str | None,
+    as_json: bool,
+) -> None:
     """Rehearse the bad DAYS: a pilot, gateways and servers on loopback, troubles by script.
 
     The five rules are checked from what passed on the sockets. Exit code 0: all kept on every day; 1: one was
@@ -252,8 +319,7 @@
     """
     from damsonpick.badday import report
 
-    sys.exit(report.rehearse(days, seed, times, keep, shlex.split(pilot) if pilot else None, as_json,
-                              proxies))
+    sys.exit(report.rehearse(days, seed, times, keep, shlex.split(pilot) if pilot else None, as_json, proxies))
 
 
 if __name__ == "__main__":
--- a/damsonpick/cli/sasp.py
+++ b/damsonpick/cli/sasp.py
@@ -14,8 +14,12 @@
 from damsonpick.sasp import client as wire
 from damsonpick.sasp.layout import LbFlag, SendWeights, WeightFlag, WeightsOf, member
 
-MARKS = {WeightFlag.CONTACT: "contact", WeightFlag.QUIESCE: "quiesced", WeightFlag.REGISTERED: "by itself",
-         WeightFlag.CONFIDENT: "confident"}
+MARKS = {
+    WeightFlag.CONTACT: "contact",
+    WeightFlag.QUIESCE: "quiesced",
+    WeightFlag.REGISTERED: "by itself",
+    WeightFlag.CONFIDENT: "confident",
+}
 
 NONE: dict[str, dict[str, Any]] = {"-": {"covers": "-", "members": 0, "quiesced": []}}  # of one without groups
 
@@ -26,14 +30,24 @@
 
 
 def _shown(groups: tuple[WeightsOf, ...], machine: bool) -> None:
-    found = [{"group": g.group.name.decode("utf-8", "backslashreplace"), "endpoint": w.member.endpoint,
-              "weight": w.weight, "flags": [t for f, t in MARKS.items() if w.flags & f], "state": w.state}
-             for g in groups for w in g.weights]
+    found = [
+        {
+            "group": g.group.name.decode("utf-8", "backslashreplace"),
+            "endpoint": w.member.endpoint,
+            "weight": w.weight,
+            "flags": [t for f, t in MARKS.items() if w.flags & f],
+            "state": w.state,
+        }
+        for g in groups
+        for w in g.weights
+    ]
     if machine:
         click.echo(json.dumps(found))
     else:
-        rows(["group", "member", "weight", "flags"],
-             [[r["group"], r["endpoint"], r["weight"], ", ".join(r["flags"]) or "-"] for r in found])
+        rows(
+            ["group", "member", "weight", "flags"],
+            [[r["group"], r["endpoint"], r["weight"], ", ".join(r["flags"]) or "-"] for r in found],
+        )
 
 
 def _members(texts: tuple[str, ...]) -> list[Any]:
@@ -131,8 +145,33 @@
     if as_json:
         click.echo(json.dumps(reply))
         return
-    rows(["balancer", "sessions", "pushes", "trusted", "seen change", "last told", "group", "covers", "members",
-          "quiesced"],
-         [[b["balancer"], b["sessions"], "yes" if b["pushes"] else "no", "yes" if b["trusted"] else "no", b["seen"],
-           f"{b['last_told_s']} s ago" if b["last_told_s"] is not None else "never", name, g["covers"], g["members"],
-           ", ".join(g["quiesced"]) or "-"] for b in reply["balancers"] for name, g in (b["groups"] or NONE).items()])
+    rows(
+        [
+            "balancer",
+            "sessions",
+            "pushes",
+            "trusted",
+            "seen change",
+            "last told",
+            "group",
+            "covers",
+            "members",
+            "quiesced",
+        ],
+        [
+            [
+                b["balancer"],
+                b["sessions"],
+                "yes" if b["pushes"] else "no",
+                "yes" if b["trusted"] else "no",
+                b["seen"],
+                f"{b['last_told_s']} s ago" if b["last_told_s"] is not None else "never",
+                name,
+                g["covers"],
+                g["members"],
+                ", ".join(g["quiesced"]) or "-",
+            ]
+            for b in reply["balancers"]
+            for name, g in (b["groups"] or NONE).items()
+        ],
+    )
--- a/damsonpick/cli/versions.py
+++ b/damsonpick/cli/versions.py
@@ -64,15 +64,24 @@
     if _out(reply, as_json):
         return
     _state(reply)
-    rows(["version", "root", "parent", "time (UTC)", "cause", "units", "lines", "note"],
-         [[v["version"], v["root"][:12], v["parent"], _when(v["at"]), v["cause"], v["units"], v["lines"], v["note"]]
-          for v in reply["versions"]])
+    rows(
+        ["version", "root", "parent", "time (UTC)", "cause", "units", "lines", "note"],
+        [
+            [v["version"], v["root"][:12], v["parent"], _when(v["at"]), v["cause"], v["units"], v["lines"], v["note"]]
+            for v in reply["versions"]
+        ],
+    )
 
 
 def _difference(found: dict[str, Any]) -> None:
-    rows(["unit", "what", "before", "after"],
-         [[unit, key, "-" if a is None else f"{a:g}", "-" if b is None else f"{b:g}"]
-          for unit, keys in sorted(found.items()) for key, (a, b) in sorted(keys.items())])
+    rows(
+        ["unit", "what", "before", "after"],
+        [
+            [unit, key, "-" if a is None else f"{a:g}", "-" if b is None else f"{b:g}"]
+            for unit, keys in sorted(found.items())
+            for key, (a, b) in sorted(keys.items())
+        ],
+    )
 
 
 @versions.command()
@@ -83,8 +92,10 @@
     """One version: where it came from and what it changed."""
     reply = _ask(file, "show", version=version)
     if not _out(reply, as_json):
-        click.echo(f"version {reply['version']}, root {reply['root']}, after {reply['parent']}, {_when(reply['at'])}, "
-                   f"{reply['cause']} {reply['note']}")
+        click.echo(
+            f"version {reply['version']}, root {reply['root']}, after {reply['parent']}, {_when(reply['at'])}, "
+            f"{reply['cause']} {reply['note']}"
+        )
         _difference(reply["difference"])
 
 
@@ -111,11 +122,22 @@
     reply = _ask(file, "who", version=version)
     if not _out(reply, as_json):
         click.echo(f"version {reply['version']}, root {reply['root']}")
-        rows(["gateway", "zone", "holds it", "holds", "pending", "since", "checked by", "rejected"],
-             [[g["gateway"], g["zone"], "yes" if g["holds"] else "no",
-               g["root"][:12] if g["version"] is None else g["version"], g["pending"],
-               "-" if g["since_s"] is None else f"{g['since_s']} s", "itself" if g["verified"] else "its word",
-               ", ".join(g["rejected"]) or "-"] for g in reply["gateways"]])
+        rows(
+            ["gateway", "zone", "holds it", "holds", "pending", "since", "checked by", "rejected"],
+            [
+                [
+                    g["gateway"],
+                    g["zone"],
+                    "yes" if g["holds"] else "no",
+                    g["root"][:12] if g["version"] is None else g["version"],
+                    g["pending"],
+                    "-" if g["since_s"] is None else f"{g['since_s']} s",
+                    "itself" if g["verified"] else "its word",
+                    ", ".join(g["rejected"]) or "-",
+                ]
+                for g in reply["gateways"]
+            ],
+        )
         for name, text in reply["stopped"].items():
             click.echo(f"{name}: version {text} is held back: too many gateways refused it")
     sys.exit(0 if all(g["holds"] for g in reply["gateways"]) else 1)
@@ -131,8 +153,17 @@
 @span
 @expect
 @as_json
-def rollback(file: Path, version: str, dry_run: bool, stages: str | None, hold: str | None, levels: bool,
-             span: str | None, expect: int | None, as_json: bool) -> None:
+def rollback(
+    file: Path,
+    version: str,
+    dry_run: bool,
+    stages: str | None,
+    hold: str | None,
+    levels: bool,
+    span: str | None,
+    expect: int | None,
+    as_json: bool,
+) -> None:
     """Set the tables as VERSION had them, as far as is safe, and pin them.
 
     What had to differ is listed: barred servers are not revived, cold ones get no more than they have, and a slice
@@ -145,8 +176,17 @@
         sys.exit(WRONG)
     if expect is None:
         expect = _ask(file, "list", most=1)["generation"]
-    reply = _ask(file, "rollback", version=version, dry=dry_run, pin_ns=_ns(span), expected=expect, stages=zones,
-                 hold_ns=_ns(hold), levels=levels)
+    reply = _ask(
+        file,
+        "rollback",
+        version=version,
+        dry=dry_run,
+        pin_ns=_ns(span),
+        expected=expect,
+        stages=zones,
+        hold_ns=_ns(hold),
+        levels=levels,
+    )
     if _out(reply, as_json):
         return
     verb = f"now version {reply['now']}" if reply["done"] else "would be done"
--- a/damsonpick/daemon/control.py
+++ b/damsonpick/daemon/control.py
@@ -18,8 +18,7 @@
     """The pilot cannot be asked; the text says why and what to do."""
 
 
-async def serve(path: Path, answer: Callable[[dict[str, Any]], dict[str, Any]],
-                ready: Callable[[], None]) -> None:
+async def serve(path: Path, answer: Callable[[dict[str, Any]], dict[str, Any]], ready: Callable[[], None]) -> None:
     """Answer requests until cancelled. A socket left by a killed pilot is taken over."""
     path.unlink(missing_ok=True)
     listener = await anyio.create_unix_listener(path, mode=0o600)
@@ -31,8 +30,13 @@
                 while True:
                     text = await lines.receive_until(b"\n", LONGEST)
                     await stream.send(json.dumps(_safe(answer, text)).encode() + b"\n")
-            except (anyio.EndOfStream, anyio.IncompleteRead, anyio.DelimiterNotFound,
-                    anyio.BrokenResourceError, anyio.ClosedResourceError):
+            except (
+                anyio.EndOfStream,
+                anyio.IncompleteRead,
+                anyio.DelimiterNotFound,
+                anyio.BrokenResourceError,
+                anyio.ClosedResourceError,
+            ):
                 return
 
     ready()
--- a/damsonpick/daemon/listing.py
+++ b/damsonpick/daemon/listing.py
@@ -31,8 +31,17 @@
 class Listing:
     """Args: settings, clock, roster, engine, evidence, store of one pilot; stir: wakes its loop; log: structlog."""
 
-    def __init__(self, settings: PilotSettings, clock: Clock, roster: Roster, engine: Engine, evidence: Evidence,
-                 store: Store, stir: Callable[[], None], log: Any) -> None:
+    def __init__(
+        self,
+        settings: PilotSettings,
+        clock: Clock,
+        roster: Roster,
+        engine: Engine,
+        evidence: Evidence,
+        store: Store,
+        stir: Callable[[], None],
+        log: Any,
+    ) -> None:
         self.settings, self.clock, self.roster, self.engine = settings, clock, roster, engine
         self.evidence, self.store, self.stir, self.log = evidence, store, stir, log
         self.named: dict[str, ListSource] = {FIRST: settings.list, **settings.lists}
@@ -171,12 +180,26 @@
         if what != "show":
             raise ValueError(f"unknown order {what!r}; use show or accept")
         levels = self.trust.levels(now) if self.trust.due(now) else {}
-        rows = [{"endpoint": e.endpoint, "zone": e.zone, "state": e.state, "weight": e.weight, "started": e.started,
-                 "trust": levels.get(e.endpoint, 1.0), "held": e.endpoint in self.roster.held,
-                 "spoken_for_s": self._spoken(now, e.endpoint)}
-                for e in sorted(self.roster.entries.values())]
-        return {"live": self.trust.live, "sources": self.sources.view(now), "disputes": self.disputes, "servers": rows,
-                "held_for_s": round((now - self.roster.held_since) / 1e9, 1) if self.roster.held else None}
+        rows = [
+            {
+                "endpoint": e.endpoint,
+                "zone": e.zone,
+                "state": e.state,
+                "weight": e.weight,
+                "started": e.started,
+                "trust": levels.get(e.endpoint, 1.0),
+                "held": e.endpoint in self.roster.held,
+                "spoken_for_s": self._spoken(now, e.endpoint),
+            }
+            for e in sorted(self.roster.entries.values())
+        ]
+        return {
+            "live": self.trust.live,
+            "sources": self.sources.view(now),
+            "disputes": self.disputes,
+            "servers": rows,
+            "held_for_s": round((now - self.roster.held_since) / 1e9, 1) if self.roster.held else None,
+        }
 
     def _spoken(self, now: int, name: str) -> float | None:
         """Seconds since a source or a good answer spoke for an entry; None: not known."""
--- a/damsonpick/daemon/logs.py
+++ b/damsonpick/daemon/logs.py
@@ -16,7 +16,9 @@
     if form == "json":
         chain.append(structlog.processors.format_exc_info)
     structlog.configure(
-        processors=[*chain, last], cache_logger_on_first_use=True,
+        processors=[*chain, last],
+        cache_logger_on_first_use=True,
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr))
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+    )
     return structlog.get_logger()
--- a/damsonpick/daemon/pilot.py
+++ b/damsonpick/daemon/pilot.py
@@ -50,9 +50,14 @@
         solve: replaces the solver's work; tests hand in slow and failing ones.
     """
 
-    def __init__(self, settings: PilotSettings, log: Any,
-                 make: Callable[[api.Settings, int], Planner] = Planner, advisor: Callable = Advisor,
-                 solve: Callable | None = None) -> None:
+    def __init__(
+        self,
+        settings: PilotSettings,
+        log: Any,
+        make: Callable[[api.Settings, int], Planner] = Planner,
+        advisor: Callable = Advisor,
+        solve: Callable | None = None,
+    ) -> None:
         s = self.settings = settings
         self.log = log
         self.clock = Clock(s.pilot.clock_rate)
@@ -69,8 +74,9 @@
         self.hub = Hub(self.published, self.catalogue, self.channel, self.store.gateway)
         self.hub.stop_share = s.versions.stop
         self.history = open_store(s.history_path())
-        self.keeper = Keeper(self.published, self.catalogue.versions, self.history, s.versions.keep, s.versions.age,
-                             log)
+        self.keeper = Keeper(
+            self.published, self.catalogue.versions, self.history, s.versions.keep, s.versions.age, log
+        )
         self.engine = Engine(s, self.store, self.published, self.hub, self.roster, log, make, self.keeper)
         self.questions = Questions(self.engine, self.keeper, self.hub, s)
         self.evidence = Evidence(tuple(s.classes), count, s.reports.every, s.reports.oldest)
@@ -104,8 +110,14 @@
         if self.sasp is not None:
             await self.sasp.open()
         server, self.port = await self.xds.start(self.settings.listen.xds, self.settings.listen.largest_request)
-        self.log.info("pilot_started", name=self.settings.pilot.name, port=self.port, epoch=self.epoch,
-                      slices=len(self.engine.owned), listed=len(self.roster.entries))
+        self.log.info(
+            "pilot_started",
+            name=self.settings.pilot.name,
+            port=self.port,
+            epoch=self.epoch,
+            slices=len(self.engine.owned),
+            listed=len(self.roster.entries),
+        )
         try:
             async with anyio.create_task_group() as group:
                 await group.start(self._control)
@@ -157,8 +169,13 @@
 
     def _held_back(self) -> None:
         for name, version, count in self.hub.stopped:
-            self.log.error("rollout_stopped", resource=name, version=version, refused_by=count,
-                           remedy="others keep the former one; see `versions who`, then go back or change the table")
+            self.log.error(
+                "rollout_stopped",
+                resource=name,
+                version=version,
+                refused_by=count,
+                remedy="others keep the former one; see `versions who`, then go back or change the table",
+            )
         self.hub.stopped.clear()
 
     def _replan(self) -> None:
@@ -190,8 +207,9 @@
             try:
                 self.engine.renew(self.clock.now())
             except Exception as error:
-                self.log.error("custody_not_renewed", error=str(error),
-                               remedy="see space and rights of the state folder")
+                self.log.error(
+                    "custody_not_renewed", error=str(error), remedy="see space and rights of the state folder"
+                )
             self.stir()
 
     # -- questions
@@ -204,15 +222,21 @@
         if what == "tables":
             return self._tables(request.get("slices"))
         if what == "weights":
-            return self.advisor.explain() if self.settings.solved else {
-                "error": "the solver has nothing to do here; see [solver] in docs/operators/weights.md"}
+            return (
+                self.advisor.explain()
+                if self.settings.solved
+                else {"error": "the solver has nothing to do here; see [solver] in docs/operators/weights.md"}
+            )
         if what == "versions":
             reply = self.questions.answer(self.clock.now(), request)
             self.stir()
             return reply
         if what == "sasp":
-            return self.sasp.view() if self.sasp is not None else {
-                "error": "there is no SASP front; give [sasp] listen an address"}
+            return (
+                self.sasp.view()
+                if self.sasp is not None
+                else {"error": "there is no SASP front; give [sasp] listen an address"}
+            )
         if what == "list":
             return self.listing.answer(request)
         if what == "forget":
@@ -226,14 +250,21 @@
         now = self.clock.now()
         classes = self.published.classes
         return {
-            "pilot": self.settings.pilot.name, "epoch": self.epoch, "port": self.port,
-            "sasp_port": self.sasp.port if self.sasp else 0, "published": self.published.seq,
-            "module": "running" if self.engine.planner else "being started over", "list": self.listing.said,
-            "failures": self.engine.failures, "slices": len(self.engine.owned), "unsaved": len(self.engine.unsaved),
+            "pilot": self.settings.pilot.name,
+            "epoch": self.epoch,
+            "port": self.port,
+            "sasp_port": self.sasp.port if self.sasp else 0,
+            "published": self.published.seq,
+            "module": "running" if self.engine.planner else "being started over",
+            "list": self.listing.said,
+            "failures": self.engine.failures,
+            "slices": len(self.engine.owned),
+            "unsaved": len(self.engine.unsaved),
             "levels": {name: self.published.level(None, k) for k, name in enumerate(classes)},
             "knowledge": self.remembering.written,
             "channel": {"waiting": self.channel.waiting(), "most": self.channel.most, "limit": self.channel.limit},
-            "gateways": list(self.hub.view(now)), "endpoints": self.engine.view(),
+            "gateways": list(self.hub.view(now)),
+            "endpoints": self.engine.view(),
         }
 
     def _tables(self, numbers: list[int] | None) -> dict[str, Any]:
@@ -243,6 +274,13 @@
             if n not in self.published.tables:
                 raise ValueError(f"slice {n}: there are {self.published.slices}, from 0")
             resource = self.catalogue.get(EDS, f"slice/{n}")
-            rows.append({"slice": n, "version": resource.version, "changed": self.published.changed[f"slice/{n}"],
-                         "lines": self.published.tables[n], "open": self.published.open_lines(n)})
+            rows.append(
+                {
+                    "slice": n,
+                    "version": resource.version,
+                    "changed": self.published.changed[f"slice/{n}"],
+                    "lines": self.published.tables[n],
+                    "open": self.published.open_lines(n),
+                }
+            )
         return {"tables": rows, "withdrawn": sorted(self.published.withdrawn)}
--- a/damsonpick/daemon/questions.py
+++ b/damsonpick/daemon/questions.py
@@ -31,34 +31,47 @@
 
     def _state(self, now: int) -> dict[str, Any]:
         pin, newest = self.keeper.pin, self.keeper.history.newest()
-        return {"newest": newest.number, "root": newest.root, "generation": pin.generation,
-                "pinned": pin.version if pin.holds(now) else None,
-                "pin_left_s": round((pin.until - now) / 1e9, 1) if pin.holds(now) else 0.0,
-                "waiting_for_disk": len(self.keeper.pending)}
+        return {
+            "newest": newest.number,
+            "root": newest.root,
+            "generation": pin.generation,
+            "pinned": pin.version if pin.holds(now) else None,
+            "pin_left_s": round((pin.until - now) / 1e9, 1) if pin.holds(now) else 0.0,
+            "waiting_for_disk": len(self.keeper.pending),
+        }
 
     def _list(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         most = min(MOST, max(1, int(request.get("most", 20))))
         chosen = list(self.keeper.history.versions.values())[-most:]
-        return self._state(now) | {"kept": len(self.keeper.history.versions),
-                                   "versions": [v.brief() for v in reversed(chosen)]}
+        return self._state(now) | {
+            "kept": len(self.keeper.history.versions),
+            "versions": [v.brief() for v in reversed(chosen)],
+        }
 
     def _show(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         version = self.keeper.history.find(str(request["version"]))
-        return version.brief() | {"difference": version.difference,
-                                  "state": self.keeper.history.at(version.number)}
+        return version.brief() | {"difference": version.difference, "state": self.keeper.history.at(version.number)}
 
     def _diff(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         history = self.keeper.history
         one, other = history.find(str(request["one"])), history.find(str(request["other"]))
-        return {"one": one.number, "other": other.number, "same": one.root == other.root,
-                "difference": history.difference(one.number, other.number)}
+        return {
+            "one": one.number,
+            "other": other.number,
+            "same": one.root == other.root,
+            "difference": history.difference(one.number, other.number),
+        }
 
     def _who(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         history = self.keeper.history
         asked = history.find(str(request["version"])) if request.get("version") else history.newest()
         rows = [row | {"holds": row["root"] == asked.root} for row in self.hub.holders(now, history.roots)]
-        return {"version": asked.number, "root": asked.root, "gateways": rows,
-                "stopped": dict(self.hub.catalogue.stopped)}
+        return {
+            "version": asked.number,
+            "root": asked.root,
+            "gateways": rows,
+            "stopped": dict(self.hub.catalogue.stopped),
+        }
 
     def _until(self, now: int, request: dict[str, Any]) -> int:
         """When a pin ends, ns."""
@@ -71,9 +84,15 @@
         if unknown := [z for z in zones if z not in known]:
             raise ValueError(f"zone {unknown[0]}: there are {', '.join(known)}")
         order = [*zones, *(z for z in known if z not in zones)] if zones else []
-        return self.engine.roll_back(now, str(request["version"]), self._until(now, request), request.get("expected"),
-                                     bool(request.get("dry")), {z: k * hold for k, z in enumerate(order)},
-                                     bool(request.get("levels")))
+        return self.engine.roll_back(
+            now,
+            str(request["version"]),
+            self._until(now, request),
+            request.get("expected"),
+            bool(request.get("dry")),
+            {z: k * hold for k, z in enumerate(order)},
+            bool(request.get("levels")),
+        )
 
     def _pin(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         """Hold the tables as they are."""
--- a/damsonpick/daemon/remembering.py
+++ b/damsonpick/daemon/remembering.py
@@ -71,8 +71,15 @@
         planner = engine.planner
         if planner is None or self.found.newer:
             return
-        capture = recall.Capture(planner, self.sequence + 1, self.settings.pilot.name, moment(),
-                                 self.clock.now(), self.vouched(), dict(self.answered))
+        capture = recall.Capture(
+            planner,
+            self.sequence + 1,
+            self.settings.pilot.name,
+            moment(),
+            self.clock.now(),
+            self.vouched(),
+            dict(self.answered),
+        )
         longest, start = 0.0, time.perf_counter()
         for _ in capture.steps(pack=True):
             longest = max(longest, time.perf_counter() - start)
@@ -84,8 +91,11 @@
             size = await anyio.to_thread.run_sync(self._write, draft)
         except OSError as error:
             if not self.failing:
-                self.log.error("knowledge_not_written", error=str(error),
-                               remedy="free space or rights on the state folder; the pilot goes on without")
+                self.log.error(
+                    "knowledge_not_written",
+                    error=str(error),
+                    remedy="free space or rights on the state folder; the pilot goes on without",
+                )
             self.failing, self.written["error"] = True, str(error)
             return
         if self.failing:
--- a/damsonpick/daemon/solving.py
+++ b/damsonpick/daemon/solving.py
@@ -25,8 +25,16 @@
         solve, solve_lines: run in the worker; tests hand in slow or failing ones.
     """
 
-    def __init__(self, advisor: Advisor, engine: Engine, clock: Clock, stir: Callable[[], None], log: Any,
-                 solve: Callable = work.solve, solve_lines: Callable = work.solve_lines) -> None:
+    def __init__(
+        self,
+        advisor: Advisor,
+        engine: Engine,
+        clock: Clock,
+        stir: Callable[[], None],
+        log: Any,
+        solve: Callable = work.solve,
+        solve_lines: Callable = work.solve_lines,
+    ) -> None:
         self.advisor, self.engine, self.clock, self.stir, self.log = advisor, engine, clock, stir, log
         self.solve, self.solve_lines = solve, solve_lines
         self.planner: object = None
@@ -71,9 +79,19 @@
             self._failed("took too long" if isinstance(error, TimeoutError) else f"{error}" or repr(error))
             return
         if events:
-            self.log.info("weights", tables=len(events), **({} if lines else {
-                "value": round(result.value, 2), "ms": round(result.seconds * 1e3, 1),
-                "let_in": {k: round(v, 3) for k, v in result.let_in.items()}}))
+            self.log.info(
+                "weights",
+                tables=len(events),
+                **(
+                    {}
+                    if lines
+                    else {
+                        "value": round(result.value, 2),
+                        "ms": round(result.seconds * 1e3, 1),
+                        "let_in": {k: round(v, 3) for k, v in result.let_in.items()},
+                    }
+                ),
+            )
             self.engine.tell(*events)
             self.stir()
 
--- a/damsonpick/daemon/worker.py
+++ b/damsonpick/daemon/worker.py
@@ -34,7 +34,8 @@
         """
         if self.process is None:
             self.process = await anyio.open_process(
-                [sys.executable, "-m", "damsonpick.daemon.worker"], stderr=subprocess.DEVNULL)
+                [sys.executable, "-m", "damsonpick.daemon.worker"], stderr=subprocess.DEVNULL
+            )
             self.lines = BufferedByteReceiveStream(self.process.stdout)
         body = pickle.dumps((task, arguments))
         good = False
--- a/damsonpick/edge/beliefs.py
+++ b/damsonpick/edge/beliefs.py
@@ -33,20 +33,37 @@
             for name in table:
                 lines[name] = lines.get(name, 0) + 1
         named = sorted(load, key=load.__getitem__, reverse=True)[:MOST]
-        servers = {n: f"{e.state[:2]} heat={load[n]:.1f} lines={lines.get(n, 0)} speed={e.speed:.2f} "
-                      f"ms={e.latency / 1e6:.0f} ok={e.sound:.2f}" for n, e in
-                   ((n, planner.endpoints[n]) for n in named)}
+        servers = {
+            n: f"{e.state[:2]} heat={load[n]:.1f} lines={lines.get(n, 0)} speed={e.speed:.2f} "
+            f"ms={e.latency / 1e6:.0f} ok={e.sound:.2f}"
+            for n, e in ((n, planner.endpoints[n]) for n in named)
+        }
         now = planner.now
         heard = [e for e in planner.endpoints.values() if e.heard and now - e.heard <= 2 * planner.span]
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.log.info(
-            "beliefs", proxies=len(planner.channel.proxies), slices=len(planner.slices), levels=planner.level,
+            "beliefs",
+            proxies=len(planner.channel.proxies),
+            slices=len(planner.slices),
+            levels=planner.level,
             allow=None if planner.allow == float("inf") else round(planner.allow, 1),
-            best=round(planner.best, 1), demand=round(sum(p.heat for p in planner.slices.values()), 1),
-            answered=round(sum(e.rate for e in heard), 1), heard=len(heard), span_s=round(planner.span / 1e9, 1),
+            best=round(planner.best, 1),
+            demand=round(sum(p.heat for p in planner.slices.values()), 1),
+            answered=round(sum(e.rate for e in heard), 1),
+            heard=len(heard),
+            span_s=round(planner.span / 1e9, 1),
             flights=len(planner.channel.flights),
-            waiting=len(pilot.orders.waiting), dirty=len(planner.dirty), reports=self.reports, steps=self.steps,
-            longest_ms=self.longest // 1_000_000, calls=pilot.calls.made, unknown=pilot.calls.unknown,
-            callers=len(pilot.door.callers), endpoints=len(planner.endpoints),
-            cpu_s=round(usage.ru_utime + usage.ru_stime, 2), peak_mb=usage.ru_maxrss // 1024, servers=servers)
+            waiting=len(pilot.orders.waiting),
+            dirty=len(planner.dirty),
+            reports=self.reports,
+            steps=self.steps,
+            longest_ms=self.longest // 1_000_000,
+            calls=pilot.calls.made,
+            unknown=pilot.calls.unknown,
+            callers=len(pilot.door.callers),
+            endpoints=len(planner.endpoints),
+            cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
+            peak_mb=usage.ru_maxrss // 1024,
+            servers=servers,
+        )
         self.reports = self.steps = self.longest = 0
--- a/damsonpick/edge/calls.py
+++ b/damsonpick/edge/calls.py
@@ -30,8 +30,16 @@
     takes: s that the channel needs for a call of so many orders.
     """
 
-    def __init__(self, address: Address, orders: Orders, registry: Registry, tell: Callable[..., None],
-                 takes: Callable[[int], float], rng: random.Random, log: Any) -> None:
+    def __init__(
+        self,
+        address: Address,
+        orders: Orders,
+        registry: Registry,
+        tell: Callable[..., None],
+        takes: Callable[[int], float],
+        rng: random.Random,
+        log: Any,
+    ) -> None:
         self.caller = http.Caller(address, KEEP)
         self.orders, self.registry, self.tell, self.takes, self.log = orders, registry, tell, takes, log
         self.redial = Redial(rng, FIRST, MOST)
--- a/damsonpick/edge/config.py
+++ b/damsonpick/edge/config.py
@@ -81,9 +81,16 @@
     except bootstrap.SettingError as error:
         raise ConfigError(f"settings: {error}") from None
     return Config(
-        name=_text(tree, "name"), listen=_address(tree, "listen"), discovery=_address(tree, "discovery"),
-        registry=_address(_branch(tree, "registry"), "address", "registry."), seed=_seed(tree),
-        sockets=_sockets(tree), known=_known(tree), settings=settings, zones=zones)
+        name=_text(tree, "name"),
+        listen=_address(tree, "listen"),
+        discovery=_address(tree, "discovery"),
+        registry=_address(_branch(tree, "registry"), "address", "registry."),
+        seed=_seed(tree),
+        sockets=_sockets(tree),
+        known=_known(tree),
+        settings=settings,
+        zones=zones,
+    )
 
 
 def _branch(tree: dict[str, Any], key: str) -> dict[str, Any]:
--- a/damsonpick/edge/frames.py
+++ b/damsonpick/edge/frames.py
@@ -37,8 +37,8 @@
             raise FrameError(f"a message of {size} bytes; 2 to {self.most} are allowed")
         if len(self.data) < HEAD + size:
             return None
-        body = bytes(self.data[HEAD:HEAD + size])
-        del self.data[:HEAD + size]
+        body = bytes(self.data[HEAD : HEAD + size])
+        del self.data[: HEAD + size]
         return body
 
 
--- a/damsonpick/edge/messages.py
+++ b/damsonpick/edge/messages.py
@@ -109,8 +109,15 @@
             raise Spoilt(f"upstream_stats: failed: {report.failed} of {report.tries} tries")
         if report.mean_ms is None and report.tries > report.failed:
             raise Spoilt("upstream_stats: mean_ms: missing, though tries were answered")
-        return api.EndpointReport(report.zone, report.server, report.tries, report.failed,
-                                  int((report.mean_ms or 0.0) * MS), span, self._load(report.load))
+        return api.EndpointReport(
+            report.zone,
+            report.server,
+            report.tries,
+            report.failed,
+            int((report.mean_ms or 0.0) * MS),
+            span,
+            self._load(report.load),
+        )
 
     def _load(self, load: dict[str, Any] | None) -> tuple[float, ...]:
         """The load in the order of the settings; one that cannot be read counts as none."""
--- a/damsonpick/edge/orders.py
+++ b/damsonpick/edge/orders.py
@@ -142,7 +142,7 @@
         rejected, needs no word here: its orders are still at the front of what waits.
         """
         refused = orders[count] if count < len(orders) else None
-        self.drop(orders[:count + 1])
+        self.drop(orders[: count + 1])
         return orders[:count], refused
 
     def drop(self, orders: Iterable[Order]) -> None:
--- a/damsonpick/edge/pilot.py
+++ b/damsonpick/edge/pilot.py
@@ -120,8 +120,7 @@
         make: how a planner is made; tests hand in ones that fail.
     """
 
-    def __init__(self, config: cfg.Config, log: Any,
-                 make: Callable[[api.Settings, int], Planner] = Planner) -> None:
+    def __init__(self, config: cfg.Config, log: Any, make: Callable[[api.Settings, int], Planner] = Planner) -> None:
         self.config, self.log, self.make = config, log, make
         self.clock = Clock()
         self.rng = random.Random(config.seed)
@@ -178,9 +177,14 @@
                 group.start_soon(self._drive)
                 group.start_soon(self._believe)
                 group.start_soon(self._late)
-                self.log.info("pilot_started", name=self.config.name, known=len(self.config.known.entries),
-                              version=self.config.known.version, sockets=self.config.sockets,
-                              settings=self.config.settings._asdict())
+                self.log.info(
+                    "pilot_started",
+                    name=self.config.name,
+                    known=len(self.config.known.entries),
+                    version=self.config.known.version,
+                    sockets=self.config.sockets,
+                    settings=self.config.settings._asdict(),
+                )
                 async for number in signals:
                     if number == signal.SIGTERM:
                         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
@@ -207,8 +211,11 @@
             self.log.error("configuration_refused", why=str(error), remedy="mend the file and send SIGHUP again")
             return
         old, self.config = self.config, new
-        self.log.info("configuration_read", registry=f"{new.registry.host}:{new.registry.port}",
-                      discovery=f"{new.discovery.host}:{new.discovery.port}")
+        self.log.info(
+            "configuration_read",
+            registry=f"{new.registry.host}:{new.registry.port}",
+            discovery=f"{new.discovery.host}:{new.discovery.port}",
+        )
         if new.registry != old.registry:
             self.calls.point(new.registry)
             self.news.point(group, new.registry)
@@ -252,8 +259,9 @@
 
     def _carry_out(self, step: Step) -> None:
         """Orders go to the relay. A list that is wanted is on its way: it is watched at all times."""
-        orders = [a for a in step.actions
-                  if isinstance(a, api.SetLine | api.ClearTable | api.Withdraw | api.Admit | api.Mark)]
+        orders = [
+            a for a in step.actions if isinstance(a, api.SetLine | api.ClearTable | api.Withdraw | api.Admit | api.Mark)
+        ]
         if orders:
             self.calls.push(orders)
 
@@ -273,8 +281,9 @@
         try:
             made = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=1024)
         except OSError as error:
-            raise cfg.ConfigError(f"listen: {host}:{port}: {error.strerror or error}: "
-                                  "another program has it, or it is not this machine's") from None
+            raise cfg.ConfigError(
+                f"listen: {host}:{port}: {error.strerror or error}: another program has it, or it is not this machine's"
+            ) from None
         return made.listeners[0]
 
     async def _listen(self, listener: Any, group: TaskGroup) -> None:
--- a/damsonpick/edge/relay.py
+++ b/damsonpick/edge/relay.py
@@ -154,8 +154,10 @@
 
     @staticmethod
     def _given(number: int, lines: dict[str, float]) -> list[api.Event]:
-        return [api.CustodyChanged(number, True),
-                *(api.StoredLine(number, name, weight) for name, weight in lines.items())]
+        return [
+            api.CustodyChanged(number, True),
+            *(api.StoredLine(number, name, weight) for name, weight in lines.items()),
+        ]
 
     # -- orders
 
--- a/damsonpick/engine/core.py
+++ b/damsonpick/engine/core.py
@@ -40,9 +40,17 @@
         keeper: the history of the tables.
     """
 
-    def __init__(self, settings: PilotSettings, store: Store, published: Published, hub: Hub, roster: Roster,
-                 log: Any, make: Callable[[api.Settings, int], Planner] = Planner,
-                 keeper: Keeper | None = None) -> None:
+    def __init__(
+        self,
+        settings: PilotSettings,
+        store: Store,
+        published: Published,
+        hub: Hub,
+        roster: Roster,
+        log: Any,
+        make: Callable[[api.Settings, int], Planner] = Planner,
+        keeper: Keeper | None = None,
+    ) -> None:
         super().__init__(log)
         self.settings, self.store, self.published, self.hub = settings, store, published, hub
         self.roster, self.make = roster, make
@@ -114,8 +122,12 @@
         if learned is not None:
             wrong = recall.fits(learned, classes, self.published.slices)
             events, anew = recall.events(learned, self.roster.entries, self.owned, not wrong)
-            self.log.info("recalled", servers=sum(isinstance(e, api.EndpointRecalled) for e in events),
-                          started_anew=len(anew), left_out=wrong)
+            self.log.info(
+                "recalled",
+                servers=sum(isinstance(e, api.EndpointRecalled) for e in events),
+                started_anew=len(anew),
+                left_out=wrong,
+            )
         levels = tuple(self.published.level(None, k) for k in range(len(classes)))
         fleet = learned.fleet if learned is not None else NOTHING_LEARNED
         if learned is not None or self.published.withdrawn or min(levels) < 1:
@@ -161,8 +173,9 @@
             stored = self.store.tables()
             for number in sorted(have - self.owned):
                 self.published.restore(number, stored[number])
-                self.tell(api.CustodyChanged(number, True),
-                          *(api.StoredLine(number, n, w) for n, w in stored[number].items()))
+                self.tell(
+                    api.CustodyChanged(number, True), *(api.StoredLine(number, n, w) for n, w in stored[number].items())
+                )
         self.owned = have
 
     # -- one step
@@ -210,16 +223,18 @@
         if not table_orders:
             return []
         if self.pinned:
-            table_orders, self.withheld = self.keeper.pin.sift(table_orders, self.published.tables, self.barred,
-                                                               self.published.level)
+            table_orders, self.withheld = self.keeper.pin.sift(
+                table_orders, self.published.tables, self.barred, self.published.level
+            )
         change = self.published.apply(table_orders)
         touched = {o.table for o in table_orders if isinstance(o, api.SetLine | api.ClearTable)}
         self._save(now, {n: self.published.tables[n] for n in touched})
         self._say(now, table_orders, change.cost())
         return self._publish(now, change, cause)
 
-    def _publish(self, now: int, change: Change, cause: str, words: str = "",
-                 stages: dict[str, int] | None = None) -> list[Session]:
+    def _publish(
+        self, now: int, change: Change, cause: str, words: str = "", stages: dict[str, int] | None = None
+    ) -> list[Session]:
         idle = self.hub.publish(now, change, stages)
         if self.keeper and change.lines:
             self.keeper.note(now, change.lines, cause, words)
@@ -247,8 +262,7 @@
         self.pinned = self.holds(now)
         if not self.pinned:
             self.gone.clear()
-        self.log.info("pinned" if self.pinned else "unpinned", version=self.keeper.pin.version,
-                      withheld=self.withheld)
+        self.log.info("pinned" if self.pinned else "unpinned", version=self.keeper.pin.version, withheld=self.withheld)
         self._begin(now, anew=True, learned=self.learned())
 
     def barred(self, name: str) -> bool:
@@ -260,8 +274,16 @@
         ep = self.planner.endpoints.get(name) if self.planner else None
         return ep is not None and self.planner.ramp(ep) < 1
 
-    def roll_back(self, now: int, name: str, until: int, expected: int | None, dry: bool,
-                  stages: dict[str, int] | None = None, levels: bool = False) -> dict[str, Any]:
+    def roll_back(
+        self,
+        now: int,
+        name: str,
+        until: int,
+        expected: int | None,
+        dry: bool,
+        stages: dict[str, int] | None = None,
+        levels: bool = False,
+    ) -> dict[str, Any]:
         """Set the tables as a kept version had them, as far as is safe, and pin them.
 
         Args:
@@ -282,8 +304,14 @@
         target = keeper.history.at(version.number)
         made = rollback.plan(target, owned, self.barred, self.cold)
         admit = rollback.admissions(target, keeper.history.state, len(self.published.classes)) if levels else []
-        said = {"version": version.number, "root": version.root, "lines": len(made.orders), "levels": len(admit),
-                "slices": len({o.table for o in made.orders}), "kept": [k._asdict() for k in made.kept]}
+        said = {
+            "version": version.number,
+            "root": version.root,
+            "lines": len(made.orders),
+            "levels": len(admit),
+            "slices": len({o.table for o in made.orders}),
+            "kept": [k._asdict() for k in made.kept],
+        }
         if dry:
             return said | {"done": False, "generation": keeper.pin.generation}
         for o in made.orders:
@@ -295,10 +323,16 @@
         self._publish(now, change, "rollback", f"to {version.number}", stages)
         self._repin(now)
         newest = keeper.history.newest()
-        self.log.warning("rolled_back", to=version.number, now=newest.number, lines=len(made.orders),
-                         kept=len(made.kept))
-        return said | {"done": True, "now": newest.number, "now_root": newest.root,
-                       "generation": keeper.pin.generation, "same": newest.root == version.root}
+        self.log.warning(
+            "rolled_back", to=version.number, now=newest.number, lines=len(made.orders), kept=len(made.kept)
+        )
+        return said | {
+            "done": True,
+            "now": newest.number,
+            "now_root": newest.root,
+            "generation": keeper.pin.generation,
+            "same": newest.root == version.root,
+        }
 
     def _save(self, now: int, tables: dict[int, dict[str, float]]) -> None:
         """The store before the wire. One that cannot be written is said loudly; service goes on from memory."""
@@ -315,8 +349,12 @@
         except Exception as error:
             self.unsaved |= set(both)
             self.save_at = now + SECOND
-            self.log.error("store_not_written", error=str(error), slices=len(self.unsaved),
-                           remedy="free space or rights on the state folder; orders keep flowing meanwhile")
+            self.log.error(
+                "store_not_written",
+                error=str(error),
+                slices=len(self.unsaved),
+                remedy="free space or rights on the state folder; orders keep flowing meanwhile",
+            )
 
     # -- words
 
@@ -326,13 +364,20 @@
         for order in orders:
             if isinstance(order, api.Withdraw) and order.out != (self.told.get(order.endpoint) == "out"):
                 self.told[order.endpoint] = "out" if order.out else "in"
-                self.log.info("withdrawn" if order.out else "let_in", endpoint=order.endpoint,
-                              why=explain.reason(planner, order.endpoint))
+                self.log.info(
+                    "withdrawn" if order.out else "let_in",
+                    endpoint=order.endpoint,
+                    why=explain.reason(planner, order.endpoint),
+                )
         if planner.level != self.levels:
             self.levels = planner.level
-            self.log.info("levels", let_in=dict(zip(self.published.classes, planner.level, strict=True)),
-                          why="all that comes fits" if planner.admitted >= 1 else
-                          f"answers are late: {planner.allow:.0f} answers/s allowed of what comes")
+            self.log.info(
+                "levels",
+                let_in=dict(zip(self.published.classes, planner.level, strict=True)),
+                why="all that comes fits"
+                if planner.admitted >= 1
+                else f"answers are late: {planner.allow:.0f} answers/s allowed of what comes",
+            )
         moved: dict[int, dict[str, list[str]]] = {}
         for order in orders:
             if isinstance(order, api.SetLine):
--- a/damsonpick/engine/explain.py
+++ b/damsonpick/engine/explain.py
@@ -27,9 +27,17 @@
             why.append(f"cold: started {(planner.now - ep.started) / 1e9:.1f} s ago, counted at {ramp:.0%}")
         if ep.speed < SLOW:
             why.append(f"slow: answers in {ep.latency / 1e6:.0f} ms, {ep.sound:.0%} answered")
-        yield {"endpoint": name, "state": ep.state, "withdrawn": name in published.withdrawn,
-               "lines": lines.get(name, 0), "weight": ep.weight, "speed": round(ep.speed, 3),
-               "ramp": round(ramp, 3), "tries": round(ep.tries, 1), "why": "; ".join(why) or "in full service"}
+        yield {
+            "endpoint": name,
+            "state": ep.state,
+            "withdrawn": name in published.withdrawn,
+            "lines": lines.get(name, 0),
+            "weight": ep.weight,
+            "speed": round(ep.speed, 3),
+            "ramp": round(ramp, 3),
+            "tries": round(ep.tries, 1),
+            "why": "; ".join(why) or "in full service",
+        }
 
 
 def reason(planner: Planner, name: str) -> str:
--- a/damsonpick/engine/loop.py
+++ b/damsonpick/engine/loop.py
@@ -89,9 +89,15 @@
         wait = 0 if self.failures == 1 else min(RESTART_MOST, RESTART_FIRST * 2 ** min(self.failures, 8))
         self.salvage()
         self.planner, self.restart_at = None, now + wait
-        self.log.error("module_failed", error=repr(error), restart_in_ms=wait // 1_000_000, failures=self.failures,
-                       tables="the last ones stay in service", exc_info=error,
-                       events=[repr(e)[:LOGGED_CHARS] for e in events[-LOGGED_EVENTS:]])
+        self.log.error(
+            "module_failed",
+            error=repr(error),
+            restart_in_ms=wait // 1_000_000,
+            failures=self.failures,
+            tables="the last ones stay in service",
+            exc_info=error,
+            events=[repr(e)[:LOGGED_CHARS] for e in events[-LOGGED_EVENTS:]],
+        )
 
     def salvage(self) -> None:
         """Called with the failed planner still at hand; a loop that hands on what it learned keeps it here."""
--- a/damsonpick/evidence/sums.py
+++ b/damsonpick/evidence/sums.py
@@ -94,8 +94,10 @@
         start = max(self.claimed.get(sums.gateway, floor), floor)
         if start + sums.period > now + SLACK * self.every:
             self.dropped += 1
-            return ["a sum was dropped: with it the gateway would have counted more time than has passed "
-                    "(a repeat, or two senders under one id)"]
+            return [
+                "a sum was dropped: with it the gateway would have counted more time than has passed "
+                "(a repeat, or two senders under one id)"
+            ]
         self.claimed[sums.gateway] = start + sums.period
         self.spans[sums.gateway] = self.spans.get(sums.gateway, 0) + sums.period
         doubts: list[str] = []
@@ -117,14 +119,16 @@
         answered = min(part.answered, good)
         mean = max(0, part.time) // part.answered if part.answered else 0
         self.ends.setdefault((sums.zone, part.endpoint), _Tally()).add(
-            sums.gateway, tries, failures, answered, mean * answered)
+            sums.gateway, tries, failures, answered, mean * answered
+        )
 
     def _slice(self, sums: GatewaySums, ask: SliceSum, doubts: list[str]) -> None:
         if not 0 <= ask.slice < self.slices or ask.request_class not in self.classes:
             doubts.append(f"slice {ask.slice}, class {ask.request_class!r}: no such thing, its sum was dropped")
             return
         self.asks.setdefault((ask.slice, ask.request_class), _Tally()).add(
-            sums.gateway, ask.requests, min(ask.failures, ask.requests))
+            sums.gateway, ask.requests, min(ask.failures, ask.requests)
+        )
 
     def flush(self) -> list[api.Event]:
         """Reports of the period that ends now, in a settled order. No try, no line."""
--- a/damsonpick/fronts/hub.py
+++ b/damsonpick/fronts/hub.py
@@ -51,8 +51,9 @@
         number_of: the lasting number of a node id.
     """
 
-    def __init__(self, published: Published, catalogue: Catalogue, channel: Channel,
-                 number_of: Callable[[str], int]) -> None:
+    def __init__(
+        self, published: Published, catalogue: Catalogue, channel: Channel, number_of: Callable[[str], int]
+    ) -> None:
         self.published, self.catalogue, self.channel, self.number_of = published, catalogue, channel, number_of
         self.members: dict[int, Member] = {}
         self.by: dict[Session, Member] = {}
@@ -138,8 +139,12 @@
         for name, version in session.refused:
             who = self.refusers.setdefault((name, version), set())
             who.add(session.node)
-            if name != FLEET and version and len(who) >= self.stop_share * max(2, len(self.members)) \
-                    and self.catalogue.stopped.get(name) != version:
+            if (
+                name != FLEET
+                and version
+                and len(who) >= self.stop_share * max(2, len(self.members))
+                and self.catalogue.stopped.get(name) != version
+            ):
                 self.catalogue.stopped[name] = version
                 self.stopped.append((name, version, len(who)))
         session.refused.clear()
@@ -186,11 +191,18 @@
             session = member.session
             held, since = session.held(), session.since()
             root = Digest(held).root()
-            yield {"gateway": session.node, "zone": session.zone, "root": root, "version": roots.get(root),
-                   "pending": session.unanswered() + len(self.channel.waits[member.number].units)
-                   + sum(member.number == n for _, n, *_ in self.later),
-                   "since_s": round((now - since) / 1e9, 3) if since else None, "verified": session.roots,
-                   "rejected": dict(session.rejections)}
+            yield {
+                "gateway": session.node,
+                "zone": session.zone,
+                "root": root,
+                "version": roots.get(root),
+                "pending": session.unanswered()
+                + len(self.channel.waits[member.number].units)
+                + sum(member.number == n for _, n, *_ in self.later),
+                "since_s": round((now - since) / 1e9, 3) if since else None,
+                "verified": session.roots,
+                "rejected": dict(session.rejections),
+            }
 
     def view(self, now: int) -> Iterable[dict[str, object]]:
         """For operators: what each gateway holds, what is under way and what it refused."""
@@ -198,9 +210,14 @@
             session, wait = member.session, self.channel.waits[number]
             low = min(session.oldest(), self._queued(number))
             yield {
-                "gateway": session.node, "number": number, "zone": session.zone, "variant": session.variant,
-                "acknowledged": min(self.published.seq, low - 1), "published": self.published.seq,
-                "applied_s": round((now - member.acked_at) / 1e9, 3), "unanswered": session.unanswered(),
+                "gateway": session.node,
+                "number": number,
+                "zone": session.zone,
+                "variant": session.variant,
+                "acknowledged": min(self.published.seq, low - 1),
+                "published": self.published.seq,
+                "applied_s": round((now - member.acked_at) / 1e9, 3),
+                "unanswered": session.unanswered(),
                 "waiting_lines": wait.lines,
                 "waiting_s": round((now - wait.ordered) / 1e9, 3) if wait.units else 0.0,
                 "holds": session.holds(),
--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -201,9 +201,24 @@
 
 
 Event = (
-    ListChanged | TimerFired | ProbeResult | PeerMessage | ProxyJoined | ProxyLeft | EndpointReport
-    | ProxyDemand | SliceDemand | CustodyChanged | StoredLine | TableAdvised | LoadAdvised | EndpointRecalled
-    | SliceRecalled | FleetRecalled | EndpointTrusted | Applied
+    ListChanged
+    | TimerFired
+    | ProbeResult
+    | PeerMessage
+    | ProxyJoined
+    | ProxyLeft
+    | EndpointReport
+    | ProxyDemand
+    | SliceDemand
+    | CustodyChanged
+    | StoredLine
+    | TableAdvised
+    | LoadAdvised
+    | EndpointRecalled
+    | SliceRecalled
+    | FleetRecalled
+    | EndpointTrusted
+    | Applied
 )
 
 # ---- actions ------------------------------------------------------------------------------------
@@ -277,6 +292,16 @@
 
 
 Action = (
-    SetLine | ClearTable | BindTable | Withdraw | Admit | Mark | Subscribe | FetchList | SetTimer
-    | Probe | SendPeer | Log
+    SetLine
+    | ClearTable
+    | BindTable
+    | Withdraw
+    | Admit
+    | Mark
+    | Subscribe
+    | FetchList
+    | SetTimer
+    | Probe
+    | SendPeer
+    | Log
 )
--- a/damsonpick/knowledge/ageing.py
+++ b/damsonpick/knowledge/ageing.py
@@ -51,14 +51,23 @@
 def fade(snapshot: Snapshot, ns: int) -> Snapshot:
     """What an age leaves of a snapshot."""
     speed, heat, warm = left(ns, SPEED), left(ns, HEAT), left(ns, WARMTH)
-    servers = tuple(Server(s.endpoint, s.started, s.speed ** speed, s.answered) for s in snapshot.servers)
-    pieces = tuple(
-        Piece(p.number, tuple(r * heat for r in p.rates), tuple((n, w * warm) for n, w in p.warmth
-                                                                if w * warm > NOTHING))
-        for p in snapshot.pieces) if heat > NOTHING else ()
+    servers = tuple(Server(s.endpoint, s.started, s.speed**speed, s.answered) for s in snapshot.servers)
+    pieces = (
+        tuple(
+            Piece(
+                p.number,
+                tuple(r * heat for r in p.rates),
+                tuple((n, w * warm) for n, w in p.warmth if w * warm > NOTHING),
+            )
+            for p in snapshot.pieces
+        )
+        if heat > NOTHING
+        else ()
+    )
     best, pace = left(ns, BEST), left(ns, PACE)
-    fleet = Fleet(snapshot.fleet.best * best if best > NOTHING else 0.0,
-                  snapshot.fleet.pace if pace > 0.5 else 0.0)  # a pace halved would hold back a sound fleet
+    fleet = Fleet(
+        snapshot.fleet.best * best if best > NOTHING else 0.0, snapshot.fleet.pace if pace > 0.5 else 0.0
+    )  # a pace halved would hold back a sound fleet
     return msgspec.structs.replace(snapshot, servers=servers, pieces=pieces, fleet=fleet)
 
 
--- a/damsonpick/knowledge/codec.py
+++ b/damsonpick/knowledge/codec.py
@@ -24,7 +24,6 @@
 LARGEST = 64_000_000  # bytes of a body
 
 
-
 def _second(raw: dict[str, Any]) -> dict[str, Any]:
     """Format 1 did not say when a server last answered, nor when the list was last stood by."""
     return raw | {"clock": 0, "vouched": 0, "servers": [[*row, 0] for row in raw["servers"]]}
@@ -57,12 +56,12 @@
     if len(data) < HEAD.size + SUM:
         raise Damaged(f"it has {len(data)} bytes, fewer than a head")
     magic, form, spare, length = HEAD.unpack_from(data)
-    body = data[HEAD.size + SUM:]
+    body = data[HEAD.size + SUM :]
     if magic != MAGIC or spare:
         raise Damaged("it does not begin as such a file does")
     if length != len(body) or length > LARGEST:
         raise Damaged(f"the head says {length} bytes, there are {len(body)}")
-    if xxhash.xxh3_128_digest(data[:HEAD.size] + body) != data[HEAD.size:HEAD.size + SUM]:
+    if xxhash.xxh3_128_digest(data[: HEAD.size] + body) != data[HEAD.size : HEAD.size + SUM]:
         raise Damaged("the checksum is wrong")
     if form > FORMAT:
         raise Newer(f"it has format {form}, this program reads up to {FORMAT}")
@@ -85,6 +84,8 @@
 def _checked(snapshot: Snapshot) -> Snapshot:
     for piece in snapshot.pieces:
         if len(piece.rates) != len(snapshot.classes) or piece.number >= snapshot.slices:
-            raise Damaged(f"slice {piece.number} has {len(piece.rates)} rates for {len(snapshot.classes)} classes, "
-                          f"and there are {snapshot.slices} slices")
+            raise Damaged(
+                f"slice {piece.number} has {len(piece.rates)} rates for {len(snapshot.classes)} classes, "
+                f"and there are {snapshot.slices} slices"
+            )
     return snapshot
--- a/damsonpick/knowledge/disk.py
+++ b/damsonpick/knowledge/disk.py
@@ -69,15 +69,19 @@
             folder.mkdir(parents=True, exist_ok=True)
             self.file = os.open(self.path, os.O_RDWR | os.O_CREAT, 0o644)
         except OSError as error:
-            raise LockError(f"{folder}: the state folder cannot be used ({error}); check folder, rights and space, or "
-                            "name another in [pilot] state") from None
+            raise LockError(
+                f"{folder}: the state folder cannot be used ({error}); check folder, rights and space, or "
+                "name another in [pilot] state"
+            ) from None
         try:
             fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             other = os.read(self.file, 32).decode(errors="replace").strip()
             os.close(self.file)
-            raise LockError(f"{self.path}: another pilot (process {other or 'unknown'}) works on this folder; end it, "
-                            "or give this one a [pilot] state of its own") from None
+            raise LockError(
+                f"{self.path}: another pilot (process {other or 'unknown'}) works on this folder; end it, "
+                "or give this one a [pilot] state of its own"
+            ) from None
         os.ftruncate(self.file, 0)
         os.write(self.file, f"{os.getpid()}\n".encode())
 
--- a/damsonpick/knowledge/generations.py
+++ b/damsonpick/knowledge/generations.py
@@ -84,8 +84,10 @@
             continue
         except codec.Newer as error:
             newer = True
-            wrong.append(f"{path}: {error}; it is left alone, and nothing is written: use the newer program, or "
-                         "`damsonpick knowledge forget`")
+            wrong.append(
+                f"{path}: {error}; it is left alone, and nothing is written: use the newer program, or "
+                "`damsonpick knowledge forget`"
+            )
             continue
         except codec.Damaged as error:
             wrong.append(f"{path}: {error}; it is not used")
--- a/damsonpick/knowledge/recall.py
+++ b/damsonpick/knowledge/recall.py
@@ -31,8 +31,16 @@
             gave a good answer.
     """
 
-    def __init__(self, planner: Planner, sequence: int, pilot: str, at: Moment, clock: int = 0, vouched: int = 0,
-                 answered: Mapping[str, int] | None = None) -> None:
+    def __init__(
+        self,
+        planner: Planner,
+        sequence: int,
+        pilot: str,
+        at: Moment,
+        clock: int = 0,
+        vouched: int = 0,
+        answered: Mapping[str, int] | None = None,
+    ) -> None:
         self.planner, self.sequence, self.pilot, self.at = planner, sequence, pilot, at
         self.clock, self.vouched, self.answered = clock, vouched, answered or {}
         self.servers: list[Server] = []
@@ -67,8 +75,18 @@
         planner = self.planner
         classes = tuple(c.name for c in planner.settings.classes)
         fleet = Fleet(max(0.0, planner.best), max(0.0, planner.pace))
-        return kind(self.sequence, self.pilot, self.at, self.clock, self.vouched, classes, planner.settings.slices,
-                    tuple(self.servers), pieces, fleet)
+        return kind(
+            self.sequence,
+            self.pilot,
+            self.at,
+            self.clock,
+            self.vouched,
+            classes,
+            planner.settings.slices,
+            tuple(self.servers),
+            pieces,
+            fleet,
+        )
 
 
 def take(planner: Planner, sequence: int, pilot: str, at: Moment) -> Snapshot:
@@ -88,8 +106,9 @@
     return ""
 
 
-def events(snapshot: Snapshot, listed: Mapping[str, api.ListEntry], owned: Iterable[int],
-           whole: bool = True) -> tuple[list[api.Event], list[str]]:
+def events(
+    snapshot: Snapshot, listed: Mapping[str, api.ListEntry], owned: Iterable[int], whole: bool = True
+) -> tuple[list[api.Event], list[str]]:
     """What a planner is told of an aged snapshot, and the servers that nothing is told of as they started anew.
 
     Args:
@@ -111,8 +130,13 @@
     return found, anew
 
 
-def kept(snapshot: Snapshot | None, now: int, away: int | None, listed: Mapping[str, api.ListEntry],
-         at: Mapping[str, tuple[int, str]]) -> dict[str, Kept]:
+def kept(
+    snapshot: Snapshot | None,
+    now: int,
+    away: int | None,
+    listed: Mapping[str, api.ListEntry],
+    at: Mapping[str, tuple[int, str]],
+) -> dict[str, Kept]:
     """When each entry of a kept list was last spoken for, on the clock of this life.
 
     Args:
@@ -124,8 +148,11 @@
     if snapshot is not None and away is not None and snapshot.clock:
         shift = now - away - snapshot.clock  # from the clock of that life, whatever was done to it since, to ours
         vouched = snapshot.vouched + shift if snapshot.vouched else 0
-        answered = {s.endpoint: s.answered + shift for s in snapshot.servers if s.answered
-                    and s.endpoint in listed and listed[s.endpoint].started == s.started}
+        answered = {
+            s.endpoint: s.answered + shift
+            for s in snapshot.servers
+            if s.answered and s.endpoint in listed and listed[s.endpoint].started == s.started
+        }
     found = {}
     for name in listed:
         when = at.get(name, (0, ""))[0]
--- a/damsonpick/load/player.py
+++ b/damsonpick/load/player.py
@@ -85,7 +85,12 @@
 
     def _request(self, arrival: Arrival, kind: Kind) -> bytes:
         length = f"content-length: {kind.body}\r\n" if kind.body else ""
-        lines = (f"{kind.method} {kind.path} HTTP/1.1", f"host: {self.made.load.target}",
-                 f"x-damson-class: {arrival.kind}", f"x-key: k{arrival.key}", f"x-request-id: l{arrival.number}",
-                 f"x-client-id: c{arrival.key}")
+        lines = (
+            f"{kind.method} {kind.path} HTTP/1.1",
+            f"host: {self.made.load.target}",
+            f"x-damson-class: {arrival.kind}",
+            f"x-key: k{arrival.key}",
+            f"x-request-id: l{arrival.number}",
+            f"x-client-id: c{arrival.key}",
+        )
         return ("\r\n".join(lines) + f"\r\n{length}\r\n").encode() + b"x" * kind.body
--- a/damsonpick/load/results.py
+++ b/damsonpick/load/results.py
@@ -32,16 +32,24 @@
 
     def view(self, seconds: float) -> dict[str, Any]:
         count = sum(self.ends.values())
-        return {"requests": count, "per_second": round(count / seconds, 1), "ends": dict(sorted(self.ends.items())),
-                "latency_us": {f"p{p:g}": self.histogram.get_value_at_percentile(p) for p in PERCENTILES},
-                "histogram": self.histogram.encode().decode()}
+        return {
+            "requests": count,
+            "per_second": round(count / seconds, 1),
+            "ends": dict(sorted(self.ends.items())),
+            "latency_us": {f"p{p:g}": self.histogram.get_value_at_percentile(p) for p in PERCENTILES},
+            "histogram": self.histogram.encode().decode(),
+        }
 
 
 def report(made: Experiment, tallies: dict[str, Tally], behind_us: int) -> dict[str, Any]:
     """One JSON object; `behind_us` is how late the tool itself was at its worst, as a check on it."""
     seconds = (made.load.length - made.load.warm_up) / 1e9
-    return {"experiment": made.model_dump(mode="json"), "python": platform.python_version(),
-            "sender_late_us": behind_us, "classes": {n: t.view(seconds) for n, t in sorted(tallies.items())}}
+    return {
+        "experiment": made.model_dump(mode="json"),
+        "python": platform.python_version(),
+        "sender_late_us": behind_us,
+        "classes": {n: t.view(seconds) for n, t in sorted(tallies.items())},
+    }
 
 
 def compare(now: dict[str, Any], path: Path) -> list[list[object]]:
--- a/damsonpick/proxy/exchange.py
+++ b/damsonpick/proxy/exchange.py
@@ -41,8 +41,9 @@
 class Exchange:
     """Args: limits; client, wire; head: the request's; left_ms: of its deadline; closing: no request follows."""
 
-    def __init__(self, limits: Limits, client: Client, wire: Upstream, head: http.Head, left_ms: int,
-                 closing: bool) -> None:
+    def __init__(
+        self, limits: Limits, client: Client, wire: Upstream, head: http.Head, left_ms: int, closing: bool
+    ) -> None:
         self.limits, self.client, self.wire, self.head, self.left_ms = limits, client, wire, head, left_ms
         self.events: list[http.Head | http.Body | http.End] = []
         self.keep = head.keep and not closing
--- a/damsonpick/proxy/follow.py
+++ b/damsonpick/proxy/follow.py
@@ -17,8 +17,11 @@
 from damsonpick.xds import loads
 from damsonpick.xds.names import CDS, EDS, RDS
 
-OPTIONS = [("grpc.use_local_subchannel_pool", 1), ("grpc.keepalive_time_ms", 10000),
-           ("grpc.keepalive_timeout_ms", 10000)]
+OPTIONS = [
+    ("grpc.use_local_subchannel_pool", 1),
+    ("grpc.keepalive_time_ms", 10000),
+    ("grpc.keepalive_timeout_ms", 10000),
+]
 
 
 class Follower:
@@ -33,9 +36,20 @@
         counts: hands over the sums since it was last called.
     """
 
-    def __init__(self, name: str, zone: str, pilots: Callable[[], list[str]], holdings: Holdings, clock: Clock,
-                 redial: Redial, took: Callable[..., None], counts: Callable[[], dict[int, loads.SliceCounts]],
-                 said: Callable[..., None], log: Any, delta: bool = True) -> None:
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        pilots: Callable[[], list[str]],
+        holdings: Holdings,
+        clock: Clock,
+        redial: Redial,
+        took: Callable[..., None],
+        counts: Callable[[], dict[int, loads.SliceCounts]],
+        said: Callable[..., None],
+        log: Any,
+        delta: bool = True,
+    ) -> None:
         self.name, self.zone, self.pilots, self.holdings, self.clock = name, zone, pilots, holdings, clock
         self.redial, self.took, self.counts, self.said, self.log = redial, took, counts, said, log
         self.delta, self.seen, self.linked = delta, False, False
--- a/damsonpick/proxy/holdings.py
+++ b/damsonpick/proxy/holdings.py
@@ -36,8 +36,10 @@
         for line in place.lb_endpoints:
             at = line.endpoint.address.socket_address
             lines[f"{at.address}:{at.port_value}"] = (line.load_balancing_weight.value, place.locality.zone)
-    levels = {d.category: 1 - d.drop_percentage.numerator / DENOMINATORS[d.drop_percentage.denominator]
-              for d in assignment.policy.drop_overloads}
+    levels = {
+        d.category: 1 - d.drop_percentage.numerator / DENOMINATORS[d.drop_percentage.denominator]
+        for d in assignment.policy.drop_overloads
+    }
     return Table(lines, levels)
 
 
@@ -68,8 +70,13 @@
         self.strikes = 0
         self.refuse: set[str] = set()  # names that it is told not to take
 
-    def take(self, kind: str, resources: list[tuple[str, str, bytes]], removed: list[str],
-             said: statement.Statement | None = None) -> list[str]:
+    def take(
+        self,
+        kind: str,
+        resources: list[tuple[str, str, bytes]],
+        removed: list[str],
+        said: statement.Statement | None = None,
+    ) -> list[str]:
         """Apply a response as a whole; returns names that went because their range was replaced.
 
         Raises:
@@ -111,8 +118,9 @@
         else:
             self.versions[kind].pop(name, None)
 
-    def _check(self, kind: str, resources: list[tuple[str, str, bytes]], removed: list[str],
-               said: statement.Statement) -> None:
+    def _check(
+        self, kind: str, resources: list[tuple[str, str, bytes]], removed: list[str], said: statement.Statement
+    ) -> None:
         """Whether a delta starts from what is here and ends where it says, and each body is what its version says."""
         for name, version, body in resources:
             if (found := xxhash.xxh3_64_hexdigest(body)) != version:
@@ -166,30 +174,41 @@
         self.asked[kind] = names
         if self.delta:
             return discovery_pb2.DeltaDiscoveryRequest(
-                node=self.node, type_url=kind, resource_names_subscribe=names or ["*"],
-                initial_resource_versions=self.holdings.versions[kind])
-        return discovery_pb2.DiscoveryRequest(node=self.node, type_url=kind, resource_names=names,
-                                              version_info=version)
+                node=self.node,
+                type_url=kind,
+                resource_names_subscribe=names or ["*"],
+                initial_resource_versions=self.holdings.versions[kind],
+            )
+        return discovery_pb2.DiscoveryRequest(node=self.node, type_url=kind, resource_names=names, version_info=version)
 
     def also(self, kind: str, names: list[str]) -> object:
         """More names of a type that was asked for before."""
         self.asked[kind] = sorted({*self.asked.get(kind, []), *names})
         if self.delta:
             return discovery_pb2.DeltaDiscoveryRequest(type_url=kind, resource_names_subscribe=names)
-        return discovery_pb2.DiscoveryRequest(type_url=kind, resource_names=self.asked[kind],
-                                              response_nonce=self.nonces.get(kind, ""),
-                                              version_info=self.accepted.get(kind, ""))
+        return discovery_pb2.DiscoveryRequest(
+            type_url=kind,
+            resource_names=self.asked[kind],
+            response_nonce=self.nonces.get(kind, ""),
+            version_info=self.accepted.get(kind, ""),
+        )
 
     def read(self, response: object) -> tuple[str, list[tuple[str, str, bytes]], list[str]]:
         """Type, (name, version, body) of what came, names removed."""
         if self.delta:
-            return (response.type_url, [(r.name, r.version, r.resource.value) for r in response.resources],
-                    list(response.removed_resources))
+            return (
+                response.type_url,
+                [(r.name, r.version, r.resource.value) for r in response.resources],
+                list(response.removed_resources),
+            )
         found = []
         for body in response.resources:
             name = {CDS: cluster_pb2.Cluster, RDS: route_pb2.RouteConfiguration}.get(response.type_url)
-            named = (endpoint_pb2.ClusterLoadAssignment.FromString(body.value).cluster_name if name is None
-                     else name.FromString(body.value).name)
+            named = (
+                endpoint_pb2.ClusterLoadAssignment.FromString(body.value).cluster_name
+                if name is None
+                else name.FromString(body.value).name
+            )
             found.append((named, xxhash.xxh3_64_hexdigest(body.value), body.value))
         return response.type_url, found, []
 
@@ -207,8 +226,11 @@
             if not bad:
                 self.accepted[kind] = response.version_info
             request = discovery_pb2.DiscoveryRequest(
-                type_url=kind, response_nonce=response.nonce, resource_names=self.asked.get(kind, []),
-                version_info=self.accepted.get(kind, ""))
+                type_url=kind,
+                response_nonce=response.nonce,
+                resource_names=self.asked.get(kind, []),
+                version_info=self.accepted.get(kind, ""),
+            )
         if bad:
             request.error_detail.code, request.error_detail.message = 3, bad
         return request
--- a/damsonpick/proxy/keep.py
+++ b/damsonpick/proxy/keep.py
@@ -24,9 +24,15 @@
 
 def save(path: Path, bodies: dict[str, dict[str, tuple[str, bytes]]]) -> None:
     """Write all resources: type to name to (version, body)."""
-    text = json.dumps({"format": FORMAT, "types": {
-        kind: {name: [version, base64.b64encode(body).decode()] for name, (version, body) in found.items()}
-        for kind, found in bodies.items()}}).encode()
+    text = json.dumps(
+        {
+            "format": FORMAT,
+            "types": {
+                kind: {name: [version, base64.b64encode(body).decode()] for name, (version, body) in found.items()}
+                for kind, found in bodies.items()
+            },
+        }
+    ).encode()
     part = path.with_suffix(".part")
     with part.open("wb") as file:
         file.write(xxhash.xxh3_64_hexdigest(text).encode() + b"\n" + text)
@@ -56,8 +62,9 @@
         kept = json.loads(text)
         if kept["format"] != FORMAT:
             raise Damaged(f"{path}: format {kept['format']}, this program reads {FORMAT}")
-        found = {kind: [(n, v, base64.b64decode(b)) for n, (v, b) in rows.items()]
-                 for kind, rows in kept["types"].items()}
+        found = {
+            kind: [(n, v, base64.b64decode(b)) for n, (v, b) in rows.items()] for kind, rows in kept["types"].items()
+        }
         trial = Holdings()
         for kind, rows in found.items():
             trial.take(kind, rows, [])
--- a/damsonpick/proxy/messages.py
+++ b/damsonpick/proxy/messages.py
@@ -11,16 +11,38 @@
 
 import httptools
 
-HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-                 b"proxy-authenticate", b"proxy-authorization", b"expect", b"content-length"))
+HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"expect",
+        b"content-length",
+    )
+)
 BARE = re.compile(rb"(?<!\r)\n|\r(?!\n)")
 FOLD = re.compile(rb"\r\n[ \t]")
 NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 SOUND = re.compile(rb"[^\r\n\0]+\r\n(?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[^\r\n\0]*\r\n)*\r\n")
 BARE_TEXT = "a bare CR or LF stands in the head; end lines with CR LF"
-REASONS = {200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
-           431: b"Request Header Fields Too Large", 500: b"Internal Server Error", 501: b"Not Implemented",
-           502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 
 
 class BadMessage(Exception):
@@ -128,7 +150,7 @@
                 return b""  # the connection is not used again
             if not self.left:  # the parser sees a body where the rules of the protocol allow none
                 raise BadMessage("a body where there can be none")
-            part, rest = data[:self.left], data[self.left:]
+            part, rest = data[: self.left], data[self.left :]
             self.left -= len(part)
             self._parse(part)
             return rest
@@ -137,7 +159,7 @@
             return b""
         begin, look, data = len(self.tail), 0, self.tail + data
         while self.inside and (found := data.find(b"\r\n\r\n", look)) >= 0:
-            self._parse(data[begin:found + 4])
+            self._parse(data[begin : found + 4])
             begin, look = found + 4, found + 2
         if self.inside:
             self._parse(data[begin:])
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -38,15 +38,32 @@
         seed: draws.
     """
 
-    def __init__(self, settings: ProxySettings, log: Any, said: Callable[..., None] = nothing,
-                 seed: int | str | None = None, delta: bool = True) -> None:
+    def __init__(
+        self,
+        settings: ProxySettings,
+        log: Any,
+        said: Callable[..., None] = nothing,
+        seed: int | str | None = None,
+        delta: bool = True,
+    ) -> None:
         self.settings, self.log = settings, log
         own, rng = settings.proxy, random.Random(seed)
         self.clock = Clock(settings.clock_rate)
         self.router = Router(settings, rng)
         self.relay = Relay(settings, self.router, self.clock, said, log)
-        self.follower = Follower(own.name, own.zone, self.pilots, self.router.holdings, self.clock,
-                                 Redial(rng, 0.1, 2.0), self._took, self.relay.sums, said, log, delta)
+        self.follower = Follower(
+            own.name,
+            own.zone,
+            self.pilots,
+            self.router.holdings,
+            self.clock,
+            Redial(rng, 0.1, 2.0),
+            self._took,
+            self.relay.sums,
+            said,
+            log,
+            delta,
+        )
         self.bodies: dict[str, dict[str, tuple[str, bytes]]] = {CDS: {}, EDS: {}, RDS: {}}
         self.dirty = anyio.Event()
         self.port = 0
@@ -80,10 +97,12 @@
                 group.start_soon(self.relay.serve, stream)
 
             listener = await asyncio.get_running_loop().create_server(
-                lambda: Stream(made), host.strip("[]"), int(port), backlog=BACKLOG)
+                lambda: Stream(made), host.strip("[]"), int(port), backlog=BACKLOG
+            )
             self.port = listener.sockets[0].getsockname()[1]
-            self.log.info("proxy_started", name=self.settings.proxy.name, port=self.port,
-                          tables=len(self.router.holdings.tables))
+            self.log.info(
+                "proxy_started", name=self.settings.proxy.name, port=self.port, tables=len(self.router.holdings.tables)
+            )
             group.start_soon(self.follower.run)
             group.start_soon(self.relay.sweep)
             group.start_soon(self._save)
--- a/damsonpick/proxy/relay.py
+++ b/damsonpick/proxy/relay.py
@@ -35,17 +35,20 @@
 class Relay:
     """Args: settings, router, clock; said: hears what passes, for records; log: a structlog logger."""
 
-    def __init__(self, settings: ProxySettings, router: Router, clock: Clock, said: Callable[..., None],
-                 log: Any) -> None:
+    def __init__(
+        self, settings: ProxySettings, router: Router, clock: Clock, said: Callable[..., None], log: Any
+    ) -> None:
         self.settings, self.router, self.clock, self.said, self.log = settings, router, clock, said, log
         own, limits = settings.proxy, settings.limits
         self.limits = limits
-        self.spans = Spans(*(clock.seconds(ns) for ns in (limits.head_time, limits.idle_time, limits.stall_time,
-                                                          limits.connect_time)))
+        self.spans = Spans(
+            *(clock.seconds(ns) for ns in (limits.head_time, limits.idle_time, limits.stall_time, limits.connect_time))
+        )
         self.key, self.kind = own.key_header.lower().encode(), own.class_header.lower().encode()
         self.client, self.named = own.client_header.lower().encode(), own.slice_header.lower().encode()
-        self.pool: Pool[Upstream, asyncio.Event] = Pool(limits.per_server, limits.waiting, limits.churn,
-                                                        limits.pool_time)
+        self.pool: Pool[Upstream, asyncio.Event] = Pool(
+            limits.per_server, limits.waiting, limits.churn, limits.pool_time
+        )
         self.counts: dict[int, SliceCounts] = {}
         self.changed = asyncio.Event()
         self.clients = 0
@@ -177,8 +180,9 @@
         who = named.get(self.client)
         return self.router.ask(now, kind, key, who.decode("latin-1") if who else client.address, cluster, limit)
 
-    async def _refuse(self, client: Client, head: http.Head, status: int, text: str,
-                      headers: list[tuple[bytes, bytes]] | None = None) -> bool:
+    async def _refuse(
+        self, client: Client, head: http.Head, status: int, text: str, headers: list[tuple[bytes, bytes]] | None = None
+    ) -> bool:
         """Refuse at once; a body on its way is not waited for."""
         close = not head.keep or not client.ended or self.draining
         await client.send(http.plain(status, text, headers, close=close))
@@ -243,8 +247,13 @@
             if wire is None:
                 wire = await self._connect(asked, server, zone, until)
             if self.records:
-                self.said("try", id=head.get(b"x-request-id").decode("latin-1"), kind=asked.kind,
-                          slice=asked.slice, server=server)
+                self.said(
+                    "try",
+                    id=head.get(b"x-request-id").decode("latin-1"),
+                    kind=asked.kind,
+                    slice=asked.slice,
+                    server=server,
+                )
             left = max(0, asked.deadline - start) // 1_000_000
             exchange = Exchange(self.limits, client, wire, head, left, self.draining)
             answer = await exchange.ask(until)
--- a/damsonpick/proxy/router.py
+++ b/damsonpick/proxy/router.py
@@ -114,8 +114,10 @@
     def again(self, now: int, asked: Asked, proof: Proof, tries: int, *, replayable: bool) -> bool:
         """Whether to try once more, and pays for it."""
         conditions, most = self.holdings.retry(asked.cluster, asked.kind)
-        return may(proof, conditions, most, tries, asked.effect, replayable=replayable,
-                   left=asked.deadline - now) and self.budget.take()
+        return (
+            may(proof, conditions, most, tries, asked.effect, replayable=replayable, left=asked.deadline - now)
+            and self.budget.take()
+        )
 
     def patience(self, asked: Asked, now: int) -> int:
         """ns that an attempt may take: less than the deadline where another try may follow."""
--- a/damsonpick/proxy/settings.py
+++ b/damsonpick/proxy/settings.py
@@ -11,8 +11,12 @@
 from damsonpick.settings.load import Problem, SettingsError
 from damsonpick.settings.units import Address, Duration, Names, address
 
-Pilots = Annotated[tuple[str, ...], BeforeValidator(
-    lambda text: text if isinstance(text, tuple) else tuple(address(p) for p in str(text).split(",") if p.strip()))]
+Pilots = Annotated[
+    tuple[str, ...],
+    BeforeValidator(
+        lambda text: text if isinstance(text, tuple) else tuple(address(p) for p in str(text).split(",") if p.strip())
+    ),
+]
 
 
 class Section(BaseModel):
@@ -87,9 +91,16 @@
     if problems:
         raise SettingsError(path, problems)
     base, own = path.resolve().parent, made.proxy
-    return made.model_copy(update={"proxy": own.model_copy(update={
-        "state": base / own.state if own.state else None,
-        "port_file": base / own.port_file if own.port_file else None})})
+    return made.model_copy(
+        update={
+            "proxy": own.model_copy(
+                update={
+                    "state": base / own.state if own.state else None,
+                    "port_file": base / own.port_file if own.port_file else None,
+                }
+            )
+        }
+    )
 
 
 __all__ = ["Limits", "Names", "ProxySettings", "load"]
--- a/damsonpick/roster/judge.py
+++ b/damsonpick/roster/judge.py
@@ -78,13 +78,16 @@
         if self.accepted or (held and now - self.held_since >= CONFIRM):
             held = {}
         if held and held.keys() != self.held.keys():
-            doubts.append(f"{len(missing)} of {len(serving)} servers are missing at once: {len(held)} of them are kept "
-                          f"for {CONFIRM // SECOND} s unless they fail; `damsonpick list accept` ends it")
+            doubts.append(
+                f"{len(missing)} of {len(serving)} servers are missing at once: {len(held)} of them are kept "
+                f"for {CONFIRM // SECOND} s unless they fail; `damsonpick list accept` ends it"
+            )
         self.held, self.accepted = held, False
         listed.update(held)
 
-    def take(self, now: int, claimed: Iterable[api.ListEntry],
-             lost: Callable[[str], bool] = lambda name: False) -> Verdict:
+    def take(
+        self, now: int, claimed: Iterable[api.ListEntry], lost: Callable[[str], bool] = lambda name: False
+    ) -> Verdict:
         """A whole list from a source, as a `replace` event; nothing where it says what is known.
 
         Args:
--- a/damsonpick/roster/listfile.py
+++ b/damsonpick/roster/listfile.py
@@ -34,8 +34,7 @@
     try:
         parser.read_string(text, source=name)
     except configparser.Error as error:
-        raise ListError(f"{name}: {' '.join(str(error).split())}; write [server IP:PORT] sections, "
-                        "each once") from None
+        raise ListError(f"{name}: {' '.join(str(error).split())}; write [server IP:PORT] sections, each once") from None
     return [_entry(name, section, parser[section]) for section in parser.sections()]
 
 
@@ -65,8 +64,10 @@
 
 
 def render(entries: list[api.ListEntry]) -> str:
-    return "".join(f"[server {e.endpoint}]\nzone = {e.zone}\nstate = {e.state}\nweight = {e.weight:g}\n"
-                   f"started = {e.started}\n\n" for e in entries)
+    return "".join(
+        f"[server {e.endpoint}]\nzone = {e.zone}\nstate = {e.state}\nweight = {e.weight:g}\nstarted = {e.started}\n\n"
+        for e in entries
+    )
 
 
 class FileSource:
--- a/damsonpick/roster/sources.py
+++ b/damsonpick/roster/sources.py
@@ -52,13 +52,17 @@
         up = [n for n in names if self.all[n].up]
         if not self.believed:
             first = up[0] if up else ""
-            if first and (first == names[0] or now - self.started >= PATIENCE
-                          or not any(self._open(n) for n in names[:names.index(first)])):
+            if first and (
+                first == names[0]
+                or now - self.started >= PATIENCE
+                or not any(self._open(n) for n in names[: names.index(first)])
+            ):
                 self.believed = first
             return self.believed
         present = self.all[self.believed]
-        better = [n for n in up[:1] if names.index(n) < names.index(self.believed)
-                  and now - self.all[n].since >= STEADY]
+        better = [
+            n for n in up[:1] if names.index(n) < names.index(self.believed) and now - self.all[n].since >= STEADY
+        ]
         if better:
             self.believed = better[0]
         elif not present.up and up and now - present.since >= HOLD:
@@ -84,16 +88,25 @@
                 if mine is None:
                     doubts.append(f"{name} names {other.endpoint}, {chosen} does not: left out")
                 elif other.started == mine.started and STATES.index(other.state) > STATES.index(mine.state):
-                    doubts.append(f"{other.endpoint} is {other.state} by {name}, {mine.state} by {chosen}: "
-                                  f"{other.state} binds")
+                    doubts.append(
+                        f"{other.endpoint} is {other.state} by {name}, {mine.state} by {chosen}: {other.state} binds"
+                    )
                     entries[other.endpoint] = mine._replace(state=other.state)
         return list(entries.values()), doubts
 
     def view(self, now: int) -> list[dict[str, object]]:
         """For operators."""
-        return [{"source": name, "up": s.up, "believed": name == self.believed, "why": s.why,
-                 "since_s": round((now - s.since) / SECOND, 1) if s.since else None,
-                 "servers": len(s.entries or ())} for name, s in self.all.items()]
+        return [
+            {
+                "source": name,
+                "up": s.up,
+                "believed": name == self.believed,
+                "why": s.why,
+                "since_s": round((now - s.since) / SECOND, 1) if s.since else None,
+                "servers": len(s.entries or ()),
+            }
+            for name, s in self.all.items()
+        ]
 
 
 class Budget:
--- a/damsonpick/roster/upstream.py
+++ b/damsonpick/roster/upstream.py
@@ -24,8 +24,11 @@
 from damsonpick.xds.names import EDS
 
 METADATA, STARTED = "damsonpick", "started"
-STATES = {health_check_pb2.UNKNOWN: "in_service", health_check_pb2.HEALTHY: "in_service",
-          health_check_pb2.DRAINING: "terminating"}
+STATES = {
+    health_check_pb2.UNKNOWN: "in_service",
+    health_check_pb2.HEALTHY: "in_service",
+    health_check_pb2.DRAINING: "terminating",
+}
 
 
 def read(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.ListEntry]:
@@ -74,8 +77,15 @@
 class UpstreamSource:
     """Yields whole lists as the upstream sends them; a broken stream is a ListError and is dialled again."""
 
-    def __init__(self, address: str, cluster: str, node: str, redial: Redial, budget: Budget | None = None,
-                 clock: Callable[[], int] = time.monotonic_ns) -> None:
+    def __init__(
+        self,
+        address: str,
+        cluster: str,
+        node: str,
+        redial: Redial,
+        budget: Budget | None = None,
+        clock: Callable[[], int] = time.monotonic_ns,
+    ) -> None:
         self.address, self.cluster, self.node, self.redial = address, cluster, node, redial
         self.budget, self.clock = budget or Budget(), clock
 
@@ -119,8 +129,12 @@
 
     def _request(self, version: str = "", nonce: str = "", bad: str = "") -> discovery_pb2.DiscoveryRequest:
         request = discovery_pb2.DiscoveryRequest(
-            node=base_pb2.Node(id=self.node), type_url=EDS, resource_names=[self.cluster],
-            version_info=version, response_nonce=nonce)
+            node=base_pb2.Node(id=self.node),
+            type_url=EDS,
+            resource_names=[self.cluster],
+            version_info=version,
+            response_nonce=nonce,
+        )
         if bad:
             request.error_detail.code, request.error_detail.message = 3, bad
         return request
--- a/damsonpick/rules/check.py
+++ b/damsonpick/rules/check.py
@@ -58,8 +58,9 @@
         self.worst = max(self.worst, figure)
 
     def breach(self, event: dict[str, Any], text: str, number: int = -1) -> None:
-        self.breaches.append(Breach(event["t"], event.get("gw", "-"), event.get("slice", number),
-                                    event.get("server", "-"), text))
+        self.breaches.append(
+            Breach(event["t"], event.get("gw", "-"), event.get("slice", number), event.get("server", "-"), text)
+        )
 
 
 class Gateway:
@@ -165,8 +166,11 @@
 
     def _set_ready(self, now: int) -> None:
         """Whether the list shows a server in service that is no longer cold; time without one does not count."""
-        warm = [start + self.limits.cold_time if start else 0
-                for state, start, *_ in self.listed.values() if state == "in_service"]
+        warm = [
+            start + self.limits.cold_time if start else 0
+            for state, start, *_ in self.listed.values()
+            if state == "in_service"
+        ]
         was, self.ready = self.ready, any(at <= now for at in warm)
         self.ready_at = min(warm, default=0)
         if self.ready and not was:
@@ -240,8 +244,7 @@
             while gateway.sent[0] <= left - self.limits.window:
                 gateway.sent.popleft()
             if len(gateway.sent) > self.limits.messages:
-                self.queue.breach(event, f"{len(gateway.sent)} messages in the window, "
-                                  f"{self.limits.messages} allowed")
+                self.queue.breach(event, f"{len(gateway.sent)} messages in the window, {self.limits.messages} allowed")
 
     def on_try(self, event: dict[str, Any]) -> None:
         gateway, server = self._gateway(event["gw"]), event["server"]
@@ -314,8 +317,10 @@
 
     def _queue(self) -> None:
         """Most lines that waited at one time: from when each was ordered until it left."""
-        steps = sorted([(ordered, lines) for ordered, _, lines in self.messages]
-                       + [(left, -lines) for _, left, lines in self.messages])
+        steps = sorted(
+            [(ordered, lines) for ordered, _, lines in self.messages]
+            + [(left, -lines) for _, left, lines in self.messages]
+        )
         waiting = 0.0
         for t, lines in steps:
             waiting += lines
--- a/damsonpick/sasp/client.py
+++ b/damsonpick/sasp/client.py
@@ -86,8 +86,9 @@
 
 
 @asynccontextmanager
-async def connect(address: str, lb: bytes,
-                  pushed: Callable[[sasp.SendWeights], None] = lambda body: None) -> AsyncIterator[Client]:
+async def connect(
+    address: str, lb: bytes, pushed: Callable[[sasp.SendWeights], None] = lambda body: None
+) -> AsyncIterator[Client]:
     """A session with the manager at an address such as 127.0.0.1:3860.
 
     Raises:
