--- a/damsonpick/sasp/codec.py
+++ b/damsonpick/sasp/codec.py
@@ -33,6 +33,7 @@
 
 # -- writing
 
+
 def _part(kind: int, body: bytes) -> bytes:
     size = PART.size + len(body)
     if size > 0xFFFF:
@@ -75,12 +76,14 @@
 
 def _members_of(groups: tuple[sasp.MembersOf, ...]) -> bytes:
     return struct.pack(">H", len(groups)) + b"".join(
-        _write_of(sasp.MEMBERS_OF, g.group, [write_member(m) for m in g.members]) for g in groups)
+        _write_of(sasp.MEMBERS_OF, g.group, [write_member(m) for m in g.members]) for g in groups
+    )
 
 
 def _weights_of(groups: tuple[sasp.WeightsOf, ...]) -> bytes:
     return struct.pack(">H", len(groups)) + b"".join(
-        _write_of(sasp.WEIGHTS_OF, g.group, [write_weight(w) for w in g.weights]) for g in groups)
+        _write_of(sasp.WEIGHTS_OF, g.group, [write_weight(w) for w in g.weights]) for g in groups
+    )
 
 
 def _body(body: sasp.Body) -> tuple[int, bytes]:
@@ -99,7 +102,8 @@
             return Kind.SET_LB_STATE, _text(lb) + bytes((health, flags))
         case sasp.SetMemberState(sender, groups):
             return Kind.SET_MEMBER_STATE, bytes((sender,)) + struct.pack(">H", len(groups)) + b"".join(
-                _write_of(sasp.STATES_OF, g.group, [_write_state(s) for s in g.states]) for g in groups)
+                _write_of(sasp.STATES_OF, g.group, [_write_state(s) for s in g.states]) for g in groups
+            )
         case sasp.Reply(kind, code):
             return kind, bytes((code,))
     raise TypeError(f"{body!r} is no SASP message")
@@ -109,8 +113,11 @@
     """A message round a body that is encoded already. A length above 65535 does not fit the message's own component:
     the message length of the header tells it all the same, and the component's says 65535."""
     size = PART.size + len(body)
-    return (HEAD.pack(sasp.HEADER, sasp.HEADER_SIZE, sasp.VERSION, sasp.HEADER_SIZE + size, number)
-            + PART.pack(kind, min(size, 0xFFFF)) + body)
+    return (
+        HEAD.pack(sasp.HEADER, sasp.HEADER_SIZE, sasp.VERSION, sasp.HEADER_SIZE + size, number)
+        + PART.pack(kind, min(size, 0xFFFF))
+        + body
+    )
 
 
 def encode(message: sasp.Message) -> bytes:
@@ -120,6 +127,7 @@
 
 # -- reading
 
+
 class Reader:
     """A walk over the bytes of one component; reads past its end are NotUnderstood."""
 
@@ -130,7 +138,7 @@
         if self.at + count > len(self.data):
             raise NotUnderstood(f"{self.what}: {count} bytes are read at {self.at}, there are {len(self.data)}")
         self.at += count
-        return self.data[self.at - count:self.at]
+        return self.data[self.at - count : self.at]
 
     def unpack(self, form: struct.Struct) -> tuple:
         return form.unpack(self.take(form.size))
@@ -150,8 +158,9 @@
         if found != kind:
             raise NotUnderstood(f"{self.what}: component 0x{found:04x} where 0x{kind:04x} belongs")
         if size < PART.size:
-            raise NotUnderstood(f"{self.what}: component 0x{kind:04x} says it has {size} bytes, its head alone has "
-                                f"{PART.size}")
+            raise NotUnderstood(
+                f"{self.what}: component 0x{kind:04x} says it has {size} bytes, its head alone has {PART.size}"
+            )
         return Reader(self.take(size - PART.size), f"component 0x{kind:04x}")
 
     def each(self, count: int, least: int, read: Callable[[Reader], object]) -> tuple:
@@ -226,8 +235,10 @@
     Kind.SEND_WEIGHTS: lambda r: sasp.SendWeights(_rows(r, _weights)),
     Kind.SET_LB_STATE: lambda r: sasp.SetLbState(r.text(), r.byte(), sasp.LbFlag(r.byte() & 7)),
     Kind.SET_MEMBER_STATE: lambda r: sasp.SetMemberState(sasp.Sender(r.byte() & 1), _rows(r, _states)),
-} | {kind: (lambda r, k=kind: sasp.Reply(k, r.byte())) for kind in (
-    Kind.REGISTER_REPLY, Kind.DEREGISTER_REPLY, Kind.SET_LB_STATE_REPLY, Kind.SET_MEMBER_STATE_REPLY)}
+} | {
+    kind: (lambda r, k=kind: sasp.Reply(k, r.byte()))
+    for kind in (Kind.REGISTER_REPLY, Kind.DEREGISTER_REPLY, Kind.SET_LB_STATE_REPLY, Kind.SET_MEMBER_STATE_REPLY)
+}
 
 
 def decode(data: bytes) -> sasp.Message:
@@ -241,7 +252,7 @@
     try:
         if version != sasp.VERSION:
             raise NotUnderstood(f"version {version}, this is a manager of version {sasp.VERSION}")
-        reader = Reader(memoryview(data)[sasp.HEADER_SIZE:], "the message")
+        reader = Reader(memoryview(data)[sasp.HEADER_SIZE :], "the message")
         kind, size = reader.unpack(PART)
         if kind not in READ:
             raise NotUnderstood(f"message type 0x{kind:04x} is unknown")
@@ -278,12 +289,14 @@
         if len(self.data) >= 4:
             kind, own = PART.unpack_from(self.data)
             if kind != sasp.HEADER or own != sasp.HEADER_SIZE:
-                raise FrameError(f"a message begins with 0x{kind:04x} of {own} bytes, not with a SASP header of "
-                                 f"{sasp.HEADER_SIZE}")
+                raise FrameError(
+                    f"a message begins with 0x{kind:04x} of {own} bytes, not with a SASP header of {sasp.HEADER_SIZE}"
+                )
         if len(self.data) < sasp.HEADER_SIZE:
             return None
         size = HEAD.unpack_from(self.data)[3]
         if not sasp.HEADER_SIZE + PART.size <= size <= self.largest:
-            raise FrameError(f"a message says it has {size} bytes; from {sasp.HEADER_SIZE + PART.size} to "
-                             f"{self.largest} are taken")
+            raise FrameError(
+                f"a message says it has {size} bytes; from {sasp.HEADER_SIZE + PART.size} to {self.largest} are taken"
+            )
         return size
--- a/damsonpick/sasp/server.py
+++ b/damsonpick/sasp/server.py
@@ -38,14 +38,29 @@
     """Args: settings, hub, engine, clock of one pilot; stir: wakes its loop; feed: takes what members say of themselves
     as list entries; log: structlog."""
 
-    def __init__(self, settings: PilotSettings, hub: Hub, engine: Engine, clock: Clock, stir: Callable[[], None],
-                 feed: Callable[[list[api.ListEntry]], None], log: Any) -> None:
+    def __init__(
+        self,
+        settings: PilotSettings,
+        hub: Hub,
+        engine: Engine,
+        clock: Clock,
+        stir: Callable[[], None],
+        feed: Callable[[list[api.ListEntry]], None],
+        log: Any,
+    ) -> None:
         self.settings, self.hub, self.engine, self.clock = settings, hub, engine, clock
         self.stir, self.feed, self.log = stir, feed, log
         s = settings.sasp
         self.registry = Registry(Limits(s.groups, s.members), self._covers, self._rights)
-        self.desk = Desk(engine.published, self.registry, Pace(random.Random(settings.pilot.seed)), self._heat,
-                         self._known, lambda: hub.channel.waiting() / hub.channel.limit, self._blind)
+        self.desk = Desk(
+            engine.published,
+            self.registry,
+            Pace(random.Random(settings.pilot.seed)),
+            self._heat,
+            self._known,
+            lambda: hub.channel.waiting() / hub.channel.limit,
+            self._blind,
+        )
         self.streams: dict[SaspSession, anyio.Event] = {}
         self.addresses: dict[str, int] = {}
         self.turn = anyio.Semaphore(AT_ONCE)
@@ -104,8 +119,9 @@
         try:
             self.listener = await anyio.create_tcp_listener(local_host=host.strip("[]"), local_port=int(port))
         except OSError as error:
-            raise FrontError(f"[sasp] listen = {address}: cannot be opened ({error}); free the port or choose "
-                             "another") from None
+            raise FrontError(
+                f"[sasp] listen = {address}: cannot be opened ({error}); free the port or choose another"
+            ) from None
         self.port = self.listener.extra(SocketAttribute.local_port)
         self.log.info("sasp_open", port=self.port)
 
@@ -157,11 +173,18 @@
             return
         self.fed = said
         known = self.engine.roster
-        self.feed([api.ListEntry(n, known.places.get(n, self.settings.pilot.zone),
-                                 "terminating" if quiesced else "in_service",
-                                 known.entries[n].weight if n in known.entries else 1.0,
-                                 known.entries[n].started if n in known.entries else 0)
-                   for n, quiesced in said.items()])
+        self.feed(
+            [
+                api.ListEntry(
+                    n,
+                    known.places.get(n, self.settings.pilot.zone),
+                    "terminating" if quiesced else "in_service",
+                    known.entries[n].weight if n in known.entries else 1.0,
+                    known.entries[n].started if n in known.entries else 0,
+                )
+                for n, quiesced in said.items()
+            ]
+        )
 
     def ring(self, sessions: list[Any]) -> None:
         """Wake the writers of these sessions."""
@@ -175,8 +198,13 @@
         async with stream:
             address = str(stream.extra(SocketAttribute.remote_address)[0])
             if self.addresses.get(address, 0) >= self.settings.sasp.sessions:
-                self.log.warning("sasp_refused", address=address, why="too many sessions from one address",
-                                 limit=self.settings.sasp.sessions, remedy="[sasp] sessions")
+                self.log.warning(
+                    "sasp_refused",
+                    address=address,
+                    why="too many sessions from one address",
+                    limit=self.settings.sasp.sessions,
+                    remedy="[sasp] sessions",
+                )
                 return
             self.addresses[address] = self.addresses.get(address, 0) + 1
             session = SaspSession(self.desk, self._zone, Meter(self.settings.sasp.messages))
@@ -192,8 +220,13 @@
                 why = "it does not read" if errors.subgroup(TimeoutError) else "the stream broke"
             except* Exception as errors:  # a fault of ours ends this session and nothing else
                 why = "a fault of the program"
-                self.log.error("sasp_failed", balancer=session.node, error=repr(errors.exceptions[0]),
-                               remedy="send this to the maintainers", exc_info=errors.exceptions[0])
+                self.log.error(
+                    "sasp_failed",
+                    balancer=session.node,
+                    error=repr(errors.exceptions[0]),
+                    remedy="send this to the maintainers",
+                    exc_info=errors.exceptions[0],
+                )
             finally:
                 self._left(session, address, why)
 
@@ -248,9 +281,15 @@
 
     def _joined(self, session: SaspSession) -> None:
         member = self.hub.join(self.clock.now(), session)
-        self.log.info("balancer_joined", balancer=session.node, number=member.number, zone=session.zone,
-                      pushes=bool(session.flags & LbFlag.PUSH), trusts=bool(session.flags & LbFlag.TRUST),
-                      note="SASP acknowledges nothing: a drain binds it at its next poll or push")
+        self.log.info(
+            "balancer_joined",
+            balancer=session.node,
+            number=member.number,
+            zone=session.zone,
+            pushes=bool(session.flags & LbFlag.PUSH),
+            trusts=bool(session.flags & LbFlag.TRUST),
+            note="SASP acknowledges nothing: a drain binds it at its next poll or push",
+        )
         self.stir()
 
     async def _push(self, stream: SocketStream, session: SaspSession, lock: anyio.Lock) -> None:
@@ -270,13 +309,28 @@
     def view(self) -> dict[str, Any]:
         """For operators."""
         now = self.clock.now()
-        return {"port": self.port, "balancers": [
-            {"balancer": lb.decode("utf-8", "backslashreplace"), "health": b.health, "sessions": len(b.sessions),
-             "pushes": any(f & LbFlag.PUSH for f in b.sessions.values()), "trusted": self.registry.trusts(lb),
-             "groups": {g.key.name.decode("utf-8", "backslashreplace"): {
-                 "covers": g.covers, "members": len(g.members),
-                 "quiesced": [m.endpoint for m, e in g.members.items() if e.quiesced]} for g in b.groups.values()},
-             "seen": max((s.seen for s in b.sessions), default=None),
-             "last_told_s": round((now - max(s.since() for s in b.sessions)) / 1e9, 1)
-             if any(s.since() for s in b.sessions) else None}
-            for lb, b in self.registry.balancers.items()]}
+        return {
+            "port": self.port,
+            "balancers": [
+                {
+                    "balancer": lb.decode("utf-8", "backslashreplace"),
+                    "health": b.health,
+                    "sessions": len(b.sessions),
+                    "pushes": any(f & LbFlag.PUSH for f in b.sessions.values()),
+                    "trusted": self.registry.trusts(lb),
+                    "groups": {
+                        g.key.name.decode("utf-8", "backslashreplace"): {
+                            "covers": g.covers,
+                            "members": len(g.members),
+                            "quiesced": [m.endpoint for m, e in g.members.items() if e.quiesced],
+                        }
+                        for g in b.groups.values()
+                    },
+                    "seen": max((s.seen for s in b.sessions), default=None),
+                    "last_told_s": round((now - max(s.since() for s in b.sessions)) / 1e9, 1)
+                    if any(s.since() for s in b.sessions)
+                    else None,
+                }
+                for lb, b in self.registry.balancers.items()
+            ],
+        }
--- a/damsonpick/sasp/session.py
+++ b/damsonpick/sasp/session.py
@@ -23,8 +23,12 @@
 FRESH = 2 * SECOND  # ns for which shares are kept while no table changes: heat moves slowly
 MOST_MADE = 20_000  # pieces of advice kept
 NEVER = 1 << 62
-REPLY = {Kind.REGISTER: Kind.REGISTER_REPLY, Kind.DEREGISTER: Kind.DEREGISTER_REPLY,
-         Kind.SET_LB_STATE: Kind.SET_LB_STATE_REPLY, Kind.SET_MEMBER_STATE: Kind.SET_MEMBER_STATE_REPLY}
+REPLY = {
+    Kind.REGISTER: Kind.REGISTER_REPLY,
+    Kind.DEREGISTER: Kind.DEREGISTER_REPLY,
+    Kind.SET_LB_STATE: Kind.SET_LB_STATE_REPLY,
+    Kind.SET_MEMBER_STATE: Kind.SET_MEMBER_STATE_REPLY,
+}
 
 
 class Desk:
@@ -41,9 +45,16 @@
             returns would never get a line; empty as soon as one does.
     """
 
-    def __init__(self, published: Published, registry: Registry, pace: Pace, heat: Callable[[int], float],
-                 known: Callable[[str], Known], filled: Callable[[], float],
-                 blind: Callable[[], dict[str, float]] = dict) -> None:
+    def __init__(
+        self,
+        published: Published,
+        registry: Registry,
+        pace: Pace,
+        heat: Callable[[int], float],
+        known: Callable[[str], Known],
+        filled: Callable[[], float],
+        blind: Callable[[], dict[str, float]] = dict,
+    ) -> None:
         self.published, self.registry, self.pace, self.blind = published, registry, pace, blind
         self.heat, self.known, self.filled = heat, known, filled
         self.kept: dict[str, tuple[tuple, dict[str, float]]] = {}  # covers: (what it rests on, shares)
@@ -76,13 +87,13 @@
         if self.published.seq != self.seq:
             self.seq = self.published.seq
             self.pace.change(now)
-        rests = (changed[FLEET], max((changed[u] for u in units), default=0),
-                 now // FRESH if len(units) > 1 else 0)
+        rests = (changed[FLEET], max((changed[u] for u in units), default=0), now // FRESH if len(units) > 1 else 0)
         kept = self.kept.get(covers)
         if kept is None or kept[0] != rests:
             capacities = self.blind() if covers == "fleet" else {}  # a slice stays where its table has it
             found = weights.by_capacity(capacities, self.published.withdrawn) or weights.shares(
-                self.published, self.slices(covers), self.heat)
+                self.published, self.slices(covers), self.heat
+            )
             kept = self.kept[covers] = rests, found
         return kept
 
@@ -95,9 +106,13 @@
         made = self.made.get(key)
         if made is None or made[0] is not group.look or made[1] != rests:
             found = weights.advise(
-                share, dict.fromkeys(m.endpoint for m, *_ in group.look), self.known, self.published.withdrawn,
+                share,
+                dict.fromkeys(m.endpoint for m, *_ in group.look),
+                self.known,
+                self.published.withdrawn,
                 [m.endpoint for m, _, quiesced, _ in group.look if quiesced],
-                [m.endpoint for m, _, _, own in group.look if own])
+                [m.endpoint for m, _, _, own in group.look if own],
+            )
             if made is not None and made[0] is group.look and made[2] == found:
                 found, text = made[2], made[3]
             else:
@@ -109,8 +124,11 @@
 
     def changed(self, group: GroupOf, before: Mapping[str, Advice], after: Mapping[str, Advice]) -> tuple[int, bytes]:
         """The members of a group whose advice has changed: how many, and their text."""
-        rows = [self._row(m, state, after[m.endpoint]) for m, state, *_ in group.look
-                if before.get(m.endpoint) != after[m.endpoint]]
+        rows = [
+            self._row(m, state, after[m.endpoint])
+            for m, state, *_ in group.look
+            if before.get(m.endpoint) != after[m.endpoint]
+        ]
         return len(rows), codec.write_weights_of(group.key, len(rows), b"".join(rows))
 
     def _row(self, member: sasp.Member, state: int, advice: Advice) -> bytes:
@@ -152,8 +170,9 @@
         try:
             message = codec.decode(data)
         except codec.NotUnderstood as error:
-            kind = REPLY.get(error.kind, Kind.GET_WEIGHTS_REPLY if error.kind == Kind.GET_WEIGHTS
-                             else Kind.SET_LB_STATE_REPLY)
+            kind = REPLY.get(
+                error.kind, Kind.GET_WEIGHTS_REPLY if error.kind == Kind.GET_WEIGHTS else Kind.SET_LB_STATE_REPLY
+            )
             self.rejections["message"] = str(error)
             if kind is Kind.GET_WEIGHTS_REPLY:
                 return codec.encode(sasp.Message(error.number, sasp.WeightsReply(Code.NOT_UNDERSTOOD, 0, ())))
@@ -213,8 +232,9 @@
         if code == Code.OK:
             self.polled, self.seen = now, self.desk.published.seq
         desk = self.desk
-        self.interval = desk.pace.interval(now, sum(len(b.sessions) for b in desk.registry.balancers.values()),
-                                           desk.filled())
+        self.interval = desk.pace.interval(
+            now, sum(len(b.sessions) for b in desk.registry.balancers.values()), desk.filled()
+        )
         body = bytes((code,)) + self.interval.to_bytes(2, "big") + len(texts).to_bytes(2, "big") + b"".join(texts)
         return codec.frame(number, Kind.GET_WEIGHTS_REPLY, body)
 
@@ -252,8 +272,9 @@
             del self.told[name]
         for group in groups.values():
             units = self.desk.covered(group.covers)
-            if FLEET not in stale and not (stale & units.keys() if len(stale) < len(units)
-                                           else any(u in stale for u in units)):
+            if FLEET not in stale and not (
+                stale & units.keys() if len(stale) < len(units) else any(u in stale for u in units)
+            ):
                 continue
             advice, text = self.desk.advice(now, group)
             before = self.told.get(group.key.name)
--- a/damsonpick/sasp/weights.py
+++ b/damsonpick/sasp/weights.py
@@ -76,8 +76,14 @@
     return result
 
 
-def advise(share: Mapping[str, float], endpoints: Iterable[str], known: Callable[[str], Known],
-           withdrawn: Iterable[str], quiesced: Iterable[str], registered: Iterable[str]) -> dict[str, Advice]:
+def advise(
+    share: Mapping[str, float],
+    endpoints: Iterable[str],
+    known: Callable[[str], Known],
+    withdrawn: Iterable[str],
+    quiesced: Iterable[str],
+    registered: Iterable[str],
+) -> dict[str, Advice]:
     """Advice on a group's endpoints.
 
     Args:
@@ -119,5 +125,7 @@
 
 def urgent(before: Mapping[str, Advice], after: Mapping[str, Advice]) -> bool:
     """Whether a member has newly been quiesced: such a push waits for nothing."""
-    return any(new.flags & WeightFlag.QUIESCE and not (name in before and before[name].flags & WeightFlag.QUIESCE)
-               for name, new in after.items())
+    return any(
+        new.flags & WeightFlag.QUIESCE and not (name in before and before[name].flags & WeightFlag.QUIESCE)
+        for name, new in after.items()
+    )
--- a/damsonpick/settings/load.py
+++ b/damsonpick/settings/load.py
@@ -11,12 +11,28 @@
 from damsonpick.settings import model
 from damsonpick.settings.units import numbers
 
-SECTIONS = ("pilot", "listen", "tables", "rules", "channel", "reports", "list", "solver", "versions",
-            "knowledge", "sasp", "log")
+SECTIONS = (
+    "pilot",
+    "listen",
+    "tables",
+    "rules",
+    "channel",
+    "reports",
+    "list",
+    "solver",
+    "versions",
+    "knowledge",
+    "sasp",
+    "log",
+)
 # sections that have a name of their own, by how they begin: where their contents go
 NAMED = {"class": "classes", "list": "lists", "sasp group": "sasp_groups", "sasp balancer": "sasp_balancers"}
-MODELS = {"class": model.RequestClass, "list": model.ListSource, "sasp group": model.SaspGroup,
-          "sasp balancer": model.SaspBalancer}
+MODELS = {
+    "class": model.RequestClass,
+    "list": model.ListSource,
+    "sasp group": model.SaspGroup,
+    "sasp balancer": model.SaspBalancer,
+}
 
 
 class Problem(NamedTuple):
@@ -47,12 +63,15 @@
     try:
         parser.read_string(path.read_text(encoding="utf-8"), source=str(path))
     except (OSError, UnicodeDecodeError) as error:
-        raise SettingsError(path, [Problem("file", "", "", f"cannot be read ({error}); give a text file "
-                                           "in UTF-8 that this user may read")]) from None
+        raise SettingsError(
+            path,
+            [Problem("file", "", "", f"cannot be read ({error}); give a text file in UTF-8 that this user may read")],
+        ) from None
     except configparser.Error as error:
         text = " ".join(str(error).split())
-        raise SettingsError(path, [Problem("file", "", "", f"{text}; write [section] lines and key = value "
-                                           "lines, each name once")]) from None
+        raise SettingsError(
+            path, [Problem("file", "", "", f"{text}; write [section] lines and key = value lines, each name once")]
+        ) from None
     return parser
 
 
@@ -68,10 +87,17 @@
         if name in SECTIONS:
             raw[name] = dict(parser[name])
         elif (kind := _named(name)) is not None:
-            raw[NAMED[kind]][name[len(kind):].strip()] = dict(parser[name])
+            raw[NAMED[kind]][name[len(kind) :].strip()] = dict(parser[name])
         else:
-            problems.append(Problem(name, "", "", "is no section; the sections are "
-                                    + ", ".join([f"[{s}]" for s in SECTIONS] + [f"[{k} NAME]" for k in NAMED])))
+            problems.append(
+                Problem(
+                    name,
+                    "",
+                    "",
+                    "is no section; the sections are "
+                    + ", ".join([f"[{s}]" for s in SECTIONS] + [f"[{k} NAME]" for k in NAMED]),
+                )
+            )
     if not raw["classes"]:
         problems.append(Problem("class NAME", "", "", "is missing; add a section for each class of request"))
     try:
@@ -118,7 +144,7 @@
 
 def _named(section: str) -> str | None:
     """How a section with a name of its own begins; None: it is none."""
-    return next((kind for kind in NAMED if section.startswith(f"{kind} ") and section[len(kind):].strip()), None)
+    return next((kind for kind in NAMED if section.startswith(f"{kind} ") and section[len(kind) :].strip()), None)
 
 
 def _keys(section: str) -> list[str]:
@@ -140,22 +166,52 @@
             found.append(Problem(section, "upstream", "", "is missing; give the address of the upstream EDS server"))
     for name, kind in s.classes.items():
         if kind.deadline < kind.aim:
-            found.append(Problem(f"class {name}", "deadline", f"{kind.deadline} ns",
-                                 "is before the aim; give a deadline no earlier than the aim"))
+            found.append(
+                Problem(
+                    f"class {name}",
+                    "deadline",
+                    f"{kind.deadline} ns",
+                    "is before the aim; give a deadline no earlier than the aim",
+                )
+            )
         if kind.effect == "idempotency_key" and not kind.key_window:
-            found.append(Problem(f"class {name}", "key_window", "", "is missing; a keyed class needs the time "
-                                 "for which servers remember a key"))
+            found.append(
+                Problem(
+                    f"class {name}",
+                    "key_window",
+                    "",
+                    "is missing; a keyed class needs the time for which servers remember a key",
+                )
+            )
         if s.solved and not kind.work:
-            found.append(Problem(f"class {name}", "work", "", "is missing; the solver needs the mean core time "
-                                 "of a request, such as 300 ms"))
+            found.append(
+                Problem(
+                    f"class {name}",
+                    "work",
+                    "",
+                    "is missing; the solver needs the mean core time of a request, such as 300 ms",
+                )
+            )
     for name, group in s.sasp_groups.items():
         kind, _, rest = group.covers.partition(" ")
         if kind == "slices" and (high := max(numbers(group.covers))) >= s.table_count():
-            found.append(Problem(f"sasp group {name}", "covers", group.covers,
-                                 f"names slice {high}, there are {s.table_count()} from 0"))
+            found.append(
+                Problem(
+                    f"sasp group {name}",
+                    "covers",
+                    group.covers,
+                    f"names slice {high}, there are {s.table_count()} from 0",
+                )
+            )
         if kind == "class" and (s.tables.slices or rest not in s.classes):
-            found.append(Problem(f"sasp group {name}", "covers", group.covers, "is a class that there is not, or there "
-                                 "are slices, which all classes share; use fleet or slices"))
+            found.append(
+                Problem(
+                    f"sasp group {name}",
+                    "covers",
+                    group.covers,
+                    "is a class that there is not, or there are slices, which all classes share; use fleet or slices",
+                )
+            )
     for name, balancer in s.sasp_balancers.items():
         if balancer.zone and balancer.zone not in s.pilot.zones:
             found.append(Problem(f"sasp balancer {name}", "zone", balancer.zone, "is not among the zones"))
@@ -164,15 +220,23 @@
             if zone not in s.pilot.zones:
                 found.append(Problem("solver", "pairs", zone, "is not among the zones; correct the name"))
     if s.rules.fall_multiple * s.rules.cold_share < 0.05:
-        found.append(Problem("rules", "cold_share", str(s.rules.cold_share), "times fall_multiple is under a "
-                             "twentieth of a server: no cold server could be given work; check both"))
+        found.append(
+            Problem(
+                "rules",
+                "cold_share",
+                str(s.rules.cold_share),
+                "times fall_multiple is under a twentieth of a server: no cold server could be given work; check both",
+            )
+        )
     return found
 
 
 def _absolute(s: model.PilotSettings, base: Path) -> model.PilotSettings:
     pilot = s.pilot.model_copy(update={"state": base / s.pilot.state})
+
     def placed(source: model.ListSource) -> model.ListSource:
         return source.model_copy(update={"file": base / source.file if source.file else None})
 
-    return s.model_copy(update={"pilot": pilot, "list": placed(s.list),
-                                "lists": {n: placed(x) for n, x in s.lists.items()}})
+    return s.model_copy(
+        update={"pilot": pilot, "list": placed(s.list), "lists": {n: placed(x) for n, x in s.lists.items()}}
+    )
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -210,13 +210,31 @@
         c, r = self.channel, self.rules
         wide = c.lines_per_second == 0
         return api.Settings(
-            instance=instance, instances=instances, zone=self.pilot.zone,
-            classes=tuple(api.RequestClass(n, k.aim, k.deadline, k.effect, k.key_scope, k.key_window, k.worth)
-                          for n, k in self.classes.items()),
-            slices=self.table_count(), proxies=proxies, sole_owner=self.tables.sole_owner,
-            admission=self.tables.admission, subscribe=False, ask_every=0,
-            channel_rate=1e12 if wide else c.lines_per_second, channel_limit=1e12 if wide else c.limit,
-            message_overhead=c.head, messages_per_window=c.messages, message_window=c.window,
-            transit_max=c.transit_most, report_period=self.reports.every, drain_grace=r.drain_grace,
-            cold_share=r.cold_share, cold_time=r.cold_time, write_linger=r.write_linger,
-            write_lease=r.write_lease, load_fields=(), pick=self.tables.pick)
+            instance=instance,
+            instances=instances,
+            zone=self.pilot.zone,
+            classes=tuple(
+                api.RequestClass(n, k.aim, k.deadline, k.effect, k.key_scope, k.key_window, k.worth)
+                for n, k in self.classes.items()
+            ),
+            slices=self.table_count(),
+            proxies=proxies,
+            sole_owner=self.tables.sole_owner,
+            admission=self.tables.admission,
+            subscribe=False,
+            ask_every=0,
+            channel_rate=1e12 if wide else c.lines_per_second,
+            channel_limit=1e12 if wide else c.limit,
+            message_overhead=c.head,
+            messages_per_window=c.messages,
+            message_window=c.window,
+            transit_max=c.transit_most,
+            report_period=self.reports.every,
+            drain_grace=r.drain_grace,
+            cold_share=r.cold_share,
+            cold_time=r.cold_time,
+            write_linger=r.write_linger,
+            write_lease=r.write_lease,
+            load_fields=(),
+            pick=self.tables.pick,
+        )
--- a/damsonpick/settings/sections.py
+++ b/damsonpick/settings/sections.py
@@ -12,8 +12,9 @@
 M = TypeVar("M", bound=BaseModel)
 
 
-def read(path: Path, model: type[M], single: tuple[str, ...], named: dict[str, str],
-         whole: str = "") -> tuple[M, list[Problem]]:
+def read(
+    path: Path, model: type[M], single: tuple[str, ...], named: dict[str, str], whole: str = ""
+) -> tuple[M, list[Problem]]:
     """The model and what is wrong beside it, for the caller to add to.
 
     Args:
@@ -53,5 +54,9 @@
     if place[0] in words and len(place) > 1:
         place = [f"{words[place[0]]} {place[1]}", *place[2:]]
     value, text = error.get("input"), error["msg"].removeprefix("Value error, ")
-    return Problem(place[0], ".".join(place[1:]), "" if isinstance(value, dict) else str(value),
-                   f"is wrong: {text[0].lower()}{text[1:]}; correct it")
+    return Problem(
+        place[0],
+        ".".join(place[1:]),
+        "" if isinstance(value, dict) else str(value),
+        f"is wrong: {text[0].lower()}{text[1:]}; correct it",
+    )
--- a/damsonpick/settings/units.py
+++ b/damsonpick/settings/units.py
@@ -38,8 +38,11 @@
 
 def names(text: object) -> tuple[str, ...]:
     """A comma-separated list without repeats."""
-    items = tuple(text) if isinstance(text, (tuple, list)) else tuple(
-        part.strip() for part in str(text).split(",") if part.strip())
+    items = (
+        tuple(text)
+        if isinstance(text, (tuple, list))
+        else tuple(part.strip() for part in str(text).split(",") if part.strip())
+    )
     if len(dict.fromkeys(items)) != len(items):
         raise ValueError("names one thing twice; list each once")
     if not items:
--- a/damsonpick/simhost/codec.py
+++ b/damsonpick/simhost/codec.py
@@ -220,7 +220,11 @@
     api.BindTable: lambda a: ("USE_TABLE", _mask(a.classes), a.proxy, a.table),
     api.Withdraw: lambda a: ("BENCH", a.endpoint, int(a.out)),
     api.Admit: lambda a: (
-        "THROTTLE", ALL_TABLES if a.table is None else a.table, _mask(a.classes), _number(a.level), a.retry,
+        "THROTTLE",
+        ALL_TABLES if a.table is None else a.table,
+        _mask(a.classes),
+        _number(a.level),
+        a.retry,
     ),
     api.Mark: lambda a: ("SEAL", a.number, int(a.everyone)),
     api.Subscribe: lambda a: ("LISTEN", int(a.on)),
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -36,8 +36,10 @@
     def __init__(self, settings: PilotSettings, zone_of: Callable[[str], str]) -> None:
         self.settings, self.zone_of = settings, zone_of
         s = settings.solver
-        self.kinds = tuple(Kind(n, k.worth, min(k.late_worth, k.worth), max(k.work, 1) / SECOND, k.aim / SECOND,
-                                k.own_zone) for n, k in settings.classes.items())
+        self.kinds = tuple(
+            Kind(n, k.worth, min(k.late_worth, k.worth), max(k.work, 1) / SECOND, k.aim / SECOND, k.own_zone)
+            for n, k in settings.classes.items()
+        )
         self.costs = Costs(s.cross, s.pairs, s.move, s.least, s.bound, s.margin, s.spread)
         self.due_at = 0
         self.seen: tuple = ()
@@ -80,10 +82,17 @@
             ep = planner.endpoints[name]
             cold = planner.tender(name)
             capacity = usable[name] if math.isfinite(usable[name]) else 1.0
-            found.append(Server(
-                name, self.zone_of(name), max(LEAST_CAPACITY, capacity), max(1, min(256, round(ep.weight))),
-                max(COLD_PART, used) if cold else 1.0, round(min(1.0, max(0.0, 1.0 - ep.sound)), 3),
-                shares.get(name, 0.0)))
+            found.append(
+                Server(
+                    name,
+                    self.zone_of(name),
+                    max(LEAST_CAPACITY, capacity),
+                    max(1, min(256, round(ep.weight))),
+                    max(COLD_PART, used) if cold else 1.0,
+                    round(min(1.0, max(0.0, 1.0 - ep.sound)), 3),
+                    shares.get(name, 0.0),
+                )
+            )
         return tuple(found)
 
     def _work(self, piece: Slice) -> float:
@@ -148,11 +157,13 @@
                 known = [s for s in fit if s.name in old]
                 level = sum(old[s.name] for s in known) / (sum(s.capacity for s in known) or 1.0) or 1.0
                 tables[zone, kind.name] = plans.normal(
-                    {s.name: old.get(s.name, level * s.capacity * s.most) for s in fit})
+                    {s.name: old.get(s.name, level * s.capacity * s.most) for s in fit}
+                )
         return self._tables(tables, planner)
 
-    def _tables(self, tables: dict[tuple[str, str], tuple[tuple[str, float], ...]],
-                planner: Planner) -> list[api.Event]:
+    def _tables(
+        self, tables: dict[tuple[str, str], tuple[tuple[str, float], ...]], planner: Planner
+    ) -> list[api.Event]:
         """What differs from what the module has: it may have dropped lines since they were told."""
         events: list[api.Event] = []
         for place, zone in enumerate(self.settings.pilot.zones):
@@ -193,19 +204,35 @@
         if self.last is None:
             return {"status": self.trouble or "no plan yet", "servers": [], "buildings": [], "classes": []}
         before = {row.name: row.share for row in self.before.servers} if self.before else {}
-        servers = [{"server": r.name, "building": r.zone, "load": round(r.load, 4), "share": round(r.share, 5),
-                    "used": round(r.used, 4), "limits": list(r.binding), "price_of_a_core": round(r.price, 5),
-                    "was": round(before.get(r.name, 0.0), 5), "why": self._why(r, before)}
-                   for r in self.last.servers]
+        servers = [
+            {
+                "server": r.name,
+                "building": r.zone,
+                "load": round(r.load, 4),
+                "share": round(r.share, 5),
+                "used": round(r.used, 4),
+                "limits": list(r.binding),
+                "price_of_a_core": round(r.price, 5),
+                "was": round(before.get(r.name, 0.0), 5),
+                "why": self._why(r, before),
+            }
+            for r in self.last.servers
+        ]
         cross = [{"from": a, "to": b, "price": round(p, 5)} for (a, b), p in sorted(self.last.cross_price.items())]
         return {
-            "status": self.trouble or self.last.status, "value": round(self.last.value, 4),
-            "solved_in_ms": round(self.last.seconds * 1e3, 2), "servers": servers,
-            "buildings": [{"building": z, "price_of_work": round(p, 5)}
-                          for z, p in sorted(self.last.zone_prices.items())],
+            "status": self.trouble or self.last.status,
+            "value": round(self.last.value, 4),
+            "solved_in_ms": round(self.last.seconds * 1e3, 2),
+            "servers": servers,
+            "buildings": [
+                {"building": z, "price_of_work": round(p, 5)} for z, p in sorted(self.last.zone_prices.items())
+            ],
             "cross": cross,
-            "classes": [{"class": n, "let_in": round(v, 4), "shed_worth": round(self.last.shed[n], 4)}
-                        for n, v in self.last.let_in.items()]}
+            "classes": [
+                {"class": n, "let_in": round(v, 4), "shed_worth": round(self.last.shed[n], 4)}
+                for n, v in self.last.let_in.items()
+            ],
+        }
 
     def _why(self, row: object, before: dict[str, float]) -> str:
         if row.name not in before:
@@ -214,6 +241,10 @@
         if abs(change) <= 0.02 * max(row.share, before[row.name]):
             return "as before"
         word = "more" if change > 0 else "less"
-        bound = {"capacity": "it is full", "cold": "it is cold", "least": "it keeps the least share",
-                 "moves": "the bound on moves holds it"}
+        bound = {
+            "capacity": "it is full",
+            "cold": "it is cold",
+            "least": "it keeps the least share",
+            "moves": "the bound on moves holds it",
+        }
         return f"{word} than before" + "".join(f"; {bound[b]}" for b in row.binding)
--- a/damsonpick/solver/latency.py
+++ b/damsonpick/solver/latency.py
@@ -62,7 +62,7 @@
         hull.append((v, height))
     hull = _hull(hull)
     while len(hull) - 1 > MOST_PIECES:  # leave out the corner that matters least, keep it convex
-        gaps = [_gap(*hull[k - 1:k + 2]) for k in range(1, len(hull) - 1)]
+        gaps = [_gap(*hull[k - 1 : k + 2]) for k in range(1, len(hull) - 1)]
         hull.pop(1 + gaps.index(min(gaps)))
     return tuple((b[0] - a[0], _slope(a, b)) for a, b in pairwise(hull))
 
--- a/damsonpick/solver/lines.py
+++ b/damsonpick/solver/lines.py
@@ -53,7 +53,7 @@
     values = _solve(problem, split, servers, given)
     found, at = {}, 0
     for piece in split:
-        parts = values[at:at + len(piece.homes)]
+        parts = values[at : at + len(piece.homes)]
         at += len(piece.homes)
         new = [max(LEAST, len(parts) * v / piece.work) for v in parts]
         scale = len(new) / sum(new)
@@ -64,8 +64,9 @@
     return found
 
 
-def _solve(problem: LinesProblem, split: list[Piece], servers: dict[str, Server],
-           given: dict[str, float]) -> list[float]:
+def _solve(
+    problem: LinesProblem, split: list[Piece], servers: dict[str, Server], given: dict[str, float]
+) -> list[float]:
     cost, upper, rows, lower, high = [], [], [], [], []
     into: dict[str, list[int]] = {name: [] for name in servers}
     gains: list[tuple[int, float]] = []
--- a/damsonpick/solver/plan.py
+++ b/damsonpick/solver/plan.py
@@ -18,14 +18,37 @@
         return empty(solved.status, solved.seconds)
     total = sum(solved.loads.values())
     capacity = {s.name: s.capacity for s in problem.servers}
-    rows = tuple(ServerPlan(s.name, s.zone, solved.loads[s.name], solved.loads[s.name] / total if total else 0.0,
-                            solved.loads[s.name] / capacity[s.name], solved.prices[s.name], solved.bindings[s.name])
-                 for s in problem.servers)
+    rows = tuple(
+        ServerPlan(
+            s.name,
+            s.zone,
+            solved.loads[s.name],
+            solved.loads[s.name] / total if total else 0.0,
+            solved.loads[s.name] / capacity[s.name],
+            solved.prices[s.name],
+            solved.bindings[s.name],
+        )
+        for s in problem.servers
+    )
     let_in, shed = _admission(problem, solved)
-    cross = {(z, b): max(0.0, solved.zone_prices.get(b, 0.0) - solved.zone_prices.get(z, 0.0))
-             for z in solved.zone_prices for b in solved.zone_prices if z != b}
-    return Plan("optimal", rows, _weights(problem, solved), let_in, shed, solved.zone_prices, cross, solved.value,
-                solved.seconds, solved.iterations)
+    cross = {
+        (z, b): max(0.0, solved.zone_prices.get(b, 0.0) - solved.zone_prices.get(z, 0.0))
+        for z in solved.zone_prices
+        for b in solved.zone_prices
+        if z != b
+    }
+    return Plan(
+        "optimal",
+        rows,
+        _weights(problem, solved),
+        let_in,
+        shed,
+        solved.zone_prices,
+        cross,
+        solved.value,
+        solved.seconds,
+        solved.iterations,
+    )
 
 
 def empty(status: str, seconds: float = 0.0) -> Plan:
--- a/damsonpick/solver/program.py
+++ b/damsonpick/solver/program.py
@@ -77,8 +77,14 @@
 
     def __init__(self, time_limit: float = 5.0) -> None:
         self.highs = highspy.Highs()
-        for name, value in (("output_flag", False), ("threads", 1), ("random_seed", 1), ("time_limit", time_limit),
-                            ("parallel", "off"), ("solver", "simplex")):
+        for name, value in (
+            ("output_flag", False),
+            ("threads", 1),
+            ("random_seed", 1),
+            ("time_limit", time_limit),
+            ("parallel", "off"),
+            ("solver", "simplex"),
+        ):
             self.highs.setOptionValue(name, value)
         self.shape: tuple | None = None
         self.warm = True
@@ -122,8 +128,9 @@
         self.density = (sum(late[c] * work for _, c, work in self.demand) / weight) if weight else top
         self.top, self.patience = top, patience(problem.kinds)
         self.ceiling = ceiling(problem.kinds, self.density)
-        self.flows = [(z, c, b) for z, c, _ in self.demand for b in self.buildings
-                      if b == z or not self.kinds[c].own_zone]
+        self.flows = [
+            (z, c, b) for z, c, _ in self.demand for b in self.buildings if b == z or not self.kinds[c].own_zone
+        ]
         self.cuts = [latency.pieces(g.cores, self.patience, problem.costs.spread, self.ceiling) for g in self.groups]
         self.shape = (tuple(self.flows), tuple((g.zone, len(c)) for g, c in zip(self.groups, self.cuts, strict=True)))
         self._past()
@@ -154,8 +161,7 @@
             for width, slope in cut:
                 span = min(width * whole, left)
                 left -= span
-                cost.append(self.density * slope
-                            + self.top * g.failing + TIE * rank / len(self.groups))
+                cost.append(self.density * slope + self.top * g.failing + TIE * rank / len(self.groups))
                 upper.append(span)
         n = len(self.groups)
         self.first_gain, self.first_short, self.over = len(cost), len(cost) + n, len(cost) + 2 * n
@@ -194,8 +200,14 @@
         high.append(self.bound if self.bound < np.inf else inf)
         return self._lp(cost, upper, rows, lower, high)
 
-    def _lp(self, cost: list[float], upper: list[float], rows: list[list[tuple[int, float]]], lower: list[float],
-            high: list[float]) -> highspy.HighsLp:
+    def _lp(
+        self,
+        cost: list[float],
+        upper: list[float],
+        rows: list[list[tuple[int, float]]],
+        lower: list[float],
+        high: list[float],
+    ) -> highspy.HighsLp:
         lp = highspy.HighsLp()
         lp.num_col_, lp.num_row_ = len(cost), len(rows)
         lp.col_cost_, lp.col_lower_ = np.array(cost), np.zeros(len(cost))
@@ -228,9 +240,20 @@
         first = len(self.demand)
         zone_prices = {b: max(0.0, float(dual[first + k])) for k, b in enumerate(self.buildings)}
         admit = {(z, c): max(0.0, -float(dual[k])) for k, (z, c, _) in enumerate(self.demand)}
-        gained = float(sum(value[self.first_gain:self.first_short]))
-        return Solved("optimal", -float(info.objective_function_value), flows, loads, prices, zone_prices, admit,
-                      bindings, took, int(info.simplex_iteration_count), gained)
+        gained = float(sum(value[self.first_gain : self.first_short]))
+        return Solved(
+            "optimal",
+            -float(info.objective_function_value),
+            flows,
+            loads,
+            prices,
+            zone_prices,
+            admit,
+            bindings,
+            took,
+            int(info.simplex_iteration_count),
+            gained,
+        )
 
     def _price(self, g: int, span: range, reduced: np.ndarray) -> float:
         """Worth of one more unit of capacity: what its full pieces, each a part of it, would bring."""
--- a/damsonpick/standins/balancer.py
+++ b/damsonpick/standins/balancer.py
@@ -23,8 +23,19 @@
 class Balancer(Gateway):
     """Args as a Gateway's, but `dial` gives the address of the SASP front; members: zone by server; slices: number."""
 
-    def __init__(self, name: str, zone: str, dial: Callable[[], str], kinds: dict[str, Kind], clock: Clock,
-                 record: Recorder, links: Links, rng: random.Random, members: dict[str, str], slices: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        dial: Callable[[], str],
+        kinds: dict[str, Kind],
+        clock: Clock,
+        record: Recorder,
+        links: Links,
+        rng: random.Random,
+        members: dict[str, str],
+        slices: int,
+    ) -> None:
         super().__init__(name, zone, True, dial, kinds, clock, record, links, rng)
         self.dial, self.members, self.slices = dial, members, slices
         self.seen, self.count = False, 0
@@ -68,7 +79,9 @@
         listed = tuple(member(name) for name in self.members)
         names = [f"slice/{n}".encode() for n in range(self.slices)]
         for k in range(0, len(names), BATCH):
-            body = Register(Sender.BALANCER, tuple(MembersOf(Group(client.lb, n), listed) for n in names[k:k + BATCH]))
+            body = Register(
+                Sender.BALANCER, tuple(MembersOf(Group(client.lb, n), listed) for n in names[k : k + BATCH])
+            )
             code = (await client.ask(body)).code
             if code not in (0, 0x40):  # 0x40: still registered from the session before
                 raise SaspError(f"refused with 0x{code:02x}")
--- a/damsonpick/standins/catalogue.py
+++ b/damsonpick/standins/catalogue.py
@@ -28,8 +28,16 @@
         self.gate = plain.Gate()
 
     def entry(self, name: str, state: str = "Ready", **more: Any) -> dict[str, Any]:
-        return {"id": name, "addr": "127.0.0.1:1", "zone": self.zone, "kind": "k", "cell": 0, "state": state,
-                "weight": 1.0, "started_ms": 0} | more
+        return {
+            "id": name,
+            "addr": "127.0.0.1:1",
+            "zone": self.zone,
+            "kind": "k",
+            "cell": 0,
+            "state": state,
+            "weight": 1.0,
+            "started_ms": 0,
+        } | more
 
     async def put(self, name: str, state: str = "Ready", **more: Any) -> None:
         """Change one server and tell it."""
--- a/damsonpick/standins/collector.py
+++ b/damsonpick/standins/collector.py
@@ -50,5 +50,15 @@
         return False
 
     async def report(self, zone: str, server: str, tries: int = 20, failed: int = 0, mean_ms: float = 200.0) -> None:
-        await self.say({"@type": "upstream_stats", "zone": zone, "server": server, "tries": tries, "failed": failed,
-                        "mean_ms": mean_ms, "span_ms": 1000.0, "load": {"busy_reqs": 3.0}})
+        await self.say(
+            {
+                "@type": "upstream_stats",
+                "zone": zone,
+                "server": server,
+                "tries": tries,
+                "failed": failed,
+                "mean_ms": mean_ms,
+                "span_ms": 1000.0,
+                "load": {"busy_reqs": 3.0},
+            }
+        )
--- a/damsonpick/standins/fleet.py
+++ b/damsonpick/standins/fleet.py
@@ -64,13 +64,34 @@
         self.demand = Demand(setup, random.Random(setup["seed"]))
         make = Proxied if setup["proxies"] else Gateway
         self.gateways = {
-            g["name"]: make(g["name"], g["zone"], g["delta"], self.pilot, self.kinds, self.clock, self.record,
-                            self.links, random.Random(f"{setup['seed']} {g['name']}"))
-            for g in setup["gateways"]}
+            g["name"]: make(
+                g["name"],
+                g["zone"],
+                g["delta"],
+                self.pilot,
+                self.kinds,
+                self.clock,
+                self.record,
+                self.links,
+                random.Random(f"{setup['seed']} {g['name']}"),
+            )
+            for g in setup["gateways"]
+        }
         self.gateways |= {
-            g["name"]: Balancer(g["name"], g["zone"], self.sasp, self.kinds, self.clock, self.record, self.links,
-                                random.Random(f"{setup['seed']} {g['name']}"), setup["members"], setup["slices"])
-            for g in setup.get("balancers", ())}
+            g["name"]: Balancer(
+                g["name"],
+                g["zone"],
+                self.sasp,
+                self.kinds,
+                self.clock,
+                self.record,
+                self.links,
+                random.Random(f"{setup['seed']} {g['name']}"),
+                setup["members"],
+                setup["slices"],
+            )
+            for g in setup.get("balancers", ())
+        }
         self.shares = [self.rng.lognormvariate(0.0, 0.8) for _ in self.gateways]
         self.count = 0
 
@@ -120,8 +141,18 @@
         if not good and again and self.clock.now() - start < kind.deadline / 2:
             await anyio.sleep(BACK_AFTER / self.clock.rate)
             good, how = await gateway.serve(rid + "b", kind, cluster, work)
-        self.record.put("done", gw=gateway.name, id=rid, kind=kind.name, ok=good, how=how, begun=start,
-                        ms=round((self.clock.now() - start) / 1e6), aim=kind.aim // 1_000_000, worth=drawn["worth"])
+        self.record.put(
+            "done",
+            gw=gateway.name,
+            id=rid,
+            kind=kind.name,
+            ok=good,
+            how=how,
+            begun=start,
+            ms=round((self.clock.now() - start) / 1e6),
+            aim=kind.aim // 1_000_000,
+            worth=drawn["worth"],
+        )
 
     def command(self, order: dict[str, Any]) -> None:
         """One order of the day's script."""
--- a/damsonpick/standins/gateway.py
+++ b/damsonpick/standins/gateway.py
@@ -70,8 +70,18 @@
         kinds: request classes by name.
     """
 
-    def __init__(self, name: str, zone: str, delta: bool, dial: Callable[[], str], kinds: dict[str, Kind],
-                 clock: Clock, record: Recorder, links: Links, rng: random.Random) -> None:
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        delta: bool,
+        dial: Callable[[], str],
+        kinds: dict[str, Kind],
+        clock: Clock,
+        record: Recorder,
+        links: Links,
+        rng: random.Random,
+    ) -> None:
         self.name, self.zone, self.kinds = name, zone, kinds
         self.clock, self.record, self.links, self.rng = clock, record, links, rng
         self.holdings, self.picker = Holdings(), Picker(rng)
@@ -79,8 +89,19 @@
         self.counts: dict[int, loads.SliceCounts] = {}
         self.changed = anyio.Event()
         self.stalled_until = self.read_delay = 0  # ns
-        self.follower = Follower(name, zone, lambda: [address] if (address := dial()) else [], self.holdings, clock,
-                                 Redial(rng, 0.1, 1.0), self._took, self._sums, self._said, QUIET, delta)
+        self.follower = Follower(
+            name,
+            zone,
+            lambda: [address] if (address := dial()) else [],
+            self.holdings,
+            clock,
+            Redial(rng, 0.1, 1.0),
+            self._took,
+            self._sums,
+            self._said,
+            QUIET,
+            delta,
+        )
         self.follower.may_dial = lambda: links.to_pilot(name, zone)
         self.follower.pause = lambda: clock.seconds(max(self.stalled_until - clock.now(), 0) + self.read_delay)
 
@@ -108,8 +129,14 @@
 
     def _said(self, event: str, **details: Any) -> None:
         if event == "got":
-            details = shown(self.holdings, details["type"], details["nonce"], details["resources"], details["removed"],
-                            details["nack"])
+            details = shown(
+                self.holdings,
+                details["type"],
+                details["nonce"],
+                details["resources"],
+                details["removed"],
+                details["nack"],
+            )
         self.record.put(event, gw=self.name, **details)
 
     async def _stand_still(self) -> None:
@@ -183,8 +210,15 @@
         wire, done = None, False
         try:
             wire = await self._wire(server)
-            said = await wire.ask("/", {"x-request-id": rid, "x-damson-class": kind.name, "x-work-ms": f"{work:.1f}",
-                                        "x-slice": str(slice_of(cluster))})
+            said = await wire.ask(
+                "/",
+                {
+                    "x-request-id": rid,
+                    "x-damson-class": kind.name,
+                    "x-work-ms": f"{work:.1f}",
+                    "x-slice": str(slice_of(cluster)),
+                },
+            )
             done = True
             if said.status == 200:
                 return "ok"
--- a/damsonpick/standins/http.py
+++ b/damsonpick/standins/http.py
@@ -44,8 +44,9 @@
             raise NeverRan(f"{address}: {error or 'connect timed out'}") from None
 
     async def ask(self, target: str, headers: dict[str, str]) -> Answer:
-        request = h11.Request(method="POST", target=target, headers=[
-            ("host", "results"), ("content-length", "0"), *headers.items()])
+        request = h11.Request(
+            method="POST", target=target, headers=[("host", "results"), ("content-length", "0"), *headers.items()]
+        )
         try:
             await self.stream.send(self.http.send(request) + self.http.send(h11.EndOfMessage()))
             head, body = None, b""
@@ -104,10 +105,10 @@
                 headers = {k.decode(): v.decode() for k, v in event.headers}
             elif isinstance(event, h11.EndOfMessage):
                 said = await handler(headers)
-                head = h11.Response(status_code=said.status, headers=[
-                    ("content-length", str(len(said.body))), *said.headers.items()])
-                await stream.send(http.send(head) + http.send(h11.Data(data=said.body))
-                                  + http.send(h11.EndOfMessage()))
+                head = h11.Response(
+                    status_code=said.status, headers=[("content-length", str(len(said.body))), *said.headers.items()]
+                )
+                await stream.send(http.send(head) + http.send(h11.Data(data=said.body)) + http.send(h11.EndOfMessage()))
                 http.start_next_cycle()
             elif isinstance(event, h11.ConnectionClosed):
                 return
--- a/damsonpick/standins/listserver.py
+++ b/damsonpick/standins/listserver.py
@@ -46,8 +46,8 @@
             bell.set()
 
     async def StreamAggregatedResources(
-            self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest],
-            context: grpc.aio.ServicerContext) -> None:
+        self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], context: grpc.aio.ServicerContext
+    ) -> None:
         if self.down:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "the list is down")
         sent = 0
@@ -68,11 +68,11 @@
     def _response(self, shown: list[api.ListEntry]) -> discovery_pb2.DiscoveryResponse:
         body = any_pb2.Any()
         body.Pack(upstream.write(self.cluster, shown))
-        return discovery_pb2.DiscoveryResponse(version_info=str(self.version), type_url=upstream.EDS,
-                                               nonce=str(self.version), resources=[body])
+        return discovery_pb2.DiscoveryResponse(
+            version_info=str(self.version), type_url=upstream.EDS, nonce=str(self.version), resources=[body]
+        )
 
-    async def _drain(self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest],
-                     scope: anyio.CancelScope) -> None:
+    async def _drain(self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], scope: anyio.CancelScope) -> None:
         async for _ in requests:
             pass
         scope.cancel()
--- a/damsonpick/standins/proxied.py
+++ b/damsonpick/standins/proxied.py
@@ -20,12 +20,25 @@
 class Proxied:
     """Args as of standins.gateway.Gateway."""
 
-    def __init__(self, name: str, zone: str, delta: bool, dial: Callable[[], str], kinds: dict[str, Kind],
-                 clock: Clock, record: Recorder, links: Links, rng: random.Random) -> None:
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        delta: bool,
+        dial: Callable[[], str],
+        kinds: dict[str, Kind],
+        clock: Clock,
+        record: Recorder,
+        links: Links,
+        rng: random.Random,
+    ) -> None:
         self.name, self.zone, self.kinds, self.clock, self.record, self.links = name, zone, kinds, clock, record, links
         settings = ProxySettings(
-            proxy=Own(name=name, zone=zone, slice_header="x-damson-cluster"), limits=Limits(), clock_rate=clock.rate,
-            classes={k.name: RequestClass(deadline=k.deadline, aim=k.aim, effect=k.effect) for k in kinds.values()})
+            proxy=Own(name=name, zone=zone, slice_header="x-damson-cluster"),
+            limits=Limits(),
+            clock_rate=clock.rate,
+            classes={k.name: RequestClass(deadline=k.deadline, aim=k.aim, effect=k.effect) for k in kinds.values()},
+        )
         self.proxy = Proxy(settings, QUIET, self._said, rng.random(), delta)
         self.proxy.follower.pilots = lambda: [address] if (address := dial()) else []
         self.proxy.follower.may_dial = lambda: links.to_pilot(name, zone)
@@ -49,8 +62,14 @@
 
     def _said(self, event: str, **details: Any) -> None:
         if event == "got":
-            details = shown(self.holdings, details["type"], details["nonce"], details["resources"], details["removed"],
-                            details["nack"])
+            details = shown(
+                self.holdings,
+                details["type"],
+                details["nonce"],
+                details["resources"],
+                details["removed"],
+                details["nack"],
+            )
         if event in ("got", "try", "stream"):
             self.record.put(event, gw=self.name, **details)
 
@@ -67,9 +86,17 @@
         try:
             with anyio.fail_after(self.clock.seconds(kind.deadline) + 1.0):
                 wire = self._idle() or await http.Wire.dial(f"127.0.0.1:{self.proxy.port}", 2.0)
-                said = await wire.ask("/", {
-                    "x-request-id": rid, "x-damson-class": kind.name, "x-work-ms": f"{work:.1f}",
-                    "x-slice": str(slice_of(cluster)), "x-damson-cluster": cluster, "x-client-id": rid})
+                said = await wire.ask(
+                    "/",
+                    {
+                        "x-request-id": rid,
+                        "x-damson-class": kind.name,
+                        "x-work-ms": f"{work:.1f}",
+                        "x-slice": str(slice_of(cluster)),
+                        "x-damson-cluster": cluster,
+                        "x-client-id": rid,
+                    },
+                )
         except (http.Broken, http.NeverRan, TimeoutError) as error:
             if wire is not None:
                 with anyio.CancelScope(shield=True):
--- a/damsonpick/standins/relay.py
+++ b/damsonpick/standins/relay.py
@@ -26,8 +26,9 @@
     def __init__(self, slices: int, proxies: int, zones: tuple[str, ...] = ("a",)) -> None:
         super().__init__()
         self.tables: dict[int, dict[str, float]] = {n: {} for n in range(slices)}
-        self.members = {n: {"proxy": n, "zone": zones[n % len(zones)], "weight": 5.0, "fresh": True}
-                        for n in range(proxies)}
+        self.members = {
+            n: {"proxy": n, "zone": zones[n % len(zones)], "weight": 5.0, "fresh": True} for n in range(proxies)
+        }
         self.levels: dict[str, float] = {}
         self.shut: set[str] = set()
         self.faults: deque[str | int] = deque()
--- a/damsonpick/standins/results.py
+++ b/damsonpick/standins/results.py
@@ -76,8 +76,15 @@
         self.offered.clear()
         self.sum, self.waiting = 0.0, 0
         m = self.make
-        self.record.put("up", server=self.address, zone=m.zone, capacity=m.cores * m.speed, started=self.started,
-                        cold_share=m.cold_share, cold_time=m.cold_time)
+        self.record.put(
+            "up",
+            server=self.address,
+            zone=m.zone,
+            capacity=m.cores * m.speed,
+            started=self.started,
+            cold_share=m.cold_share,
+            cold_time=m.cold_time,
+        )
         group.start_soon(self._serve, listener)
 
     async def _serve(self, listener: anyio.abc.Listener) -> None:
--- a/damsonpick/store/sqlite.py
+++ b/damsonpick/store/sqlite.py
@@ -50,21 +50,25 @@
                 self.db.execute("ALTER TABLE listed ADD COLUMN source TEXT NOT NULL DEFAULT ''")
             self._settle()
         except (sqlite3.Error, OSError) as error:
-            raise StoreError(f"{path}: the store cannot be opened ({error}); check folder, rights and space, or "
-                             "move the file away to start with empty tables") from None
+            raise StoreError(
+                f"{path}: the store cannot be opened ({error}); check folder, rights and space, or "
+                "move the file away to start with empty tables"
+            ) from None
 
     def _settle(self) -> None:
         """Check version and number of slices; make the slices' rows at the first start."""
         about = dict(self.db.execute("SELECT key, value FROM about"))
         for key, ours in (("version", VERSION), ("slices", self.slices)):
             if key in about and int(about[key]) != ours:
-                raise StoreError(f"{self.path}: the store was written with {key} {about[key]}, the settings say "
-                                 f"{ours}; keep the setting, or move the file away to start anew")
+                raise StoreError(
+                    f"{self.path}: the store was written with {key} {about[key]}, the settings say "
+                    f"{ours}; keep the setting, or move the file away to start anew"
+                )
         with self.transaction():
-            self.db.executemany("INSERT OR IGNORE INTO about VALUES (?, ?)",
-                                [("version", str(VERSION)), ("slices", str(self.slices))])
-            self.db.executemany("INSERT OR IGNORE INTO slices (slice) VALUES (?)",
-                                [(n,) for n in range(self.slices)])
+            self.db.executemany(
+                "INSERT OR IGNORE INTO about VALUES (?, ?)", [("version", str(VERSION)), ("slices", str(self.slices))]
+            )
+            self.db.executemany("INSERT OR IGNORE INTO slices (slice) VALUES (?)", [(n,) for n in range(self.slices)])
 
     def transaction(self) -> _Transaction:
         return _Transaction(self.db)
@@ -94,8 +98,9 @@
         with self.transaction():
             for number, lines in tables.items():
                 self.db.execute("DELETE FROM lines WHERE slice = ?", (number,))
-                self.db.executemany("INSERT INTO lines VALUES (?, ?, ?)",
-                                    [(number, name, weight) for name, weight in lines.items()])
+                self.db.executemany(
+                    "INSERT INTO lines VALUES (?, ?, ?)", [(number, name, weight) for name, weight in lines.items()]
+                )
             if standing is not None:
                 self.db.execute("DELETE FROM standing")
                 self.db.executemany("INSERT INTO standing VALUES (?, ?)", list(standing.items()))
@@ -104,8 +109,11 @@
 
     def claim(self, owner: str, now: int, lease: int) -> list[Charge]:
         with self.transaction():
-            self.db.execute("UPDATE slices SET owner = ?, until = ?, term = term + 1 "
-                            "WHERE owner != ? AND (owner = '' OR until <= ?)", (owner, now + lease, owner, now))
+            self.db.execute(
+                "UPDATE slices SET owner = ?, until = ?, term = term + 1 "
+                "WHERE owner != ? AND (owner = '' OR until <= ?)",
+                (owner, now + lease, owner, now),
+            )
             self.db.execute("UPDATE slices SET until = ? WHERE owner = ?", (now + lease, owner))
         return self._charges(owner)
 
@@ -135,23 +143,28 @@
         return last + 1
 
     def listed(self) -> list[api.ListEntry]:
-        return [api.ListEntry(*row) for row in
-                self.db.execute("SELECT endpoint, zone, state, weight, started FROM listed")]
+        return [
+            api.ListEntry(*row) for row in self.db.execute("SELECT endpoint, zone, state, weight, started FROM listed")
+        ]
 
     def listed_at(self) -> dict[str, tuple[int, str]]:
         """When (clock time, ns; 0: not known) and by which source each entry was last listed."""
-        return {name: (at, source) for name, at, source in
-                self.db.execute("SELECT endpoint, at, source FROM listed")}
+        return {name: (at, source) for name, at, source in self.db.execute("SELECT endpoint, at, source FROM listed")}
 
-    def keep_list(self, entries: Iterable[api.ListEntry], at: int = 0, source: str = "",
-                  held: Mapping[str, object] | None = None) -> None:
+    def keep_list(
+        self, entries: Iterable[api.ListEntry], at: int = 0, source: str = "", held: Mapping[str, object] | None = None
+    ) -> None:
         """The list in force. Entries that are `held`, though no source names them, keep their former time."""
         former = self.listed_at() if held else {}
         with self.transaction():
             self.db.execute("DELETE FROM listed")
-            self.db.executemany("INSERT INTO listed VALUES (?, ?, ?, ?, ?, ?, ?)", [
-                (*e, *(former.get(e.endpoint, (0, "")) if held and e.endpoint in held else (at, source)))
-                for e in entries])
+            self.db.executemany(
+                "INSERT INTO listed VALUES (?, ?, ?, ?, ?, ?, ?)",
+                [
+                    (*e, *(former.get(e.endpoint, (0, "")) if held and e.endpoint in held else (at, source)))
+                    for e in entries
+                ],
+            )
 
     def close(self) -> None:
         self.db.close()
--- a/damsonpick/versions/digest.py
+++ b/damsonpick/versions/digest.py
@@ -60,7 +60,7 @@
         """
         if len(ranges) != 16 * RANGES:
             raise ValueError(f"ranges have {16 * RANGES} hex digits, not {len(ranges)}")
-        theirs = [int(ranges[16 * k:16 * k + 16], 16) for k in range(RANGES)]
+        theirs = [int(ranges[16 * k : 16 * k + 16], 16) for k in range(RANGES)]
         return [k for k, (a, b) in enumerate(zip(self.sums, theirs, strict=True)) if a != b]
 
 
--- a/damsonpick/versions/history.py
+++ b/damsonpick/versions/history.py
@@ -32,8 +32,16 @@
 
     def brief(self) -> dict[str, object]:
         lines = sum(map(len, self.difference.values()))
-        return {"version": self.number, "root": self.root, "parent": self.parent, "at": self.at, "cause": self.cause,
-                "note": self.note, "units": len(self.difference), "lines": lines}
+        return {
+            "version": self.number,
+            "root": self.root,
+            "parent": self.parent,
+            "at": self.at,
+            "cause": self.cause,
+            "note": self.note,
+            "units": len(self.difference),
+            "lines": lines,
+        }
 
 
 class UnknownVersion(ValueError):
@@ -92,8 +100,9 @@
         """The newest version is what is published: nothing has changed since."""
         self.state = {unit: content(published, unit) for unit in published.units()}
 
-    def add(self, now: int, published: Published, units: Iterable[str], root: str, cause: str,
-            note: str = "") -> Version | None:
+    def add(
+        self, now: int, published: Published, units: Iterable[str], root: str, cause: str, note: str = ""
+    ) -> Version | None:
         """The state after a change of some units; None: nothing is different."""
         difference: Difference = {}
         for unit in units:
--- a/damsonpick/versions/keeper.py
+++ b/damsonpick/versions/keeper.py
@@ -29,8 +29,15 @@
 class Keeper:
     """Args: published; held: versions by unit, of the units named; store; keep, age: retention; log."""
 
-    def __init__(self, published: Published, held: Callable[[Iterable[str]], Mapping[str, str]],
-                 store: Store, keep: int, age: int, log: Any) -> None:
+    def __init__(
+        self,
+        published: Published,
+        held: Callable[[Iterable[str]], Mapping[str, str]],
+        store: Store,
+        keep: int,
+        age: int,
+        log: Any,
+    ) -> None:
         self.published, self.held, self.store, self.log = published, held, store, log
         self.history, self.pin = History(keep, age), Pin()
         self.digest, self.known = Digest(), {}
@@ -76,8 +83,12 @@
         except Exception as error:
             self.retry_at = now + SECOND
             if not self.failing:
-                self.log.error("history_not_written", error=str(error), waiting=len(self.pending),
-                               remedy="free space or rights on the state folder; tables keep flowing meanwhile")
+                self.log.error(
+                    "history_not_written",
+                    error=str(error),
+                    waiting=len(self.pending),
+                    remedy="free space or rights on the state folder; tables keep flowing meanwhile",
+                )
             self.failing = True
             del self.pending[:-MOST_PENDING]
             return
--- a/damsonpick/versions/rollback.py
+++ b/damsonpick/versions/rollback.py
@@ -31,8 +31,9 @@
     kept: list[Kept]
 
 
-def plan(target: history.State, tables: Mapping[int, Lines], barred: Callable[[str], bool],
-         cold: Callable[[str], bool]) -> Plan:
+def plan(
+    target: history.State, tables: Mapping[int, Lines], barred: Callable[[str], bool], cold: Callable[[str], bool]
+) -> Plan:
     """Orders that bring the present tables to those of a version, as far as is safe.
 
     Args:
@@ -71,8 +72,9 @@
     return state.get(unit, {}).get(f"level {k}", 1.0), int(mode)
 
 
-def _safe(number: int, asked: Lines, have: Lines, barred: Callable[[str], bool], cold: Callable[[str], bool],
-          kept: list[Kept]) -> dict[str, float] | None:
+def _safe(
+    number: int, asked: Lines, have: Lines, barred: Callable[[str], bool], cold: Callable[[str], bool], kept: list[Kept]
+) -> dict[str, float] | None:
     """The lines to set; None: the slice stays as it is."""
     want: dict[str, float] = {}
     changed: list[Kept] = []
@@ -107,8 +109,10 @@
             ValueError: somebody else has acted since.
         """
         if expected is not None and expected != self.generation:
-            raise ValueError(f"somebody else acted meanwhile (act {self.generation}, not {expected}); look at "
-                             "`versions list` and decide anew")
+            raise ValueError(
+                f"somebody else acted meanwhile (act {self.generation}, not {expected}); look at "
+                "`versions list` and decide anew"
+            )
 
     def set(self, version: int, until: int, levels: bool = False) -> None:
         self.version, self.until, self.levels = version, until, levels
@@ -121,8 +125,13 @@
     def holds(self, now: int) -> bool:
         return self.until > now
 
-    def sift(self, orders: Iterable[api.Action], tables: Mapping[int, Lines], barred: Callable[[str], bool],
-             level: Callable[[int | None, int], float] = lambda *_: 0.0) -> tuple[list[api.Action], int]:
+    def sift(
+        self,
+        orders: Iterable[api.Action],
+        tables: Mapping[int, Lines],
+        barred: Callable[[str], bool],
+        level: Callable[[int | None, int], float] = lambda *_: 0.0,
+    ) -> tuple[list[api.Action], int]:
         """Orders that flow while pinned, and how many were held back. `level`: let in now, by table and class."""
         flow: list[api.Action] = []
         held = 0
@@ -137,8 +146,11 @@
                     have[order.endpoint] = order.weight
                 else:
                     have.pop(order.endpoint, None)
-            elif isinstance(order, api.ClearTable) or (self.levels and isinstance(order, api.Admit) and all(
-                    order.level >= level(order.table, k) for k in order.classes)):
+            elif isinstance(order, api.ClearTable) or (
+                self.levels
+                and isinstance(order, api.Admit)
+                and all(order.level >= level(order.table, k) for k in order.classes)
+            ):
                 held += 1
                 continue
             flow.append(order)
--- a/damsonpick/versions/store.py
+++ b/damsonpick/versions/store.py
@@ -42,8 +42,10 @@
             if "levels" not in {row[1] for row in self.db.execute("PRAGMA table_info(pin)")}:
                 self.db.execute("ALTER TABLE pin ADD COLUMN levels INTEGER NOT NULL DEFAULT 0")
         except (sqlite3.Error, OSError) as error:
-            raise VersionStoreError(f"{path}: the history cannot be opened ({error}); check folder, rights and space, "
-                                    "or move the file away to begin a new one") from None
+            raise VersionStoreError(
+                f"{path}: the history cannot be opened ({error}); check folder, rights and space, "
+                "or move the file away to begin a new one"
+            ) from None
 
     def load(self) -> tuple[list[Version], str]:
         """Versions, oldest first, and what was wrong with what is left out ('': nothing)."""
@@ -63,8 +65,9 @@
         """Add versions and forget those below `lowest`, in one transaction."""
         self.db.execute("BEGIN IMMEDIATE")
         try:
-            self.db.executemany("INSERT OR REPLACE INTO versions VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
-                                [_row(v) for v in versions])
+            self.db.executemany(
+                "INSERT OR REPLACE INTO versions VALUES (?, ?, ?, ?, ?, ?, ?, ?)", [_row(v) for v in versions]
+            )
             self.db.execute("DELETE FROM versions WHERE number < ?", (lowest,))
             self.db.execute("COMMIT")
         except BaseException:
@@ -77,8 +80,10 @@
         return row if row else (0, 0, 0, 0)
 
     def set_pin(self, version: int, until: int, generation: int, levels: bool) -> None:
-        self.db.execute("INSERT OR REPLACE INTO pin (one, version, until, generation, levels) VALUES (1, ?, ?, ?, ?)",
-                        (version, until, generation, int(levels)))
+        self.db.execute(
+            "INSERT OR REPLACE INTO pin (one, version, until, generation, levels) VALUES (1, ?, ?, ?, ?)",
+            (version, until, generation, int(levels)),
+        )
 
     def close(self) -> None:
         self.db.close()
@@ -131,6 +136,8 @@
     *plain, blob, stated = row
     if _sum(tuple(plain), blob) != stated:
         return None
-    difference = {unit: {key: tuple(pair) for key, pair in keys.items()}
-                  for unit, keys in json.loads(zlib.decompress(blob)).items()}
+    difference = {
+        unit: {key: tuple(pair) for key, pair in keys.items()}
+        for unit, keys in json.loads(zlib.decompress(blob)).items()
+    }
     return Version(*plain, difference)
--- a/damsonpick/xds/loads.py
+++ b/damsonpick/xds/loads.py
@@ -105,24 +105,31 @@
     def fill(self, cluster: load_report_pb2.ClusterStats) -> None:
         for (zone, endpoint), (good, bad, ms) in sorted(self.ends.items()):
             place = cluster.upstream_locality_stats.add(
-                total_successful_requests=int(good), total_error_requests=int(bad),
-                total_issued_requests=int(good + bad))
+                total_successful_requests=int(good),
+                total_error_requests=int(bad),
+                total_issued_requests=int(good + bad),
+            )
             place.locality.zone = zone
             end = place.upstream_endpoint_stats.add(
-                total_successful_requests=int(good), total_error_requests=int(bad),
-                total_issued_requests=int(good + bad))
+                total_successful_requests=int(good),
+                total_error_requests=int(bad),
+                total_issued_requests=int(good + bad),
+            )
             host, _, port = endpoint.rpartition(":")
             end.address.socket_address.address = host.strip("[]")
             end.address.socket_address.port_value = int(port)
-            end.load_metric_stats.add(metric_name=LATENCY, num_requests_finished_with_metric=int(good),
-                                      total_metric_value=ms)
+            end.load_metric_stats.add(
+                metric_name=LATENCY, num_requests_finished_with_metric=int(good), total_metric_value=ms
+            )
         place = cluster.upstream_locality_stats.add()
         place.locality.sub_zone = ASKED
         for kind, (let_in, failed) in sorted(self.asked.items()):
-            place.load_metric_stats.add(metric_name=REQUESTS + kind, num_requests_finished_with_metric=let_in,
-                                        total_metric_value=let_in)
-            place.load_metric_stats.add(metric_name=FAILURES + kind, num_requests_finished_with_metric=let_in,
-                                        total_metric_value=failed)
+            place.load_metric_stats.add(
+                metric_name=REQUESTS + kind, num_requests_finished_with_metric=let_in, total_metric_value=let_in
+            )
+            place.load_metric_stats.add(
+                metric_name=FAILURES + kind, num_requests_finished_with_metric=let_in, total_metric_value=failed
+            )
         for kind, count in sorted(self.dropped.items()):
             cluster.dropped_requests.add(category=kind, dropped_count=count)
         cluster.total_dropped_requests = sum(self.dropped.values())
--- a/damsonpick/xds/resources.py
+++ b/damsonpick/xds/resources.py
@@ -26,8 +26,11 @@
 
 WEIGHT = 1000  # xDS weights are whole numbers: one line of weight 1 is this many
 MILLION = 1_000_000
-POLICIES = {"pair": cluster_pb2.Cluster.LEAST_REQUEST, "wheel": cluster_pb2.Cluster.ROUND_ROBIN,
-            "lottery": cluster_pb2.Cluster.RANDOM}
+POLICIES = {
+    "pair": cluster_pb2.Cluster.LEAST_REQUEST,
+    "wheel": cluster_pb2.Cluster.ROUND_ROBIN,
+    "lottery": cluster_pb2.Cluster.RANDOM,
+}
 # Retry modes as route policy: proof that nothing ran is a refused connection or a refused stream.
 NEVER_RAN = "connect-failure,refused-stream"
 ANY_FAILURE = NEVER_RAN + ",5xx,reset"
@@ -85,8 +88,10 @@
         packed = any_pb2.Any(type_url=kind, value=body)
         one = discovery_pb2.Resource(name=name, version=version, resource=packed)
         self.by[kind][name] = Resource(
-            version, discovery_pb2.DeltaDiscoveryResponse(resources=[one]).SerializeToString(),
-            discovery_pb2.DiscoveryResponse(resources=[packed]).SerializeToString())
+            version,
+            discovery_pb2.DeltaDiscoveryResponse(resources=[one]).SerializeToString(),
+            discovery_pb2.DiscoveryResponse(resources=[packed]).SerializeToString(),
+        )
         return True
 
     def versions(self, units: Iterable[str]) -> dict[str, str]:
@@ -118,8 +123,7 @@
                 drop.drop_percentage.numerator = round((1 - max(0.0, level)) * MILLION)
                 drop.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
 
-    def _localities(self, assignment: endpoint_pb2.ClusterLoadAssignment, lines: dict[str, float],
-                    health: int) -> None:
+    def _localities(self, assignment: endpoint_pb2.ClusterLoadAssignment, lines: dict[str, float], health: int) -> None:
         zones: dict[str, list[str]] = {}
         for name in sorted(lines):
             zones.setdefault(self.zone_of(name), []).append(name)
--- a/damsonpick/xds/server.py
+++ b/damsonpick/xds/server.py
@@ -18,9 +18,12 @@
 from damsonpick.xds.session import DeltaSession, ProtocolError, Session, SotwSession
 
 KEEPALIVE = [  # a gateway gone without a word is noticed in twenty seconds
-    ("grpc.keepalive_time_ms", 10000), ("grpc.keepalive_timeout_ms", 10000),
-    ("grpc.keepalive_permit_without_calls", 1), ("grpc.http2.max_pings_without_data", 0),
-    ("grpc.http2.min_ping_interval_without_data_ms", 500), ("grpc.so_reuseport", 0),
+    ("grpc.keepalive_time_ms", 10000),
+    ("grpc.keepalive_timeout_ms", 10000),
+    ("grpc.keepalive_permit_without_calls", 1),
+    ("grpc.http2.max_pings_without_data", 0),
+    ("grpc.http2.min_ping_interval_without_data_ms", 500),
+    ("grpc.so_reuseport", 0),
 ]
 
 
@@ -51,8 +54,16 @@
         log: a structlog logger.
     """
 
-    def __init__(self, hub: Hub, epoch: int, now: Callable[[], int], stir: Callable[[], None],
-                 hear: Callable[[GatewaySums], None], report_every: int, log: Any) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        epoch: int,
+        now: Callable[[], int],
+        stir: Callable[[], None],
+        hear: Callable[[GatewaySums], None],
+        report_every: int,
+        log: Any,
+    ) -> None:
         self.hub, self.epoch, self.now, self.stir, self.hear = hub, epoch, now, stir, hear
         self.report_every, self.log = report_every, log
         self.streams: dict[Session, Stream] = {}
@@ -61,13 +72,20 @@
         """Listen; returns the server and its port."""
         server = grpc.aio.server(options=[*KEEPALIVE, ("grpc.max_receive_message_length", largest)])
         raw = {"request_deserializer": None, "response_serializer": None}
-        server.add_generic_rpc_handlers((
-            grpc.method_handlers_generic_handler(ADS_SERVICE, {
-                "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(self._sotw, **raw),
-                "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(self._delta, **raw)}),
-            grpc.method_handlers_generic_handler(LRS_SERVICE, {
-                "StreamLoadStats": grpc.stream_stream_rpc_method_handler(self._loads, **raw)}),
-        ))
+        server.add_generic_rpc_handlers(
+            (
+                grpc.method_handlers_generic_handler(
+                    ADS_SERVICE,
+                    {
+                        "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(self._sotw, **raw),
+                        "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(self._delta, **raw),
+                    },
+                ),
+                grpc.method_handlers_generic_handler(
+                    LRS_SERVICE, {"StreamLoadStats": grpc.stream_stream_rpc_method_handler(self._loads, **raw)}
+                ),
+            )
+        )
         port = server.add_insecure_port(address)
         await server.start()
         return server, port
@@ -79,15 +97,18 @@
                 self.streams[session].ring()
 
     async def _sotw(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
-        await self._serve(SotwSession(self.hub.catalogue, self.epoch), discovery_pb2.DiscoveryRequest,
-                          requests, context)
+        await self._serve(
+            SotwSession(self.hub.catalogue, self.epoch), discovery_pb2.DiscoveryRequest, requests, context
+        )
 
     async def _delta(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
-        await self._serve(DeltaSession(self.hub.catalogue, self.epoch), discovery_pb2.DeltaDiscoveryRequest,
-                          requests, context)
+        await self._serve(
+            DeltaSession(self.hub.catalogue, self.epoch), discovery_pb2.DeltaDiscoveryRequest, requests, context
+        )
 
-    async def _serve(self, session: Session, kind: type, requests: AsyncIterator[bytes],
-                     context: grpc.aio.ServicerContext) -> None:
+    async def _serve(
+        self, session: Session, kind: type, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext
+    ) -> None:
         stream = Stream(session)
         self.streams[session] = stream
         ended: list[ProtocolError] = []
@@ -110,8 +131,14 @@
         if ended:
             await context.abort(grpc.StatusCode[ended[0].code], str(ended[0]))
 
-    async def _read(self, stream: Stream, kind: type, requests: AsyncIterator[bytes], ended: list[ProtocolError],
-                    scope: anyio.CancelScope) -> None:
+    async def _read(
+        self,
+        stream: Stream,
+        kind: type,
+        requests: AsyncIterator[bytes],
+        ended: list[ProtocolError],
+        scope: anyio.CancelScope,
+    ) -> None:
         session = stream.session
         try:
             async for raw in requests:
@@ -134,11 +161,20 @@
 
     def _joined(self, session: Session) -> None:
         member = self.hub.join(self.now(), session)
-        self.log.info("gateway_joined", gateway=session.node, number=member.number, zone=session.zone,
-                      variant=session.variant, fresh=session.fresh)
+        self.log.info(
+            "gateway_joined",
+            gateway=session.node,
+            number=member.number,
+            zone=session.zone,
+            variant=session.variant,
+            fresh=session.fresh,
+        )
         if member.number >= 60_000:
-            self.log.warning("node_id_twice", gateway=session.node,
-                             remedy="two streams use one node id; both are served, but give each gateway its own")
+            self.log.warning(
+                "node_id_twice",
+                gateway=session.node,
+                remedy="two streams use one node id; both are served, but give each gateway its own",
+            )
 
     def _notes(self, session: Session) -> None:
         for note in session.notes:
--- a/damsonpick/xds/session.py
+++ b/damsonpick/xds/session.py
@@ -197,8 +197,9 @@
             watch.rejected[name] = version
             self.rejections[name] = why
             self.refused.append((name, version))
-            self.notes.append(Note("rejected", SHORT[request.type_url],
-                                   {"resource": name, "version": version, "why": why}))
+            self.notes.append(
+                Note("rejected", SHORT[request.type_url], {"resource": name, "version": version, "why": why})
+            )
 
     def _mismatch(self, kind: str, watch: Watch, theirs: str, why: str) -> None:
         """The gateway holds something else than it should. The ranges that differ from what it should hold are
@@ -281,8 +282,7 @@
 
     def held(self) -> dict[str, str]:
         """Versions that the gateway has acknowledged, of tables and routes."""
-        return {n: v for kind in (EDS, RDS) if kind in self.watches
-                for n, v in self.watches[kind].held.items() if v}
+        return {n: v for kind in (EDS, RDS) if kind in self.watches for n, v in self.watches[kind].held.items() if v}
 
     def since(self) -> int:
         return max((w.since for w in self.watches.values()), default=0)
@@ -344,12 +344,16 @@
         if not send:
             return None
         given = [due for due in dues if due is not None]
-        due = Due(min((d.first for d in given), default=0), min((d.ordered for d in given if d.ordered), default=now),
-                  max((d.lines for d in given), default=0))
+        due = Due(
+            min((d.first for d in given), default=0),
+            min((d.ordered for d in given if d.ordered), default=now),
+            max((d.lines for d in given), default=0),
+        )
         return self._send(now, kind, watch, {name: self._version(kind, name) for name in send}, due)
 
-    def _send(self, now: int, kind: str, watch: Watch, versions: dict[str, str], due: Due,
-              replaces: tuple[int, ...] = ()) -> bytes:
+    def _send(
+        self, now: int, kind: str, watch: Watch, versions: dict[str, str], due: Due, replaces: tuple[int, ...] = ()
+    ) -> bytes:
         """One response under way."""
         self.count += 1
         nonce = f"{self.count}.{due.ordered}.{now}.{due.lines}"
@@ -453,7 +457,8 @@
         chunks = [self.catalogue.by[kind][name].delta for name, version in versions.items() if version]
         gone = [name for name, version in versions.items() if not version]
         head = discovery_pb2.DeltaDiscoveryResponse(
-            system_version_info=self.version_info(), type_url=kind, nonce=nonce, removed_resources=gone)
+            system_version_info=self.version_info(), type_url=kind, nonce=nonce, removed_resources=gone
+        )
         if said:
             head.control_plane.identifier = said
         return b"".join([*chunks, head.SerializeToString()])
--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -16,32 +16,60 @@
 
 # Names that are replaced wherever they stand.
 NAMES = {
-    "prva": {"parking-varazdin": "prva-kuca", "hallerova": "zone 1/a", "gospodarska": "šumska", "trakoscanska": "Z_3",
-             "parking-posluzitelji": "radnici", "brzi-3": "m.large", "siroki-5": "m.wide"},
-    "druga": {"parking-varazdin": "druga-kuca", "hallerova": "north", "gospodarska": "south",
-              "trakoscanska": "west", "parking-posluzitelji": "pool", "brzi-3": "x1", "siroki-5": "x2"},
+    "prva": {
+        "parking-varazdin": "prva-kuca",
+        "hallerova": "zone 1/a",
+        "gospodarska": "šumska",
+        "trakoscanska": "Z_3",
+        "parking-posluzitelji": "radnici",
+        "brzi-3": "m.large",
+        "siroki-5": "m.wide",
+    },
+    "druga": {
+        "parking-varazdin": "druga-kuca",
+        "hallerova": "north",
+        "gospodarska": "south",
+        "trakoscanska": "west",
+        "parking-posluzitelji": "pool",
+        "brzi-3": "x1",
+        "siroki-5": "x2",
+    },
 }
 
 # (table, nth of its name, key) and what it becomes.
 VALUES = {
     "prva": [
-        (("goal", 0, "whole"), "0.55"), (("goal", 0, "worst_window"), "0.35"),
-        (("prices", 0, "waste"), "0.04"), (("prices", 0, "cross_zone"), "0.02"),
-        (("rules", 0, "drain_grace_ms"), "2000"), (("rules", 0, "fall_multiple"), "3"),
-        (("class", 0, "name"), '"čitanje računa"'), (("class", 0, "share"), "[0.7, 0.8]"),
-        (("class", 0, "aim_ms"), "900"), (("class", 0, "deadline_ms"), "2500"), (("class", 0, "worth"), "1"),
-        (("class", 1, "name"), '"upis.2"'), (("class", 1, "share"), "[0.2, 0.3]"),
-        (("class", 1, "worth"), "4"), (("class", 1, "late_worth"), "0.3"),
-        (("fam", 0, "lines_per_s"), "[5200, 6400]"), (("fam", 0, "intake_per_s"), "700"),
+        (("goal", 0, "whole"), "0.55"),
+        (("goal", 0, "worst_window"), "0.35"),
+        (("prices", 0, "waste"), "0.04"),
+        (("prices", 0, "cross_zone"), "0.02"),
+        (("rules", 0, "drain_grace_ms"), "2000"),
+        (("rules", 0, "fall_multiple"), "3"),
+        (("class", 0, "name"), '"čitanje računa"'),
+        (("class", 0, "share"), "[0.7, 0.8]"),
+        (("class", 0, "aim_ms"), "900"),
+        (("class", 0, "deadline_ms"), "2500"),
+        (("class", 0, "worth"), "1"),
+        (("class", 1, "name"), '"upis.2"'),
+        (("class", 1, "share"), "[0.2, 0.3]"),
+        (("class", 1, "worth"), "4"),
+        (("class", 1, "late_worth"), "0.3"),
+        (("fam", 0, "lines_per_s"), "[5200, 6400]"),
+        (("fam", 0, "intake_per_s"), "700"),
         (("tier.report", 0, "fields"), '["queue", "util"]'),
     ],
     "druga": [
         (("net", 0, "zones"), '["north", "south"]'),
-        (("class", 0, "name"), '"all"'), (("class", 0, "share"), "[1, 1]"),
-        (("class", 0, "aim_ms"), "1500"), (("class", 0, "deadline_ms"), "4000"), (("class", 0, "worth"), "3"),
+        (("class", 0, "name"), '"all"'),
+        (("class", 0, "share"), "[1, 1]"),
+        (("class", 0, "aim_ms"), "1500"),
+        (("class", 0, "deadline_ms"), "4000"),
+        (("class", 0, "worth"), "3"),
         (("class", 0, "effect"), '"unsafe"'),
-        (("goal", 0, "whole"), "0.8"), (("goal", 0, "worst_class"), "0"),
-        (("prices", 0, "connection"), "0.01"), (("fam", 0, "order_price"), "0.01"),
+        (("goal", 0, "whole"), "0.8"),
+        (("goal", 0, "worst_class"), "0"),
+        (("prices", 0, "connection"), "0.01"),
+        (("fam", 0, "order_price"), "0.01"),
         (("fam", 0, "lines_per_s"), "[3000, 3800]"),
     ],
 }
@@ -51,7 +79,7 @@
 
 # Tables added at the end: one more class.
 ADDED = {
-    "prva": '''
+    "prva": """
 [[class]]
 name = "izvješće #3"
 share = [0.05, 0.08]
@@ -64,7 +92,7 @@
 worth = 1
 late_worth = 0.5
 effect = "safe"
-''',
+""",
     "druga": "",
 }
 
--- a/fuzz/edge_messages.py
+++ b/fuzz/edge_messages.py
@@ -18,8 +18,32 @@
 from damsonpick.edge.relay import Registry, Standing
 
 CLASSES = (api.RequestClass("look", 10**9, 3 * 10**9, "read_like", "all", 0, 1.0),)
-SETTINGS = api.Settings(0, 1, "a", CLASSES, 4, 4, False, "ratio", False, 0, 4000.0, 6000.0, 8.0, 0, 10**10, 10**8,
-                        10**9, 2 * 10**9, 0.2, 10**10, 0, 0, ("busy_reqs",), "pair")
+SETTINGS = api.Settings(
+    0,
+    1,
+    "a",
+    CLASSES,
+    4,
+    4,
+    False,
+    "ratio",
+    False,
+    0,
+    4000.0,
+    6000.0,
+    8.0,
+    0,
+    10**10,
+    10**8,
+    10**9,
+    2 * 10**9,
+    0.2,
+    10**10,
+    0,
+    0,
+    ("busy_reqs",),
+    "pair",
+)
 NOW = 10**18
 
 
@@ -88,7 +112,7 @@
     if reader is through_the_door:
         assert whole == cut_in_two
     else:  # bytes behind an offence may or may not have been seen before it
-        assert whole[:len(cut_in_two)] == cut_in_two[:len(whole)]
+        assert whole[: len(cut_in_two)] == cut_in_two[: len(whole)]
     Planner(SETTINGS, 1).handle(NOW, [e for e in whole if e != "turned"])
     read_answer(body, 3)
 
--- a/fuzz/http_messages.py
+++ b/fuzz/http_messages.py
@@ -84,7 +84,7 @@
         AssertionError: a finding.
     """
     whole, refused = read([data], True)
-    bytewise, refused_too = read([data[k:k + 1] for k in range(len(data))], True)
+    bytewise, refused_too = read([data[k : k + 1] for k in range(len(data))], True)
     assert _plain(whole) == _plain(bytewise) and bool(refused) == bool(refused_too), "cuts matter"
     for head, body, trailers in whole[:MOST]:
         again = seen(forwarded(head, body, trailers))
--- a/fuzz/sasp_messages.py
+++ b/fuzz/sasp_messages.py
@@ -29,8 +29,9 @@
     published.restore(0, {"10.0.0.1:80": 1.0})
     published.restore(1, {"10.0.0.2:80": 2.0})
     registry = Registry(Limits(20, 50), lambda name: None if name == b"no" else "fleet", lambda lb: "state")
-    desk = Desk(published, registry, Pace(random.Random(1)), lambda n: 1.0, lambda n: Known(True, True, True),
-                lambda: 0.0)
+    desk = Desk(
+        published, registry, Pace(random.Random(1)), lambda n: 1.0, lambda n: Known(True, True, True), lambda: 0.0
+    )
     return SaspSession(desk, lambda lb: "a", Meter(50))
 
 
@@ -41,7 +42,7 @@
     cut = data[0] % (len(data) or 1)
     made, splitter = session(), codec.Splitter(LARGEST)
     try:
-        for piece in (data[1:1 + cut], data[1 + cut:]):
+        for piece in (data[1 : 1 + cut], data[1 + cut :]):
             for frame in splitter.feed(piece):
                 _one(made, frame)
         assert len(splitter.data) <= len(data)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -21,8 +21,10 @@
         client = Client(pilot.port, node, delta)
         made.append(client)
         if names:
-            client.subscribe("type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
-                             ["fleet", *(f"slice/{n}" for n in range(6))])
+            client.subscribe(
+                "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
+                ["fleet", *(f"slice/{n}" for n in range(6))],
+            )
         return client
 
     yield make
--- a/tests/edge_world.py
+++ b/tests/edge_world.py
@@ -21,15 +21,34 @@
 ROOT = Path(__file__).parent.parent
 PATIENCE = 10.0  # s: a bound, not a wait
 SETTINGS = {
-    "me": 0, "peersTotal": 2, "zone": "a", "zones": ["a", "b"], "discovery": "subscribe",
-    "domain": {"shards": 6, "agents": 8, "soleOwner": False, "admission": "ratio", "egressPerS": 4000.0,
-               "mostWaiting": 6000.0, "overhead": 8.0, "reportEveryNs": 200_000_000, "transitMaxNs": 400_000_000,
-               "pick": "pair"},
-    "rules": {"stopSendingWithinNs": 2_000_000_000, "coldShare": 0.2, "coldNs": 15_000_000_000,
-              "askEveryNs": 10_000_000_000},
+    "me": 0,
+    "peersTotal": 2,
+    "zone": "a",
+    "zones": ["a", "b"],
+    "discovery": "subscribe",
+    "domain": {
+        "shards": 6,
+        "agents": 8,
+        "soleOwner": False,
+        "admission": "ratio",
+        "egressPerS": 4000.0,
+        "mostWaiting": 6000.0,
+        "overhead": 8.0,
+        "reportEveryNs": 200_000_000,
+        "transitMaxNs": 400_000_000,
+        "pick": "pair",
+    },
+    "rules": {
+        "stopSendingWithinNs": 2_000_000_000,
+        "coldShare": 0.2,
+        "coldNs": 15_000_000_000,
+        "askEveryNs": 10_000_000_000,
+    },
     "report": {"fields": ["busy_reqs"]},
-    "grades": [{"name": "look", "aimNs": 10**9, "deadlineNs": 3 * 10**9, "effect": "read_like", "worth": 1.0},
-               {"name": "pay", "aimNs": 10**9, "deadlineNs": 3 * 10**9, "effect": "non_idempotent", "worth": 3.0}],
+    "grades": [
+        {"name": "look", "aimNs": 10**9, "deadlineNs": 3 * 10**9, "effect": "read_like", "worth": 1.0},
+        {"name": "pay", "aimNs": 10**9, "deadlineNs": 3 * 10**9, "effect": "non_idempotent", "worth": 3.0},
+    ],
 }
 
 
@@ -41,10 +60,16 @@
 
 
 def config(listen: int = 1, registry: int = 2, discovery: int = 3, **changes) -> dict:
-    return {"name": "n0", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}",
-            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-            "registry": {"address": f"127.0.0.1:{registry}"},
-            "known": {"version": 0, "full": True, "servers": []}, "settings": SETTINGS} | changes
+    return {
+        "name": "n0",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+        "registry": {"address": f"127.0.0.1:{registry}"},
+        "known": {"version": 0, "full": True, "servers": []},
+        "settings": SETTINGS,
+    } | changes
 
 
 async def until(what, patience: float = PATIENCE):
@@ -75,8 +100,13 @@
         line = line.replace(".venv/bin/python", shlex.quote(sys.executable))
         with self.log.open("a") as log:
             self.process = await anyio.open_process(
-                ["/bin/sh", "-c", line], cwd=ROOT, stdin=None, stdout=log, stderr=log,
-                env=os.environ | {"EDGE_CONFIG": str(self.file)})
+                ["/bin/sh", "-c", line],
+                cwd=ROOT,
+                stdin=None,
+                stdout=log,
+                stderr=log,
+                env=os.environ | {"EDGE_CONFIG": str(self.file)},
+            )
         await until(lambda: "pilot_started" in self.said()[-1:] or "pilot_started" in self.said())
 
     def said(self, event: str = "") -> list:
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -31,8 +31,19 @@
                 return ["127.0.0.1:" + (folder / "port").read_text().strip()]
             return []
 
-        self.follower = Follower(name, zone, pilots, self.holdings, Clock(), Redial(random.Random(name), 0.02, 0.2),
-                                 lambda *a: None, lambda: {}, self._said, log, delta)
+        self.follower = Follower(
+            name,
+            zone,
+            pilots,
+            self.holdings,
+            Clock(),
+            Redial(random.Random(name), 0.02, 0.2),
+            lambda *a: None,
+            lambda: {},
+            self._said,
+            log,
+            delta,
+        )
 
     def _said(self, event, **details):
         if event == "got":
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,16 +11,33 @@
 
 def settings(**changes: object) -> api.Settings:
     base = api.Settings(
-        instance=0, instances=1, zone="a",
+        instance=0,
+        instances=1,
+        zone="a",
         classes=(
             api.RequestClass("cheap", SECOND, 3 * SECOND, "read_like", "all", 0, 1.0),
             api.RequestClass("dear", SECOND, 3 * SECOND, "non_idempotent", "all", 0, 5.0),
         ),
-        slices=12, proxies=2, sole_owner=False, admission="ratio", subscribe=False, ask_every=10 * SECOND,
-        channel_rate=4000.0, channel_limit=6000.0, message_overhead=8.0, messages_per_window=0,
-        message_window=10 * SECOND, transit_max=SECOND // 2, report_period=SECOND,
-        drain_grace=2 * SECOND, cold_share=0.2, cold_time=15 * SECOND, write_linger=SECOND // 50,
-        write_lease=SECOND, load_fields=(), pick="pair",
+        slices=12,
+        proxies=2,
+        sole_owner=False,
+        admission="ratio",
+        subscribe=False,
+        ask_every=10 * SECOND,
+        channel_rate=4000.0,
+        channel_limit=6000.0,
+        message_overhead=8.0,
+        messages_per_window=0,
+        message_window=10 * SECOND,
+        transit_max=SECOND // 2,
+        report_period=SECOND,
+        drain_grace=2 * SECOND,
+        cold_share=0.2,
+        cold_time=15 * SECOND,
+        write_linger=SECOND // 50,
+        write_lease=SECOND,
+        load_fields=(),
+        pick="pair",
     )
     return base._replace(**changes)
 
@@ -42,8 +59,10 @@
         self.names = list(names)
         self.acks = True
         self.log: list[api.Action] = []
-        events = [api.ListChanged("restored", tuple(entry(n) for n in names)),
-                  api.ListChanged("replace", tuple(entry(n) for n in names))]
+        events = [
+            api.ListChanged("restored", tuple(entry(n) for n in names)),
+            api.ListChanged("replace", tuple(entry(n) for n in names)),
+        ]
         events += [api.ProxyJoined(k, "a", 5.0, True) for k in range(proxies)]
         for number in range(slices):
             home = names[number % len(names)]
@@ -77,8 +96,13 @@
             orders = orders + self.tell(*acks)
         return orders
 
-    def report(self, latency: dict[str, int] | None = None, failing: dict[str, float] | None = None,
-               rate: int = 20, tries: int = 20) -> list[api.Event]:
+    def report(
+        self,
+        latency: dict[str, int] | None = None,
+        failing: dict[str, float] | None = None,
+        rate: int = 20,
+        tries: int = 20,
+    ) -> list[api.Event]:
         """One period's reports: latency in ms and failing share by endpoint, demand for every slice."""
         events: list[api.Event] = []
         for name in self.names:
--- a/tests/pilots.py
+++ b/tests/pilots.py
@@ -77,7 +77,9 @@
         with (self.folder / "log").open("a") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.module, "run", str(self.file), "--port-file", str(self.port_file)],
-                stdout=log, stderr=log)
+                stdout=log,
+                stderr=log,
+            )
         until(lambda: self.port_file.exists() or self.process.poll() is not None)
         assert self.process.poll() is None, (self.folder / "log").read_text()
         self.port = int(self.port_file.read_text())
@@ -90,8 +92,10 @@
 
     def list(self, **states: str) -> None:
         """Servers s1, s2 ... with their states; port 9000 + n."""
-        text = "".join(f"[server 127.0.0.1:{9000 + int(n[1:])}]\nzone = {'ab'[int(n[1:]) % 2]}\nstate = {s}\n"
-                       for n, s in states.items())
+        text = "".join(
+            f"[server 127.0.0.1:{9000 + int(n[1:])}]\nzone = {'ab'[int(n[1:]) % 2]}\nstate = {s}\n"
+            for n, s in states.items()
+        )
         self.put_list(text)
 
     def put_list(self, text: str) -> None:
@@ -104,8 +108,12 @@
         return [x for x in lines if x["event"] == event]
 
     def ask(self, *words: str) -> dict:
-        done = subprocess.run([sys.executable, "-m", "damsonpick", words[0], str(self.file), *words[1:], "--json"],
-                              capture_output=True, text=True, timeout=30)
+        done = subprocess.run(
+            [sys.executable, "-m", "damsonpick", words[0], str(self.file), *words[1:], "--json"],
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
         assert done.returncode == 0, done.stderr
         return json.loads(done.stdout)
 
@@ -113,7 +121,10 @@
         """`damsonpick versions` with `--json`, as an operator gives it."""
         return subprocess.run(
             [sys.executable, "-m", "damsonpick", "versions", words[0], str(self.file), *words[1:], "--json"],
-            capture_output=True, text=True, timeout=30)
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
 
 
 def name(n: int) -> str:
@@ -148,11 +159,15 @@
         node = base_pb2.Node(id=self.node, locality=base_pb2.Locality(zone="a"))
         self.names[kind] = names
         if self.delta:
-            self.out.put(discovery_pb2.DeltaDiscoveryRequest(
-                node=node, type_url=kind, resource_names_subscribe=names, initial_resource_versions=held or {}))
+            self.out.put(
+                discovery_pb2.DeltaDiscoveryRequest(
+                    node=node, type_url=kind, resource_names_subscribe=names, initial_resource_versions=held or {}
+                )
+            )
         else:
-            self.out.put(discovery_pb2.DiscoveryRequest(node=node, type_url=kind, resource_names=names,
-                                                        version_info=version))
+            self.out.put(
+                discovery_pb2.DiscoveryRequest(node=node, type_url=kind, resource_names=names, version_info=version)
+            )
 
     def next(self, patience: float = PATIENCE):
         """The next response, or the error that ended the stream."""
@@ -162,17 +177,21 @@
                 self.versions.setdefault(got.type_url, {})[key] = version
                 if got.type_url == EDS:
                     table = endpoint_pb2.ClusterLoadAssignment.FromString(body)
-                    self.tables[key] = {f"{e.endpoint.address.socket_address.address}:"
-                                        f"{e.endpoint.address.socket_address.port_value}"
-                                        for p in table.endpoints for e in p.lb_endpoints}
+                    self.tables[key] = {
+                        f"{e.endpoint.address.socket_address.address}:{e.endpoint.address.socket_address.port_value}"
+                        for p in table.endpoints
+                        for e in p.lb_endpoints
+                    }
         return got
 
     def read(self, response) -> list[tuple[str, str, bytes]]:
         if self.delta:
             return [(r.name, r.version, r.resource.value) for r in response.resources]
         kind = {EDS: endpoint_pb2.ClusterLoadAssignment}.get(response.type_url)
-        return [(kind.FromString(b.value).cluster_name if kind else str(k), response.version_info, b.value)
-                for k, b in enumerate(response.resources)]
+        return [
+            (kind.FromString(b.value).cluster_name if kind else str(k), response.version_info, b.value)
+            for k, b in enumerate(response.resources)
+        ]
 
     def answer(self, response, bad: str = "", nonce: str | None = None) -> None:
         kind, nonce = response.type_url, response.nonce if nonce is None else nonce
@@ -182,8 +201,11 @@
             if not bad:
                 self.version[kind] = response.version_info
             request = discovery_pb2.DiscoveryRequest(
-                type_url=kind, response_nonce=nonce, resource_names=self.names[kind],
-                version_info=self.version.get(kind, ""))
+                type_url=kind,
+                response_nonce=nonce,
+                resource_names=self.names[kind],
+                version_info=self.version.get(kind, ""),
+            )
         if bad:
             request.error_detail.code, request.error_detail.message = 3, bad
         self.out.put(request)
--- a/tests/test_badday.py
+++ b/tests/test_badday.py
@@ -42,16 +42,18 @@
 share = 0.4
 work = 200 ms
 """
-KILLED = "[trouble kill]\nkind = pilot_restart\nat = 6 s\nextra = 1\n" \
-    "[trouble crash]\nkind = crash\nat = 7 s\nlen = 4 s\n"
+KILLED = (
+    "[trouble kill]\nkind = pilot_restart\nat = 6 s\nextra = 1\n[trouble crash]\nkind = crash\nat = 7 s\nlen = 4 s\n"
+)
 DEPLOY = "[trouble release]\nkind = deploy\nat = 5 s\nlen = 8 s\npart = 0.7\nsize = 0.34\nextra = 3\n"
 LOST = "[trouble lost]\nkind = answers_lost\nat = 4 s\nlen = 9 s\npart = 0.7\nsize = 0.5\n"
 
 
 def play(tmp_path, troubles, pilot=None, length=14, load=0.4, multiple=4, cold_share=0.2, cold_time=12):
     path = tmp_path / "day.ini"
-    path.write_text(DAY.format(length=length, load=load, multiple=multiple, cold_share=cold_share,
-                               cold_time=cold_time) + troubles)
+    path.write_text(
+        DAY.format(length=length, load=load, multiple=multiple, cold_share=cold_share, cold_time=cold_time) + troubles
+    )
     command = [sys.executable, "-m", "damsonpick", "badday", str(path), "--json", "--keep", str(tmp_path / "kept")]
     if pilot:
         command += ["--pilot", f"{sys.executable} -m tests.broken_pilot {pilot}"]
@@ -74,12 +76,15 @@
     assert log.count("pilot_started") == 2, "it was killed and came back"
 
 
-@pytest.mark.parametrize(("pilot", "troubles", "rule"), [
-    ("deaf_to_drains", DEPLOY, "drains kept"),
-    ("bare", DEPLOY, "nobody left without a server"),
-    ("retrying", LOST, "no effect twice"),
-    ("reckless", DEPLOY, "no cold server pushed over"),
-])
+@pytest.mark.parametrize(
+    ("pilot", "troubles", "rule"),
+    [
+        ("deaf_to_drains", DEPLOY, "drains kept"),
+        ("bare", DEPLOY, "nobody left without a server"),
+        ("retrying", LOST, "no effect twice"),
+        ("reckless", DEPLOY, "no cold server pushed over"),
+    ],
+)
 def test_a_broken_pilot_fails_the_day_and_the_rule_is_named(tmp_path, pilot, troubles, rule):
     # a cold server stands so little that a push shows on a busy machine as well
     delicate = dict(load=0.9, multiple=1.2, cold_share=0.05, cold_time=30)
@@ -90,6 +95,7 @@
 def test_a_script_that_cannot_be_read_is_refused_before_anything_starts(tmp_path):
     path = tmp_path / "day.ini"
     path.write_text("[day]\nlength = soon\n")
-    done = subprocess.run([sys.executable, "-m", "damsonpick", "badday", str(path)], cwd=ROOT, capture_output=True,
-                          text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "damsonpick", "badday", str(path)], cwd=ROOT, capture_output=True, text=True
+    )
     assert done.returncode == 2 and "[day] length" in done.stderr
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -30,7 +30,7 @@
     for seq in range(1, 50):
         channel.order(seq, 1, seq, lines("slice/1:a", "slice/1:b"), False)
     assert channel.waiting() == 10
-    parcel, = drain(channel, 60)
+    (parcel,) = drain(channel, 60)
     assert (parcel.first, parcel.ordered, parcel.lines) == (1, 1, 2)
 
 
--- a/tests/test_edge_crossings.py
+++ b/tests/test_edge_crossings.py
@@ -60,6 +60,7 @@
             w.relay.gate.opened.set()
             await until(lambda: not w.bare(), 4.0)
             assert w.avoided("q") and w.process.returncode is None
+
     run(scene)
 
 
@@ -75,6 +76,7 @@
             await w.start()
             await until(lambda: w.avoided("q") and w.avoided("p"), 4.0)
             await until(lambda: not w.bare(), 4.0)
+
     run(scene)
 
 
@@ -93,6 +95,7 @@
                 w.process.send_signal(signal.SIGHUP)
                 await until(lambda: other.calls and w.avoided("q"), 4.0)
                 await until(lambda: not w.bare(), 4.0)
+
     run(scene)
 
 
@@ -118,6 +121,7 @@
                 await until(lambda: newest.watchers)
                 await drained(w, "q")
                 assert len(slow.asked) == 1
+
     run(scene)
 
 
@@ -136,6 +140,7 @@
             w.process.send_signal(signal.SIGHUP)
             await until(lambda: w.catalogue.watchers)
             await drained(w, "q")
+
     run(scene)
 
 
@@ -156,6 +161,7 @@
             await until(lambda: w.avoided("p") and w.relay.calls > calls, 4.0)
             assert w.avoided("q")
             await until(lambda: not w.bare(), 4.0)
+
     run(scene)
 
 
@@ -166,12 +172,13 @@
             began, asked = time.monotonic(), len(w.catalogue.asked)
             while len(w.catalogue.asked) == asked:
                 assert time.monotonic() - began < 2 * edge.LIST_SILENCE
-                await w.catalogue.drip(b' ')
+                await w.catalogue.drip(b" ")
                 await anyio.sleep(0.2)
             w.catalogue.silent = False
             assert [e["what"] for e in w.said("watch_broken")] == ["list"]
             await until(lambda: w.catalogue.watchers)
             await drained(w, "q")
+
     run(scene)
 
 
@@ -186,6 +193,7 @@
             w.catalogue.mute = False
             await until(lambda: w.catalogue.watchers, 4.0)
             await drained(w, "q")
+
     run(scene)
 
 
@@ -197,6 +205,7 @@
             assert not w.relay.faults
             await w.relay.leave_and_return()
             await drained(w, "p")
+
     run(scene)
 
 
@@ -226,6 +235,7 @@
             assert "pilot_ended" in w.said()
             w.relay.gate.opened.set()
             w.catalogue.gate.opened.set()
+
     run(scene)
 
 
@@ -252,6 +262,7 @@
             await until(lambda: len(w.said("configuration_read")) > read)
             assert w.said().count("pilot_started") == started + 1
             await drained(w, "q")
+
     run(scene)
 
 
@@ -259,8 +270,18 @@
     async def scene():
         async with world(tmp_path) as w:
             beat, join = framed({"@type": "hb"}), framed({"@type": "telemetry", "zone": "a"})
-            report = framed({"@type": "upstream_stats", "zone": "a", "server": "p", "tries": 5, "failed": 0,
-                             "mean_ms": 123.0, "span_ms": 1000.0, "load": {"busy_reqs": 1}})
+            report = framed(
+                {
+                    "@type": "upstream_stats",
+                    "zone": "a",
+                    "server": "p",
+                    "tries": 5,
+                    "failed": 0,
+                    "mean_ms": 123.0,
+                    "span_ms": 1000.0,
+                    "load": {"busy_reqs": 1},
+                }
+            )
             pieces = await Collector.dial(w.port)
             for byte in beat + beat:
                 await pieces.raw(bytes([byte]))
@@ -276,6 +297,7 @@
             offender = await Collector.dial(w.port)
             await offender.raw(beat + framed({"@type": "SET"}))
             assert await beats(offender, 1) == 1 and await offender.closed(2.0)
+
     run(scene)
 
 
@@ -309,6 +331,7 @@
             made.ready.set()
             assert await beats(caller, 1) == 1
             assert await caller.closed(2.0)  # it has not joined in its own time
+
     run(scene)
 
 
@@ -332,6 +355,7 @@
             await until(lambda: made.door.callers)
             group.start_soon(made._listen, Faulty(await made_listener(), error, error), group)
             assert await stranger.closed(0.5) != stays
+
     run(scene)
 
 
@@ -349,6 +373,7 @@
             await until(lambda: w.said("configuration_refused") or w.said("reload_failed"))
             os.kill(pid, 0)
             await drained(w, "q")
+
     run(scene)
 
 
@@ -363,8 +388,9 @@
                     raise RuntimeError("orders lost")
 
             made.calls.push = fails
-            made.roster.take(discovery.decode(b'{"version":1,"full":true,"servers":[{"id":"p","zone":"a",'
-                                              b'"state":"Ready"}]}'), 0)
+            made.roster.take(
+                discovery.decode(b'{"version":1,"full":true,"servers":[{"id":"p","zone":"a","state":"Ready"}]}'), 0
+            )
             first = Standing()
             for news in (messages.Attach(0, "a", True), messages.Owner(0, True)):
                 first.take(news)
@@ -373,6 +399,7 @@
             group.start_soon(made._drive)
             await until(lambda: len(pushed) > 1)  # the next planner orders anew what the first one did
             assert made.loop.failures == 1 and set(pushed[0]) <= set(pushed[1])
+
     run(scene)
 
 
@@ -393,4 +420,5 @@
             await offender.raw(framed({"@type": "hb"}) + framed({"@type": "SET"}))
             assert await offender.closed(2.0) and failed
             assert await (await Collector.dial(port)).alive()
+
     run(scene)
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -26,8 +26,9 @@
 
 REPORTS = messages.Reports(helpers.settings(), ("a", "b"))
 JOIN = frames.frame(b'{"@type":"telemetry","zone":"a"}')
-REPORT = frames.frame(b'{"@type":"upstream_stats","zone":"a","server":"p","tries":4,"failed":1,"mean_ms":2.5,'
-                      b'"span_ms":1000.0}')
+REPORT = frames.frame(
+    b'{"@type":"upstream_stats","zone":"a","server":"p","tries":4,"failed":1,"mean_ms":2.5,"span_ms":1000.0}'
+)
 
 
 @given(st.lists(st.binary(min_size=2, max_size=300), max_size=6), st.lists(st.integers(1, 50), max_size=60))
@@ -105,7 +106,9 @@
     st.builds(api.SetLine, st.integers(0, 2), st.sampled_from("pq"), st.sampled_from([0.0, 1.0, 2.0])),
     st.builds(api.Withdraw, st.sampled_from("pq"), st.booleans()),
     st.builds(lambda level: api.Admit(None, (0,), level, 1), st.sampled_from([0.5, 1.0])),
-    st.builds(api.ClearTable, st.integers(0, 2)), st.builds(api.Mark, st.integers(0, 9), st.just(True)))
+    st.builds(api.ClearTable, st.integers(0, 2)),
+    st.builds(api.Mark, st.integers(0, 9), st.just(True)),
+)
 
 
 class Store:
@@ -129,8 +132,11 @@
 
 
 @settings(max_examples=300)
-@given(st.lists(st.tuples(st.lists(MODEL, max_size=4), st.sampled_from(["taken", "lost", "cut", "busy", "part"])),
-                max_size=12))
+@given(
+    st.lists(
+        st.tuples(st.lists(MODEL, max_size=4), st.sampled_from(["taken", "lost", "cut", "busy", "part"])), max_size=12
+    )
+)
 def test_any_outcomes_end_in_the_wanted_state(steps):
     orders, wanted, store, marks = Orders(("x",)), Store(), Store(), []
     for pushed, outcome in [*steps, ([], "taken"), ([], "taken"), ([], "taken")]:
@@ -164,8 +170,15 @@
     assert json.loads(last.body)["ops"][-1] == {"op": "SYNC", "nonce_out": 73, "on": 1} and orders.mark_of(73) == 3
 
 
-TARGETS = st.lists(st.tuples(st.integers(0, 1), st.sets(st.sampled_from("pqrs"), min_size=1),
-                             st.sampled_from(["taken", "lost", "cut", "wait"]), st.integers(1, 4)), max_size=14)
+TARGETS = st.lists(
+    st.tuples(
+        st.integers(0, 1),
+        st.sets(st.sampled_from("pqrs"), min_size=1),
+        st.sampled_from(["taken", "lost", "cut", "wait"]),
+        st.integers(1, 4),
+    ),
+    max_size=14,
+)
 
 
 @settings(max_examples=400)
@@ -194,8 +207,13 @@
     orders.push([api.SetLine(1, "q", 1.0), api.SetLine(1, "p", 0.0), api.Admit(3, (0,), 0.9, 1)])
     orders.push([api.Withdraw("p", False), api.Mark(4, True)])
     assert tuple(orders) == (
-        api.Admit(None, (0,), 0.2, 1), api.SetLine(1, "q", 1.0), api.SetLine(1, "p", 0.0), api.Admit(3, (0,), 0.9, 1),
-        api.Withdraw("p", False), api.Mark(4, True))
+        api.Admit(None, (0,), 0.2, 1),
+        api.SetLine(1, "q", 1.0),
+        api.SetLine(1, "p", 0.0),
+        api.Admit(3, (0,), 0.9, 1),
+        api.Withdraw("p", False),
+        api.Mark(4, True),
+    )
     orders.push([api.Withdraw("p", True)])
     assert tuple(orders)[4] == api.Withdraw("p", True)
 
@@ -281,10 +299,21 @@
     assert [o.table for o in orders] == [2]
 
 
-@pytest.mark.parametrize("body, most, answer", [
-    (b'{"taken":2}', 3, (2, "")), (b'{"taken":4}', 3, None), (b'{"taken":-1}', 3, None), (b'{"taken":true}', 3, None),
-    (b'{"taken":"2"}', 3, None), (b'{}', 3, None), (b'', 3, None), (b'{"error":"BUSY"}', 3, (None, "BUSY")),
-    (b'{"error":{"code":"SYNTAX"}}', 3, (None, "SYNTAX")), (b'[' * 9000, 3, None)])
+@pytest.mark.parametrize(
+    "body, most, answer",
+    [
+        (b'{"taken":2}', 3, (2, "")),
+        (b'{"taken":4}', 3, None),
+        (b'{"taken":-1}', 3, None),
+        (b'{"taken":true}', 3, None),
+        (b'{"taken":"2"}', 3, None),
+        (b"{}", 3, None),
+        (b"", 3, None),
+        (b'{"error":"BUSY"}', 3, (None, "BUSY")),
+        (b'{"error":{"code":"SYNTAX"}}', 3, (None, "SYNTAX")),
+        (b"[" * 9000, 3, None),
+    ],
+)
 def test_answers(body, most, answer):
     assert read_answer(body, most) == answer
 
@@ -308,17 +337,27 @@
     registry.reconcile(standing([(0, True), (1, True)], t1="p", t2="q", t3="r"))
     events = registry.reconcile(standing([(1, True), (2, False)], t1="p", t2="pq"))
     assert events == [
-        api.CustodyChanged(3, False), api.CustodyChanged(2, True), api.StoredLine(2, "p", 1.0),
-        api.StoredLine(2, "q", 1.0), api.ProxyLeft(0), api.ProxyLeft(1),
-        api.ProxyJoined(1, "a", 0.0, False), api.ProxyJoined(2, "a", 0.0, False)]
+        api.CustodyChanged(3, False),
+        api.CustodyChanged(2, True),
+        api.StoredLine(2, "p", 1.0),
+        api.StoredLine(2, "q", 1.0),
+        api.ProxyLeft(0),
+        api.ProxyLeft(1),
+        api.ProxyJoined(1, "a", 0.0, False),
+        api.ProxyJoined(2, "a", 0.0, False),
+    ]
 
 
 def test_a_watch_that_follows_another_without_a_gap_tells_only_who_stands_differently():
     registry = Registry(Orders(("x",)), 8, 8)
     registry.reconcile(standing([(0, True), (1, True), (2, False)], t1="p"))
     events = registry.reconcile(standing([(0, True), (1, False), (3, True)], t1="p"), gap=False)
-    assert events == [api.ProxyLeft(1), api.ProxyLeft(2), api.ProxyJoined(1, "a", 0.0, False),
-                      api.ProxyJoined(3, "a", 0.0, True)]
+    assert events == [
+        api.ProxyLeft(1),
+        api.ProxyLeft(2),
+        api.ProxyJoined(1, "a", 0.0, False),
+        api.ProxyJoined(3, "a", 0.0, True),
+    ]
     assert set(registry.members) == {0, 1, 3}
 
 
@@ -334,8 +373,14 @@
 def test_news_of_what_is_not_joined_or_known_already_are_nothing():
     registry = Registry(Orders(("x",)), 8, 8)
     registry.reconcile(standing([(0, True)], t1="p"))
-    for news in (messages.Done(5, 1), messages.Detach(5), messages.Entry(1, "p", 1.0), messages.Entry(7, "p", 1.0),
-                 messages.Attach(99, "a", True), messages.Owner(99, True)):
+    for news in (
+        messages.Done(5, 1),
+        messages.Detach(5),
+        messages.Entry(1, "p", 1.0),
+        messages.Entry(7, "p", 1.0),
+        messages.Attach(99, "a", True),
+        messages.Owner(99, True),
+    ):
         assert registry.news(news) == []
     assert registry.news(messages.Attach(0, "a", True))[0] == api.ProxyLeft(0)
 
@@ -411,17 +456,31 @@
         if full:
             made = listing(version, True, *(server(n, s) for n, s in states[version].items()))
         else:  # what has changed since the version that is known, as a watch is told it
-            made = listing(version, False, *(server(f"s{k}", states[version][f"s{k}"])
-                                             for k in range(min(version, roster.version), version + 1)))
+            made = listing(
+                version,
+                False,
+                *(server(f"s{k}", states[version][f"s{k}"]) for k in range(min(version, roster.version), version + 1)),
+            )
         before = roster.version
         event = roster.take(made, 0)
         assert (event is None) == (version < before) and roster.version == max(before, version)
         assert {n: e.state == "terminating" for n, e in roster.entries.items()} == {
-            n: s == "Terminating" for n, s in states[roster.version].items()}
-
-
-@pytest.mark.parametrize("change", [{"id": 5}, {"zone": None}, {"weight": True}, {"weight": -1}, {"started_ms": 1.5},
-                                    {"started_ms": -1}, {"state": None}])
+            n: s == "Terminating" for n, s in states[roster.version].items()
+        }
+
+
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"id": 5},
+        {"zone": None},
+        {"weight": True},
+        {"weight": -1},
+        {"started_ms": 1.5},
+        {"started_ms": -1},
+        {"state": None},
+    ],
+)
 def test_entries_that_cannot_be_are_doubted(change):
     made = listing(1, True, server("p") | change, server("q"))
     assert [e.endpoint for e in made.entries] == ["q"] and len(made.doubts) == 1
@@ -435,7 +494,7 @@
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{}\n\nx\r\n4\r\nyz\n\n\r\n"
     reader, lines = http.Answers(), []
     for start in range(0, len(data), size):
-        reader.feed(data[start:start + size])
+        reader.feed(data[start : start + size])
         lines += reader.lines()
     assert lines == [b"{}", b"", b"xyz", b""] and reader.status() == 200 and not reader.done
 
@@ -458,7 +517,7 @@
     edge_messages.check(data)
     for place in range(len(data)):
         for value in (0, 0xFF, data[place] ^ 1):
-            edge_messages.check(data[:place] + bytes((value,)) + data[place + 1:])
+            edge_messages.check(data[:place] + bytes((value,)) + data[place + 1 :])
 
 
 def test_a_watch_that_raises_is_had_anew_and_does_not_end_the_pilot():
@@ -483,4 +542,5 @@
                     await anyio.sleep(0.01)
             group.cancel_scope.cancel()
         assert len(seen) >= 2 and follower.breaks == 1
+
     anyio.run(scene)
--- a/tests/test_edge_pilot.py
+++ b/tests/test_edge_pilot.py
@@ -24,7 +24,8 @@
     {"@type": "upstream_stats", "zone": "a", "server": "p", "tries": 5, "failed": 0, "mean_ms": -1, "span_ms": 1000},
     {"@type": "range_stats", "slice": 99, "class": "look", "tries": 1, "failed": 0, "span_ms": 1000.0},
     {"@type": "range_stats", "slice": 1, "class": "none", "tries": 1, "failed": 0, "span_ms": 1000.0},
-    {"@type": "no_such_kind"}, {"tries": 1},
+    {"@type": "no_such_kind"},
+    {"tries": 1},
 ]
 
 
@@ -44,6 +45,7 @@
             began = time.monotonic()
             assert await w.end() == 0
             assert time.monotonic() - began < 0.7
+
     run(scene)
 
 
@@ -58,6 +60,7 @@
             await until(lambda: w.relay.calls > calls and not w.bare(), 4.0)
             kept = [n for n, t in before.items() if "p" not in t]
             assert all(before[n].items() <= w.relay.tables[n].items() for n in kept)
+
     run(scene)
 
 
@@ -70,11 +73,13 @@
             await until(lambda: not w.relay.faults and w.avoided("q"), 4.0)
             await until(lambda: not w.bare(), 4.0)  # a refused line is decided anew
             assert w.process.returncode is None
+
     run(scene)
 
 
 def test_repeats_leave_the_channel_time(tmp_path):
     """Rule 5: a call whose outcome stays unknown is not heaped upon itself."""
+
     async def scene():
         async with world(tmp_path, rate=40.0) as w:  # 4 proxies and 8 head lines: nearly a second for a call
             w.relay.faults.extend(["lost"] * 3)
@@ -85,6 +90,7 @@
             await until(lambda: w.relay.calls >= calls + 3, 4.0)
             assert time.monotonic() - began > 0.8
             await until(lambda: not w.relay.faults and not w.bare(), 6.0)
+
     run(scene)
 
 
@@ -102,6 +108,7 @@
             await until(lambda: len(w.said("relay_stands")) > 2)
             await w.catalogue.put("p", "Terminating")
             await until(lambda: not w.bare(), 4.0)
+
     run(scene)
 
 
@@ -123,6 +130,7 @@
             await until(lambda: len(w.catalogue.asked) > asked)
             await w.catalogue.put("r", "Terminating")
             await until(lambda: not w.bare(), 4.0)
+
     run(scene)
 
 
@@ -130,15 +138,26 @@
     async def scene():
         async with world(tmp_path) as w:
             collector = await w.collector()
-            offences = [b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", b"\0\0\0\0", framed(b"[1]"), framed(b"{}"),
-                        framed({"@type": "telemetry", "zone": "nowhere"}), framed({"@type": "attach", "proxy": 1}),
-                        framed({"@type": "range_stats", "slice": 1, "class": "look", "tries": 1, "failed": 0,
-                                "span_ms": 1.0}), framed({"@type": "SET"}), b"", b"\x10\0\0\0{",
-                        framed({"@type": "hb"}), framed(b"[" * 4000)]
+            offences = [
+                b"GET / HTTP/1.1\r\n\r\n",
+                b"\xff\xff\xff\xff",
+                b"\0\0\0\0",
+                framed(b"[1]"),
+                framed(b"{}"),
+                framed({"@type": "telemetry", "zone": "nowhere"}),
+                framed({"@type": "attach", "proxy": 1}),
+                framed({"@type": "range_stats", "slice": 1, "class": "look", "tries": 1, "failed": 0, "span_ms": 1.0}),
+                framed({"@type": "SET"}),
+                b"",
+                b"\x10\0\0\0{",
+                framed({"@type": "hb"}),
+                framed(b"[" * 4000),
+            ]
             async with anyio.create_task_group() as group:
                 for offence in offences:
                     group.start_soon(_offend, w.port, offence)
             assert await collector.alive() and w.process.returncode is None
+
     run(scene)
 
 
@@ -161,6 +180,7 @@
             await until(lambda: len(os.listdir(f"/proc/{w.process.pid}/fd")) < 40)
             await w.catalogue.put("q", "Terminating")
             await until(lambda: w.avoided("q"), 3.0)
+
     run(scene)
 
 
@@ -178,6 +198,7 @@
             await collector.raw(b"\4\0\0\0what")
             assert await collector.closed(2.0)
             await until(lambda: "ms=170" in w.said("beliefs")[-1]["servers"].get("q", ""))
+
     run(scene)
 
 
@@ -190,8 +211,10 @@
                 w.file.write_text('{"name": "n0", "registry": 5}')
                 w.process.send_signal(signal.SIGHUP)
                 await until(lambda: w.said("configuration_refused"))
-                assert "registry" in w.said("configuration_refused")[0]["why"] or "settings" in w.said(
-                    "configuration_refused")[0]["why"]
+                assert (
+                    "registry" in w.said("configuration_refused")[0]["why"]
+                    or "settings" in w.said("configuration_refused")[0]["why"]
+                )
                 w.registry = port
                 w.write()
                 w.process.send_signal(signal.SIGHUP)
@@ -201,20 +224,30 @@
                 await w.catalogue.put("q", "Terminating")
                 await until(lambda: other.calls and not w.bare(), 3.0)
                 assert w.relay.calls == calls
+
     run(scene)
 
 
 def start(env: dict, *more: str) -> subprocess.CompletedProcess:
     env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")} | env
-    return subprocess.run([sys.executable, "-m", "damsonpick.edge"], cwd=ROOT, env=env, capture_output=True,
-                          text=True, timeout=20)
-
-
-@pytest.mark.parametrize("change, word", [
-    ({"listen": "nowhere"}, "listen"), ({"registry": {}}, "registry.address"), ({"discovery": None}, "discovery"),
-    ({"seed": "xyz"}, "seed"), ({"settings": {}}, "missing setting"), ({"limits": {"sockets": "many"}}, "sockets"),
-    ({"known": []}, "known"), ({"settings": config()["settings"] | {"me": "zero"}}, "me: not a whole number"),
-])
+    return subprocess.run(
+        [sys.executable, "-m", "damsonpick.edge"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=20
+    )
+
+
+@pytest.mark.parametrize(
+    "change, word",
+    [
+        ({"listen": "nowhere"}, "listen"),
+        ({"registry": {}}, "registry.address"),
+        ({"discovery": None}, "discovery"),
+        ({"seed": "xyz"}, "seed"),
+        ({"settings": {}}, "missing setting"),
+        ({"limits": {"sockets": "many"}}, "sockets"),
+        ({"known": []}, "known"),
+        ({"settings": config()["settings"] | {"me": "zero"}}, "me: not a whole number"),
+    ],
+)
 def test_a_configuration_that_cannot_be_used_ends_with_one_line(tmp_path, change, word):
     file = tmp_path / "c.json"
     file.write_text(json.dumps(config() | change))
@@ -228,7 +261,9 @@
 
 
 def test_run_imports_none_of_what_it_leaves_off():
-    code = ("import sys, damsonpick.edge.__main__\n"
-            "print([m for m in ('grpc', 'pydantic', 'numpy', 'highspy', 'google.protobuf') if m in sys.modules])")
+    code = (
+        "import sys, damsonpick.edge.__main__\n"
+        "print([m for m in ('grpc', 'pydantic', 'numpy', 'highspy', 'google.protobuf') if m in sys.modules])"
+    )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=20)
     assert done.stdout.strip() == "[]", done.stderr
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -68,7 +68,8 @@
 
         session = DeltaSession(self.catalogue, 1)
         request = discovery_pb2.DeltaDiscoveryRequest(
-            type_url="type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment")
+            type_url="type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+        )
         request.node.id = node
         session.receive(self.now, request)
         self.hub.join(self.now, session)
@@ -115,7 +116,7 @@
     world.run(0.3)
     before = {n: dict(t) for n, t in world.published.tables.items()}
     world.run(2)
-    failed, = world.events("module_failed")
+    (failed,) = world.events("module_failed")
     assert "ZeroDivisionError" in failed["error"] and failed["events"] and failed["restart_in_ms"] == 0
     assert world.engine.planner is not None and world.published.tables == before
     world.list("terminating", "in_service", "in_service")
--- a/tests/test_full_size.py
+++ b/tests/test_full_size.py
@@ -13,15 +13,19 @@
 
 
 def fleet(**changes: object) -> World:
-    return World(names=NAMES, slices=241, proxies=40,
-                 **{"channel_rate": 40_000.0, "channel_limit": 60_000.0, **changes})
+    return World(
+        names=NAMES, slices=241, proxies=40, **{"channel_rate": 40_000.0, "channel_limit": 60_000.0, **changes}
+    )
 
 
 def uneven(world: World) -> list[api.Event]:
     """Reports of all slices and endpoints: heat of many sizes, and some endpoints with twice that of others."""
     rnd = random.Random(5)
-    demand = [api.SliceDemand(n, k, rnd.randrange(4, 12) + 12 * (n >= 160), 0, SECOND)
-              for n in world.tables for k in ("cheap", "dear")]
+    demand = [
+        api.SliceDemand(n, k, rnd.randrange(4, 12) + 12 * (n >= 160), 0, SECOND)
+        for n in world.tables
+        for k in ("cheap", "dear")
+    ]
     return demand + [api.EndpointReport("a", n, 20, 0, 150_000_000, SECOND, ()) for n in world.names]
 
 
@@ -94,8 +98,10 @@
     assert 100 < len(told) < 140
     for _ in range(3):
         world.now += SECOND
-        world.tell(*(api.SliceDemand(n, k, 3, 0, SECOND) for n in told for k in ("cheap", "dear")),
-                   *(api.EndpointReport("a", n, 20, 0, 150_000_000, SECOND, ()) for n in world.names))
+        world.tell(
+            *(api.SliceDemand(n, k, 3, 0, SECOND) for n in told for k in ("cheap", "dear")),
+            *(api.EndpointReport("a", n, 20, 0, 150_000_000, SECOND, ()) for n in world.names),
+        )
     started = world.now - 2 * SECOND
     cold = [f"z{k}" for k in range(4)]
     world.tell(api.ListChanged("update", tuple(entry(n, started=started) for n in cold)))
@@ -104,6 +110,8 @@
     fair = ramp * 240 / (20 + 4 * ramp)  # slices, as all are alike
     assert not world.bare()
     assert all(world.count(name) <= 1.5 * fair for name in cold)
+
+
 def test_slice_taken_away_in_the_middle_of_a_search_gets_no_order(monkeypatch):
     monkeypatch.setattr(choice, "MOVE_CAP", 0.2)  # so that it moves some that are taken away and some that are not
     world = fleet()
@@ -121,8 +129,6 @@
     assert [o for o in orders if isinstance(o, api.SetLine)]
 
 
-
-
 def test_what_is_kept_of_replaced_endpoints_stays_bounded():
     """Ids are never the same again: 3,000 of them come and go, and entries are counted where they could pile up."""
     world, sizes = World(names=[f"a{k}" for k in range(8)], slices=24, proxies=4), []
@@ -130,8 +136,10 @@
         world.now += 5 * SECOND
         gone, new = world.names.pop(0), f"n{turn}"
         world.names.append(new)
-        events = [api.ListChanged("update", (entry(new, started=world.now - 20 * SECOND), entry(gone, "terminating"))),
-                  *world.report()]
+        events = [
+            api.ListChanged("update", (entry(new, started=world.now - 20 * SECOND), entry(gone, "terminating"))),
+            *world.report(),
+        ]
         world.tell(*events)
         world.now += SECOND
         world.tell(api.ListChanged("update", (entry(gone, "terminated"),)), *world.report())
@@ -139,8 +147,15 @@
             proxy = turn % 4
             world.tell(api.ProxyLeft(proxy), api.ProxyJoined(proxy, "a", 5.0, False))
         planner = world.planner
-        sizes.append((len(planner.endpoints), len(planner.restate), sum(len(p.warmth) for p in planner.slices.values()),
-                      len(planner.channel.flights), len(planner.dirty)))
+        sizes.append(
+            (
+                len(planner.endpoints),
+                len(planner.restate),
+                sum(len(p.warmth) for p in planner.slices.values()),
+                len(planner.channel.flights),
+                len(planner.dirty),
+            )
+        )
         assert not world.bare()
     assert max(sizes[1000:]) <= max(sizes[:500]) and sizes[-1][0] < 8 + choice.AWAY / (6 * SECOND) + 8
     assert len(world.planner.shut) <= choice.SHUT_MOST + len(world.planner.endpoints)
@@ -183,8 +198,10 @@
     for _ in range(8):
         world.now += SECOND
         # 10 requests a second for each slice, 20 answers a second of each endpoint, a fifth of which are heard of.
-        world.tell(*(api.SliceDemand(n, k, 5, 0, SECOND) for n in world.tables for k in ("cheap", "dear")),
-                   *(api.EndpointReport("a", n, 20, 0, 700_000_000, SECOND, ()) for n in world.names[:16]))
+        world.tell(
+            *(api.SliceDemand(n, k, 5, 0, SECOND) for n in world.tables for k in ("cheap", "dear")),
+            *(api.EndpointReport("a", n, 20, 0, 700_000_000, SECOND, ()) for n in world.names[:16]),
+        )
     planner = world.planner
     assert planner.allow < 1600, "answers are late: less is let in"
     assert planner.allow > 0.4 * 1600
@@ -197,8 +214,10 @@
     world.planner.settings = world.settings._replace(slices=360)  # the other pilots' are as many for each
     for _ in range(30):
         world.now += SECOND
-        world.tell(*(api.SliceDemand(n, "cheap", 300 if n == 7 else 6, 0, SECOND) for n in world.tables),
-                   *(api.EndpointReport("a", n, 40, 0, 150_000_000, SECOND, ()) for n in world.names))
+        world.tell(
+            *(api.SliceDemand(n, "cheap", 300 if n == 7 else 6, 0, SECOND) for n in world.tables),
+            *(api.EndpointReport("a", n, 40, 0, 150_000_000, SECOND, ()) for n in world.names),
+        )
     fair = (300 + 71 * 6) / 60 * 360 / 72
     assert 300 / fair - 1 <= len(world.live(7)) <= 300 / fair + 2 and len(world.live(7)) > 3
     assert max(len(world.live(n)) for n in world.tables if n != 7) <= 3
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -22,22 +22,44 @@
 
 
 def snapshot(sequence=5, **more):
-    made = Snapshot(sequence, "pilot-0", Moment(10**18, "boot", 10**12), 0, 0, ("cheap", "dear"), 12,
-                    (Server("p", 0, 0.5), Server("q", 7, 1.25)),
-                    (Piece(0, (3.0, 4.5), (("p", 1.0), ("q", 0.25))), Piece(11, (0.0, 0.125), ())), Fleet(120.0, 9.5))
+    made = Snapshot(
+        sequence,
+        "pilot-0",
+        Moment(10**18, "boot", 10**12),
+        0,
+        0,
+        ("cheap", "dear"),
+        12,
+        (Server("p", 0, 0.5), Server("q", 7, 1.25)),
+        (Piece(0, (3.0, 4.5), (("p", 1.0), ("q", 0.25))), Piece(11, (0.0, 0.125), ())),
+        Fleet(120.0, 9.5),
+    )
     return msgspec.structs.replace(made, **more)
 
 
 names = st.text(min_size=1, max_size=20)
 parts = st.floats(0, 1)
 snapshots = st.builds(
-    Snapshot, st.integers(0, 2**62), names, st.builds(Moment, st.integers(0, 2**62), names, st.integers(0, 2**62)),
-    st.integers(0, 2**62), st.just(0),
-    st.just(("a", "b")), st.just(50),
+    Snapshot,
+    st.integers(0, 2**62),
+    names,
+    st.builds(Moment, st.integers(0, 2**62), names, st.integers(0, 2**62)),
+    st.integers(0, 2**62),
+    st.just(0),
+    st.just(("a", "b")),
+    st.just(50),
     st.lists(st.builds(Server, names, st.integers(0, 2**62), st.floats(0.01, 100)), max_size=9).map(tuple),
-    st.lists(st.builds(Piece, st.integers(0, 49), st.tuples(st.floats(0, 1e9), st.floats(0, 1e9)),
-                       st.lists(st.tuples(names, parts), max_size=3).map(tuple)), max_size=9).map(tuple),
-    st.builds(Fleet, st.floats(0, 1e9), st.floats(0, 1e9)))
+    st.lists(
+        st.builds(
+            Piece,
+            st.integers(0, 49),
+            st.tuples(st.floats(0, 1e9), st.floats(0, 1e9)),
+            st.lists(st.tuples(names, parts), max_size=3).map(tuple),
+        ),
+        max_size=9,
+    ).map(tuple),
+    st.builds(Fleet, st.floats(0, 1e9), st.floats(0, 1e9)),
+)
 
 
 @given(snapshots)
@@ -63,11 +85,19 @@
         assert caught.type is codec.Damaged, f"bit {bit}: a damaged file is not taken for a newer one"
 
 
-@pytest.mark.parametrize("change", [
-    {"servers": (Server("p", 0, float("nan")),)}, {"servers": (Server("p", 0, 1e9),)},
-    {"servers": (Server("", 0, 1.0),)}, {"pieces": (Piece(0, (float("inf"), 0.0), ()),)},
-    {"pieces": (Piece(0, (1.0,), ()),)}, {"pieces": (Piece(99, (1.0, 1.0), ()),)},
-    {"pieces": (Piece(0, (1.0, 1.0), (("p", 1.5),)),)}, {"fleet": Fleet(-1.0, 0.0)}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"servers": (Server("p", 0, float("nan")),)},
+        {"servers": (Server("p", 0, 1e9),)},
+        {"servers": (Server("", 0, 1.0),)},
+        {"pieces": (Piece(0, (float("inf"), 0.0), ()),)},
+        {"pieces": (Piece(0, (1.0,), ()),)},
+        {"pieces": (Piece(99, (1.0, 1.0), ()),)},
+        {"pieces": (Piece(0, (1.0, 1.0), (("p", 1.5),)),)},
+        {"fleet": Fleet(-1.0, 0.0)},
+    ],
+)
 def test_a_whole_file_with_impossible_figures_is_refused(change):
     with pytest.raises(codec.Damaged):
         codec.decode(codec.encode(snapshot(**change)))
@@ -77,7 +107,7 @@
     head = codec.HEAD.pack(codec.MAGIC, form, 0, len(data) - codec.HEAD.size - codec.SUM)
     import xxhash
 
-    body = data[codec.HEAD.size + codec.SUM:]
+    body = data[codec.HEAD.size + codec.SUM :]
     return head + xxhash.xxh3_128_digest(head + body) + body
 
 
@@ -99,6 +129,7 @@
 
 # -- cuts
 
+
 class Cut(Exception):
     pass
 
@@ -132,7 +163,7 @@
         self.names[path.name] = inode
         self.pending.append(("make", path.name, inode))
         if self.count == self.stop and self.part is not None:
-            self.dirty[inode] = data[:self.part]
+            self.dirty[inode] = data[: self.part]
             raise Cut
         self.dirty[inode] = data
 
@@ -239,14 +270,18 @@
 HOUR = 3600 * SECOND
 
 
-@pytest.mark.parametrize(("then", "ns", "doubt"), [
-    (Moment(10**18 - HOUR, "boot", 10**13 - HOUR), HOUR, ""),
-    (Moment(10**18 + 5 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by -18001 s"),
-    (Moment(10**18 - 9 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by +32399 s"),
-    (Moment(10**18 - HOUR, "other", 10**13), HOUR, ""),
-    (Moment(10**18 + HOUR, "other", 5), ageing.UNKNOWN, "in the future"),
-    (Moment(10**18 + SECOND, "other", 5), 0, ""),
-    (Moment(10**18 - HOUR, "", 0), HOUR, "")])
+@pytest.mark.parametrize(
+    ("then", "ns", "doubt"),
+    [
+        (Moment(10**18 - HOUR, "boot", 10**13 - HOUR), HOUR, ""),
+        (Moment(10**18 + 5 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by -18001 s"),
+        (Moment(10**18 - 9 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by +32399 s"),
+        (Moment(10**18 - HOUR, "other", 10**13), HOUR, ""),
+        (Moment(10**18 + HOUR, "other", 5), ageing.UNKNOWN, "in the future"),
+        (Moment(10**18 + SECOND, "other", 5), 0, ""),
+        (Moment(10**18 - HOUR, "", 0), HOUR, ""),
+    ],
+)
 def test_age_survives_a_clock_that_was_set_and_a_machine_that_was_started_anew(then, ns, doubt):
     found = ageing.age(then, NOW)
     assert found.ns == ns and doubt in found.doubt and bool(doubt) == bool(found.doubt)
@@ -266,6 +301,7 @@
 
 # -- what is told
 
+
 def taught():
     """A world that has learned: p is slow, its slices hot."""
     world = World("pqrs", slices=12)
@@ -342,6 +378,7 @@
 
 def test_a_recalled_best_leads_the_way_back_fast_and_does_not_blunt_the_first_cut():
     """Shed far too deep before the restart: with the best capped at once it came back by 4% a second alone."""
+
     def back(best):
         world = World("pqrs", slices=12, proxies=0)
         world.tell(api.FleetRecalled((0.1, 0.1), (), best, 2.0))
@@ -377,8 +414,10 @@
             *[api.EndpointRecalled(n, rng.choice((0, 5)), rng.choice((0.01, 0.3, 1, 90))) for n in names],
             *[api.EndpointTrusted(n, rng.choice((0.0, 0.3, 1.0))) for n in names],
             *[api.SliceRecalled(k, (rng.random() * 1e3, 0.0), ((rng.choice(names), 1.0),)) for k in range(14)],
-            api.FleetRecalled((rng.choice((0.05, 1.0)),) * 2, tuple(rng.sample(names, 2)), rng.random() * 1e4,
-                              rng.random() * 1e2))
+            api.FleetRecalled(
+                (rng.choice((0.05, 1.0)),) * 2, tuple(rng.sample(names, 2)), rng.random() * 1e4, rng.random() * 1e2
+            ),
+        )
         out = rng.choice("pqr")
         world.tell(api.ListChanged("update", (entry(out, rng.choice(("terminating", "terminated"))),)))
         world.run(4, latency={n: rng.choice((50, 900)) for n in names})
--- a/tests/test_knowledge_pilot.py
+++ b/tests/test_knowledge_pilot.py
@@ -39,8 +39,12 @@
 
 def command(pilot, *words):
     head = words[:2] if words[0] in ("knowledge", "list") else words[:1]
-    return subprocess.run([sys.executable, "-m", "damsonpick", *head, str(pilot.file), *words[len(head):]],
-                          capture_output=True, text=True, timeout=30)
+    return subprocess.run(
+        [sys.executable, "-m", "damsonpick", *head, str(pilot.file), *words[len(head) :]],
+        capture_output=True,
+        text=True,
+        timeout=30,
+    )
 
 
 def kept(folder):
@@ -54,8 +58,9 @@
     store.close()
     for path in kept(folder).glob("*"):
         made = codec.decode(path.read_bytes())
-        path.write_bytes(codec.encode(msgspec.structs.replace(
-            made, at=Moment(made.at.wall - seconds * SECOND, "another start", 0))))
+        path.write_bytes(
+            codec.encode(msgspec.structs.replace(made, at=Moment(made.at.wall - seconds * SECOND, "another start", 0)))
+        )
 
 
 class Town:
@@ -67,15 +72,30 @@
         self.record = Recorder(folder / "record.jsonl", self.clock.now)
         self.servers, self.links = [], Links()
         self.count, self.ends = servers, {}
-        self.kinds = {"page": Kind("page", 1_500_000_000, 4 * SECOND, "read_like"),
-                      "tally": Kind("tally", 1_500_000_000, 4 * SECOND, "non_idempotent")}
-        self.gates = [Gateway(f"g{k}", "ab"[k % 2], True, lambda: portfile.address(pilot.port_file), self.kinds,
-                              self.clock, self.record, self.links, random.Random(k)) for k in range(gates)]
+        self.kinds = {
+            "page": Kind("page", 1_500_000_000, 4 * SECOND, "read_like"),
+            "tally": Kind("tally", 1_500_000_000, 4 * SECOND, "non_idempotent"),
+        }
+        self.gates = [
+            Gateway(
+                f"g{k}",
+                "ab"[k % 2],
+                True,
+                lambda: portfile.address(pilot.port_file),
+                self.kinds,
+                self.clock,
+                self.record,
+                self.links,
+                random.Random(k),
+            )
+            for k in range(gates)
+        ]
 
     async def open(self):
         for k in range(self.count):
-            made = ResultsServer(Make("ab"[k % 2], 4, 1.0, 0.2, 15 * SECOND, 4, 1_500_000_000), self.clock, self.record,
-                                 random.Random(k))
+            made = ResultsServer(
+                Make("ab"[k % 2], 4, 1.0, 0.2, 15 * SECOND, 4, 1_500_000_000), self.clock, self.record, random.Random(k)
+            )
             await made.start(self.group, cold=False)
             self.servers.append(made)
 
@@ -96,16 +116,18 @@
     def list(self, entries):
         """Address to state, or to (state, start)."""
         zones = {s.address: s.make.zone for s in self.servers}
-        self.pilot.put_list("".join(
-            f"[server {name}]\nzone = {zones.get(name, 'a')}\nstate = {state}\nweight = 4\n\n"
-            for name, state in entries.items()))
+        self.pilot.put_list(
+            "".join(
+                f"[server {name}]\nzone = {zones.get(name, 'a')}\nstate = {state}\nweight = 4\n\n"
+                for name, state in entries.items()
+            )
+        )
 
     def reach(self, name):
         return [(g.name, n) for g in self.gates for n in g.holdings.tables if name in g.holdings.open_lines(n)]
 
     def usable(self):
-        return all(g.follower.linked and all(g.holdings.open_lines(f"slice/{n}") for n in range(6))
-                   for g in self.gates)
+        return all(g.follower.linked and all(g.holdings.open_lines(f"slice/{n}") for n in range(6)) for g in self.gates)
 
     def tries(self, name, since=0):
         lines = (json.loads(x) for x in (self.folder / "record.jsonl").read_text().splitlines())
@@ -152,13 +174,15 @@
     made.follow()
     await true(made.usable)
     await true(lambda: len(made.pilot.ask("status")["endpoints"]) == len(made.servers))
-    await anyio.to_thread.run_sync(lambda: until(lambda: sum(
-        e["tries"] > 0 for e in made.pilot.ask("status")["endpoints"]) == len(made.servers)))
+    await anyio.to_thread.run_sync(
+        lambda: until(lambda: sum(e["tries"] > 0 for e in made.pilot.ask("status")["endpoints"]) == len(made.servers))
+    )
     await anyio.to_thread.run_sync(made.pilot.stop)
 
 
 # -- restarts
 
+
 async def test_a_killed_pilot_comes_back_knowing_and_gateways_are_sent_nothing_new(tmp_path):
     async with town(tmp_path) as made:
         made.servers[0].troubles.slow = 6.0
@@ -173,7 +197,8 @@
         await anyio.to_thread.run_sync(lambda: until(lambda: speed() < 0.6))
         number = made.pilot.ask("status")["knowledge"]["sequence"]
         await anyio.to_thread.run_sync(
-            lambda: until(lambda: made.pilot.ask("status")["knowledge"]["sequence"] > number + 1))
+            lambda: until(lambda: made.pilot.ask("status")["knowledge"]["sequence"] > number + 1)
+        )
         made.pilot.stop(signal.SIGKILL)
         await started(made)
         assert made.pilot.log("recalled")[-1]["servers"] >= 3
@@ -203,8 +228,9 @@
     pilot.list(s1="in_service")
     pilot.start()
     try:
-        second = subprocess.run([sys.executable, "-m", "damsonpick", "run", str(pilot.file)], capture_output=True,
-                                text=True, timeout=30)
+        second = subprocess.run(
+            [sys.executable, "-m", "damsonpick", "run", str(pilot.file)], capture_output=True, text=True, timeout=30
+        )
         assert second.returncode == 2 and f"process {pilot.process.pid}" in second.stderr
         assert "Traceback" not in second.stderr and "state of its own" in second.stderr
         assert pilot.ask("status")["pilot"] == "pilot-0"
@@ -285,6 +311,7 @@
 
 # -- lists
 
+
 async def test_start_without_discovery_from_a_list_a_week_old_that_names_retired_servers(tmp_path):
     """Gateways get usable tables within 2 s, the retired are left after a trickle, the switch back is clean."""
     async with town(tmp_path) as made:
@@ -292,8 +319,9 @@
         await learned(made)
         store = sqlite3.connect(tmp_path / "state" / "tables.db", isolation_level=None)
         for k, name in enumerate(retired):  # a week ago they served: listed, and with slices of their own
-            store.execute("INSERT INTO listed SELECT ?, 'a', 'in_service', 4.0, 0, MAX(at), 'list' FROM listed",
-                          (name,))
+            store.execute(
+                "INSERT INTO listed SELECT ?, 'a', 'in_service', 4.0, 0, MAX(at), 'list' FROM listed", (name,)
+            )
             store.execute("DELETE FROM lines WHERE slice = ?", (k,))
             store.execute("INSERT INTO lines VALUES (?, ?, 1.0)", (k, name))
         store.close()
@@ -318,8 +346,13 @@
         made.list({s.address: "in_service" for s in made.servers})
         await true(lambda: made.pilot.log("listed"))
         await true(lambda: json.loads(command(made.pilot, "list", "show", "--json").stdout)["live"])
-        moved = [key for n in switched(made.pilot, last) for unit, keys in n.items() for key in keys
-                 if unit.startswith("slice/") and key.partition(" ")[2] not in retired]
+        moved = [
+            key
+            for n in switched(made.pilot, last)
+            for unit, keys in n.items()
+            for key in keys
+            if unit.startswith("slice/") and key.partition(" ")[2] not in retired
+        ]
         assert not moved, "nothing moves that need not"
         await not_bare(made.usable)
         assert "Traceback" not in (tmp_path / "log").read_text()
@@ -328,8 +361,11 @@
 def switched(pilot, last):
     """What the return of the list changed: differences of the versions that it caused."""
     rows = json.loads(pilot.versions("list").stdout)["versions"]
-    return [json.loads(pilot.versions("show", str(v["version"])).stdout)["difference"]
-            for v in rows if v["version"] > last and v["cause"] == "list"]
+    return [
+        json.loads(pilot.versions("show", str(v["version"])).stdout)["difference"]
+        for v in rows
+        if v["version"] > last and v["cause"] == "list"
+    ]
 
 
 async def test_a_list_all_alive_but_one_now_draining_binds_when_discovery_returns(tmp_path):
@@ -367,6 +403,7 @@
 
 async def test_an_address_that_now_answers_as_something_else_is_left(tmp_path):
     """Something accepts and speaks no HTTP: nothing but failures, so it is a last resort."""
+
     async def babble(stream):
         async with stream:
             with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -419,8 +456,11 @@
         await started(made)
         made.follow()
         await true(made.usable)
-        assert [s["source"] for s in json.loads(command(made.pilot, "list", "show", "--json").stdout)["sources"]
-                if s["believed"]] == ["spare"]
+        assert [
+            s["source"]
+            for s in json.loads(command(made.pilot, "list", "show", "--json").stdout)["sources"]
+            if s["believed"]
+        ] == ["spare"]
         made.list({s.address: "in_service" for s in made.servers})
         await true(lambda: [e["now"] for e in made.pilot.log("list_source")] == ["list"])
         victim = made.servers[2].address
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -33,8 +33,7 @@
 def test_module_names_its_interface_and_avoids_hash_and_sets():
     text = MODULE.read_text()
     assert "damsonpick/interface.py" in text[:300]
-    calls = {n.func.id for n in ast.walk(ast.parse(text))
-             if isinstance(n, ast.Call) and isinstance(n.func, ast.Name)}
+    calls = {n.func.id for n in ast.walk(ast.parse(text)) if isinstance(n, ast.Call) and isinstance(n.func, ast.Name)}
     assert not calls & {"hash", "set", "frozenset", "open", "print", "input", "id"}
     assert not [n for n in ast.walk(ast.parse(text)) if isinstance(n, ast.Set | ast.SetComp)]
 
@@ -51,8 +50,14 @@
 
 def test_same_events_and_seed_give_the_same_actions_under_any_hash_seed():
     outputs = {
-        subprocess.run([sys.executable, "-c", SCRIPT], cwd=ROOT, env={"PYTHONHASHSEED": seed}, check=True,
-                       capture_output=True, text=True).stdout
+        subprocess.run(
+            [sys.executable, "-c", SCRIPT],
+            cwd=ROOT,
+            env={"PYTHONHASHSEED": seed},
+            check=True,
+            capture_output=True,
+            text=True,
+        ).stdout
         for seed in ("0", "1", "77")
     }
     assert len(outputs) == 1 and len(outputs.pop()) > 1000
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -70,9 +70,15 @@
 
 def test_store_is_trusted_over_an_old_restored_list():
     planner = Planner(settings(), 1)
-    orders = planner.handle(START, [
-        api.ListChanged("restored", (entry("q"),)), api.ProxyJoined(0, "a", 1.0, True),
-        api.CustodyChanged(0, True), api.StoredLine(0, "new", 1.0)])
+    orders = planner.handle(
+        START,
+        [
+            api.ListChanged("restored", (entry("q"),)),
+            api.ProxyJoined(0, "a", 1.0, True),
+            api.CustodyChanged(0, True),
+            api.StoredLine(0, "new", 1.0),
+        ],
+    )
     assert not [o for o in lines(orders) if o.endpoint == "new" and o.weight == 0]
     orders = planner.handle(START + SECOND, [api.ListChanged("replace", (entry("q"),))])
     assert api.Withdraw("new", True) in orders and api.SetLine(0, "q", 1.0) in orders
@@ -245,11 +251,18 @@
     world = World()
     before = {n: dict(t) for n, t in world.tables.items()}
     world.tell(
-        api.EndpointReport("a", "nobody", 5, 5, 0, SECOND, ()), api.EndpointReport("a", "p", 0, 0, 0, 0, ()),
-        api.SliceDemand(999, "cheap", 5, 0, SECOND), api.SliceDemand(0, "unknown", 5, 0, SECOND),
-        api.SliceDemand(0, "cheap", 5, 0, 0), api.Applied(77, 9, 0), api.ProxyLeft(9),
-        api.StoredLine(999, "p", 1.0), api.ProbeResult("p", "Ok", 1, ()), api.PeerMessage(1, b""),
-        api.ProxyDemand(0, "cheap", 1, 0, SECOND))
+        api.EndpointReport("a", "nobody", 5, 5, 0, SECOND, ()),
+        api.EndpointReport("a", "p", 0, 0, 0, 0, ()),
+        api.SliceDemand(999, "cheap", 5, 0, SECOND),
+        api.SliceDemand(0, "unknown", 5, 0, SECOND),
+        api.SliceDemand(0, "cheap", 5, 0, 0),
+        api.Applied(77, 9, 0),
+        api.ProxyLeft(9),
+        api.StoredLine(999, "p", 1.0),
+        api.ProbeResult("p", "Ok", 1, ()),
+        api.PeerMessage(1, b""),
+        api.ProxyDemand(0, "cheap", 1, 0, SECOND),
+    )
     assert {n: set(t) >= set(before[n]) for n, t in world.tables.items()} == dict.fromkeys(before, True)
 
 
@@ -312,9 +325,18 @@
         world.now += rnd.choice([1, SECOND // 4, 5 * SECOND])
         name = rnd.choice("pqrs")
         world.tell(
-            api.ListChanged("update", (entry(name, rnd.choice(["in_service", "terminating", "terminated"]),
-                                             started=rnd.choice([0, world.now])),)),
-            *(world.report(failing={rnd.choice("pqrs"): rnd.random()}) if rnd.random() < 0.5 else []))
+            api.ListChanged(
+                "update",
+                (
+                    entry(
+                        name,
+                        rnd.choice(["in_service", "terminating", "terminated"]),
+                        started=rnd.choice([0, world.now]),
+                    ),
+                ),
+            ),
+            *(world.report(failing={rnd.choice("pqrs"): rnd.random()}) if rnd.random() < 0.5 else []),
+        )
         listed = {e.name for e in world.planner.endpoints.values() if e.state == "in_service"}
         if listed:
             assert all(set(t) & listed for t in world.tables.values())
@@ -461,9 +483,19 @@
     for second in range(20):
         world.now += SECOND
         slow = second >= 5
-        reports = [api.EndpointReport(zone, name, 10, 3 if slow and zone == "b" and name in "pq" else 0,
-                                      SECOND if slow and zone == "b" and name in "pq" else SECOND // 5,
-                                      SECOND, ()) for zone in "abc" for name in "pqrs"]
+        reports = [
+            api.EndpointReport(
+                zone,
+                name,
+                10,
+                3 if slow and zone == "b" and name in "pq" else 0,
+                SECOND if slow and zone == "b" and name in "pq" else SECOND // 5,
+                SECOND,
+                (),
+            )
+            for zone in "abc"
+            for name in "pqrs"
+        ]
         reports += [api.SliceDemand(n, "cheap", 10, 0, SECOND) for n in world.tables]
         world.tell(api.TimerFired(0), *reports)
     assert all(map(world.count, "pqrs"))
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -66,7 +66,7 @@
                 chooser.ended(0, name, True)
         seen.append(sum(queue.values()) / servers)
         worst = max(worst, max(queue.values(), default=0))
-    return sum(seen[steps // 4:]) / len(seen[steps // 4:]), worst
+    return sum(seen[steps // 4 :]) / len(seen[steps // 4 :]), worst
 
 
 def test_two_choices_against_the_closed_form():
@@ -83,7 +83,7 @@
     row, chooser = Row({"a": 5, "b": 1, "c": 1}), Chooser(random.Random(1), WHEEL)
     seen = [chooser.choose(0, row, ()) for _ in range(70)]
     assert Counter(seen) == {"a": 50, "b": 10, "c": 10}
-    assert all(Counter(seen[k:k + 7])["a"] == 5 for k in range(0, 70, 7))
+    assert all(Counter(seen[k : k + 7])["a"] == 5 for k in range(0, 70, 7))
 
 
 def test_a_failing_server_is_shunned_for_a_drawn_time_but_never_all_at_once():
@@ -109,16 +109,19 @@
     assert chooser.choose(0, huge, ("a",)) == "b"
 
 
-@pytest.mark.parametrize(("proof", "effect", "conditions", "allowed"), [
-    (Proof.NOT_SENT, "non_idempotent", "connect-failure,refused-stream", True),
-    (Proof.REFUSED, "non_idempotent", "connect-failure,refused-stream", True),
-    (Proof.UNKNOWN, "non_idempotent", "connect-failure,refused-stream,5xx,reset", False),
-    (Proof.RAN, "non_idempotent", "connect-failure,refused-stream,5xx,reset", False),
-    (Proof.UNKNOWN, "read_like", "connect-failure,refused-stream", False),
-    (Proof.UNKNOWN, "read_like", "connect-failure,refused-stream,5xx,reset", True),
-    (Proof.RAN, "idempotency_key", "connect-failure,refused-stream,5xx,reset", True),
-    (Proof.NOT_SENT, "read_like", "", False),
-])
+@pytest.mark.parametrize(
+    ("proof", "effect", "conditions", "allowed"),
+    [
+        (Proof.NOT_SENT, "non_idempotent", "connect-failure,refused-stream", True),
+        (Proof.REFUSED, "non_idempotent", "connect-failure,refused-stream", True),
+        (Proof.UNKNOWN, "non_idempotent", "connect-failure,refused-stream,5xx,reset", False),
+        (Proof.RAN, "non_idempotent", "connect-failure,refused-stream,5xx,reset", False),
+        (Proof.UNKNOWN, "read_like", "connect-failure,refused-stream", False),
+        (Proof.UNKNOWN, "read_like", "connect-failure,refused-stream,5xx,reset", True),
+        (Proof.RAN, "idempotency_key", "connect-failure,refused-stream,5xx,reset", True),
+        (Proof.NOT_SENT, "read_like", "", False),
+    ],
+)
 def test_another_try_needs_orders_and_proof(proof, effect, conditions, allowed):
     known = {"replayable": True, "left": SECOND}
     assert may(proof, conditions, 1, 1, effect, **known) is allowed
@@ -186,7 +189,7 @@
 def whole(data, requests=True, cut=None):
     reader, events = http.Reader(requests), []
     for k in range(0, len(data), cut or len(data)):
-        events += reader.feed(data[k:k + (cut or len(data))])
+        events += reader.feed(data[k : k + (cut or len(data))])
     return events
 
 
@@ -210,7 +213,7 @@
     "two lengths": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
     "same length twice": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
     "length and chunked": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n"
-                          b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+    b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "list of lengths": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 5\r\n\r\nhello",
     "signed length": b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\nhello",
     "hidden coding": b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: identity, chunked\r\n\r\n0\r\n\r\n",
@@ -240,11 +243,31 @@
     assert error.value.status in (400, 431, 501)
 
 
-PARTS = st.lists(st.sampled_from([b"GET / HTTP/1.1\r\n", b"POST /a HTTP/1.1\r\n", b"Host: a\r\n",
-                                  b"Content-Length: 3\r\n",
-                                  b"Transfer-Encoding: chunked\r\n", b"\r\n", b"abc", b"3\r\nabc\r\n", b"0\r\n\r\n",
-                                  b"\n", b"\r", b" ", b"\0", b"Expect: 100-continue\r\n", b"Connection: close\r\n",
-                                  b"X: y\r\n", b"\xff\xfe"]) | st.binary(max_size=12), max_size=14)
+PARTS = st.lists(
+    st.sampled_from(
+        [
+            b"GET / HTTP/1.1\r\n",
+            b"POST /a HTTP/1.1\r\n",
+            b"Host: a\r\n",
+            b"Content-Length: 3\r\n",
+            b"Transfer-Encoding: chunked\r\n",
+            b"\r\n",
+            b"abc",
+            b"3\r\nabc\r\n",
+            b"0\r\n\r\n",
+            b"\n",
+            b"\r",
+            b" ",
+            b"\0",
+            b"Expect: 100-continue\r\n",
+            b"Connection: close\r\n",
+            b"X: y\r\n",
+            b"\xff\xfe",
+        ]
+    )
+    | st.binary(max_size=12),
+    max_size=14,
+)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
@@ -265,8 +288,9 @@
 
 
 def test_headers_of_one_hop_are_not_passed_on():
-    head = whole(b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Own\r\nX-Own: 1\r\n"
-                 b"TE: trailers\r\nX-B: 2\r\n\r\n")[0]
+    head = whole(
+        b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Own\r\nX-Own: 1\r\nTE: trailers\r\nX-B: 2\r\n\r\n"
+    )[0]
     assert http.forwardable(head) == [(b"host", b"a"), (b"x-b", b"2")] and not head.keep
 
 
@@ -277,6 +301,7 @@
     from damsonpick import interface as api
     from damsonpick.tables.published import Published
     from damsonpick.xds.resources import Catalogue
+
     published = Published(("page",), 2)
     published.apply([api.SetLine(0, "127.0.0.1:1", 1.0), api.SetLine(1, "127.0.0.1:2", 2.0)])
     catalogue = Catalogue.__new__(Catalogue)
--- a/tests/test_proxy_program.py
+++ b/tests/test_proxy_program.py
@@ -47,15 +47,30 @@
 class Program:
     def __init__(self, folder, pilot):
         self.folder, self.file, self.port_file = folder, folder / "proxy.ini", folder / "proxy.port"
-        self.file.write_text("[proxy]\nname = px\nzone = a\nstate = kept\nslices = 6\n"
-                             f"pilots = 127.0.0.1:{pilot.port}\n"
-                             "[class page]\ndeadline = 4 s\n[class tally]\ndeadline = 4 s\neffect = non_idempotent\n")
+        self.file.write_text(
+            "[proxy]\nname = px\nzone = a\nstate = kept\nslices = 6\n"
+            f"pilots = 127.0.0.1:{pilot.port}\n"
+            "[class page]\ndeadline = 4 s\n[class tally]\ndeadline = 4 s\neffect = non_idempotent\n"
+        )
 
     def start(self):
         self.port_file.unlink(missing_ok=True)
         with (self.folder / "proxy.log").open("a") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "damsonpick", "proxy", str(self.file), "--port-file",
-                                             str(self.port_file), "--log-format", "json"], stderr=log, stdout=log)
+            self.process = subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "damsonpick",
+                    "proxy",
+                    str(self.file),
+                    "--port-file",
+                    str(self.port_file),
+                    "--log-format",
+                    "json",
+                ],
+                stderr=log,
+                stdout=log,
+            )
         until(lambda: self.port_file.exists() or self.process.poll() is not None)
         self.port = int(self.port_file.read_text())
         return self
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -52,8 +52,9 @@
                 act = self.script.pop(0) if self.script else OK
                 if act == "before":
                     break
-                length = next((int(x.split(b":")[1]) for x in head.lower().split(b"\r\n")
-                               if x.startswith(b"content-length")), 0)
+                length = next(
+                    (int(x.split(b":")[1]) for x in head.lower().split(b"\r\n") if x.startswith(b"content-length")), 0
+                )
                 chunked = b"chunked" in head.lower()
                 while len(data) < length or (chunked and not (b"0\r\n" in data and data.endswith(b"\r\n\r\n"))):
                     data += await stream.receive()
@@ -95,8 +96,13 @@
         """Status, head and body of one request; its own connection unless one is given."""
         own = stream is None
         stream = stream or await self.client()
-        request = (b"%s / HTTP/1.1\r\nHost: x\r\nx-damson-class: %s\r\n%scontent-length: %d\r\n\r\n%s"
-                   % (method, kind.encode(), more, len(body), body))
+        request = b"%s / HTTP/1.1\r\nHost: x\r\nx-damson-class: %s\r\n%scontent-length: %d\r\n\r\n%s" % (
+            method,
+            kind.encode(),
+            more,
+            len(body),
+            body,
+        )
         try:
             with anyio.fail_after(patience):
                 await stream.send(request)
@@ -126,8 +132,11 @@
     settings = ProxySettings(
         proxy=Own(name="p", zone="a"),
         limits=Limits(**{"connect_time": SECOND // 2, "stall_time": SECOND, "hold": SECOND // 5, **limits}),
-        classes={"page": RequestClass(deadline=2 * SECOND, aim=SECOND // 2),
-                 "write": RequestClass(deadline=2 * SECOND, effect="non_idempotent")})
+        classes={
+            "page": RequestClass(deadline=2 * SECOND, aim=SECOND // 2),
+            "write": RequestClass(deadline=2 * SECOND, effect="non_idempotent"),
+        },
+    )
     proxy = Proxy(settings, structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()]), seed=1)
     async with proxy.running() as group:
         yield World(proxy, group)
@@ -210,8 +219,10 @@
 async def test_an_orderly_no_is_proof_and_a_plain_error_is_none():
     async with world() as w:
         no = b"HTTP/1.1 503 No\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
-        bad, good = await Server(no, b"HTTP/1.1 500 E\r\ncontent-length: 3\r\n\r\nbad").start(w.group), await Server(
-        ).start(w.group)
+        bad, good = (
+            await Server(no, b"HTTP/1.1 500 E\r\ncontent-length: 3\r\n\r\nbad").start(w.group),
+            await Server().start(w.group),
+        )
         w.retry(PROOF)
         w.table({bad.name: 10**9, good.name: 1})
         assert (await w.ask("write"))[0] == 200 and len(good.heads) == 1
@@ -358,8 +369,9 @@
         server = await Server().start(w.group)
         w.table({server.name: 1000})
         stream = await w.client()
-        await stream.send(b"POST / HTTP/1.1\r\nHost: x\r\ntransfer-encoding: chunked\r\n\r\n"
-                          b"5\r\nhello\r\n0\r\nx-t: 1\r\n\r\n")
+        await stream.send(
+            b"POST / HTTP/1.1\r\nHost: x\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nx-t: 1\r\n\r\n"
+        )
         assert (await read(stream))[0] == 200
         assert server.bodies[0] == b"5\r\nhello\r\n0\r\nx-t: 1\r\n\r\n"
         big = random.Random(1).randbytes(3_000_000)
@@ -381,8 +393,15 @@
         assert (await w.ask(more=b"x: " + b"a" * 900 + b"\r\n"))[0] == 431
         assert (await w.ask(body=b"a" * 2000))[0] == 413
         stream = await w.client()
-        await stream.send(b"POST / HTTP/1.1\r\nHost: x\r\ntransfer-encoding: chunked\r\n\r\n" + b"3e8\r\n" + b"a" * 1000
-                          + b"\r\n" + b"3e8\r\n" + b"a" * 1000 + b"\r\n")
+        await stream.send(
+            b"POST / HTTP/1.1\r\nHost: x\r\ntransfer-encoding: chunked\r\n\r\n"
+            + b"3e8\r\n"
+            + b"a" * 1000
+            + b"\r\n"
+            + b"3e8\r\n"
+            + b"a" * 1000
+            + b"\r\n"
+        )
         assert (await read(stream))[0] == 413
 
 
--- a/tests/test_roster_evidence_store.py
+++ b/tests/test_roster_evidence_store.py
@@ -53,17 +53,25 @@
 
 
 def test_list_file_and_upstream_carry_the_same_entries():
-    entries = [entry("127.0.0.1:9001", "terminating", "b", 6.0, 1_800_000_000_123_456_789),
-               entry("[::1]:9002", weight=3.0)]
+    entries = [
+        entry("127.0.0.1:9001", "terminating", "b", 6.0, 1_800_000_000_123_456_789),
+        entry("[::1]:9002", weight=3.0),
+    ]
     assert listfile.parse(listfile.render(entries)) == entries
     assert sorted(upstream.read(upstream.write("servers", entries))) == sorted(entries)
 
 
-@pytest.mark.parametrize(("text", "part"), [
-    ("[machine x]\nzone=a", "is no section of a list"), ("[server nowhere]\nzone=a", "write IP:PORT"),
-    ("[server 127.0.0.1:1]\n", "zone is missing"), ("[server 127.0.0.1:1]\nzone=a\nweight=heavy", "write a number"),
-    ("[server 127.0.0.1:1]\nzone=a\ncolour=red", "no such key"), ("zone=a", "section"),
-])
+@pytest.mark.parametrize(
+    ("text", "part"),
+    [
+        ("[machine x]\nzone=a", "is no section of a list"),
+        ("[server nowhere]\nzone=a", "write IP:PORT"),
+        ("[server 127.0.0.1:1]\n", "zone is missing"),
+        ("[server 127.0.0.1:1]\nzone=a\nweight=heavy", "write a number"),
+        ("[server 127.0.0.1:1]\nzone=a\ncolour=red", "no such key"),
+        ("zone=a", "section"),
+    ],
+)
 def test_list_file_errors_name_place_and_remedy(text, part):
     with pytest.raises(listfile.ListError, match=part):
         listfile.parse(text, "servers.ini")
@@ -79,8 +87,13 @@
 
 
 def sums(gateway=0, period=SECOND, tries=10, failures=1, answered=9, time=9 * 200_000_000, zone="a"):
-    return GatewaySums(gateway, zone, period, (EndpointSum("s:1", tries, failures, answered, time),),
-                       (SliceSum(2, "page", tries, failures),))
+    return GatewaySums(
+        gateway,
+        zone,
+        period,
+        (EndpointSum("s:1", tries, failures, answered, time),),
+        (SliceSum(2, "page", tries, failures),),
+    )
 
 
 def test_sums_of_a_zone_add_up_as_rates():
@@ -146,8 +159,9 @@
     counts.tried("b", "127.0.0.1:9", False, 40.0)
     report = lrs_pb2.LoadStatsRequest.FromString(loads.write(SECOND, {3: counts}).SerializeToString())
     got = loads.read(7, "a", report)
-    assert got == GatewaySums(7, "a", SECOND, (EndpointSum("127.0.0.1:9", 2, 1, 1, 120_500_000),),
-                              (SliceSum(3, "page", 3, 1),))
+    assert got == GatewaySums(
+        7, "a", SECOND, (EndpointSum("127.0.0.1:9", 2, 1, 1, 120_500_000),), (SliceSum(3, "page", 3, 1),)
+    )
 
 
 def test_an_odd_lrs_report_does_no_harm():
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -58,33 +58,50 @@
 VECTORS = {
     "registration request (6.1)": (
         Message(1, Register(Sender.BALANCER, (MembersOf(WEB, (ONE, SIX)),))),
-        f"{HEAD} 00000059 00000001 1010 004c 01 0001 4010 0045 0002 {GROUP} {M1} {M6}"),
+        f"{HEAD} 00000059 00000001 1010 004c 01 0001 4010 0045 0002 {GROUP} {M1} {M6}",
+    ),
     "registration reply (6.1)": (
-        Message(1, Reply(Kind.REGISTER_REPLY, Code.ALREADY_REGISTERED)), f"{HEAD} 00000012 00000001 1015 0005 40"),
+        Message(1, Reply(Kind.REGISTER_REPLY, Code.ALREADY_REGISTERED)),
+        f"{HEAD} 00000012 00000001 1015 0005 40",
+    ),
     "deregistration request (6.2)": (
         Message(2, Deregister(Sender.BALANCER, 1, (MembersOf(WEB, (ONE,)),))),
-        f"{HEAD} 0000003f 00000002 1020 0032 01 01 0001 4010 002a 0001 {GROUP} {M1}"),
+        f"{HEAD} 0000003f 00000002 1020 0032 01 01 0001 4010 002a 0001 {GROUP} {M1}",
+    ),
     "deregistration reply (6.2)": (
-        Message(2, Reply(Kind.DEREGISTER_REPLY, Code.OK)), f"{HEAD} 00000012 00000002 1025 0005 00"),
-    "get weights request (6.3)": (
-        Message(3, GetWeights((WEB,))), f"{HEAD} 0000001f 00000003 1030 0012 0001 {GROUP}"),
+        Message(2, Reply(Kind.DEREGISTER_REPLY, Code.OK)),
+        f"{HEAD} 00000012 00000002 1025 0005 00",
+    ),
+    "get weights request (6.3)": (Message(3, GetWeights((WEB,))), f"{HEAD} 0000001f 00000003 1030 0012 0001 {GROUP}"),
     "get weights reply (6.3)": (
-        Message(3, WeightsReply(Code.OK, 10, (WeightsOf(WEB, (Weight(
-            ONE, 7, WeightFlag.CONTACT | WeightFlag.CONFIDENT, 1000),)),))),
-        f"{HEAD} 00000048 00000003 1035 003b 00 000a 0001 4011 0032 0001 {GROUP} 3012 0020 {M1} 07 09 03e8"),
+        Message(
+            3,
+            WeightsReply(
+                Code.OK, 10, (WeightsOf(WEB, (Weight(ONE, 7, WeightFlag.CONTACT | WeightFlag.CONFIDENT, 1000),)),)
+            ),
+        ),
+        f"{HEAD} 00000048 00000003 1035 003b 00 000a 0001 4011 0032 0001 {GROUP} 3012 0020 {M1} 07 09 03e8",
+    ),
     "send weights (6.4)": (
         Message(9, SendWeights((WeightsOf(WEB, (Weight(ONE, 0, WeightFlag.QUIESCE, 0),)),))),
-        f"{HEAD} 00000045 00000009 1040 0038 0001 4011 0032 0001 {GROUP} 3012 0020 {M1} 00 02 0000"),
+        f"{HEAD} 00000045 00000009 1040 0038 0001 4011 0032 0001 {GROUP} 3012 0020 {M1} 00 02 0000",
+    ),
     "set LB state request (6.5)": (
         Message(4, SetLbState(b"lb1", 127, LbFlag.PUSH | LbFlag.TRUST)),
-        f"{HEAD} 00000017 00000004 1050 000a 03 6c6231 7f 03"),
+        f"{HEAD} 00000017 00000004 1050 000a 03 6c6231 7f 03",
+    ),
     "set LB state reply (6.5)": (
-        Message(4, Reply(Kind.SET_LB_STATE_REPLY, Code.NOT_FROM_SENDER)), f"{HEAD} 00000012 00000004 1055 0005 11"),
+        Message(4, Reply(Kind.SET_LB_STATE_REPLY, Code.NOT_FROM_SENDER)),
+        f"{HEAD} 00000012 00000004 1055 0005 11",
+    ),
     "set member state request (6.6)": (
         Message(5, SetMemberState(Sender(0), (StatesOf(WEB, (MemberState(ONE, 5, MemberFlag.QUIESCE),)),))),
-        f"{HEAD} 00000044 00000005 1060 0037 00 0001 4012 0030 0001 {GROUP} 3013 001e {M1} 05 01"),
+        f"{HEAD} 00000044 00000005 1060 0037 00 0001 4012 0030 0001 {GROUP} 3013 001e {M1} 05 01",
+    ),
     "set member state reply (6.6)": (
-        Message(5, Reply(Kind.SET_MEMBER_STATE_REPLY, Code.UNKNOWN_GROUP)), f"{HEAD} 00000012 00000005 1065 0005 42"),
+        Message(5, Reply(Kind.SET_MEMBER_STATE_REPLY, Code.UNKNOWN_GROUP)),
+        f"{HEAD} 00000012 00000005 1065 0005 42",
+    ),
 }
 
 
@@ -106,18 +123,26 @@
 
 
 members_of = of(MembersOf, members)
-weights_of = of(WeightsOf, st.builds(Weight, members, st.integers(0, 255), st.integers(0, 15).map(WeightFlag),
-                                     st.integers(0, 65535)))
+weights_of = of(
+    WeightsOf,
+    st.builds(Weight, members, st.integers(0, 255), st.integers(0, 15).map(WeightFlag), st.integers(0, 65535)),
+)
 states_of = of(StatesOf, st.builds(MemberState, members, st.integers(0, 255), st.integers(0, 1).map(MemberFlag)))
 sender = st.integers(0, 1).map(Sender)
 bodies = st.one_of(
-    st.builds(Register, sender, members_of), st.builds(Deregister, sender, st.integers(0, 255), members_of),
+    st.builds(Register, sender, members_of),
+    st.builds(Deregister, sender, st.integers(0, 255), members_of),
     st.builds(GetWeights, st.lists(groups, max_size=4).map(tuple)),
-    st.builds(WeightsReply, st.integers(0, 255), st.integers(0, 65535), weights_of), st.builds(SendWeights, weights_of),
+    st.builds(WeightsReply, st.integers(0, 255), st.integers(0, 65535), weights_of),
+    st.builds(SendWeights, weights_of),
     st.builds(SetLbState, bytes255, st.integers(0, 255), st.integers(0, 7).map(LbFlag)),
     st.builds(SetMemberState, sender, states_of),
-    st.builds(Reply, st.sampled_from([k for k in Kind if k.name.endswith("REPLY") and k != Kind.GET_WEIGHTS_REPLY]),
-              st.integers(0, 255)))
+    st.builds(
+        Reply,
+        st.sampled_from([k for k in Kind if k.name.endswith("REPLY") and k != Kind.GET_WEIGHTS_REPLY]),
+        st.integers(0, 255),
+    ),
+)
 messages = st.builds(Message, st.integers(0, 2**32 - 1), bodies)
 
 
@@ -133,7 +158,7 @@
     data, splitter, got, at, k = b"".join(map(codec.encode, sent)), codec.Splitter(), [], 0, 0
     while at < len(data):
         size = cuts[k % len(cuts)]
-        got += [codec.decode(f) for f in splitter.feed(data[at:at + size])]
+        got += [codec.decode(f) for f in splitter.feed(data[at : at + size])]
         at, k = at + size, k + 1
     assert got == sent
 
@@ -172,9 +197,17 @@
     assert not list(codec.Splitter().feed(_length(len(good) + 1)))
 
 
-@pytest.mark.parametrize(("place", "value", "said"), [
-    (4, 2, "version 2"), (13, 0x77, "type 0x7730 is unknown"), (17, 0xFF, "rows are counted"),
-    (19, 0x40, "where 0x3011 belongs"), (22, 3, "says it has 3 bytes"), (23, 200, "bytes are read")])
+@pytest.mark.parametrize(
+    ("place", "value", "said"),
+    [
+        (4, 2, "version 2"),
+        (13, 0x77, "type 0x7730 is unknown"),
+        (17, 0xFF, "rows are counted"),
+        (19, 0x40, "where 0x3011 belongs"),
+        (22, 3, "says it has 3 bytes"),
+        (23, 200, "bytes are read"),
+    ],
+)
 def test_what_is_wrong_inside_is_named_with_the_number_of_the_request(place, value, said):
     data = bytearray(codec.encode(Message(3, GetWeights((WEB,)))))
     data[place] = value
@@ -191,9 +224,11 @@
 
 # -- registrations
 
+
 def registry(rights="state", **named):
-    return Registry(Limits(5, 3), lambda name: None if name == b"refused" else "fleet",
-                    lambda lb: named.get(lb.decode(), rights))
+    return Registry(
+        Limits(5, 3), lambda name: None if name == b"refused" else "fleet", lambda lb: named.get(lb.decode(), rights)
+    )
 
 
 def put(made, *members, session="s", sender=Sender.BALANCER, group=WEB):
@@ -203,8 +238,10 @@
 def test_registration_is_whole_or_not_at_all():
     made = registry()
     assert put(made, ONE) == Code.OK
-    assert made.register("s", Sender.BALANCER, (MembersOf(Group(b"lb1", b"new"), (ONE,)), MembersOf(WEB, (ONE,)))) \
+    assert (
+        made.register("s", Sender.BALANCER, (MembersOf(Group(b"lb1", b"new"), (ONE,)), MembersOf(WEB, (ONE,))))
         == Code.ALREADY_REGISTERED
+    )
     assert list(made.balancers[b"lb1"].groups) == [b"web"]
     assert put(made, SIX, SIX) == Code.DUPLICATE_MEMBER and len(made.find(WEB).members) == 1
     assert put(made, group=Group(b"lb1", b"refused")) == Code.INVALID_GROUP
@@ -248,8 +285,10 @@
     assert made.set_states(Sender(0), quiesce) == Code.OK
 
 
-@pytest.mark.parametrize(("rights", "codes"), [
-    ("refuse", (0x11, 0x11, 0x11)), ("read", (0, 0x11, 0x11)), ("register", (0, 0, 0x11)), ("state", (0, 0, 0))])
+@pytest.mark.parametrize(
+    ("rights", "codes"),
+    [("refuse", (0x11, 0x11, 0x11)), ("read", (0, 0x11, 0x11)), ("register", (0, 0, 0x11)), ("state", (0, 0, 0))],
+)
 def test_each_right_includes_those_before_it(rights, codes):
     made = registry(rights)
     quiesce = (StatesOf(WEB, (MemberState(ONE, 0, MemberFlag.QUIESCE),)),)
@@ -266,6 +305,7 @@
 
 # -- weights
 
+
 @given(st.dictionaries(st.text(max_size=4), st.floats(0, 1e6), max_size=40))
 def test_whole_weights_keep_zero_and_order(found):
     scaled = weights.scale(found)
@@ -320,6 +360,7 @@
 
 # -- sessions
 
+
 def desk():
     made = published()
     return Desk(made, registry(), Pace(random.Random(1)), lambda n: 1.0, lambda n: Known(True, True, True), lambda: 0.0)
@@ -329,8 +370,17 @@
     made = SaspSession(shared, lambda lb: "a", Meter(50))
     made.receive(NOW, codec.encode(Message(1, SetLbState(lb, 1, flags))))
     for name in names or (b"web",):
-        reply = made.receive(NOW, codec.encode(Message(2, Register(Sender.BALANCER, (
-            MembersOf(Group(lb, name), (member("1.1.1.1:1"), member("2.2.2.2:2"))),)))))
+        reply = made.receive(
+            NOW,
+            codec.encode(
+                Message(
+                    2,
+                    Register(
+                        Sender.BALANCER, (MembersOf(Group(lb, name), (member("1.1.1.1:1"), member("2.2.2.2:2"))),)
+                    ),
+                )
+            ),
+        )
         assert codec.decode(reply).body.code == Code.OK
     return made
 
@@ -355,8 +405,9 @@
     made.change(["fleet"], Due(1, NOW, 1))
     assert len(codec.decode(made.compose(NOW)).body.groups[0].weights) == 2 and made.rows == 2
     made.written()
-    shared.registry.set_states(Sender.BALANCER, (StatesOf(WEB, (MemberState(
-        member("1.1.1.1:1"), 0, MemberFlag.QUIESCE),)),))
+    shared.registry.set_states(
+        Sender.BALANCER, (StatesOf(WEB, (MemberState(member("1.1.1.1:1"), 0, MemberFlag.QUIESCE),)),)
+    )
     made.change(["slice/0"], Due(2, NOW, 1))
     weights_ = codec.decode(made.compose(NOW)).body.groups[0].weights
     assert [w.member.endpoint for w in weights_] == ["1.1.1.1:1"] and made.rows == 1
@@ -402,6 +453,7 @@
 
 # -- pace
 
+
 def test_intervals_are_short_while_things_move_and_long_where_the_channel_is_full_or_a_crowd_asks():
     made = Pace(random.Random(3))
 
@@ -432,4 +484,4 @@
     sasp_messages.check(data)
     for place in range(len(data)):
         for value in (0, 0xFF, data[place] ^ 1):
-            sasp_messages.check(data[:place] + bytes((value,)) + data[place + 1:])
+            sasp_messages.check(data[:place] + bytes((value,)) + data[place + 1 :])
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -105,6 +105,7 @@
 
 async def settled(client, what, *names):
     """The first poll that shows what is expected."""
+
     async def look():
         reply = await client.weights(*names)
         return reply if not reply.code and what(told(reply)) else None
@@ -231,6 +232,7 @@
 
 async def test_unknown_types_and_versions_are_answered_and_the_session_goes_on(tmp_path):
     async with front(tmp_path) as (made, _):
+
         def talk():
             with raw(made.address) as sock:
                 for place, value in ((13, 0x66), (4, 9)):
@@ -248,8 +250,12 @@
 async def test_rights_are_refused_with_their_code(tmp_path):
     async with front(tmp_path) as (made, _):
         quiesce = MemberState(ALL[0], 0, MemberFlag.QUIESCE)
-        for lb, codes in ((b"stranger", (0x11, 0x11, 0x11)), (b"reader", (0, 0x11, 0x11)), (b"modest", (0, 0, 0x11)),
-                          (b"anybody", (0, 0, 0))):
+        for lb, codes in (
+            (b"stranger", (0x11, 0x11, 0x11)),
+            (b"reader", (0, 0x11, 0x11)),
+            (b"modest", (0, 0, 0x11)),
+            (b"anybody", (0, 0, 0)),
+        ):
             async with connect(made.address, lb) as client:
                 state = SetMemberState(Sender.BALANCER, (StatesOf(Group(lb, b"web"), (quiesce,)),))
                 got = (await client.hello(), await client.register(b"web", ALL), (await client.ask(state)).code)
@@ -292,8 +298,9 @@
 
 async def test_two_balancers_with_one_identifier_one_of_them_without_trust(tmp_path):
     """A member may speak for itself only while every session under that identifier trusts members."""
-    quiesce = SetMemberState(Sender(0), (StatesOf(Group(b"lb1", b"web"), (
-        MemberState(ALL[0], 0, MemberFlag.QUIESCE),)),))
+    quiesce = SetMemberState(
+        Sender(0), (StatesOf(Group(b"lb1", b"web"), (MemberState(ALL[0], 0, MemberFlag.QUIESCE),)),)
+    )
     async with front(tmp_path) as (made, _), connect(made.address, b"member") as own:
         assert await own.register(b"web", [ALL[0]], Sender(0)) == Code.NO_BALANCER_YET
         async with connect(made.address, b"lb1") as one:
@@ -361,7 +368,7 @@
         await client.hello()
         names = [f"group {k}".encode() for k in range(1000)]
         for k in range(0, 1000, 100):
-            body = Register(Sender.BALANCER, tuple(MembersOf(Group(b"lb1", n), tuple(ALL)) for n in names[k:k + 100]))
+            body = Register(Sender.BALANCER, tuple(MembersOf(Group(b"lb1", n), tuple(ALL)) for n in names[k : k + 100]))
             assert (await client.ask(body)).code == Code.OK
         reply = await client.weights()
         assert reply.code == Code.OK and len(reply.groups) == 1000
@@ -430,8 +437,9 @@
     pilot.start()
 
     def run(*words):
-        return subprocess.run([sys.executable, "-m", "damsonpick", "sasp", *words], capture_output=True, text=True,
-                              timeout=30)
+        return subprocess.run(
+            [sys.executable, "-m", "damsonpick", "sasp", *words], capture_output=True, text=True, timeout=30
+        )
 
     try:
         address = Front(pilot).address
@@ -459,8 +467,9 @@
         pilot = Pilot(tmp_path)
         pilot.file.write_text(pilot.file.read_text() + f"[sasp]\nlisten = 127.0.0.1:{port}\n")
         pilot.list(s1="in_service")
-        done = subprocess.run([sys.executable, "-m", "damsonpick", "run", str(pilot.file)], capture_output=True,
-                              text=True, timeout=30)
+        done = subprocess.run(
+            [sys.executable, "-m", "damsonpick", "run", str(pilot.file)], capture_output=True, text=True, timeout=30
+        )
     assert done.returncode == 2 and f"[sasp] listen = 127.0.0.1:{port}" in done.stderr
     assert "Traceback" not in done.stderr
 
@@ -468,14 +477,17 @@
 def test_settings_of_the_front_are_checked_whole(tmp_path):
     pilot = Pilot(tmp_path)
     text = pilot.file.read_text()
-    for wrong, said in (("[sasp group x]\ncovers = slices 4-99\n", "names slice 99"),
-                        ("[sasp group x]\ncovers = half\n", "is none of"),
-                        ("[sasp group x]\ncovers = slices 9-2\n", "names"),
-                        ("[sasp balancer x]\nmay = everything\n", "[sasp balancer x] may"),
-                        ("[sasp balancer x]\nzone = z\n", "is not among the zones"),
-                        ("[sasp group x]\ncovers = class page\n", "share"),
-                        ("[sasp]\nlisten = 8.8.8.8:1\n", "loopback")):
+    for wrong, said in (
+        ("[sasp group x]\ncovers = slices 4-99\n", "names slice 99"),
+        ("[sasp group x]\ncovers = half\n", "is none of"),
+        ("[sasp group x]\ncovers = slices 9-2\n", "names"),
+        ("[sasp balancer x]\nmay = everything\n", "[sasp balancer x] may"),
+        ("[sasp balancer x]\nzone = z\n", "is not among the zones"),
+        ("[sasp group x]\ncovers = class page\n", "share"),
+        ("[sasp]\nlisten = 8.8.8.8:1\n", "loopback"),
+    ):
         pilot.file.write_text(text + wrong)
-        done = subprocess.run([sys.executable, "-m", "damsonpick", "check", str(pilot.file)], capture_output=True,
-                              text=True)
+        done = subprocess.run(
+            [sys.executable, "-m", "damsonpick", "check", str(pilot.file)], capture_output=True, text=True
+        )
         assert done.returncode == 2 and said in done.stdout, (wrong, done.stdout)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -66,7 +66,7 @@
     line = Line(world, 8500.0 / slower)
     line.run(6)
     for wave in range(4):
-        leaving = NAMES[15 * wave:15 * wave + 15]
+        leaving = NAMES[15 * wave : 15 * wave + 15]
         told = world.now
         line.step(api.ListChanged("update", tuple(entry(n, "terminating") for n in leaving)))
         line.leave(leaving, told, slower * world.settings.drain_grace)  # times grow by the same factor
@@ -150,8 +150,13 @@
     spanning = api.EndpointReport("a", "p", 50, 50, 0, 4 * SECOND, ())
     before = world.heat("p")
     for _ in range(3):
-        world.tell(spanning, spanning, api.SliceDemand(1, "nobody", 9, 0, SECOND),
-                   api.SliceDemand(1, "cheap", 9, 0, 0), api.EndpointReport("a", "q", 5, 0, 9, 0, ()))
+        world.tell(
+            spanning,
+            spanning,
+            api.SliceDemand(1, "nobody", 9, 0, SECOND),
+            api.SliceDemand(1, "cheap", 9, 0, 0),
+            api.EndpointReport("a", "q", 5, 0, 9, 0, ()),
+        )
         world.run(1)
     assert world.heat("p") >= before and not world.bare()
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -38,23 +38,32 @@
     bad = bad.replace("[list]", "[lsit]").replace("deadline = 4 s", "deadlin = 4 s", 1) + "\n[class third]\naim=1\n"
     found = problems(tmp_path, bad)
     text = "\n".join(found)
-    for part in ("[lsit]: is no section", "[rules] drain_grace = 'two'", "[channel] limit = '-1'",
-                 "[class page] deadlin", "[class page] deadline: is missing", "[class third] aim = '1'"):
+    for part in (
+        "[lsit]: is no section",
+        "[rules] drain_grace = 'two'",
+        "[channel] limit = '-1'",
+        "[class page] deadlin",
+        "[class page] deadline: is missing",
+        "[class third] aim = '1'",
+    ):
         assert part in text, text
     assert all(";" in line for line in found), "each names a remedy"
 
 
-@pytest.mark.parametrize(("old", "new", "part"), [
-    ("zone = a\n", "zone = q\n", "[pilot] zone = 'q': is not among zones"),
-    ("aim = 1.5 s", "aim = 9 s", "is before the aim"),
-    ("file = servers.ini", "", "[list] file: is missing"),
-    ("source = file", "source = eds", "[list] upstream: is missing"),
-    ("effect = non_idempotent", "effect = idempotency_key", "key_window: is missing"),
-    ("zones = a, b", "zones = a, a", "names one thing twice"),
-    ("[tables]", "[listen]\nxds = 10.0.0.1:80\n[tables]", "is not a loopback address"),
-    ("[tables]", "[tables]\n[tables]", "already exists"),
-    ("slices = 6", "slices = 6\nslices = 7", "already exists"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "part"),
+    [
+        ("zone = a\n", "zone = q\n", "[pilot] zone = 'q': is not among zones"),
+        ("aim = 1.5 s", "aim = 9 s", "is before the aim"),
+        ("file = servers.ini", "", "[list] file: is missing"),
+        ("source = file", "source = eds", "[list] upstream: is missing"),
+        ("effect = non_idempotent", "effect = idempotency_key", "key_window: is missing"),
+        ("zones = a, b", "zones = a, a", "names one thing twice"),
+        ("[tables]", "[listen]\nxds = 10.0.0.1:80\n[tables]", "is not a loopback address"),
+        ("[tables]", "[tables]\n[tables]", "already exists"),
+        ("slices = 6", "slices = 6\nslices = 7", "already exists"),
+    ],
+)
 def test_each_problem_names_its_place_and_remedy(tmp_path, old, new, part):
     assert part in "\n".join(problems(tmp_path, GOOD.replace(old, new, 1)))
 
