--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -33,8 +33,9 @@
 
 
 def fleet(*capacities, zones="ab", **more):
-    return tuple(Server(f"s{k}", zones[k % len(zones)], float(c), max(1, round(c)), **more)
-                 for k, c in enumerate(capacities))
+    return tuple(
+        Server(f"s{k}", zones[k % len(zones)], float(c), max(1, round(c)), **more) for k, c in enumerate(capacities)
+    )
 
 
 def problem(servers, rate, zones="ab", kinds=(PAGE, TALLY), costs=None):
@@ -61,11 +62,20 @@
     dense = sum((kinds[c].worth - kinds[c].late_worth) / kinds[c].work * w for (_, c), w in work.items()) / total
     wait = patience(p.kinds)
     flows = [(z, c, j) for z, c in work for j, s in enumerate(servers) if s.zone == z or not kinds[c].own_zone]
-    cuts = [(j, width * s.capacity / (1 + costs.margin), slope) for j, s in enumerate(servers)
-            for width, slope in latency.pieces(s.cores, wait, costs.spread, ceiling(p.kinds, dense))]
+    cuts = [
+        (j, width * s.capacity / (1 + costs.margin), slope)
+        for j, s in enumerate(servers)
+        for width, slope in latency.pieces(s.cores, wait, costs.spread, ceiling(p.kinds, dense))
+    ]
     n, f, q = len(servers), len(flows), len(cuts)
-    cost = [-kinds[c].worth / kinds[c].work + costs.between(z, servers[j].zone) + top * servers[j].failing
-            for z, c, j in flows] + [dense * slope for _, _, slope in cuts] + [top * SHORT_PENALTY] * n
+    cost = (
+        [
+            -kinds[c].worth / kinds[c].work + costs.between(z, servers[j].zone) + top * servers[j].failing
+            for z, c, j in flows
+        ]
+        + [dense * slope for _, _, slope in cuts]
+        + [top * SHORT_PENALTY] * n
+    )
     room = [s.capacity * s.most / (1 + costs.margin) for s in servers]
     even = total / sum(room)
     a, b = [], []
@@ -88,10 +98,23 @@
 def test_optimum_agrees_with_an_independent_formulation(seed):
     rng = random.Random(seed)
     kinds = (PAGE, TALLY._replace(own_zone=rng.random() < 0.3))
-    servers = tuple(Server(f"s{k}", rng.choice("abc"), rng.uniform(0.5, 8), rng.randint(1, 8),
-                           rng.choice((1.0, 1.0, 0.4)), rng.choice((0.0, 0.0, 0.3))) for k in range(rng.randint(1, 7)))
-    p = Problem(kinds, servers, tuple((z, k.name, rng.uniform(0, 30)) for z in "abc" for k in kinds),
-                Costs(cross=rng.uniform(0, 0.5), margin=rng.choice((0.0, 0.2))))
+    servers = tuple(
+        Server(
+            f"s{k}",
+            rng.choice("abc"),
+            rng.uniform(0.5, 8),
+            rng.randint(1, 8),
+            rng.choice((1.0, 1.0, 0.4)),
+            rng.choice((0.0, 0.0, 0.3)),
+        )
+        for k in range(rng.randint(1, 7))
+    )
+    p = Problem(
+        kinds,
+        servers,
+        tuple((z, k.name, rng.uniform(0, 30)) for z in "abc" for k in kinds),
+        Costs(cross=rng.uniform(0, 0.5), margin=rng.choice((0.0, 0.2))),
+    )
     made = solve(p)
     assert made.status == "optimal"
     assert made.value == pytest.approx(independent(p), rel=1e-6, abs=2e-5)
@@ -204,8 +227,9 @@
     assert made.let_in == {"page": pytest.approx(1.0), "tally": pytest.approx(1.0)}
     assert max(r.used for r in made.servers) <= 1 / 1.1 + 1e-9
     cold = tuple(s._replace(capacity=0.8, most=0.6, share=0.0) if s.name in ("s0", "s4") else s for s in servers)
-    back = solve(problem(tuple(c._replace(share=share.get(c.name, 0)) if c.most == 1 else c for c in cold), 17.0,
-                         zones="abcd"))
+    back = solve(
+        problem(tuple(c._replace(share=share.get(c.name, 0)) if c.most == 1 else c for c in cold), 17.0, zones="abcd")
+    )
     assert all(r.load <= 0.8 * 0.6 + 1e-9 for r in back.servers if r.name in ("s0", "s4"))
 
 
@@ -223,13 +247,23 @@
 
 
 def test_same_input_same_weights_in_any_order_and_process():
-    script = ("import random\nfrom tests.test_solver import *\n"
-              "servers = list(fleet(4, 4, 4, 2, 2, 7))\nrandom.Random({0}).shuffle(servers)\n"
-              "made = solve(problem(tuple(servers), 9.0))\n"
-              "print(sorted((k, sorted(v)) for k, v in made.weights.items()))")
-    outputs = {subprocess.run([sys.executable, "-c", script.replace("{0}", seed)], cwd=ROOT, check=True,
-                              capture_output=True, text=True, env={**os.environ, "PYTHONHASHSEED": seed}
-                              ).stdout.splitlines()[-1] for seed in ("0", "1", "7")}
+    script = (
+        "import random\nfrom tests.test_solver import *\n"
+        "servers = list(fleet(4, 4, 4, 2, 2, 7))\nrandom.Random({0}).shuffle(servers)\n"
+        "made = solve(problem(tuple(servers), 9.0))\n"
+        "print(sorted((k, sorted(v)) for k, v in made.weights.items()))"
+    )
+    outputs = {
+        subprocess.run(
+            [sys.executable, "-c", script.replace("{0}", seed)],
+            cwd=ROOT,
+            check=True,
+            capture_output=True,
+            text=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+        ).stdout.splitlines()[-1]
+        for seed in ("0", "1", "7")
+    }
     assert len(outputs) == 1
     alike = loads(solve(problem(fleet(4, 4, 4, 4, zones="a"), 5.0, zones="a")))
     assert len({round(v, 9) for v in alike.values()}) == 1, "servers alike get like parts"
@@ -244,8 +278,18 @@
 
 
 numbers = st.floats(0.05, 20)
-servers_ = st.lists(st.tuples(st.sampled_from("abc"), numbers, st.integers(1, 16), st.sampled_from((1.0, 0.5, 0.1)),
-                              st.sampled_from((0.0, 0.4)), st.floats(0, 0.3)), min_size=1, max_size=14)
+servers_ = st.lists(
+    st.tuples(
+        st.sampled_from("abc"),
+        numbers,
+        st.integers(1, 16),
+        st.sampled_from((1.0, 0.5, 0.1)),
+        st.sampled_from((0.0, 0.4)),
+        st.floats(0, 0.3),
+    ),
+    min_size=1,
+    max_size=14,
+)
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
@@ -277,8 +321,9 @@
 
 def test_lines_of_unlike_homes_are_divided_by_what_they_can_do():
     servers = (Server("s0", "a", 6.0, 6), Server("s1", "a", 2.0, 2))
-    p = LinesProblem((PAGE,), servers, (Piece(0, 5.0, ("s0", "s1"), (1.0, 1.0)), Piece(1, 0.5, ("s1",), (1.0,))),
-                     Costs(move=0.0))
+    p = LinesProblem(
+        (PAGE,), servers, (Piece(0, 5.0, ("s0", "s1"), (1.0, 1.0)), Piece(1, 0.5, ("s1",), (1.0,))), Costs(move=0.0)
+    )
     got = dict(divide(p)[0])
     assert got["s0"] > 2 * got["s1"]
     assert divide(p._replace(pieces=p.pieces[1:])) == {}
@@ -307,13 +352,19 @@
         self.shut: dict[str, bool] = {}
         self.pending: list[tuple[int, list[api.Event]]] = []
         self.moved: list[float] = []
-        self.tell(api.ListChanged("restored", ()), self.listed(), api.ProxyJoined(0, "a", 1.0, True),
-                  api.ProxyJoined(1, "b", 1.0, True), *(api.CustodyChanged(n, True) for n in range(4)))
+        self.tell(
+            api.ListChanged("restored", ()),
+            self.listed(),
+            api.ProxyJoined(0, "a", 1.0, True),
+            api.ProxyJoined(1, "b", 1.0, True),
+            *(api.CustodyChanged(n, True) for n in range(4)),
+        )
         self.tell(*self.advisor.stopgap(self.planner))
 
     def listed(self):
-        return api.ListChanged("replace", tuple(api.ListEntry(n, z, self.states[n], 4.0, self.started[n])
-                                                for n, z in self.zones.items()))
+        return api.ListChanged(
+            "replace", tuple(api.ListEntry(n, z, self.states[n], 4.0, self.started[n]) for n, z in self.zones.items())
+        )
 
     def tell(self, *events):
         for order in self.planner.handle(self.now, list(events)):
@@ -386,8 +437,10 @@
     idle = loop.report
 
     def lying():
-        return [e._replace(load=(0.0, 1.0)) if isinstance(e, api.EndpointReport) and e.endpoint == liar else e
-                for e in idle()]
+        return [
+            e._replace(load=(0.0, 1.0)) if isinstance(e, api.EndpointReport) and e.endpoint == liar else e
+            for e in idle()
+        ]
 
     loop.report = lying
     for _ in range(10):
@@ -424,8 +477,10 @@
     evidence.known = set(loop.zones)
     for g, (tries, bad) in enumerate(((5, 50), (0, 0), (10**15, 3))):
         evidence.join(loop.now, g)
-        evidence.hear(loop.now, GatewaySums(g, "a", SECOND, (EndpointSum(name, tries, bad, 9, -3),),
-                                            (SliceSum(0, "page", 10**15, 0),)))
+        evidence.hear(
+            loop.now,
+            GatewaySums(g, "a", SECOND, (EndpointSum(name, tries, bad, 9, -3),), (SliceSum(0, "page", 10**15, 0),)),
+        )
     loop.tell(*evidence.flush())
     made = plan(loop.program, loop.advisor.problem(loop.planner))
     assert made.status == "optimal" and all(math.isfinite(w) for t in made.weights.values() for _, w in t)
--- a/tests/test_solver_pilot.py
+++ b/tests/test_solver_pilot.py
@@ -30,8 +30,19 @@
         self.port_file.unlink(missing_ok=True)
         with (self.folder / "log").open("a") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", self.module, self.which, "run", str(self.file), "--port-file",
-                 str(self.port_file)], stdout=log, stderr=log)
+                [
+                    sys.executable,
+                    "-m",
+                    self.module,
+                    self.which,
+                    "run",
+                    str(self.file),
+                    "--port-file",
+                    str(self.port_file),
+                ],
+                stdout=log,
+                stderr=log,
+            )
         until(lambda: self.port_file.exists() or self.process.poll() is not None)
         self.port = int(self.port_file.read_text())
         return self
@@ -63,8 +74,12 @@
     client.until(lambda: all(len(client.tables.get(t, ())) >= 1 for t in TABLES))
     plan = until(lambda: (p := explain(pilot))["status"] == "optimal" and p)
     assert len(plan["servers"]) == 3 and all("price_of_a_core" in s for s in plan["servers"])
-    text = subprocess.run([sys.executable, "-m", "damsonpick", "explain", "weights", str(pilot.file)],
-                          capture_output=True, text=True, check=True).stdout
+    text = subprocess.run(
+        [sys.executable, "-m", "damsonpick", "explain", "weights", str(pilot.file)],
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stdout
     assert name(1) in text and "price of work" in text
     pilot.list(s1="terminating", s2="in_service", s3="in_service")
     client.until(lambda: drained_tables(client, 1))
@@ -72,8 +87,12 @@
 
 
 def explain(pilot):
-    done = subprocess.run([sys.executable, "-m", "damsonpick", "explain", "weights", str(pilot.file), "--json"],
-                          capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "damsonpick", "explain", "weights", str(pilot.file), "--json"],
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     return json.loads(done.stdout)
 
 
@@ -111,6 +130,7 @@
 
 
 def test_explain_where_there_is_nothing_to_solve(pilot):
-    done = subprocess.run([sys.executable, "-m", "damsonpick", "explain", "weights", str(pilot.file)],
-                          capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "damsonpick", "explain", "weights", str(pilot.file)], capture_output=True, text=True
+    )
     assert done.returncode == 2 and "nothing to do" in done.stderr
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -33,6 +33,7 @@
 
 # -- trust
 
+
 def test_trust_goes_by_age():
     made = started(fresh=FRESH, old=FRESH + 1, stale=OLD + 1)
     assert not made.say(NOW + trust.WAIT - 1), "a source has a moment to answer"
@@ -83,8 +84,18 @@
 def test_kept_ages_survive_a_clock_that_was_set():
     """The former life wrote at clock 500 s that it had an answer 20 s before; 30 s passed; the clock now says 9,000."""
     second = SECOND
-    kept = Snapshot(1, "p", Moment(0, "", 0), 500 * second, 490 * second, ("a",), 1,
-                    (Server("p", 0, 1.0, 480 * second), Server("q", 7, 1.0, 480 * second)), (), Fleet(0.0, 0.0))
+    kept = Snapshot(
+        1,
+        "p",
+        Moment(0, "", 0),
+        500 * second,
+        490 * second,
+        ("a",),
+        1,
+        (Server("p", 0, 1.0, 480 * second), Server("q", 7, 1.0, 480 * second)),
+        (),
+        Fleet(0.0, 0.0),
+    )
     listed = {"p": entry("p"), "q": entry("q", started=9), "r": entry("r")}
     at = {"p": (100 * second, "list"), "q": (100 * second, "list"), "r": (50 * second, "list")}
     found = recall.kept(kept, 9000 * second, 30 * second, listed, at)
@@ -118,6 +129,7 @@
 
 # -- a list from which much vanished
 
+
 def roster(count=10):
     made = Roster(("a",))
     made.take(NOW, [entry(f"s{k}") for k in range(count)])
@@ -171,6 +183,7 @@
 
 # -- several sources
 
+
 def test_the_best_source_that_answers_is_believed_and_a_blip_changes_nothing():
     made = Sources(("main", "spare"), NOW)
     made.take(NOW, "spare", some(1))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -71,11 +71,18 @@
     assert statement.ranges_of("weights over the limit") is None
 
 
-orders_ = st.lists(st.lists(st.one_of(
-    st.builds(order, st.integers(0, 3), st.sampled_from("abcd"), st.sampled_from((0.0, 1.0, 2.5))),
-    st.builds(api.Withdraw, st.sampled_from("abcd"), st.booleans()),
-    st.builds(lambda lv, t: api.Admit(t, (0,), lv, 1), st.sampled_from((1.0, 0.5)), st.sampled_from((None, 1)))),
-    min_size=1, max_size=4), max_size=12)
+orders_ = st.lists(
+    st.lists(
+        st.one_of(
+            st.builds(order, st.integers(0, 3), st.sampled_from("abcd"), st.sampled_from((0.0, 1.0, 2.5))),
+            st.builds(api.Withdraw, st.sampled_from("abcd"), st.booleans()),
+            st.builds(lambda lv, t: api.Admit(t, (0,), lv, 1), st.sampled_from((1.0, 0.5)), st.sampled_from((None, 1))),
+        ),
+        min_size=1,
+        max_size=4,
+    ),
+    max_size=12,
+)
 
 
 @given(orders_)
@@ -86,8 +93,11 @@
     first, last = min(states), max(states)
     difference = history.difference(first, last)
     assert {(u, k) for u, keys in difference.items() for k in keys} == {
-        (u, k) for u in states[last] for k in {**states[first][u], **states[last][u]}
-        if states[first][u].get(k) != states[last][u].get(k)}
+        (u, k)
+        for u in states[last]
+        for k in {**states[first][u], **states[last][u]}
+        if states[first][u].get(k) != states[last][u].get(k)
+    }
 
 
 def test_versions_are_found_by_number_or_root_and_pruned_by_count_and_age():
@@ -108,8 +118,9 @@
 def keeper(path, published=None, held=None, keep=100):
     published = published or Published(("page",), 4)
     versions = held if held is not None else {}
-    made = Keeper(published, lambda units: {u: versions[u] for u in units if u in versions}, VersionStore(path), keep,
-                  10**18, LOG)
+    made = Keeper(
+        published, lambda units: {u: versions[u] for u in units if u in versions}, VersionStore(path), keep, 10**18, LOG
+    )
     return made, published, versions
 
 
@@ -185,8 +196,12 @@
 
 
 def test_a_rollback_never_revives_barred_never_pushes_cold_never_leaves_bare():
-    target = {"slice/0": {"line a": 1.0, "line gone": 2.0}, "slice/1": {"line gone": 1.0},
-              "slice/2": {"line cold": 5.0, "line a": 1.0}, "slice/3": {"line cold": 1.0}}
+    target = {
+        "slice/0": {"line a": 1.0, "line gone": 2.0},
+        "slice/1": {"line gone": 1.0},
+        "slice/2": {"line cold": 5.0, "line a": 1.0},
+        "slice/3": {"line cold": 1.0},
+    }
     tables = {0: {"b": 1.0}, 1: {"b": 1.0}, 2: {"cold": 1.0}, 3: {"b": 2.0}}
     made = rollback.plan(target, tables, lambda n: n == "gone", lambda n: n == "cold")
     after = {n: dict(t) for n, t in tables.items()}
@@ -227,11 +242,29 @@
     pin = Pin()
     pin.set(3, 100)
     tables = {0: {"a": 1.0, "b": 1.0}, 1: {"a": 1.0}}
-    orders = [order(0, "c", 1.0), order(0, "a", 0.0), order(1, "a", 0.0), order(1, "b", 1.0), order(1, "a", 0.0),
-              api.Withdraw("a", True), api.Admit(None, (0,), 0.5, 1), api.ClearTable(0), order(0, "b", 2.0)]
+    orders = [
+        order(0, "c", 1.0),
+        order(0, "a", 0.0),
+        order(1, "a", 0.0),
+        order(1, "b", 1.0),
+        order(1, "a", 0.0),
+        api.Withdraw("a", True),
+        api.Admit(None, (0,), 0.5, 1),
+        api.ClearTable(0),
+        order(0, "b", 2.0),
+    ]
     flow, held = pin.sift(orders, tables, lambda n: n == "a")
-    assert flow == [order(0, "a", 0.0), order(1, "b", 1.0), order(1, "a", 0.0), api.Withdraw("a", True),
-                    api.Admit(None, (0,), 0.5, 1)] and held == 4
+    assert (
+        flow
+        == [
+            order(0, "a", 0.0),
+            order(1, "b", 1.0),
+            order(1, "a", 0.0),
+            api.Withdraw("a", True),
+            api.Admit(None, (0,), 0.5, 1),
+        ]
+        and held == 4
+    )
     assert pin.holds(99) and not pin.holds(100)
     with pytest.raises(ValueError, match="somebody else acted"):
         pin.check(0)
--- a/tests/test_versions_pilot.py
+++ b/tests/test_versions_pilot.py
@@ -64,8 +64,9 @@
 
 
 async def _withdrawn(gates, name):
-    return all(name in g.holdings.tables["fleet"].lines or all(name not in t for t in weights(g).values())
-               for g in gates)
+    return all(
+        name in g.holdings.tables["fleet"].lines or all(name not in t for t in weights(g).values()) for g in gates
+    )
 
 
 async def test_two_operators_at_once_one_is_told(tmp_path):
@@ -139,8 +140,12 @@
         back = await say(pilot, "rollback", str(first), "--stages", "b,a", "--hold", "1500 ms")
         assert back["lines"] and not back["kept"]
         await settled(pilot, gates)
-        arrived = {g.name: min(t for t, d in g.got if d["type"] == EDS and any(
-            n.startswith("slice/") for n, *_ in d["resources"])) for g in gates}
+        arrived = {
+            g.name: min(
+                t for t, d in g.got if d["type"] == EDS and any(n.startswith("slice/") for n, *_ in d["resources"])
+            )
+            for g in gates
+        }
         first_b = min(t for n, t in arrived.items() if n in ("g1", "g3"))
         assert all(t - first_b >= 1.2 for n, t in arrived.items() if n in ("g0", "g2")), arrived
 
@@ -222,8 +227,11 @@
             first = (await say(pilot, "list"))["newest"]
             pilot.list(**{f"s{k}": "in_service" for k in range(1, 4 + turn % 3)})
             await anyio.sleep(rng.random() * 0.3)
-            process = subprocess.Popen([sys.executable, "-m", "damsonpick", "versions", "rollback", str(pilot.file),
-                                        str(first)], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "damsonpick", "versions", "rollback", str(pilot.file), str(first)],
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.DEVNULL,
+            )
             await anyio.sleep(0.3 + rng.random() * 0.3)
             pilot.stop(signal.SIGKILL)
             await anyio.to_thread.run_sync(process.wait)
@@ -255,16 +263,28 @@
     pilot.start()
     try:
         until(lambda: Path(tmp_path / "state" / "versions.db").exists())
-        done = subprocess.run([sys.executable, "-m", "damsonpick", "versions", "who", str(pilot.file)],
-                              capture_output=True, text=True, timeout=30)
+        done = subprocess.run(
+            [sys.executable, "-m", "damsonpick", "versions", "who", str(pilot.file)],
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
         assert done.returncode == 0 and "holds it" in done.stdout
-        done = subprocess.run([sys.executable, "-m", "damsonpick", "versions", "list", str(pilot.file)],
-                              capture_output=True, text=True, timeout=30)
+        done = subprocess.run(
+            [sys.executable, "-m", "damsonpick", "versions", "list", str(pilot.file)],
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
         assert done.returncode == 0 and "restart" in done.stdout and "not pinned" in done.stdout
     finally:
         pilot.stop()
-    done = subprocess.run([sys.executable, "-m", "damsonpick", "versions", "list", str(pilot.file)],
-                          capture_output=True, text=True, timeout=30)
+    done = subprocess.run(
+        [sys.executable, "-m", "damsonpick", "versions", "list", str(pilot.file)],
+        capture_output=True,
+        text=True,
+        timeout=30,
+    )
     assert done.returncode == 3 and "no pilot answers" in done.stderr
 
 
--- a/tests/test_xds_hard_cases.py
+++ b/tests/test_xds_hard_cases.py
@@ -96,8 +96,9 @@
     client = clients(pilot, delta=delta)
     client.until(served(client))
     last = client.settle() or [None]
-    response = discovery_pb2.DeltaDiscoveryResponse(type_url=EDS) if delta else discovery_pb2.DiscoveryResponse(
-        type_url=EDS)
+    response = (
+        discovery_pb2.DeltaDiscoveryResponse(type_url=EDS) if delta else discovery_pb2.DiscoveryResponse(type_url=EDS)
+    )
     assert last is not None
     client.answer(response, nonce="99.1.1.1", bad="never sent")
     until(lambda: pilot.log("stale"))
@@ -161,8 +162,11 @@
     for k in range(12):
         states["s1"] = "terminating" if k % 2 == 0 else "in_service"
         pilot.list(**states)
-        client.until(lambda k=k: (name(1) in client.tables["fleet"]) == (k % 2 == 0)
-                     or (k % 2 == 0 and drained(pilot, client, 1)))
+        client.until(
+            lambda k=k: (
+                (name(1) in client.tables["fleet"]) == (k % 2 == 0) or (k % 2 == 0 and drained(pilot, client, 1))
+            )
+        )
     stuck = gateway(pilot, "silent")
     assert stuck["unanswered"] <= 4 and stuck["waiting_lines"] < 60
 
@@ -229,8 +233,11 @@
     assert len(pilot.ask("status")["gateways"]) == 2
 
 
-@pytest.mark.parametrize("garbage", [b"\xff" * 40, b"\x0a\x7f\x01", bytes(range(256)), b"x" * 2_000_000],
-                         ids=["random", "truncated", "all-bytes", "oversized"])
+@pytest.mark.parametrize(
+    "garbage",
+    [b"\xff" * 40, b"\x0a\x7f\x01", bytes(range(256)), b"x" * 2_000_000],
+    ids=["random", "truncated", "all-bytes", "oversized"],
+)
 @pytest.mark.parametrize("method", ["StreamAggregatedResources", "DeltaAggregatedResources"])
 def test_bytes_that_are_no_request_end_their_stream_alone(pilot, clients, garbage, method):
     client = clients(pilot)
@@ -275,11 +282,15 @@
     assert len(pilot.ask("status")["endpoints"]) == 3, "the kept list stands in for the missing one"
 
 
-@pytest.mark.parametrize(("text", "what"), [
-    ("", "list_doubted"),
-    ("[server 127.0.0.1:9001]\nzone = a\n[server 127.0.0.1:9001]\nzone = b\n", "list_failed"),
-    ("[server 127.0.0.1:9001]\nstate = asleep\nzone = a\n", "list_failed"),
-], ids=["empty", "contradictory", "unknown state"])
+@pytest.mark.parametrize(
+    ("text", "what"),
+    [
+        ("", "list_doubted"),
+        ("[server 127.0.0.1:9001]\nzone = a\n[server 127.0.0.1:9001]\nzone = b\n", "list_failed"),
+        ("[server 127.0.0.1:9001]\nstate = asleep\nzone = a\n", "list_failed"),
+    ],
+    ids=["empty", "contradictory", "unknown state"],
+)
 def test_a_list_that_cannot_be_true_changes_nothing(pilot, clients, text, what):
     client = clients(pilot)
     client.until(served(client))
--- a/tests/versions_model.py
+++ b/tests/versions_model.py
@@ -74,16 +74,28 @@
 
     def key(self):
         watch = self.session.watches.get(EDS)
-        told = () if watch is None else (
-            tuple(sorted(watch.sent.items())), tuple(sorted(watch.held.items())), tuple(sorted(watch.due)),
-            tuple(tuple(sorted(f.versions.items())) for f in watch.flights.values()),
-            None if watch.repair is None else len(watch.repair), watch.repairs, tuple(map(tuple, watch.apart)),
-            tuple(sorted(watch.rejected.items())))
-        return (tuple(self.catalogue.at.items()), tuple(sorted(self.holdings.versions[EDS].items())), told,
-                tuple((m.control_plane.identifier, tuple((r.name, r.version) for r in m.resources))
-                      for m, _ in self.down),
-                tuple((bool(m.response_nonce), m.error_detail.message) for m in self.up),
-                tuple(sorted(self.holdings.refuse)))
+        told = (
+            ()
+            if watch is None
+            else (
+                tuple(sorted(watch.sent.items())),
+                tuple(sorted(watch.held.items())),
+                tuple(sorted(watch.due)),
+                tuple(tuple(sorted(f.versions.items())) for f in watch.flights.values()),
+                None if watch.repair is None else len(watch.repair),
+                watch.repairs,
+                tuple(map(tuple, watch.apart)),
+                tuple(sorted(watch.rejected.items())),
+            )
+        )
+        return (
+            tuple(self.catalogue.at.items()),
+            tuple(sorted(self.holdings.versions[EDS].items())),
+            told,
+            tuple((m.control_plane.identifier, tuple((r.name, r.version) for r in m.resources)) for m, _ in self.down),
+            tuple((bool(m.response_nonce), m.error_detail.message) for m in self.up),
+            tuple(sorted(self.holdings.refuse)),
+        )
 
     # -- actions
 
