--- a/damsonpick/daemon/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The running pilot: every part put together under one task group."""
--- a/damsonpick/engine/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The loop round the module: one clock, one writer."""
--- a/damsonpick/fronts/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What every wire stands on: sessions with their acknowledged position, queues, marks, stages."""
--- a/damsonpick/roster/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The server list: what sources say, judged before the module hears of it."""
--- a/damsonpick/rules/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The five rules, checked from recorded socket traffic alone."""
--- a/damsonpick/tables/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What is published: tables, levels, retry modes and withdrawals, as orders change them."""
--- a/damsonpick/wire/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Small helps for sockets and the client half of gRPC streams."""
