--- a/benchmarks/fanout.py
+++ b/benchmarks/fanout.py
@@ -25,9 +25,9 @@
 import psutil
 
 from damsonpick import interface as api
-from damsonpick.engine.clock import Clock
-from damsonpick.standins.listserver import ListServer
-from damsonpick.standins.record import Recorder
+from damsonpick.runtime.clock import Clock
+from damsonpick.testing.fakes.list_server import ListServer
+from damsonpick.testing.fakes.record import Recorder
 
 HERE = Path(__file__).resolve().parent
 SERVERS, SLICES, WORKERS = 60, 400, 4
--- a/benchmarks/hand_pilot.py
+++ b/benchmarks/hand_pilot.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
 from damsonpick.cli import main as cli
+from damsonpick.decisions.planner import Planner
 from damsonpick.solver import plan as plans
 from damsonpick.solver.advice import Advisor
 
--- a/benchmarks/knowledge_kills.py
+++ b/benchmarks/knowledge_kills.py
@@ -25,11 +25,11 @@
 import anyio
 
 from benchmarks.knowledge_restart import SECOND
-from damsonpick.badday import player
-from damsonpick.badday.script import Script
-from damsonpick.badday.stage import Stage
-from damsonpick.knowledge import codec, generations
 from damsonpick.settings.load import load
+from damsonpick.state.learned import codec, generations
+from damsonpick.testing.scenarios import player
+from damsonpick.testing.scenarios.environment import Stage
+from damsonpick.testing.scenarios.script import Script
 
 GATEWAYS = 20
 
--- a/benchmarks/knowledge_restart.py
+++ b/benchmarks/knowledge_restart.py
@@ -30,13 +30,13 @@
 import msgspec
 from scipy import stats
 
-from damsonpick.badday import player
-from damsonpick.badday.script import Script
-from damsonpick.badday.stage import Stage
-from damsonpick.badday.troubles import ALL
-from damsonpick.knowledge import codec, generations
-from damsonpick.knowledge.disk import OsDisk
-from damsonpick.knowledge.model import Fleet, Snapshot
+from damsonpick.state.learned import codec, generations
+from damsonpick.state.learned.disk import OsDisk
+from damsonpick.state.learned.snapshot import Fleet, Snapshot
+from damsonpick.testing.scenarios import player
+from damsonpick.testing.scenarios.environment import Stage
+from damsonpick.testing.scenarios.faults import ALL
+from damsonpick.testing.scenarios.script import Script
 
 SECOND = 1_000_000_000
 KILL, WINDOW, END = 24, 30, 56  # s of the day
--- a/benchmarks/proxy_faults.py
+++ b/benchmarks/proxy_faults.py
@@ -20,10 +20,10 @@
 import structlog
 from anyio.abc import SocketAttribute, SocketStream
 
-from damsonpick.proxy.holdings import Table
+from damsonpick.protocols.xds.names import EDS
 from damsonpick.proxy.program import Proxy
+from damsonpick.proxy.received_state import Table
 from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
-from damsonpick.xds.names import EDS
 
 SECOND = 1_000_000_000
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
--- a/benchmarks/proxy_rate.py
+++ b/benchmarks/proxy_rate.py
@@ -88,7 +88,7 @@
 
 
 def filled(holdings: object, ports: list[int], slices: int, lines: int) -> list[tuple[str, str, bytes]]:
-    from damsonpick.proxy.holdings import Table
+    from damsonpick.proxy.received_state import Table
 
     for n in range(slices):
         table = {f"127.0.0.1:{p}": (1000, "a") for p in ports}
@@ -100,9 +100,9 @@
 async def proxy(ports: list[int], slices: int, lines: int) -> None:
     import structlog
 
+    from damsonpick.protocols.xds.names import EDS
     from damsonpick.proxy.program import Proxy
     from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
-    from damsonpick.xds.names import EDS
 
     settings = ProxySettings(
         proxy=Own(name="p", zone="a", slices=slices),
@@ -118,11 +118,11 @@
 
 async def standin(ports: list[int]) -> None:
     """The earlier stand-in gateway's forwarding behind a socket of its own."""
-    from damsonpick.engine.clock import Clock
-    from damsonpick.proxy.holdings import Table
-    from damsonpick.standins import http
-    from damsonpick.standins.gateway import Gateway, Kind, Links
-    from damsonpick.standins.record import Recorder
+    from damsonpick.proxy.received_state import Table
+    from damsonpick.runtime.clock import Clock
+    from damsonpick.testing.fakes import http
+    from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
+    from damsonpick.testing.fakes.record import Recorder
 
     kind = Kind("page", 10**9, 10**10, "read_like")
     clock = Clock()
--- a/benchmarks/sasp.py
+++ b/benchmarks/sasp.py
@@ -28,14 +28,14 @@
 import anyio
 import psutil
 
-from damsonpick.sasp import codec
-from damsonpick.sasp.client import connect
-from damsonpick.sasp.layout import GetWeights, Group, LbFlag, MembersOf, Message, Sender, member
-from damsonpick.sasp.pace import Meter, Pace
-from damsonpick.sasp.registry import Limits, Registry
-from damsonpick.sasp.session import Desk, SaspSession
-from damsonpick.sasp.weights import Known
-from damsonpick.tables.published import Published
+from damsonpick.protocols.sasp import codec
+from damsonpick.protocols.sasp.client import connect
+from damsonpick.protocols.sasp.layout import GetWeights, Group, LbFlag, MembersOf, Message, Sender, member
+from damsonpick.protocols.sasp.pacing import Meter, Pace
+from damsonpick.protocols.sasp.registry import Limits, Registry
+from damsonpick.protocols.sasp.session import Desk, SaspSession
+from damsonpick.protocols.sasp.weights import Known
+from damsonpick.state.published_tables import Published
 from tests.gates import Gate
 from tests.pilots import Pilot, name
 
--- a/benchmarks/simhost_advised.py
+++ b/benchmarks/simhost_advised.py
@@ -11,10 +11,10 @@
 import os
 import sys
 
-from damsonpick.choice import Planner
+from damsonpick.decisions.planner import Planner
 from damsonpick.interface import Event, TableAdvised
-from damsonpick.simhost import __main__ as program
-from damsonpick.simhost import host as hosts
+from damsonpick.protocols.simulator import __main__ as program
+from damsonpick.protocols.simulator import host as hosts
 from damsonpick.solver.lines import LinesProblem, Piece, divide
 from damsonpick.solver.model import Costs, Kind, Server
 
--- a/benchmarks/solver_scenarios.py
+++ b/benchmarks/solver_scenarios.py
@@ -20,11 +20,11 @@
 import tempfile
 from pathlib import Path
 
-from damsonpick.badday import player
-from damsonpick.badday.script import Script
 from damsonpick.solver.model import Costs, Kind, Problem, Server
 from damsonpick.solver.plan import plan
 from damsonpick.solver.program import Program
+from damsonpick.testing.scenarios import player
+from damsonpick.testing.scenarios.script import Script
 
 ROOT = Path(__file__).resolve().parent.parent
 SECOND = 1_000_000_000
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -27,21 +27,21 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from damsonpick import interface as api
-from damsonpick.engine.clock import Clock
-from damsonpick.fronts.session import Due
-from damsonpick.proxy.follow import Follower
-from damsonpick.proxy.holdings import Asker, Holdings
+from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.xds.names import EDS
+from damsonpick.protocols.xds.resources import Catalogue
+from damsonpick.protocols.xds.session import DeltaSession
 from damsonpick.proxy.program import Proxy
+from damsonpick.proxy.received_state import Asker, Holdings
 from damsonpick.proxy.settings import Own, ProxySettings, RequestClass
-from damsonpick.roster.redial import Redial
+from damsonpick.proxy.watch_client import Follower
+from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.clock import Clock
 from damsonpick.settings import load
-from damsonpick.tables.published import Published
-from damsonpick.versions.digest import Digest
-from damsonpick.versions.keeper import Keeper
-from damsonpick.versions.store import VersionStore
-from damsonpick.xds.names import EDS
-from damsonpick.xds.resources import Catalogue
-from damsonpick.xds.session import DeltaSession
+from damsonpick.state.history.database import VersionStore
+from damsonpick.state.history.digest import Digest
+from damsonpick.state.history.recorder import Keeper
+from damsonpick.state.published_tables import Published
 from tests.pilots import SETTINGS, Pilot
 
 SLICES, LINES, READERS = 400, 60, 10
--- a/damsonpick/cli/asking.py
+++ b/damsonpick/cli/asking.py
@@ -9,7 +9,7 @@
 import anyio
 import click
 
-from damsonpick.daemon import control
+from damsonpick.controller import control_socket
 
 WRONG, NO_PILOT = 2, 3
 settings_file = click.argument("file", type=click.Path(path_type=Path))
@@ -31,8 +31,8 @@
     """The answer of the pilot that runs on these settings; ends the program with code 3 where none answers."""
     settings = load_settings(file)
     try:
-        reply = anyio.run(control.ask, settings.control_path(), request)
-    except control.ControlError as error:
+        reply = anyio.run(control_socket.ask, settings.control_path(), request)
+    except control_socket.ControlError as error:
         click.echo(str(error), err=True)
         sys.exit(NO_PILOT)
     if "error" in reply:
--- a/damsonpick/cli/knowledge.py
+++ b/damsonpick/cli/knowledge.py
@@ -20,8 +20,8 @@
 
 
 def _found(file: Path) -> tuple[Any, Any, Path]:
-    from damsonpick.knowledge import generations
-    from damsonpick.knowledge.disk import OsDisk
+    from damsonpick.state.learned import generations
+    from damsonpick.state.learned.disk import OsDisk
 
     settings = load_settings(file)
     folder = settings.knowledge_path()
@@ -29,8 +29,8 @@
 
 
 def _aged(found: Any) -> tuple[Any, Any]:
-    from damsonpick.knowledge import ageing
-    from damsonpick.knowledge.disk import moment
+    from damsonpick.state.learned import ageing
+    from damsonpick.state.learned.disk import moment
 
     age = ageing.age(found.snapshot.at, moment())
     return age, ageing.fade(found.snapshot, age.ns)
@@ -94,7 +94,7 @@
 @settings_file
 def verify(file: Path) -> None:
     """Read every generation and say which are whole. Exit code 1: one is not."""
-    from damsonpick.knowledge import codec, generations
+    from damsonpick.state.learned import codec, generations
 
     folder = load_settings(file).knowledge_path()
     bad = 0
@@ -132,14 +132,14 @@
 @settings_file
 def forget(file: Path) -> None:
     """Forget what was learned. Tables, list and withdrawals stay; a running pilot starts to learn anew."""
-    from damsonpick.daemon import control
-    from damsonpick.knowledge import generations
+    from damsonpick.controller import control_socket
+    from damsonpick.state.learned import generations
 
     settings = load_settings(file)
     try:
-        anyio.run(control.ask, settings.control_path(), {"ask": "forget"})
+        anyio.run(control_socket.ask, settings.control_path(), {"ask": "forget"})
         click.echo("forgotten; the running pilot learns anew")
-    except control.ControlError:
+    except control_socket.ControlError:
         count = generations.remove(settings.knowledge_path())
         click.echo(f"forgotten: {count} files of {settings.knowledge_path()}")
 
--- a/damsonpick/cli/main.py
+++ b/damsonpick/cli/main.py
@@ -63,12 +63,12 @@
 
 def serve(settings: Any, port_file: Path | None, **parts: Any) -> None:
     """Run a pilot in the foreground; `parts` go to Pilot as they are."""
-    from damsonpick.daemon.logs import configure
-    from damsonpick.daemon.pilot import Pilot
-    from damsonpick.knowledge.disk import LockError
-    from damsonpick.sasp.server import FrontError
-    from damsonpick.store.sqlite import StoreError
-    from damsonpick.wire import portfile
+    from damsonpick.controller.daemon import Pilot
+    from damsonpick.protocols.sasp.server import FrontError
+    from damsonpick.runtime import port_file
+    from damsonpick.runtime.logs import configure
+    from damsonpick.state.learned.disk import LockError
+    from damsonpick.state.store.sqlite import StoreError
 
     log = configure(settings.log.format, settings.log.level)
 
@@ -76,9 +76,9 @@
         pilot = Pilot(settings, log, **parts)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async with pilot.running():
-                portfile.write(port_file, pilot.port)
+                port_file.write(port_file, pilot.port)
                 if port_file is not None and pilot.sasp is not None:
-                    portfile.write(port_file.with_suffix(".sasp"), pilot.sasp.port)
+                    port_file.write(port_file.with_suffix(".sasp"), pilot.sasp.port)
                 async for _ in signals:
                     break
 
@@ -174,9 +174,9 @@
 
     Exit code 0: ended in order; 2: settings or address cannot be used.
     """
-    from damsonpick.daemon.logs import configure
     from damsonpick.proxy import program
     from damsonpick.proxy.settings import load
+    from damsonpick.runtime.logs import configure
     from damsonpick.settings.load import SettingsError
 
     try:
@@ -202,8 +202,8 @@
 
     Open loop: requests are sent when they are due, and latency counts from then. Exit code 2: wrong input.
     """
-    from damsonpick.load import player, results
-    from damsonpick.load.experiment import read
+    from damsonpick.load_tool import player, results
+    from damsonpick.load_tool.experiment import read
     from damsonpick.settings.load import SettingsError
 
     try:
@@ -317,7 +317,7 @@
     The five rules are checked from what passed on the sockets. Exit code 0: all kept on every day; 1: one was
     broken, it is named; 2: a script cannot be read.
     """
-    from damsonpick.badday import report
+    from damsonpick.testing.scenarios import report
 
     sys.exit(report.rehearse(days, seed, times, keep, shlex.split(pilot) if pilot else None, as_json, proxies))
 
--- a/damsonpick/cli/sasp.py
+++ b/damsonpick/cli/sasp.py
@@ -11,8 +11,8 @@
 import click
 
 from damsonpick.cli.asking import NO_PILOT, WRONG, as_json, ask, rows, settings_file
-from damsonpick.sasp import client as wire
-from damsonpick.sasp.layout import LbFlag, SendWeights, WeightFlag, WeightsOf, member
+from damsonpick.protocols.sasp import client as wire
+from damsonpick.protocols.sasp.layout import LbFlag, SendWeights, WeightFlag, WeightsOf, member
 
 MARKS = {
     WeightFlag.CONTACT: "contact",
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -10,29 +10,29 @@
 from anyio.abc import TaskGroup
 
 from damsonpick import interface as api
-from damsonpick.channel.queue import Channel
-from damsonpick.choice import Planner
-from damsonpick.daemon import control
-from damsonpick.daemon.listing import Listing
-from damsonpick.daemon.questions import Questions
-from damsonpick.daemon.remembering import Remembering
-from damsonpick.daemon.solving import Solving
-from damsonpick.engine.clock import Clock
-from damsonpick.engine.core import Engine
-from damsonpick.evidence.sums import Evidence, GatewaySums
-from damsonpick.fronts.hub import Hub
-from damsonpick.knowledge.disk import FolderLock
-from damsonpick.roster.judge import Roster
-from damsonpick.sasp.server import SaspServer
+from damsonpick.controller import control_socket
+from damsonpick.controller.engine import Engine
+from damsonpick.controller.list_watch import Listing
+from damsonpick.controller.snapshots import Remembering
+from damsonpick.controller.solver_task import Solving
+from damsonpick.controller.version_queries import Questions
+from damsonpick.decisions.planner import Planner
+from damsonpick.protocols.sasp.server import SaspServer
+from damsonpick.protocols.shared.send_queue import Channel
+from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.protocols.xds.names import EDS
+from damsonpick.protocols.xds.resources import Catalogue
+from damsonpick.protocols.xds.server import XdsServer
+from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
 from damsonpick.solver.advice import Advisor
-from damsonpick.store.sqlite import Store
-from damsonpick.tables.published import Published
-from damsonpick.versions.keeper import Keeper
-from damsonpick.versions.store import open_store
-from damsonpick.xds.names import EDS
-from damsonpick.xds.resources import Catalogue
-from damsonpick.xds.server import XdsServer
+from damsonpick.state.endpoint_list.validation import Roster
+from damsonpick.state.history.database import open_store
+from damsonpick.state.history.recorder import Keeper
+from damsonpick.state.learned.disk import FolderLock
+from damsonpick.state.load_reports import Evidence, GatewaySums
+from damsonpick.state.published_tables import Published
+from damsonpick.state.store.sqlite import Store
 
 SECOND = 1_000_000_000
 GATHER = 0.001  # real s: what happens within it is handed over in one step; a thousand joins are not a thousand steps
@@ -144,7 +144,7 @@
             self.log.info("pilot_ended", name=self.settings.pilot.name)
 
     async def _control(self, *, task_status: Any) -> None:
-        await control.serve(self.settings.control_path(), self.answer, task_status.started)
+        await control_socket.serve(self.settings.control_path(), self.answer, task_status.started)
 
     async def _drive(self) -> None:
         """The one loop that steps the engine and lets the channel flow."""
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -11,20 +11,20 @@
 from typing import Any
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
-from damsonpick.engine import explain
-from damsonpick.engine.loop import SECOND, Loop
-from damsonpick.fronts.hub import Hub
-from damsonpick.fronts.session import Session
-from damsonpick.knowledge import ageing, recall
-from damsonpick.knowledge.model import Fleet, Moment, Snapshot
-from damsonpick.roster.judge import Roster
+from damsonpick.controller import explain
+from damsonpick.decisions.planner import Planner
+from damsonpick.protocols.shared.session import Session
+from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.runtime.decision_loop import SECOND, Loop
 from damsonpick.settings.model import PilotSettings
-from damsonpick.store.sqlite import Store
-from damsonpick.tables.published import Change, Published
-from damsonpick.versions import rollback
-from damsonpick.versions.history import number_of
-from damsonpick.versions.keeper import Keeper
+from damsonpick.state.endpoint_list.validation import Roster
+from damsonpick.state.history import rollback
+from damsonpick.state.history.history import number_of
+from damsonpick.state.history.recorder import Keeper
+from damsonpick.state.learned import ageing, restore
+from damsonpick.state.learned.snapshot import Fleet, Moment, Snapshot
+from damsonpick.state.published_tables import Change, Published
+from damsonpick.state.store.sqlite import Store
 
 NOTHING_LEARNED = Fleet(0.0, 0.0)
 
@@ -120,8 +120,8 @@
         classes = self.published.classes
         events: list[api.Event] = []
         if learned is not None:
-            wrong = recall.fits(learned, classes, self.published.slices)
-            events, anew = recall.events(learned, self.roster.entries, self.owned, not wrong)
+            wrong = restore.fits(learned, classes, self.published.slices)
+            events, anew = restore.events(learned, self.roster.entries, self.owned, not wrong)
             self.log.info(
                 "recalled",
                 servers=sum(isinstance(e, api.EndpointRecalled) for e in events),
@@ -138,7 +138,7 @@
         """What the planner at work has learned, to hand it to the next one."""
         if not isinstance(self.planner, Planner):
             return None
-        return recall.take(self.planner, 0, self.owner, Moment(0, "", 0))
+        return restore.take(self.planner, 0, self.owner, Moment(0, "", 0))
 
     def forget(self, now: int) -> None:
         """A planner that has learned nothing, in place of the one at work; tables and orders stay."""
--- a/damsonpick/controller/explain.py
+++ b/damsonpick/controller/explain.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from damsonpick.choice import Planner
-from damsonpick.tables.published import Published
+from damsonpick.decisions.planner import Planner
+from damsonpick.state.published_tables import Published
 
 SLOW = 0.75  # learned speed below which an operator is told; a word for people, no decision
 
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -9,19 +9,19 @@
 import anyio
 
 from damsonpick import interface as api
-from damsonpick.engine.clock import Clock
-from damsonpick.engine.core import Engine
-from damsonpick.evidence.sums import Evidence
-from damsonpick.knowledge import recall
-from damsonpick.knowledge.model import Snapshot
-from damsonpick.knowledge.trust import Trust
-from damsonpick.roster.judge import Roster, Verdict
-from damsonpick.roster.listfile import FileSource, ListError
-from damsonpick.roster.redial import Redial
-from damsonpick.roster.sources import Sources
-from damsonpick.roster.upstream import UpstreamSource
+from damsonpick.controller.engine import Engine
+from damsonpick.protocols.list_file import FileSource
+from damsonpick.protocols.xds.endpoint_list_client import UpstreamSource
+from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import ListSource, PilotSettings
-from damsonpick.store.sqlite import Store
+from damsonpick.state.endpoint_list.sources import ListError, Sources
+from damsonpick.state.endpoint_list.validation import Roster, Verdict
+from damsonpick.state.learned import restore
+from damsonpick.state.learned.list_confidence import Trust
+from damsonpick.state.learned.snapshot import Snapshot
+from damsonpick.state.load_reports import Evidence
+from damsonpick.state.store.sqlite import Store
 
 LOOK = 250_000_000  # ns between looks at what only time changes
 FIRST = "list"  # the name of the source in [list]
@@ -58,7 +58,7 @@
         """The kept list is in force."""
         now = self.clock.now()
         self.evidence.known = set(self.roster.entries)
-        self.trust.start(now, recall.kept(learned, now, away, self.roster.entries, self.store.listed_at()))
+        self.trust.start(now, restore.kept(learned, now, away, self.roster.entries, self.store.listed_at()))
 
     def vouched(self) -> int:
         """Clock time when the believed source last stood by the list; 0: it does not."""
--- a/damsonpick/controller/snapshots.py
+++ b/damsonpick/controller/snapshots.py
@@ -9,12 +9,12 @@
 import anyio
 import anyio.to_thread
 
-from damsonpick.engine.clock import Clock
-from damsonpick.engine.core import Engine
-from damsonpick.knowledge import ageing, codec, generations, recall
-from damsonpick.knowledge.disk import OsDisk, moment
-from damsonpick.knowledge.model import Draft, Snapshot
+from damsonpick.controller.engine import Engine
+from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
+from damsonpick.state.learned import ageing, codec, generations, restore
+from damsonpick.state.learned.disk import OsDisk, moment
+from damsonpick.state.learned.snapshot import Draft, Snapshot
 
 
 class Remembering:
@@ -71,7 +71,7 @@
         planner = engine.planner
         if planner is None or self.found.newer:
             return
-        capture = recall.Capture(
+        capture = restore.Capture(
             planner,
             self.sequence + 1,
             self.settings.pilot.name,
--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -7,9 +7,9 @@
 
 import anyio
 
-from damsonpick.daemon.worker import Worker
-from damsonpick.engine.clock import Clock
-from damsonpick.engine.core import Engine
+from damsonpick.controller.engine import Engine
+from damsonpick.controller.worker import Worker
+from damsonpick.runtime.clock import Clock
 from damsonpick.solver import work
 from damsonpick.solver.advice import Advisor
 
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from damsonpick.engine.core import Engine
-from damsonpick.fronts.hub import Hub
+from damsonpick.controller.engine import Engine
+from damsonpick.protocols.shared.session_manager import Hub
 from damsonpick.settings.model import PilotSettings
-from damsonpick.versions.keeper import Keeper
+from damsonpick.state.history.recorder import Keeper
 
 MOST = 1000  # versions in one answer
 
--- a/damsonpick/controller/worker.py
+++ b/damsonpick/controller/worker.py
@@ -1,6 +1,6 @@
 """A worker process for solves: orders never wait for one, and one that takes too long is ended for good.
 
-`python -m damsonpick.daemon.worker` reads a length and a pickle on standard input and answers in kind. What the
+`python -m damsonpick.controller.worker` reads a length and a pickle on standard input and answers in kind. What the
 solver library prints goes to standard error: the pipe carries answers alone. Only the parent's own
 objects pass, over a pipe of its own.
 """
@@ -34,7 +34,7 @@
         """
         if self.process is None:
             self.process = await anyio.open_process(
-                [sys.executable, "-m", "damsonpick.daemon.worker"], stderr=subprocess.DEVNULL
+                [sys.executable, "-m", "damsonpick.controller.worker"], stderr=subprocess.DEVNULL
             )
             self.lines = BufferedByteReceiveStream(self.process.stdout)
         body = pickle.dumps((task, arguments))
--- /dev/null
+++ b/damsonpick/edge.py
@@ -0,0 +1,8 @@
+"""`python -m damsonpick.edge`: the platform's pilot under the name that the deploy file and the README give it."""
+
+import sys
+
+from damsonpick.protocols.platform.__main__ import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/damsonpick/load_tool/player.py
+++ b/damsonpick/load_tool/player.py
@@ -9,8 +9,8 @@
 import httptools
 from anyio.abc import SocketStream
 
-from damsonpick.load.experiment import Arrival, Experiment, Kind, arrivals
-from damsonpick.load.results import Tally, report
+from damsonpick.load_tool.experiment import Arrival, Experiment, Kind, arrivals
+from damsonpick.load_tool.results import Tally, report
 
 READ = 262_144
 
--- a/damsonpick/load_tool/results.py
+++ b/damsonpick/load_tool/results.py
@@ -13,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from damsonpick.load.experiment import Experiment
+from damsonpick.load_tool.experiment import Experiment
 
 LEAST, MOST, DIGITS = 1, 100_000_000, 3  # microseconds
 PERCENTILES = (50, 90, 99, 99.9, 100)
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -18,16 +18,13 @@
 import anyio
 
 from damsonpick import interface as api
-from damsonpick.roster.judge import STATES
 from damsonpick.settings.units import address
+from damsonpick.state.endpoint_list.sources import ListError
+from damsonpick.state.endpoint_list.validation import STATES
 
 KEYS = ("zone", "state", "weight", "started")
 
 
-class ListError(Exception):
-    """The list cannot be used; the text names file, section, key and remedy."""
-
-
 def parse(text: str, name: str = "list") -> list[api.ListEntry]:
     """All entries, or ListError naming the first thing wrong: half a list would be a smaller fleet."""
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
--- a/damsonpick/protocols/platform/__main__.py
+++ b/damsonpick/protocols/platform/__main__.py
@@ -7,9 +7,9 @@
 
 import anyio
 
-from damsonpick.daemon import logs
-from damsonpick.edge import config
-from damsonpick.edge.pilot import SIGNALS, Pilot
+from damsonpick.protocols.platform import config
+from damsonpick.protocols.platform.pilot import SIGNALS, Pilot
+from damsonpick.runtime import logs
 
 
 def main() -> int:
--- a/damsonpick/protocols/platform/config.py
+++ b/damsonpick/protocols/platform/config.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from damsonpick import bootstrap
 from damsonpick import interface as api
-from damsonpick.edge import discovery
+from damsonpick.protocols.platform import discovery
+from damsonpick.protocols.shared import instance_settings
 
 VARIABLE = "EDGE_CONFIG"
 MOST_BYTES = 16 << 20
@@ -75,10 +75,10 @@
     if not isinstance(tree, dict):
         raise ConfigError("not a JSON object: write one object")
     values = _branch(tree, "settings")
-    flat = dict(bootstrap.flatten(values))
+    flat = dict(instance_settings.flatten(values))
     try:
-        settings, zones = bootstrap.read_settings(flat), bootstrap.Fields(flat).words("zones")
-    except bootstrap.SettingError as error:
+        settings, zones = instance_settings.read_settings(flat), instance_settings.Fields(flat).words("zones")
+    except instance_settings.SettingError as error:
         raise ConfigError(f"settings: {error}") from None
     return Config(
         name=_text(tree, "name"),
--- a/damsonpick/protocols/platform/connection_limiter.py
+++ b/damsonpick/protocols/platform/connection_limiter.py
@@ -9,12 +9,12 @@
 from typing import Any, NamedTuple
 
 from damsonpick import interface as api
-from damsonpick.edge import frames, messages
+from damsonpick.protocols.platform import framing, messages
 
 JOIN_WITHIN = 1.0  # s
 FIRST_MOST = 4096  # bytes of a message before joining: half of one must not hold much memory
 RESERVED = 64  # descriptors kept for the relay, discovery, collectors, the loop and its logs
-ALIVE = frames.frame(b'{"@type":"hb_ok"}')
+ALIVE = framing.frame(b'{"@type":"hb_ok"}')
 
 
 class Heard(NamedTuple):
@@ -42,7 +42,7 @@
 
     def __init__(self, reports: messages.Reports) -> None:
         self.reports = reports
-        self.frames = frames.Frames(FIRST_MOST)
+        self.frames = framing.Frames(FIRST_MOST)
         self.zone = ""  # of a collector that has joined
         self.last = 0  # ns: when bytes last came
 
@@ -58,7 +58,7 @@
         try:
             while (body := self.frames.next()) is not None:
                 heard = self._take(body, heard)
-        except (frames.FrameError, messages.Unreadable, Turned) as error:
+        except (framing.FrameError, messages.Unreadable, Turned) as error:
             raise Turned(str(error), heard) from None
         return heard
 
@@ -83,7 +83,7 @@
         if message.zone not in self.reports.zones:
             raise messages.Spoilt(f"zone: {message.zone[:60]!r} does not exist")
         self.zone = message.zone
-        self.frames.most = frames.MOST
+        self.frames.most = framing.MOST
 
 
 class Door:
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -6,8 +6,8 @@
 import httptools
 from anyio.abc import SocketStream
 
-from damsonpick.edge.config import Address
-from damsonpick.wire.sockets import idle
+from damsonpick.protocols.platform.config import Address
+from damsonpick.runtime.sockets import idle
 
 READ = 65_536
 BODY_MOST = 1 << 20  # bytes of an answer
--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -9,11 +9,11 @@
 import anyio
 
 from damsonpick import interface as api
-from damsonpick.edge import http
-from damsonpick.edge.config import Address
-from damsonpick.edge.orders import Call, Order, Orders, read_answer
-from damsonpick.edge.relay import Registry
-from damsonpick.roster.redial import Redial
+from damsonpick.protocols.platform import http_client
+from damsonpick.protocols.platform.config import Address
+from damsonpick.protocols.platform.pending_orders import Call, Order, Orders, read_answer
+from damsonpick.protocols.platform.registry import Registry
+from damsonpick.runtime.backoff import Redial
 
 CONNECT = 0.3  # s
 ANSWER = 0.16  # s; an answer comes within 50 ms or never, and the loop may be late itself
@@ -40,7 +40,7 @@
         rng: random.Random,
         log: Any,
     ) -> None:
-        self.caller = http.Caller(address, KEEP)
+        self.caller = http_client.Caller(address, KEEP)
         self.orders, self.registry, self.tell, self.takes, self.log = orders, registry, tell, takes, log
         self.redial = Redial(rng, FIRST, MOST)
         self.bell = anyio.Event()
@@ -53,7 +53,7 @@
 
     def point(self, address: Address) -> None:
         """Call this address from now on; the call under way ends where it began."""
-        self.caller = http.Caller(address, KEEP)
+        self.caller = http_client.Caller(address, KEEP)
         self.redial.succeeded()
         self.bell.set()
 
@@ -74,11 +74,11 @@
             if caller is not self.caller:
                 await caller.close()
 
-    async def _once(self, caller: http.Caller) -> bool:
+    async def _once(self, caller: http_client.Caller) -> bool:
         """One try at the oldest orders; whether the next may follow at once."""
         try:
             await caller.connect(CONNECT)
-        except http.Broken as error:
+        except http_client.Broken as error:
             self.log.warning("relay_not_reached", why=str(error), waiting=len(self.orders.waiting))
             return False
         call = self.orders.call()
@@ -88,7 +88,7 @@
         charges = self.registry.charges
         try:
             _, body = await caller.call("POST", "/txn", call.body, ANSWER)
-        except http.Broken as error:
+        except http_client.Broken as error:
             return await self._nobody_knows(str(error), call, charges)
         return await self._answered(caller, call, body, charges)
 
@@ -106,7 +106,7 @@
             await anyio.sleep(self.takes(len(call.orders)))
         return False
 
-    async def _answered(self, caller: http.Caller, call: Call, body: bytes, charges: int) -> bool:
+    async def _answered(self, caller: http_client.Caller, call: Call, body: bytes, charges: int) -> bool:
         answer = read_answer(body, len(call.orders))
         if answer is None:
             await caller.close()
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -15,16 +15,16 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
-from damsonpick.edge import config as cfg
-from damsonpick.edge import discovery, door, http, messages
-from damsonpick.edge.beliefs import Beliefs
-from damsonpick.edge.calls import Calls
-from damsonpick.edge.orders import MARKS, Orders
-from damsonpick.edge.relay import Registry, Standing
-from damsonpick.edge.watches import Follower
-from damsonpick.engine.clock import Clock
-from damsonpick.engine.loop import Loop, Step
+from damsonpick.decisions.planner import Planner
+from damsonpick.protocols.platform import config as cfg
+from damsonpick.protocols.platform import connection_limiter, discovery, http_client, messages
+from damsonpick.protocols.platform.order_client import Calls
+from damsonpick.protocols.platform.pending_orders import MARKS, Orders
+from damsonpick.protocols.platform.registry import Registry, Standing
+from damsonpick.protocols.platform.state_log import Beliefs
+from damsonpick.protocols.platform.watch_client import Follower
+from damsonpick.runtime.clock import Clock
+from damsonpick.runtime.decision_loop import Loop, Step
 
 GATHER = 0.004  # s: what happens within it is handed over in one step
 NEWS_SILENCE = 2.4  # s; a sign of life is due every second
@@ -54,7 +54,7 @@
                 self.pilot.doubts.add("news", str(error))
                 continue
             except messages.Unreadable as error:
-                raise http.Broken(f"news: {error}") from None
+                raise http_client.Broken(f"news: {error}") from None
             self._one(news)
         return self.first is None
 
@@ -90,7 +90,7 @@
                 self._one(discovery.decode(line))
             except discovery.ListingError as error:
                 self.pilot.roster.whole = True  # a change may be lost in this line
-                raise http.Broken(f"list: {error}") from None
+                raise http_client.Broken(f"list: {error}") from None
         if self.at is None:  # signs of life alone do not tell what stands
             return False
         self.pilot.spoke("discovery")
@@ -131,8 +131,8 @@
         self.orders = Orders(names, self.rng.randrange(MARKS))
         self.registry = Registry(self.orders, config.settings.proxies, config.settings.slices)
         self.reports = messages.Reports(config.settings, config.zones)
-        self.door = door.Door(config.sockets)
-        self.scopes: dict[door.Caller, anyio.CancelScope] = {}
+        self.door = connection_limiter.Door(config.sockets)
+        self.scopes: dict[connection_limiter.Caller, anyio.CancelScope] = {}
         self.calls = Calls(config.registry, self.orders, self.registry, self.tell, self._takes, self.rng, log)
         self.news = Follower("news", NEWS_SILENCE, lambda: NewsReader(self), self.rng, log)
         self.list = Follower("list", LIST_SILENCE, lambda: ListReader(self), self.rng, log)
@@ -298,20 +298,20 @@
                 else:  # that connection alone was reset before it was taken: nobody else has to go
                     await anyio.sleep(0)
                 continue
-            caller = door.Caller(self.reports)
-            self.scopes[caller] = anyio.CancelScope(deadline=anyio.current_time() + door.JOIN_WITHIN)
+            caller = connection_limiter.Caller(self.reports)
+            self.scopes[caller] = anyio.CancelScope(deadline=anyio.current_time() + connection_limiter.JOIN_WITHIN)
             self._turn_out(self.door.enter(self.clock.now(), caller))
             group.start_soon(self._attend, caller, stream)
 
-    def _turn_out(self, caller: door.Caller | None) -> None:
+    def _turn_out(self, caller: connection_limiter.Caller | None) -> None:
         if caller in self.scopes:
             self.scopes[caller].cancel()
 
-    async def _attend(self, caller: door.Caller, stream: SocketStream) -> None:
+    async def _attend(self, caller: connection_limiter.Caller, stream: SocketStream) -> None:
         try:
             with self.scopes[caller]:
                 await self._serve(caller, stream)
-        except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError, http.Broken):
+        except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError, http_client.Broken):
             pass  # gone
         except Exception as error:  # one connection must not end the pilot
             self.log.error("connection_failed", error=repr(error), exc_info=error)
@@ -320,16 +320,16 @@
             self.door.leave(caller)
             await anyio.aclose_forcefully(stream)
 
-    async def _serve(self, caller: door.Caller, stream: SocketStream) -> None:
+    async def _serve(self, caller: connection_limiter.Caller, stream: SocketStream) -> None:
         """Take in what a connection says until it goes or has to."""
         try:
             while True:
                 await self._hear(caller, stream, await stream.receive(READ))
-        except door.Turned as error:
+        except connection_limiter.Turned as error:
             self.doubts.add("turned away", f"{caller.zone or 'stranger'}: {error}")
             await self._heed(caller, stream, error.heard)  # what it said before counts
 
-    async def _hear(self, caller: door.Caller, stream: SocketStream, data: bytes) -> None:
+    async def _hear(self, caller: connection_limiter.Caller, stream: SocketStream, data: bytes) -> None:
         new = not caller.zone
         heard = caller.feed(self.clock.now(), data)
         if new and caller.zone:
@@ -338,7 +338,9 @@
                 self._turn_out(former)
         await self._heed(caller, stream, heard)
 
-    async def _heed(self, caller: door.Caller, stream: SocketStream, heard: door.Heard) -> None:
+    async def _heed(
+        self, caller: connection_limiter.Caller, stream: SocketStream, heard: connection_limiter.Heard
+    ) -> None:
         """Act on what a connection said: reports are told, and each sign of life that was asked for is given."""
         for why in heard.spoilt:
             self.doubts.add("report", why)
@@ -351,7 +353,7 @@
             left, scope.deadline = scope.deadline - anyio.current_time(), float("inf")
             await self.ready.wait()  # of the time to join, the wait for us is not the caller's
             scope.deadline = anyio.current_time() + left
-        await http.send(stream, door.ALIVE * heard.beats, WRITE_WITHIN)
+        await http_client.send(stream, connection_limiter.ALIVE * heard.beats, WRITE_WITHIN)
 
 
 class Doubts:
--- a/damsonpick/protocols/platform/registry.py
+++ b/damsonpick/protocols/platform/registry.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from damsonpick import interface as api
-from damsonpick.edge import messages
-from damsonpick.edge.orders import Order, Orders, apply
+from damsonpick.protocols.platform import messages
+from damsonpick.protocols.platform.pending_orders import Order, Orders, apply
 
 SHUT_MOST = 4096  # withdrawals kept for a planner that takes the place of one that failed
 
--- a/damsonpick/protocols/platform/state_log.py
+++ b/damsonpick/protocols/platform/state_log.py
@@ -5,10 +5,10 @@
 import resource
 from typing import TYPE_CHECKING, Any
 
-from damsonpick.choice import Planner
+from damsonpick.decisions.planner import Planner
 
 if TYPE_CHECKING:
-    from damsonpick.edge.pilot import Pilot
+    from damsonpick.protocols.platform.pilot import Pilot
 
 MOST = 40  # servers named in a line
 
--- a/damsonpick/protocols/platform/watch_client.py
+++ b/damsonpick/protocols/platform/watch_client.py
@@ -10,9 +10,9 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from damsonpick.edge import http
-from damsonpick.edge.config import Address
-from damsonpick.roster.redial import Redial
+from damsonpick.protocols.platform import http_client
+from damsonpick.protocols.platform.config import Address
+from damsonpick.runtime.backoff import Redial
 
 DIAL = 0.5  # s to a connection, and to the head of an answer
 FIRST, MOST = 0.04, 1.0  # s between tries: bounds of the first and of any
@@ -42,21 +42,21 @@
     Raises:
         http.Broken: the watch has ended; the text says how.
     """
-    stream = await http.dial(address, DIAL)
+    stream = await http_client.dial(address, DIAL)
     try:
-        await http.send(stream, http.request("GET", path, address), DIAL)
-        answers, heard = http.Answers(http.LINE_MOST), anyio.current_time()
+        await http_client.send(stream, http_client.request("GET", path, address), DIAL)
+        answers, heard = http_client.Answers(http_client.LINE_MOST), anyio.current_time()
         while not answers.done:
             left = heard + silence - anyio.current_time()
-            answers.feed(await http.receive(stream, max(left, LOOK)))
+            answers.feed(await http_client.receive(stream, max(left, LOOK)))
             if answers.status() not in (0, 200):
-                raise http.Broken(f"status {answers.status()}: {bytes(answers.body[:80])!r}")
+                raise http_client.Broken(f"status {answers.status()}: {bytes(answers.body[:80])!r}")
             if lines := answers.lines():
                 heard = anyio.current_time()
                 yield lines
             elif anyio.current_time() - heard > silence:
-                raise http.Broken(f"no whole line for {silence:g} s")
-        raise http.Broken("the answer ended")
+                raise http_client.Broken(f"no whole line for {silence:g} s")
+        raise http_client.Broken("the answer ended")
     finally:
         await anyio.aclose_forcefully(stream)
 
@@ -107,7 +107,7 @@
             while link is self.newest:
                 try:
                     await self._watch(link, redial)
-                except http.Broken as error:
+                except http_client.Broken as error:
                     link.open = False
                     self.breaks += 1
                     self.log.warning("watch_broken", what=self.name, why=str(error))
@@ -127,7 +127,7 @@
                 now = link.heard = anyio.current_time()
                 if not reader.take(lines):
                     if now - began > self.silence:
-                        raise http.Broken("what stands is not told")
+                        raise http_client.Broken("what stands is not told")
                     continue
                 if now - began > MOST:  # one that stands up and breaks at once must not be dialled without a pause
                     redial.succeeded()
--- a/damsonpick/protocols/sasp/client.py
+++ b/damsonpick/protocols/sasp/client.py
@@ -8,9 +8,9 @@
 import anyio
 from anyio.abc import SocketStream
 
-from damsonpick.sasp import codec
-from damsonpick.sasp import layout as sasp
-from damsonpick.sasp.layout import Code, Group, LbFlag, Member, MembersOf, Sender
+from damsonpick.protocols.sasp import codec
+from damsonpick.protocols.sasp import layout as sasp
+from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MembersOf, Sender
 
 
 class SaspError(Exception):
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -10,8 +10,8 @@
 import struct
 from collections.abc import Callable, Iterator
 
-from damsonpick.sasp import layout as sasp
-from damsonpick.sasp.layout import Kind
+from damsonpick.protocols.sasp import layout as sasp
+from damsonpick.protocols.sasp.layout import Kind
 
 HEAD = struct.Struct(">HHBiI")
 PART = struct.Struct(">HH")
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from damsonpick.sasp.layout import Code, Group, LbFlag, Member, MemberFlag, MembersOf, Sender, StatesOf
+from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberFlag, MembersOf, Sender, StatesOf
 
 SECOND = 1_000_000_000
 GONE = 60 * SECOND  # ns that registrations outlive the last session of their balancer
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -4,22 +4,24 @@
 
 import random
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
 from damsonpick import interface as api
-from damsonpick.channel.queue import Waiting
-from damsonpick.engine.clock import Clock
-from damsonpick.engine.core import Engine
-from damsonpick.fronts.hub import Hub
-from damsonpick.sasp import codec, weights
-from damsonpick.sasp.layout import LbFlag
-from damsonpick.sasp.pace import Meter, Pace
-from damsonpick.sasp.registry import Limits, Registry
-from damsonpick.sasp.session import Desk, SaspSession
+from damsonpick.decisions.planner import Planner
+from damsonpick.protocols.sasp import codec, weights
+from damsonpick.protocols.sasp.layout import LbFlag
+from damsonpick.protocols.sasp.pacing import Meter, Pace
+from damsonpick.protocols.sasp.registry import Limits, Registry
+from damsonpick.protocols.sasp.session import Desk, SaspSession
+from damsonpick.protocols.shared.send_queue import Waiting
+from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
+from damsonpick.state.endpoint_list.validation import Roster
+from damsonpick.state.published_tables import Published
 
 CHUNK = 65_536
 AT_ONCE = 4  # messages worked on between two turns of the loop: a crowd of polls holds up no push
@@ -30,6 +32,14 @@
 HEARD = 10_000_000_000  # ns within which evidence counts as lately
 
 
+class Controller(Protocol):
+    """What the server reads of the controller that owns it."""
+
+    planner: Planner | None  # None while it is being restarted
+    published: Published
+    roster: Roster
+
+
 class FrontError(Exception):
     """The front cannot be opened; the text names setting and remedy."""
 
@@ -42,7 +52,7 @@
         self,
         settings: PilotSettings,
         hub: Hub,
-        engine: Engine,
+        engine: Controller,
         clock: Clock,
         stir: Callable[[], None],
         feed: Callable[[list[api.ListEntry]], None],
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -9,15 +9,15 @@
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
 
-from damsonpick.fronts.session import Due
-from damsonpick.sasp import codec, weights
-from damsonpick.sasp import layout as sasp
-from damsonpick.sasp.layout import Code, Kind, LbFlag, Sender
-from damsonpick.sasp.pace import Meter, Pace
-from damsonpick.sasp.registry import GroupOf, Registry
-from damsonpick.sasp.weights import Advice, Known
+from damsonpick.protocols.sasp import codec, weights
+from damsonpick.protocols.sasp import layout as sasp
+from damsonpick.protocols.sasp.layout import Code, Kind, LbFlag, Sender
+from damsonpick.protocols.sasp.pacing import Meter, Pace
+from damsonpick.protocols.sasp.registry import GroupOf, Registry
+from damsonpick.protocols.sasp.weights import Advice, Known
+from damsonpick.protocols.shared.session import Due
 from damsonpick.settings.units import numbers
-from damsonpick.tables.published import FLEET, Published, slice_unit
+from damsonpick.state.published_tables import FLEET, Published, slice_unit
 
 SECOND = 1_000_000_000
 FRESH = 2 * SECOND  # ns for which shares are kept while no table changes: heat moves slowly
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from damsonpick.sasp.layout import MOST_WEIGHT, WeightFlag
-from damsonpick.tables.published import Published
+from damsonpick.protocols.sasp.layout import MOST_WEIGHT, WeightFlag
+from damsonpick.state.published_tables import Published
 
 TOP = 60_000  # of the largest share: room above for keeping apart what rounds alike
 SAME = 1e-9  # shares closer than this are one
--- /dev/null
+++ b/damsonpick/protocols/shared/__init__.py
@@ -0,0 +1,1 @@
+"""What several protocols use: sessions, the send queue, gRPC streams, instance settings."""
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -8,10 +8,10 @@
 from typing import NamedTuple, Protocol
 
 from damsonpick import interface as api
-from damsonpick.channel.queue import Channel
-from damsonpick.fronts.session import Due, Session
-from damsonpick.tables.published import FLEET, Change, Published
-from damsonpick.versions.digest import Digest
+from damsonpick.protocols.shared.send_queue import Channel
+from damsonpick.protocols.shared.session import Due, Session
+from damsonpick.state.history.digest import Digest
+from damsonpick.state.published_tables import FLEET, Change, Published
 
 MOST_REFUSED = 10_000  # resources and versions whose refusers are remembered
 SPARE = 60_000  # numbers from here on are for second streams under a node id that is taken
--- a/damsonpick/protocols/simulator/__main__.py
+++ b/damsonpick/protocols/simulator/__main__.py
@@ -4,8 +4,8 @@
 
 import sys
 
-from damsonpick.simhost import codec
-from damsonpick.simhost.host import Host
+from damsonpick.protocols.simulator import codec
+from damsonpick.protocols.simulator.host import Host
 
 
 def main() -> int:
--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from damsonpick import bootstrap
 from damsonpick import interface as api
+from damsonpick.protocols.shared import instance_settings
 
 ALL_TABLES = 65535
 
@@ -203,7 +203,7 @@
         if not equals:
             raise ValueError(f"not a path=value pair: {pair[:60]!r}")
         known[path] = value
-    return bootstrap.read_settings(known)
+    return instance_settings.read_settings(known)
 
 
 def _mask(classes: tuple[int, ...]) -> int:
--- a/damsonpick/protocols/simulator/host.py
+++ b/damsonpick/protocols/simulator/host.py
@@ -5,9 +5,9 @@
 import sys
 import traceback
 
-from damsonpick.choice import Planner
+from damsonpick.decisions.planner import Planner
 from damsonpick.interface import Event
-from damsonpick.simhost import codec
+from damsonpick.protocols.simulator import codec
 
 
 class Host:
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -17,11 +17,10 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 
 from damsonpick import interface as api
-from damsonpick.roster.listfile import ListError
-from damsonpick.roster.redial import Redial
-from damsonpick.roster.sources import Budget
-from damsonpick.wire import calls
-from damsonpick.xds.names import EDS
+from damsonpick.protocols.shared import grpc_stream
+from damsonpick.protocols.xds.names import EDS
+from damsonpick.runtime.backoff import Redial
+from damsonpick.state.endpoint_list.sources import Budget, ListError
 
 METADATA, STARTED = "damsonpick", "started"
 STATES = {
@@ -96,7 +95,7 @@
             try:
                 async for said in self._stream():
                     yield said
-            except calls.StreamEnded as error:
+            except grpc_stream.StreamEnded as error:
                 why = str(error)
             yield ListError(f"upstream list at {self.address}: {why}; it is dialled again")
             await anyio.sleep(self.redial.failed())
@@ -105,10 +104,10 @@
         options = [("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 3000)]
         async with grpc.aio.insecure_channel(self.address, options) as channel:
             call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources()
-            await calls.write(call, self._request())
+            await grpc_stream.write(call, self._request())
             version = ""
             while True:
-                response = await calls.read(call)
+                response = await grpc_stream.read(call)
                 self.redial.succeeded()
                 try:
                     found = [self._unpack(body) for body in response.resources]
@@ -116,10 +115,10 @@
                         if assignment.cluster_name == self.cluster:
                             yield read(assignment)
                     version = response.version_info
-                    await calls.write(call, self._request(version, response.nonce))
+                    await grpc_stream.write(call, self._request(version, response.nonce))
                 except ListError as error:
                     yield error
-                    await calls.write(call, self._request(version, response.nonce, str(error)))
+                    await grpc_stream.write(call, self._request(version, response.nonce, str(error)))
 
     def _unpack(self, body: object) -> endpoint_pb2.ClusterLoadAssignment:
         assignment = endpoint_pb2.ClusterLoadAssignment()
--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -10,8 +10,8 @@
 from envoy.config.endpoint.v3 import load_report_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from damsonpick.evidence.sums import EndpointSum, GatewaySums, SliceSum
-from damsonpick.xds.names import slice_of
+from damsonpick.protocols.xds.names import slice_of
+from damsonpick.state.load_reports import EndpointSum, GatewaySums, SliceSum
 
 LATENCY, REQUESTS, FAILURES = "latency_ms", "requests.", "failures."
 MOST_CLUSTERS = 70_000  # in one report: more than there can be slices
--- a/damsonpick/protocols/xds/resources.py
+++ b/damsonpick/protocols/xds/resources.py
@@ -20,9 +20,9 @@
 from envoy.type.v3 import percent_pb2
 from google.protobuf import any_pb2
 
+from damsonpick.protocols.xds.names import CDS, CLASS_HEADER, CLUSTER_HEADER, EDS, RDS, ZONE_HEADER, slice_of
 from damsonpick.settings.model import PilotSettings
-from damsonpick.tables.published import FLEET, ROUTES, Published
-from damsonpick.xds.names import CDS, CLASS_HEADER, CLUSTER_HEADER, EDS, RDS, ZONE_HEADER, slice_of
+from damsonpick.state.published_tables import FLEET, ROUTES, Published
 
 WEIGHT = 1000  # xDS weights are whole numbers: one line of weight 1 is this many
 MILLION = 1_000_000
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -11,11 +11,11 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from damsonpick.evidence.sums import GatewaySums
-from damsonpick.fronts.hub import Hub
-from damsonpick.xds import loads
-from damsonpick.xds.names import ADS_SERVICE, LRS_SERVICE
-from damsonpick.xds.session import DeltaSession, ProtocolError, Session, SotwSession
+from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.protocols.xds import load_stats
+from damsonpick.protocols.xds.names import ADS_SERVICE, LRS_SERVICE
+from damsonpick.protocols.xds.session import DeltaSession, ProtocolError, Session, SotwSession
+from damsonpick.state.load_reports import GatewaySums
 
 KEEPALIVE = [  # a gateway gone without a word is noticed in twenty seconds
     ("grpc.keepalive_time_ms", 10000),
@@ -195,7 +195,7 @@
                 if not node:
                     await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report names no node.id")
                 number = self.hub.number_of(node)
-                await context.write(loads.ask_for(self.report_every).SerializeToString())
-            sums = loads.read(number, zone, report)
+                await context.write(load_stats.ask_for(self.report_every).SerializeToString())
+            sums = load_stats.read(number, zone, report)
             if sums is not None:
                 self.hear(sums)
--- a/damsonpick/protocols/xds/session.py
+++ b/damsonpick/protocols/xds/session.py
@@ -13,12 +13,12 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from damsonpick.fronts.session import Due
-from damsonpick.tables.published import FLEET
-from damsonpick.versions import statement
-from damsonpick.versions.digest import RANGES, Digest, range_of, within
-from damsonpick.xds.names import CDS, EDS, ORDER, RDS, SHORT
-from damsonpick.xds.resources import Catalogue, kind_of
+from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.xds.names import CDS, EDS, ORDER, RDS, SHORT
+from damsonpick.protocols.xds.resources import Catalogue, kind_of
+from damsonpick.state.history import root_statement
+from damsonpick.state.history.digest import RANGES, Digest, range_of, within
+from damsonpick.state.published_tables import FLEET
 
 MOST_FLIGHTS = 4  # responses not yet answered; beyond, orders wait and are merged
 MOST_BYTES = 1_000_000  # of resources in one response; a quarter of what a gRPC client takes by default
@@ -125,7 +125,7 @@
         self._meter(now)
         if request.HasField("node") and not self.node:
             self.node, self.zone = request.node.id, request.node.locality.zone
-            self.roots = statement.FEATURE in request.node.client_features
+            self.roots = root_statement.FEATURE in request.node.client_features
         if not self.node:
             raise ProtocolError("the first request names no node.id; set one for each gateway")
         if request.type_url not in ORDER:
@@ -183,7 +183,7 @@
         for name, version in versions.items():
             if watch.sent.get(name, "") == version:
                 watch.will_hold(name, watch.held.get(name, ""))
-        theirs = statement.ranges_of(why)
+        theirs = root_statement.ranges_of(why)
         if theirs is not None:
             self._mismatch(request.type_url, watch, theirs, why)
             return
@@ -362,7 +362,7 @@
         start = watch.digest.root() if self.roots else ""
         for name, version in versions.items():
             watch.will_hold(name, version)
-        said = statement.Statement(start, watch.digest.root(), replaces).text() if self.roots else ""
+        said = root_statement.Statement(start, watch.digest.root(), replaces).text() if self.roots else ""
         return self._render(kind, nonce, versions, said)
 
     def _whole(self, kind: str, watch: Watch, names: list[str]) -> list[str]:
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -13,16 +13,16 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from damsonpick.engine.clock import Clock
-from damsonpick.proxy import keep
-from damsonpick.proxy.follow import Follower
+from damsonpick.protocols.xds.names import CDS, EDS, RDS
+from damsonpick.proxy import table_cache
 from damsonpick.proxy.relay import Relay, nothing
 from damsonpick.proxy.router import Router
 from damsonpick.proxy.settings import ProxySettings
 from damsonpick.proxy.stream import Stream
-from damsonpick.roster.redial import Redial
-from damsonpick.wire import portfile
-from damsonpick.xds.names import CDS, EDS, RDS
+from damsonpick.proxy.watch_client import Follower
+from damsonpick.runtime import port_file
+from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.clock import Clock
 
 BACKLOG = 1024
 SAVE_AFTER = 1.0  # s of quiet after which changed tables are kept
@@ -72,7 +72,7 @@
         own = self.settings.proxy
         if own.port_file is None:
             return list(own.pilots)
-        return [address] if (address := portfile.address(own.port_file)) else []
+        return [address] if (address := port_file.address(own.port_file)) else []
 
     def kept(self) -> Path | None:
         state = self.settings.proxy.state
@@ -118,8 +118,8 @@
             return
         path.parent.mkdir(parents=True, exist_ok=True)
         try:
-            found = keep.load(path, self.router.holdings)
-        except keep.Damaged as error:
+            found = table_cache.load(path, self.router.holdings)
+        except table_cache.Damaged as error:
             self.log.error("tables_damaged", why=str(error))
             return
         for kind in (CDS, EDS):
@@ -139,7 +139,7 @@
         if path is None or not any(self.bodies.values()):
             return
         try:
-            keep.save(path, self.bodies)
+            table_cache.save(path, self.bodies)
         except OSError as error:
             self.log.error("tables_not_kept", error=str(error), remedy="free space or rights on the state folder")
 
@@ -156,7 +156,7 @@
     proxy = Proxy(settings, log)
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with proxy.running():
-            portfile.write(port_file, proxy.port)
+            port_file.write(port_file, proxy.port)
             async for _ in signals:
                 break
             log.info("proxy_drains", clients=proxy.relay.clients)
--- a/damsonpick/proxy/relay.py
+++ b/damsonpick/proxy/relay.py
@@ -12,17 +12,17 @@
 
 import anyio
 
-from damsonpick.engine.clock import Clock
+from damsonpick.protocols.xds.load_stats import SliceCounts
 from damsonpick.proxy import messages as http
 from damsonpick.proxy import stream as streams
-from damsonpick.proxy.again import Proof
 from damsonpick.proxy.client import Client, ClientGone, Spans
-from damsonpick.proxy.exchange import DEADLINE, TIMED_OUT, Attempt, Exchange, Upstream
 from damsonpick.proxy.pool import Pool
+from damsonpick.proxy.retry_policy import Proof
 from damsonpick.proxy.router import Asked, Router
 from damsonpick.proxy.settings import ProxySettings
 from damsonpick.proxy.stream import Stream
-from damsonpick.xds.loads import SliceCounts
+from damsonpick.proxy.upstream_request import DEADLINE, TIMED_OUT, Attempt, Exchange, Upstream
+from damsonpick.runtime.clock import Clock
 
 TABLE_GONE, PASSED = "no server", "the deadline passed"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/damsonpick/proxy/router.py
+++ b/damsonpick/proxy/router.py
@@ -11,12 +11,12 @@
 
 import xxhash
 
-from damsonpick.proxy.admit import Admission
-from damsonpick.proxy.again import Budget, Proof, may
-from damsonpick.proxy.choose import LOTTERY, PAIR, WHEEL, Chooser, Row
-from damsonpick.proxy.holdings import Holdings
+from damsonpick.protocols.xds.names import EDS, slice_of
+from damsonpick.proxy.admission import Admission
+from damsonpick.proxy.load_balancer import LOTTERY, PAIR, WHEEL, Chooser, Row
+from damsonpick.proxy.received_state import Holdings
+from damsonpick.proxy.retry_policy import Budget, Proof, may
 from damsonpick.proxy.settings import ProxySettings
-from damsonpick.xds.names import EDS, slice_of
 
 FLEET = "fleet"
 PICKS = {0: WHEEL, 1: PAIR, 3: LOTTERY}  # Cluster.LbPolicy
--- a/damsonpick/proxy/table_cache.py
+++ b/damsonpick/proxy/table_cache.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from damsonpick.proxy.holdings import Holdings
+from damsonpick.proxy.received_state import Holdings
 
 FORMAT = 1
 
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -5,8 +5,8 @@
 import anyio
 
 from damsonpick.proxy import messages as http
-from damsonpick.proxy.again import Proof
 from damsonpick.proxy.client import Client, ClientGone
+from damsonpick.proxy.retry_policy import Proof
 from damsonpick.proxy.settings import Limits
 from damsonpick.proxy.stream import HIGH, Lost, Stream
 
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -10,12 +10,12 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc
 from envoy.service.load_stats.v3 import lrs_pb2_grpc
 
-from damsonpick.engine.clock import Clock
-from damsonpick.proxy.holdings import Asker, Bad, Holdings
-from damsonpick.roster.redial import Redial
-from damsonpick.wire import calls
-from damsonpick.xds import loads
-from damsonpick.xds.names import CDS, EDS, RDS
+from damsonpick.protocols.shared import grpc_stream
+from damsonpick.protocols.xds import load_stats
+from damsonpick.protocols.xds.names import CDS, EDS, RDS
+from damsonpick.proxy.received_state import Asker, Bad, Holdings
+from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.clock import Clock
 
 OPTIONS = [
     ("grpc.use_local_subchannel_pool", 1),
@@ -45,7 +45,7 @@
         clock: Clock,
         redial: Redial,
         took: Callable[..., None],
-        counts: Callable[[], dict[int, loads.SliceCounts]],
+        counts: Callable[[], dict[int, load_stats.SliceCounts]],
         said: Callable[..., None],
         log: Any,
         delta: bool = True,
@@ -67,8 +67,8 @@
                 address, turn = known[turn % len(known)], turn + 1
                 why = "ended"
                 try:
-                    await calls.guarded(self._session(address))
-                except* calls.StreamEnded as group:
+                    await grpc_stream.guarded(self._session(address))
+                except* grpc_stream.StreamEnded as group:
                     why = str(group.exceptions[0])
                 if self.linked:
                     self.linked = False
@@ -83,7 +83,7 @@
             asker = Asker(self.holdings, self.name, self.zone, self.delta)
             if not self.delta:
                 self.holdings.begin()
-            await calls.write(call, asker.opening(CDS, [], self.version.get(CDS, "")))
+            await grpc_stream.write(call, asker.opening(CDS, [], self.version.get(CDS, "")))
             if self.holdings.versions[CDS] and self.delta:  # a pilot that has nothing new of clusters says nothing
                 await self._found(call, asker, address)
             async with anyio.create_task_group() as group:
@@ -98,7 +98,7 @@
 
     async def _read(self, call: Any, asker: Asker, address: str) -> None:
         while True:
-            response = await calls.read(call)
+            response = await grpc_stream.read(call)
             if (wait := self.pause()) > 0:
                 await anyio.sleep(wait)
             kind, resources, removed = asker.read(response)
@@ -111,7 +111,7 @@
                 bad = str(error)
                 self.log.warning("table_refused", why=bad)
             self.said("got", type=kind, nonce=response.nonce, resources=resources, removed=removed, nack=bad)
-            await calls.write(call, asker.verdict(response, bad))
+            await grpc_stream.write(call, asker.verdict(response, bad))
             if kind == CDS and not self.linked:
                 await self._found(call, asker, address)
             elif kind == CDS:
@@ -119,8 +119,10 @@
 
     async def _found(self, call: Any, asker: Asker, address: str) -> None:
         """Clusters are known: ask for their tables and the routes."""
-        await calls.write(call, asker.opening(EDS, sorted(self.holdings.versions[CDS]), self.version.get(EDS, "")))
-        await calls.write(call, asker.opening(RDS, ["routes"], self.version.get(RDS, "")))
+        await grpc_stream.write(
+            call, asker.opening(EDS, sorted(self.holdings.versions[CDS]), self.version.get(EDS, ""))
+        )
+        await grpc_stream.write(call, asker.opening(RDS, ["routes"], self.version.get(RDS, "")))
         self.linked = True
         self.redial.succeeded()
         self.log.info("pilot_found", pilot=address)
@@ -131,22 +133,22 @@
         """Tables of clusters that are new on this stream."""
         known = set(asker.asked.get(EDS, []))
         if new := [n for n in clusters if n not in known]:
-            await calls.write(call, asker.also(EDS, new))
+            await grpc_stream.write(call, asker.also(EDS, new))
 
     async def _report(self, channel: Any) -> None:
         call = lrs_pb2_grpc.LoadReportingServiceStub(channel).StreamLoadStats()
-        first = loads.write(1, {})
+        first = load_stats.write(1, {})
         first.node.id, first.node.locality.zone = self.name, self.zone
         del first.cluster_stats[:]
-        await calls.write(call, first)
-        wanted = await calls.read(call)
+        await grpc_stream.write(call, first)
+        wanted = await grpc_stream.read(call)
         self.counts()
         since = self.clock.now()
         while True:
             await anyio.sleep(self.clock.seconds(wanted.load_reporting_interval.ToNanoseconds()))
             now = self.clock.now()
-            report = loads.write(now - since, self.counts())
+            report = load_stats.write(now - since, self.counts())
             since = now
             if self.report_delay:
                 await anyio.sleep(self.clock.seconds(self.report_delay))
-            await calls.write(call, report)
+            await grpc_stream.write(call, report)
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -10,8 +10,8 @@
 from typing import Any, NamedTuple
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
-from damsonpick.engine.clock import Steady
+from damsonpick.decisions.planner import Planner
+from damsonpick.runtime.clock import Steady
 
 SECOND = 1_000_000_000
 RESTART_FIRST, RESTART_MOST = SECOND // 10, 9 * SECOND // 10  # ns before another planner is tried
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner, Slice
+from damsonpick.decisions.planner import Planner, Slice
 from damsonpick.settings.model import PilotSettings
 from damsonpick.solver import plan as plans
 from damsonpick.solver.lines import LinesProblem, Piece
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 
 from damsonpick import interface as api
-from damsonpick.roster.judge import STATES
+from damsonpick.state.endpoint_list.validation import STATES
 
 SECOND = 1_000_000_000
 PATIENCE = SECOND  # ns that better sources have to answer at the start
@@ -18,6 +18,10 @@
 STEADY = 3 * SECOND  # ns that a better one must have been up
 
 
+class ListError(Exception):
+    """An endpoint list cannot be used; the text names source, place and remedy."""
+
+
 class Source:
     """What one source has said."""
 
--- a/damsonpick/state/history/database.py
+++ b/damsonpick/state/history/database.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from damsonpick.versions.history import Version
+from damsonpick.state.history.history import Version
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS versions (number INTEGER PRIMARY KEY, root TEXT NOT NULL, parent INTEGER NOT NULL,
--- a/damsonpick/state/history/history.py
+++ b/damsonpick/state/history/history.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from damsonpick.tables.published import FLEET, ROUTES, Published, slice_unit
+from damsonpick.state.published_tables import FLEET, ROUTES, Published, slice_unit
 
 Content = dict[str, float]
 State = dict[str, Content]
--- a/damsonpick/state/history/recorder.py
+++ b/damsonpick/state/history/recorder.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from damsonpick.tables.published import Published
-from damsonpick.versions.digest import Digest
-from damsonpick.versions.history import History, Version
-from damsonpick.versions.rollback import Pin
+from damsonpick.state.history.digest import Digest
+from damsonpick.state.history.history import History, Version
+from damsonpick.state.history.rollback import Pin
+from damsonpick.state.published_tables import Published
 
 SECOND = 1_000_000_000
 MOST_PENDING = 1000  # versions that wait for a store that cannot be written
--- a/damsonpick/state/history/rollback.py
+++ b/damsonpick/state/history/rollback.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from damsonpick import interface as api
-from damsonpick.tables.published import FLEET, ROUTES
-from damsonpick.versions import history
+from damsonpick.state.history import history
+from damsonpick.state.published_tables import FLEET, ROUTES
 
 Lines = Mapping[str, float]
 
--- a/damsonpick/state/learned/ageing.py
+++ b/damsonpick/state/learned/ageing.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from damsonpick.knowledge.model import Fleet, Moment, Piece, Server, Snapshot
+from damsonpick.state.learned.snapshot import Fleet, Moment, Piece, Server, Snapshot
 
 SECOND = 1_000_000_000
 SPEED, PACE = 300 * SECOND, 600 * SECOND  # ns in which half of it is gone
--- a/damsonpick/state/learned/codec.py
+++ b/damsonpick/state/learned/codec.py
@@ -16,7 +16,7 @@
 import msgspec
 import xxhash
 
-from damsonpick.knowledge.model import FORMAT, Draft, Snapshot
+from damsonpick.state.learned.snapshot import FORMAT, Draft, Snapshot
 
 MAGIC = b"DAMSONKN"
 HEAD = struct.Struct(">8sHHI")
--- a/damsonpick/state/learned/disk.py
+++ b/damsonpick/state/learned/disk.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from damsonpick.knowledge.model import Moment
+from damsonpick.state.learned.snapshot import Moment
 
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
--- a/damsonpick/state/learned/generations.py
+++ b/damsonpick/state/learned/generations.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import NamedTuple, Protocol
 
-from damsonpick.knowledge import codec
-from damsonpick.knowledge.model import Snapshot
+from damsonpick.state.learned import codec
+from damsonpick.state.learned.snapshot import Snapshot
 
 CURRENT, PREVIOUS, PART, LINK = "current", "previous", "current.part", "previous.part"
 
--- a/damsonpick/state/learned/restore.py
+++ b/damsonpick/state/learned/restore.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
-from damsonpick.knowledge.model import Draft, Fleet, Moment, Piece, Server, Snapshot
-from damsonpick.knowledge.trust import Kept
+from damsonpick.decisions.planner import Planner
+from damsonpick.state.learned.list_confidence import Kept
+from damsonpick.state.learned.snapshot import Draft, Fleet, Moment, Piece, Server, Snapshot
 
 CHUNK = 200  # slices looked at in one go
 LEAST_SPEED, MOST_SPEED = 0.01, 100.0
--- a/damsonpick/state/store/sqlite.py
+++ b/damsonpick/state/store/sqlite.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from damsonpick import interface as api
-from damsonpick.store.custody import Charge
+from damsonpick.state.store.leases import Charge
 
 VERSION = 1
 SCHEMA = """
--- /dev/null
+++ b/damsonpick/testing/__init__.py
@@ -0,0 +1,1 @@
+"""What only tests and rehearsals use: fakes, scenarios, the rule checker."""
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -7,14 +7,14 @@
 
 import anyio
 
-from damsonpick.engine.clock import Clock
-from damsonpick.proxy.holdings import Table
-from damsonpick.roster.redial import Redial
-from damsonpick.sasp.client import Client, SaspError, connect
-from damsonpick.sasp.layout import Group, LbFlag, MembersOf, Register, Sender, SendWeights, WeightsOf, member
-from damsonpick.standins.gateway import Gateway, Kind, Links
-from damsonpick.standins.record import Recorder
-from damsonpick.xds.names import EDS
+from damsonpick.protocols.sasp.client import Client, SaspError, connect
+from damsonpick.protocols.sasp.layout import Group, LbFlag, MembersOf, Register, Sender, SendWeights, WeightsOf, member
+from damsonpick.protocols.xds.names import EDS
+from damsonpick.proxy.received_state import Table
+from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.clock import Clock
+from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
+from damsonpick.testing.fakes.record import Recorder
 
 BATCH = 50  # groups in one registration
 LOST = (SaspError, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
--- a/damsonpick/testing/fakes/discovery.py
+++ b/damsonpick/testing/fakes/discovery.py
@@ -8,10 +8,10 @@
 
 from anyio.abc import SocketStream
 
-from damsonpick.standins import plain
+from damsonpick.testing.fakes import faulty_http
 
 
-class Catalogue(plain.Watched):
+class Catalogue(faulty_http.Watched):
     """Args: servers: ids that are ready at first."""
 
     every = 0.3  # a real one gives an empty line every two seconds
@@ -25,7 +25,7 @@
         self.down = False
         self.held = False  # watches are answered once the gate is opened
         self.mute = False  # watches begin with a sign of life, and tell nothing
-        self.gate = plain.Gate()
+        self.gate = faulty_http.Gate()
 
     def entry(self, name: str, state: str = "Ready", **more: Any) -> dict[str, Any]:
         return {
@@ -53,17 +53,17 @@
     def _listing(self, full: bool, entries: list[dict[str, Any]]) -> dict[str, Any]:
         return {"version": self.version, "full": full, "servers": entries}
 
-    async def serve(self, asked: plain.Asked, stream: SocketStream) -> bool:
+    async def serve(self, asked: faulty_http.Asked, stream: SocketStream) -> bool:
         self.asked.append(asked.target)
         if self.down:
-            await stream.send(plain.answer(b"", "503 Service Unavailable"))
+            await stream.send(faulty_http.answer(b"", "503 Service Unavailable"))
             return False
         if self.held:
             await self.gate.pass_through()
         query = parse_qs(urlsplit(asked.target).query)
         whole = json.dumps(self._listing(True, list(self.servers.values()))).encode()
         if "watch" not in query:
-            await stream.send(plain.answer(whole))
+            await stream.send(faulty_http.answer(whole))
             return True
         since = int(query["from"][0])
         if 0 < since <= self.version:  # it remembers all changes since its start
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -1,4 +1,4 @@
-"""A process full of gateways with their clients: `python -m damsonpick.standins.fleet`.
+"""A process full of gateways with their clients: `python -m damsonpick.testing.fakes.fleet`.
 
 Reads one JSON object of settings on standard input, then one command a line; ends when the input does.
 """
@@ -14,12 +14,12 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from damsonpick.engine.clock import Clock
-from damsonpick.standins.balancer import Balancer
-from damsonpick.standins.gateway import Gateway, Kind, Links
-from damsonpick.standins.proxied import Proxied
-from damsonpick.standins.record import Recorder
-from damsonpick.wire import portfile
+from damsonpick.runtime import port_file
+from damsonpick.runtime.clock import Clock
+from damsonpick.testing.fakes.balancer import Balancer
+from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
+from damsonpick.testing.fakes.proxied import Proxied
+from damsonpick.testing.fakes.record import Recorder
 
 BACK_AFTER = 0.15  # s of the day until a client repeats what is safe to repeat
 
@@ -96,10 +96,10 @@
         self.count = 0
 
     def sasp(self) -> str:
-        return portfile.address(self.port_file.with_suffix(".sasp"))
+        return port_file.address(self.port_file.with_suffix(".sasp"))
 
     def pilot(self) -> str:
-        return portfile.address(self.port_file)
+        return port_file.address(self.port_file)
 
     async def run(self) -> None:
         async with anyio.create_task_group() as group:
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -9,15 +9,15 @@
 import anyio
 import structlog
 
-from damsonpick.engine.clock import Clock
-from damsonpick.proxy.follow import Follower
-from damsonpick.proxy.holdings import Holdings
-from damsonpick.roster.redial import Redial
-from damsonpick.standins import http
-from damsonpick.standins.picking import Picker
-from damsonpick.standins.record import Recorder
-from damsonpick.xds import loads
-from damsonpick.xds.names import EDS, slice_of
+from damsonpick.protocols.xds import load_stats
+from damsonpick.protocols.xds.names import EDS, slice_of
+from damsonpick.proxy.received_state import Holdings
+from damsonpick.proxy.watch_client import Follower
+from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.clock import Clock
+from damsonpick.testing.fakes import http
+from damsonpick.testing.fakes.picking import Picker
+from damsonpick.testing.fakes.record import Recorder
 
 HOLD = 500_000_000  # ns that a request waits for a table with a line
 CONNECT = 400_000_000  # ns
@@ -86,7 +86,7 @@
         self.clock, self.record, self.links, self.rng = clock, record, links, rng
         self.holdings, self.picker = Holdings(), Picker(rng)
         self.pools: dict[str, list[http.Wire]] = {}
-        self.counts: dict[int, loads.SliceCounts] = {}
+        self.counts: dict[int, load_stats.SliceCounts] = {}
         self.changed = anyio.Event()
         self.stalled_until = self.read_delay = 0  # ns
         self.follower = Follower(
@@ -123,7 +123,7 @@
         self.changed.set()
         self.changed = anyio.Event()
 
-    def _sums(self) -> dict[int, loads.SliceCounts]:
+    def _sums(self) -> dict[int, load_stats.SliceCounts]:
         found, self.counts = self.counts, {}
         return found
 
@@ -149,7 +149,7 @@
     async def serve(self, rid: str, kind: Kind, cluster: str, work: float) -> tuple[bool, str]:
         """Forward one request; returns whether it was answered, and how it ended."""
         start = self.clock.now()
-        counts = self.counts.setdefault(slice_of(cluster), loads.SliceCounts())
+        counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
         if self.rng.random() >= self.holdings.level(cluster, kind.name):
             counts.refused(kind.name)
             return False, "refused"
@@ -157,7 +157,7 @@
         await self._stand_still()
         good, how = await self._tries(rid, kind, cluster, work, start + kind.deadline)
         if not good:
-            counts = self.counts.setdefault(slice_of(cluster), loads.SliceCounts())
+            counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
             counts.came(kind.name, failed=True)
         return good, how
 
@@ -199,7 +199,7 @@
             how = await self._exchange(rid, kind, cluster, server, zone, work)
         now, good = self.clock.now(), how == "ok"
         self.picker.ended(now, server, good, self.holdings.strikes)
-        counts = self.counts.setdefault(slice_of(cluster), loads.SliceCounts())
+        counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
         counts.tried(zone, server, good, (now - start) / 1e6)
         return how
 
--- a/damsonpick/testing/fakes/http.py
+++ b/damsonpick/testing/fakes/http.py
@@ -9,7 +9,7 @@
 import h11
 from anyio.abc import SocketStream
 
-from damsonpick.wire import sockets
+from damsonpick.runtime import sockets
 
 CHUNK = 65_536
 
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -10,8 +10,8 @@
 from google.protobuf import any_pb2
 
 from damsonpick import interface as api
-from damsonpick.roster import upstream
-from damsonpick.standins.record import Recorder
+from damsonpick.protocols.xds import endpoint_list_client
+from damsonpick.testing.fakes.record import Recorder
 
 
 class ListServer(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
@@ -67,9 +67,9 @@
 
     def _response(self, shown: list[api.ListEntry]) -> discovery_pb2.DiscoveryResponse:
         body = any_pb2.Any()
-        body.Pack(upstream.write(self.cluster, shown))
+        body.Pack(endpoint_list_client.write(self.cluster, shown))
         return discovery_pb2.DiscoveryResponse(
-            version_info=str(self.version), type_url=upstream.EDS, nonce=str(self.version), resources=[body]
+            version_info=str(self.version), type_url=endpoint_list_client.EDS, nonce=str(self.version), resources=[body]
         )
 
     async def _drain(self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], scope: anyio.CancelScope) -> None:
--- a/damsonpick/testing/fakes/proxied.py
+++ b/damsonpick/testing/fakes/proxied.py
@@ -8,13 +8,13 @@
 
 import anyio
 
-from damsonpick.engine.clock import Clock
+from damsonpick.protocols.xds.names import slice_of
 from damsonpick.proxy.program import Proxy
 from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
-from damsonpick.standins import http
-from damsonpick.standins.gateway import QUIET, Kind, Links, shown
-from damsonpick.standins.record import Recorder
-from damsonpick.xds.names import slice_of
+from damsonpick.runtime.clock import Clock
+from damsonpick.testing.fakes import http
+from damsonpick.testing.fakes.gateway import QUIET, Kind, Links, shown
+from damsonpick.testing.fakes.record import Recorder
 
 
 class Proxied:
--- a/damsonpick/testing/fakes/relay.py
+++ b/damsonpick/testing/fakes/relay.py
@@ -15,10 +15,10 @@
 import anyio
 from anyio.abc import SocketStream
 
-from damsonpick.standins import plain
+from damsonpick.testing.fakes import faulty_http
 
 
-class Relay(plain.Watched):
+class Relay(faulty_http.Watched):
     """Args: slices: how many it gives the pilot; proxies: how many are joined at first."""
 
     beat, every = b"{}", 0.2  # a real one gives a sign of life a second
@@ -33,16 +33,16 @@
         self.shut: set[str] = set()
         self.faults: deque[str | int] = deque()
         self.calls = 0
-        self.gate = plain.Gate()
+        self.gate = faulty_http.Gate()
 
-    async def serve(self, asked: plain.Asked, stream: SocketStream) -> bool:
+    async def serve(self, asked: faulty_http.Asked, stream: SocketStream) -> bool:
         if asked.method == "GET" and asked.target == "/watch":
             await self.watch(stream, self._standing())
             return False
         try:
             ops = json.loads(asked.body)["ops"]
         except (ValueError, KeyError, TypeError):
-            await stream.send(plain.answer(b'{"error":"SYNTAX"}', "400 Bad Request"))
+            await stream.send(faulty_http.answer(b'{"error":"SYNTAX"}', "400 Bad Request"))
             return True
         return await self._call(ops, stream)
 
@@ -58,7 +58,7 @@
         self.calls += 1
         fault = self.faults.popleft() if self.faults else ""
         if fault in ("busy", "syntax"):
-            await stream.send(plain.answer(json.dumps({"error": fault.upper()}).encode(), "409 Conflict"))
+            await stream.send(faulty_http.answer(json.dumps({"error": fault.upper()}).encode(), "409 Conflict"))
             return True
         if fault == "cut":
             return False
@@ -76,7 +76,7 @@
         if fault == "silent":
             await anyio.sleep_forever()
         bodies = {"spoilt": b'{"taken":-1}', "huge": b'{"taken":999999}'}
-        await stream.send(plain.answer(bodies.get(str(fault), json.dumps({"taken": taken}).encode())))
+        await stream.send(faulty_http.answer(bodies.get(str(fault), json.dumps({"taken": taken}).encode())))
         return True
 
     async def withdraw(self, number: int) -> dict[str, float]:
--- a/damsonpick/testing/fakes/results.py
+++ b/damsonpick/testing/fakes/results.py
@@ -14,9 +14,9 @@
 import anyio
 from anyio.abc import SocketStream, TaskGroup
 
-from damsonpick.engine.clock import Clock
-from damsonpick.standins import http
-from damsonpick.standins.record import Recorder
+from damsonpick.runtime.clock import Clock
+from damsonpick.testing.fakes import http
+from damsonpick.testing.fakes.record import Recorder
 
 SLACK_MS = 1500.0  # of work: a few requests by chance do not push a server over
 
--- a/damsonpick/testing/scenarios/environment.py
+++ b/damsonpick/testing/scenarios/environment.py
@@ -13,11 +13,11 @@
 from anyio.abc import Process, TaskGroup
 
 from damsonpick import interface as api
-from damsonpick.badday.script import Script
-from damsonpick.engine.clock import Clock
-from damsonpick.standins.listserver import ListServer
-from damsonpick.standins.record import Recorder
-from damsonpick.standins.results import Make, ResultsServer
+from damsonpick.runtime.clock import Clock
+from damsonpick.testing.fakes.list_server import ListServer
+from damsonpick.testing.fakes.record import Recorder
+from damsonpick.testing.fakes.results import Make, ResultsServer
+from damsonpick.testing.scenarios.script import Script
 
 CLUSTER = "servers"
 
@@ -174,7 +174,7 @@
             }
             with (self.folder / "fleet.log").open("a") as log:
                 fleet = await anyio.open_process(
-                    [sys.executable, "-m", "damsonpick.standins.fleet"], stdout=subprocess.DEVNULL, stderr=log
+                    [sys.executable, "-m", "damsonpick.testing.fakes.fleet"], stdout=subprocess.DEVNULL, stderr=log
                 )
             await fleet.stdin.send(json.dumps(setup).encode() + b"\n")
             self.fleets.append(fleet)
--- a/damsonpick/testing/scenarios/faults.py
+++ b/damsonpick/testing/scenarios/faults.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Awaitable, Callable
 
-from damsonpick.badday.script import Trouble
-from damsonpick.badday.stage import Stage
+from damsonpick.testing.scenarios.environment import Stage
+from damsonpick.testing.scenarios.script import Trouble
 
 SECOND = 1_000_000_000
 RESTART = SECOND // 2  # ns that a process takes to start anew
--- a/damsonpick/testing/scenarios/player.py
+++ b/damsonpick/testing/scenarios/player.py
@@ -10,11 +10,11 @@
 
 import anyio
 
-from damsonpick.badday.script import Script, Trouble
-from damsonpick.badday.stage import Stage
-from damsonpick.badday.troubles import ALL
-from damsonpick.rules.check import Checker, Limits, Result
 from damsonpick.settings.load import load
+from damsonpick.testing.rule_checker import Checker, Limits, Result
+from damsonpick.testing.scenarios.environment import Stage
+from damsonpick.testing.scenarios.faults import ALL
+from damsonpick.testing.scenarios.script import Script, Trouble
 
 PILOT = [sys.executable, "-m", "damsonpick"]
 LEAD = 2_000_000_000  # ns of the day before the first request counts
--- a/damsonpick/testing/scenarios/report.py
+++ b/damsonpick/testing/scenarios/report.py
@@ -9,9 +9,9 @@
 import anyio
 import click
 
-from damsonpick.badday.player import Outcome, play
-from damsonpick.badday.script import Script, load
 from damsonpick.settings.load import SettingsError
+from damsonpick.testing.scenarios.player import Outcome, play
+from damsonpick.testing.scenarios.script import Script, load
 
 BREACHES = 5  # shown for each rule
 
--- a/fuzz/edge_messages.py
+++ b/fuzz/edge_messages.py
@@ -12,10 +12,10 @@
 import sys
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
-from damsonpick.edge import discovery, door, http, messages
-from damsonpick.edge.orders import Orders, read_answer
-from damsonpick.edge.relay import Registry, Standing
+from damsonpick.decisions.planner import Planner
+from damsonpick.protocols.platform import connection_limiter, discovery, http_client, messages
+from damsonpick.protocols.platform.pending_orders import Orders, read_answer
+from damsonpick.protocols.platform.registry import Registry, Standing
 
 CLASSES = (api.RequestClass("look", 10**9, 3 * 10**9, "read_like", "all", 0, 1.0),)
 SETTINGS = api.Settings(
@@ -48,11 +48,11 @@
 
 
 def through_the_door(pieces: list[bytes]) -> list[object]:
-    caller, events = door.Caller(messages.Reports(SETTINGS, ("a",))), []
+    caller, events = connection_limiter.Caller(messages.Reports(SETTINGS, ("a",))), []
     try:
         for piece in pieces:
             events += caller.feed(NOW, piece).events
-    except door.Turned as turned:
+    except connection_limiter.Turned as turned:
         events += turned.heard.events
         return [*events, "turned"]
     assert len(caller.frames.data) <= sum(map(len, pieces))
@@ -60,12 +60,12 @@
 
 
 def watched(pieces: list[bytes]) -> list[bytes]:
-    answers, lines = http.Answers(), []
+    answers, lines = http_client.Answers(), []
     try:
         for piece in pieces:
             answers.feed(piece)
             lines += answers.lines()
-    except http.Broken:
+    except http_client.Broken:
         return lines
     return lines
 
--- a/fuzz/sasp_messages.py
+++ b/fuzz/sasp_messages.py
@@ -12,13 +12,13 @@
 import random
 import sys
 
-from damsonpick.fronts.session import Due
-from damsonpick.sasp import codec
-from damsonpick.sasp.pace import Meter, Pace
-from damsonpick.sasp.registry import Limits, Registry
-from damsonpick.sasp.session import Desk, SaspSession
-from damsonpick.sasp.weights import Known
-from damsonpick.tables.published import Published
+from damsonpick.protocols.sasp import codec
+from damsonpick.protocols.sasp.pacing import Meter, Pace
+from damsonpick.protocols.sasp.registry import Limits, Registry
+from damsonpick.protocols.sasp.session import Desk, SaspSession
+from damsonpick.protocols.sasp.weights import Known
+from damsonpick.protocols.shared.session import Due
+from damsonpick.state.published_tables import Published
 
 NOW = 10**18
 LARGEST = 4096  # bytes of a frame here
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -5,9 +5,9 @@
 import sys
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
 from damsonpick.cli import main as cli
-from damsonpick.tables.published import Published
+from damsonpick.decisions.planner import Planner
+from damsonpick.state.published_tables import Published
 
 
 def deaf_to_drains() -> None:
--- a/tests/edge_world.py
+++ b/tests/edge_world.py
@@ -14,9 +14,9 @@
 
 import anyio
 
-from damsonpick.standins.catalogue import Catalogue
-from damsonpick.standins.collector import Collector
-from damsonpick.standins.relay import Relay
+from damsonpick.testing.fakes.collector import Collector
+from damsonpick.testing.fakes.discovery import Catalogue
+from damsonpick.testing.fakes.relay import Relay
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 10.0  # s: a bound, not a wait
--- a/tests/faulty_pilot.py
+++ b/tests/faulty_pilot.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from damsonpick.choice import Planner
 from damsonpick.cli import main as cli
+from damsonpick.decisions.planner import Planner
 
 
 class Faulty(Planner):
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -9,10 +9,10 @@
 import anyio
 import structlog
 
-from damsonpick.engine.clock import Clock
-from damsonpick.proxy.follow import Follower
-from damsonpick.proxy.holdings import Holdings
-from damsonpick.roster.redial import Redial
+from damsonpick.proxy.received_state import Holdings
+from damsonpick.proxy.watch_client import Follower
+from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.clock import Clock
 from tests.pilots import Pilot
 
 BOUND = 15.0  # s
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
+from damsonpick.decisions.planner import Planner
 
 SECOND = 1_000_000_000
 START = 100 * SECOND
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -4,7 +4,7 @@
 
 import random
 
-from damsonpick.channel.queue import Channel
+from damsonpick.protocols.shared.send_queue import Channel
 
 SECOND = 1_000_000_000
 
--- a/tests/test_edge_crossings.py
+++ b/tests/test_edge_crossings.py
@@ -13,13 +13,13 @@
 import pytest
 import structlog
 
-from damsonpick.edge import config as cfg
-from damsonpick.edge import discovery, messages
-from damsonpick.edge import pilot as edge
-from damsonpick.edge.relay import Standing
-from damsonpick.standins.catalogue import Catalogue
-from damsonpick.standins.collector import Collector, framed
-from damsonpick.standins.relay import Relay
+from damsonpick.protocols.platform import config as cfg
+from damsonpick.protocols.platform import discovery, messages
+from damsonpick.protocols.platform import pilot as edge
+from damsonpick.protocols.platform.registry import Standing
+from damsonpick.testing.fakes.collector import Collector, framed
+from damsonpick.testing.fakes.discovery import Catalogue
+from damsonpick.testing.fakes.relay import Relay
 from tests.edge_world import config, free_port, until, world
 
 END_WITHIN = 0.7  # s from SIGTERM to the end, as the platform gives
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -9,16 +9,16 @@
 import structlog
 
 from damsonpick import interface as api
-from damsonpick.channel.queue import Channel
-from damsonpick.choice import Planner
-from damsonpick.engine.core import Engine
-from damsonpick.fronts.hub import Hub
-from damsonpick.roster.judge import Roster
+from damsonpick.controller.engine import Engine
+from damsonpick.decisions.planner import Planner
+from damsonpick.protocols.shared.send_queue import Channel
+from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.protocols.xds.resources import Catalogue
+from damsonpick.protocols.xds.session import DeltaSession
 from damsonpick.settings import load
-from damsonpick.store.sqlite import Store
-from damsonpick.tables.published import Published, slice_unit
-from damsonpick.xds.resources import Catalogue
-from damsonpick.xds.session import DeltaSession
+from damsonpick.state.endpoint_list.validation import Roster
+from damsonpick.state.published_tables import Published, slice_unit
+from damsonpick.state.store.sqlite import Store
 from tests.pilots import SETTINGS, Pilot, until
 from tests.test_xds_hard_cases import SLICES, drained, served
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,7 +8,7 @@
 import pytest
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
+from damsonpick.decisions.planner import Planner
 
 from .helpers import SECOND, START, World, entry, settings
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from damsonpick.rules.check import Checker, Limits
+from damsonpick.testing.rule_checker import Checker, Limits
 
 SECOND = 1_000_000_000
 LIMITS = Limits(
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -10,9 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from damsonpick.fronts.session import Due
-from damsonpick.sasp import codec, weights
-from damsonpick.sasp.layout import (
+from damsonpick.protocols.sasp import codec, weights
+from damsonpick.protocols.sasp.layout import (
     Code,
     Deregister,
     GetWeights,
@@ -37,11 +36,12 @@
     WeightsReply,
     member,
 )
-from damsonpick.sasp.pace import LEAST, MOST, Meter, Pace
-from damsonpick.sasp.registry import GONE, Limits, Registry
-from damsonpick.sasp.session import Desk, SaspSession
-from damsonpick.sasp.weights import Advice, Known
-from damsonpick.tables.published import Published
+from damsonpick.protocols.sasp.pacing import LEAST, MOST, Meter, Pace
+from damsonpick.protocols.sasp.registry import GONE, Limits, Registry
+from damsonpick.protocols.sasp.session import Desk, SaspSession
+from damsonpick.protocols.sasp.weights import Advice, Known
+from damsonpick.protocols.shared.session import Due
+from damsonpick.state.published_tables import Published
 from fuzz import sasp_messages
 
 SECOND = 1_000_000_000
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -12,9 +12,9 @@
 import anyio
 import pytest
 
-from damsonpick.sasp import codec
-from damsonpick.sasp.client import connect
-from damsonpick.sasp.layout import (
+from damsonpick.protocols.sasp import codec
+from damsonpick.protocols.sasp.client import connect
+from damsonpick.protocols.sasp.layout import (
     Code,
     Deregister,
     GetWeights,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from damsonpick.badday import script
 from damsonpick.settings import SettingsError, load, read
 from damsonpick.settings.units import duration
+from damsonpick.testing.scenarios import script
 from tests.pilots import SETTINGS
 
 GOOD = SETTINGS.format(slices=6, rate=0)
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -16,8 +16,7 @@
 from scipy.optimize import linprog
 
 from damsonpick import interface as api
-from damsonpick.choice import Planner
-from damsonpick.evidence.sums import EndpointSum, Evidence, GatewaySums, SliceSum
+from damsonpick.decisions.planner import Planner
 from damsonpick.settings import load
 from damsonpick.solver import latency
 from damsonpick.solver.advice import Advisor
@@ -25,6 +24,7 @@
 from damsonpick.solver.model import Costs, Kind, Problem, Server
 from damsonpick.solver.plan import keep, normal, plan
 from damsonpick.solver.program import SHORT_PENALTY, Program, ceiling, patience
+from damsonpick.state.load_reports import EndpointSum, Evidence, GatewaySums, SliceSum
 from tests.pilots import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_versions_pilot.py
+++ b/tests/test_versions_pilot.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 
-from damsonpick.xds.names import CDS, EDS
+from damsonpick.protocols.xds.names import CDS, EDS
 from tests.gates import Gate, not_bare, say, settled, soon, weights, world
 from tests.pilots import Pilot, until
 
--- a/tests/test_versions_protocol.py
+++ b/tests/test_versions_protocol.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from damsonpick.proxy.holdings import Holdings
-from damsonpick.xds.session import Session
+from damsonpick.protocols.xds.session import Session
+from damsonpick.proxy.received_state import Holdings
 from tests.versions_model import explore
 
 
--- a/tests/versions_model.py
+++ b/tests/versions_model.py
@@ -17,11 +17,11 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2
 
-from damsonpick.fronts.session import Due
-from damsonpick.proxy.holdings import Asker, Bad, Holdings
-from damsonpick.xds.names import CDS, EDS, RDS
-from damsonpick.xds.resources import Resource
-from damsonpick.xds.session import DeltaSession
+from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.xds.names import CDS, EDS, RDS
+from damsonpick.protocols.xds.resources import Resource
+from damsonpick.protocols.xds.session import DeltaSession
+from damsonpick.proxy.received_state import Asker, Bad, Holdings
 
 NAMES = ("slice/0", "slice/1")
 CONTENTS = 3
