--- a/benchmarks/fanout.py
+++ b/benchmarks/fanout.py
@@ -60,8 +60,8 @@
 """
 
 
-def entry(k: int, state: str = "in_service") -> api.ListEntry:
-    return api.ListEntry(f"127.0.0.1:{20000 + k}", "abcd"[k % 4], state, 6.0, 0)
+def entry(k: int, state: str = "in_service") -> api.EndpointEntry:
+    return api.EndpointEntry(f"127.0.0.1:{20000 + k}", "abcd"[k % 4], state, 6.0, 0)
 
 
 class Run:
--- a/benchmarks/hand_pilot.py
+++ b/benchmarks/hand_pilot.py
@@ -24,14 +24,16 @@
 
     def repair(self, planner: Planner) -> list[api.Event]:
         # A cold server is let back in by hand once it is warm: operators know of the ramp.
-        now = (self._fleet(planner), tuple(n for n in sorted(planner.usable()) if planner.tender(n)))
+        now = (self._fleet(planner), tuple(n for n in sorted(planner.usable_capacities()) if planner.is_warming_up(n)))
         if not self.told or now == self.mended:
             return []
         self.mended = now
         return self._by_hand(planner)
 
     def _by_hand(self, planner: Planner) -> list[api.Event]:
-        usable = [n for n in sorted(planner.usable()) if not planner.tender(n)] or sorted(planner.usable())
+        usable = [n for n in sorted(planner.usable_capacities()) if not planner.is_warming_up(n)] or sorted(
+            planner.usable_capacities()
+        )
         tables = {
             (zone, kind.name): plans.normal(
                 {n: planner.endpoints[n].weight * (OWN if self.zone_of(n) == zone else 1.0) for n in usable}
--- a/benchmarks/knowledge_cost.py
+++ b/benchmarks/knowledge_cost.py
@@ -32,13 +32,13 @@
     """One that has heard a round of reports."""
     made = Planner(settings(slices=slices), 1)
     names = [f"127.0.0.1:{9000 + k}" for k in range(servers)]
-    events: list[api.Event] = [api.ListChanged("replace", tuple(entry(n) for n in names))]
+    events: list[api.Event] = [api.EndpointListChanged("replace", tuple(entry(n) for n in names))]
     for k in range(slices):
-        events += [api.CustodyChanged(k, True), api.StoredLine(k, names[k % servers], 1.0)]
+        events += [api.SliceOwnershipChanged(k, True), api.StoredEntry(k, names[k % servers], 1.0)]
     made.handle(NOW, events)
     for name in names:
         made.endpoints[name].hear(NOW, api.EndpointReport("a", name, 20, 0, 2 * 10**8, SECOND, ()))
-        made.endpoints[name].speed = rng.uniform(0.2, 1.8)
+        made.endpoints[name].capacity_factor = rng.uniform(0.2, 1.8)
     for piece in made.slices.values():
         piece.rates = [rng.uniform(0, 9), rng.uniform(0, 9)]
         piece.warmth = {n: rng.random() for n in rng.sample(names, 3)}
@@ -71,7 +71,11 @@
     tell, (events, _) = timed(lambda: restore.events(ageing.fade(found, SECOND), listed, range(len(made.slices))))
     new = Planner(made.settings, 1)
     new.handle(
-        NOW, [api.ListChanged("restored", tuple(listed.values())), *(api.CustodyChanged(k, True) for k in made.slices)]
+        NOW,
+        [
+            api.EndpointListChanged("restored", tuple(listed.values())),
+            *(api.SliceOwnershipChanged(k, True) for k in made.slices),
+        ],
     )
     heard, _ = timed(lambda: new.handle(NOW + 1, events))
     whole = sum(steps) + encode + save
--- a/benchmarks/simhost_advised.py
+++ b/benchmarks/simhost_advised.py
@@ -24,16 +24,18 @@
 
 def advice(planner: Planner) -> list[Event]:
     """Weights for slices with several homes."""
-    if not planner.pace or planner.settings.sole_owner:
+    if not planner.throughput_per_capacity or planner.settings.sole_owner:
         return []
     kinds = (Kind("any", 1.0, 0.0, 1.0, 4.0),)
-    usable = planner.usable()
+    usable = planner.usable_capacities()
     cores = {n: max(1, min(64, round(planner.endpoints[n].weight))) for n in usable}
-    servers = tuple(Server(n, "", max(1e-3, c * planner.pace / 0.9), cores[n]) for n, c in sorted(usable.items()))
+    servers = tuple(
+        Server(n, "", max(1e-3, c * planner.throughput_per_capacity / 0.9), cores[n]) for n, c in sorted(usable.items())
+    )
     pieces = tuple(
-        Piece(p.number, p.heat, tuple(p.homes), tuple(map(p.wanted, p.homes)))
+        Piece(p.number, p.load, tuple(p.assigned), tuple(map(p.desired_weight, p.assigned)))
         for _, p in sorted(planner.slices.items())
-        if p.homes
+        if p.assigned
     )
     found = divide(LinesProblem(kinds, servers, pieces, Costs(move=0.1)))
     return [TableAdvised(n, lines, False) for n, lines in sorted(found.items())]
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -105,7 +105,7 @@
     sizes = {"one line": 1, "1%": SLICES * LINES // 100, "all": SLICES * LINES}
     for name, number in sizes.items():
         places = [(n, k) for n in range(SLICES) for k in range(LINES)]
-        orders = [api.SetLine(n, server(k), rng.uniform(1, 9)) for n, k in rng.sample(places, number)]
+        orders = [api.SetEntry(n, server(k), rng.uniform(1, 9)) for n, k in rng.sample(places, number)]
         change = published.apply(orders)
         start = time.process_time()
         catalogue.refresh(change.lines)
@@ -161,7 +161,7 @@
     for k in range(count):
         change = published.apply(
             [
-                api.SetLine(rng.randrange(SLICES), server(rng.randrange(LINES)), rng.uniform(1, 9))
+                api.SetEntry(rng.randrange(SLICES), server(rng.randrange(LINES)), rng.uniform(1, 9))
                 for _ in range(rng.randint(1, 10))
             ]
         )
--- a/damsonpick/cli/main.py
+++ b/damsonpick/cli/main.py
@@ -65,7 +65,7 @@
     """Run a pilot in the foreground; `parts` go to Pilot as they are."""
     from damsonpick.controller.daemon import Pilot
     from damsonpick.protocols.sasp.server import FrontError
-    from damsonpick.runtime import port_file
+    from damsonpick.runtime import port_files
     from damsonpick.runtime.logs import configure
     from damsonpick.state.learned.disk import LockError
     from damsonpick.state.store.sqlite import StoreError
@@ -76,9 +76,9 @@
         pilot = Pilot(settings, log, **parts)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async with pilot.running():
-                port_file.write(port_file, pilot.port)
+                port_files.write(port_file, pilot.port)
                 if port_file is not None and pilot.sasp is not None:
-                    port_file.write(port_file.with_suffix(".sasp"), pilot.sasp.port)
+                    port_files.write(port_file.with_suffix(".sasp"), pilot.sasp.port)
                 async for _ in signals:
                     break
 
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -101,18 +101,18 @@
         again = anew or bool(self.failures)
         seed = self.settings.pilot.seed * 1000 + self.failures
         kept = tuple(self.roster.entries.values())
-        events: list[api.Event] = [api.ListChanged("restored", kept)]
+        events: list[api.Event] = [api.EndpointListChanged("restored", kept)]
         if self.roster.fresh:
-            events.append(api.ListChanged("replace", kept))
+            events.append(api.EndpointListChanged("replace", kept))
         for number in sorted(self.owned):
-            events.append(api.CustodyChanged(number, True))
+            events.append(api.SliceOwnershipChanged(number, True))
             # what a rollback took out is told as well: if such a server drains now, it must be withdrawn
             lines = {**self.gone.get(number, {}), **self.published.tables[number]}
-            events += [api.StoredLine(number, name, weight) for name, weight in lines.items()]
+            events += [api.StoredEntry(number, name, weight) for name, weight in lines.items()]
         events += [*self._recalled(learned), *self.doubted()]
         if again:  # they hold withdrawals of the planner that failed
             events += [api.ProxyJoined(m.number, m.session.zone, 0.0, False) for m in self.hub.members.values()]
-        self.hub.events = [e for e in self.hub.events if not isinstance(e, api.Applied)] if not again else []
+        self.hub.events = [e for e in self.hub.events if not isinstance(e, api.SyncAcknowledged)] if not again else []
         self.begin_with(self.make(self.settings.planner(), seed), events)
 
     def _recalled(self, learned: Snapshot | None) -> list[api.Event]:
@@ -124,14 +124,14 @@
             events, anew = restore.events(learned, self.roster.entries, self.owned, not wrong)
             self.log.info(
                 "recalled",
-                servers=sum(isinstance(e, api.EndpointRecalled) for e in events),
+                servers=sum(isinstance(e, api.EndpointRestored) for e in events),
                 started_anew=len(anew),
                 left_out=wrong,
             )
         levels = tuple(self.published.level(None, k) for k in range(len(classes)))
         fleet = learned.fleet if learned is not None else NOTHING_LEARNED
         if learned is not None or self.published.withdrawn or min(levels) < 1:
-            events.append(api.FleetRecalled(levels, tuple(self.published.withdrawn), fleet.best, fleet.pace))
+            events.append(api.FleetRestored(levels, tuple(self.published.withdrawn), fleet.best, fleet.pace))
         return events
 
     def learned(self) -> Snapshot | None:
@@ -156,7 +156,7 @@
     def tell(self, *events: api.Event) -> None:
         """Events for the next step, in order."""
         super().tell(*events)
-        self.list_changed |= any(isinstance(e, api.ListChanged) for e in events)
+        self.list_changed |= any(isinstance(e, api.EndpointListChanged) for e in events)
 
     def relocate(self, now: int, endpoints: list[str]) -> list[Session]:
         """Send tables again whose endpoints turned out to stand elsewhere."""
@@ -168,13 +168,14 @@
         """Keep custody; a slice lost to another pilot is given up, one won is taken over."""
         have = {charge.slice for charge in self.store.claim(self.owner, self.clock.take(now), self.lease())}
         for number in sorted(self.owned - have):
-            self.tell(api.CustodyChanged(number, False))
+            self.tell(api.SliceOwnershipChanged(number, False))
         if have - self.owned:
             stored = self.store.tables()
             for number in sorted(have - self.owned):
                 self.published.restore(number, stored[number])
                 self.tell(
-                    api.CustodyChanged(number, True), *(api.StoredLine(number, n, w) for n, w in stored[number].items())
+                    api.SliceOwnershipChanged(number, True),
+                    *(api.StoredEntry(number, n, w) for n, w in stored[number].items()),
                 )
         self.owned = have
 
@@ -214,11 +215,13 @@
     def _carry_out(self, now: int, actions: list[api.Action], cause: str) -> list[Session]:
         table_orders = []
         for action in actions:
-            if isinstance(action, api.Subscribe | api.FetchList):
+            if isinstance(action, api.SubscribeEndpointList | api.FetchEndpointList):
                 self.list_wanted = True
-            elif isinstance(action, api.SetLine | api.ClearTable) and action.table not in self.owned:
+            elif isinstance(action, api.SetEntry | api.ClearTable) and action.table not in self.owned:
                 continue  # not ours any more: the order came too late
-            elif isinstance(action, api.SetLine | api.ClearTable | api.Withdraw | api.Admit | api.Mark):
+            elif isinstance(
+                action, api.SetEntry | api.ClearTable | api.SetWithdrawn | api.SetAdmission | api.RequestSync
+            ):
                 table_orders.append(action)
         if not table_orders:
             return []
@@ -227,7 +230,7 @@
                 table_orders, self.published.tables, self.barred, self.published.level
             )
         change = self.published.apply(table_orders)
-        touched = {o.table for o in table_orders if isinstance(o, api.SetLine | api.ClearTable)}
+        touched = {o.table for o in table_orders if isinstance(o, api.SetEntry | api.ClearTable)}
         self._save(now, {n: self.published.tables[n] for n in touched})
         self._say(now, table_orders, change.cost())
         return self._publish(now, change, cause)
@@ -272,7 +275,7 @@
 
     def cold(self, name: str) -> bool:
         ep = self.planner.endpoints.get(name) if self.planner else None
-        return ep is not None and self.planner.ramp(ep) < 1
+        return ep is not None and self.planner.warm_up_share(ep) < 1
 
     def roll_back(
         self,
@@ -362,31 +365,31 @@
         """One log event a decision that matters."""
         planner = self.planner
         for order in orders:
-            if isinstance(order, api.Withdraw) and order.out != (self.told.get(order.endpoint) == "out"):
-                self.told[order.endpoint] = "out" if order.out else "in"
+            if isinstance(order, api.SetWithdrawn) and order.withdrawn != (self.told.get(order.endpoint) == "out"):
+                self.told[order.endpoint] = "out" if order.withdrawn else "in"
                 self.log.info(
-                    "withdrawn" if order.out else "let_in",
+                    "withdrawn" if order.withdrawn else "let_in",
                     endpoint=order.endpoint,
                     why=explain.reason(planner, order.endpoint),
                 )
-        if planner.level != self.levels:
-            self.levels = planner.level
+        if planner.published_levels != self.levels:
+            self.levels = planner.published_levels
             self.log.info(
                 "levels",
-                let_in=dict(zip(self.published.classes, planner.level, strict=True)),
+                let_in=dict(zip(self.published.classes, planner.published_levels, strict=True)),
                 why="all that comes fits"
-                if planner.admitted >= 1
-                else f"answers are late: {planner.allow:.0f} answers/s allowed of what comes",
+                if planner.admitted_share >= 1
+                else f"answers are late: {planner.admitted_rate_limit:.0f} answers/s allowed of what comes",
             )
         moved: dict[int, dict[str, list[str]]] = {}
         for order in orders:
-            if isinstance(order, api.SetLine):
+            if isinstance(order, api.SetEntry):
                 side = moved.setdefault(order.table, {"to": [], "from": []})
                 side["to" if order.weight > 0 else "from"].append(order.endpoint)
         if moved:
             why: dict[str, int] = {}
             for sides in moved.values():
-                away = any(n in planner.endpoints and planner.barred(n) for n in sides["from"])
+                away = any(n in planner.endpoints and planner.is_unroutable(n) for n in sides["from"])
                 cause = "off barred" if away else "balance" if sides["from"] else "new line"
                 why[cause] = why.get(cause, 0) + 1
             self.log.info("tables", slices=len(moved), lines=lines, why=why, number=self.published.seq)
@@ -398,8 +401,8 @@
 
 def _cause(events: list[api.Event]) -> str:
     """What set off a step, in a word."""
-    if any(isinstance(e, api.TableAdvised | api.LoadAdvised) for e in events):
+    if any(isinstance(e, api.TableAdvised | api.CapacityAdvised) for e in events):
         return "solver"
-    if any(isinstance(e, api.ListChanged) for e in events):
+    if any(isinstance(e, api.EndpointListChanged) for e in events):
         return "list"
     return "gateways" if any(isinstance(e, api.ProxyJoined | api.ProxyLeft) for e in events) else "module"
--- a/damsonpick/controller/explain.py
+++ b/damsonpick/controller/explain.py
@@ -18,24 +18,24 @@
             lines[name] = lines.get(name, 0) + 1
     for name, ep in sorted(planner.endpoints.items()):
         why = []
-        if planner.barred(name):
+        if planner.is_unroutable(name):
             why.append(f"barred: the list says {ep.state}")
         elif published.withdrawn.get(name):
             why.append("withdrawn: old lines have not left all tables")
-        ramp = planner.ramp(ep)
+        ramp = planner.warm_up_share(ep)
         if ramp < 1:
             why.append(f"cold: started {(planner.now - ep.started) / 1e9:.1f} s ago, counted at {ramp:.0%}")
-        if ep.speed < SLOW:
-            why.append(f"slow: answers in {ep.latency / 1e6:.0f} ms, {ep.sound:.0%} answered")
+        if ep.capacity_factor < SLOW:
+            why.append(f"slow: answers in {ep.latency / 1e6:.0f} ms, {ep.success_ratio:.0%} answered")
         yield {
             "endpoint": name,
             "state": ep.state,
             "withdrawn": name in published.withdrawn,
             "lines": lines.get(name, 0),
             "weight": ep.weight,
-            "speed": round(ep.speed, 3),
+            "speed": round(ep.capacity_factor, 3),
             "ramp": round(ramp, 3),
-            "tries": round(ep.tries, 1),
+            "tries": round(ep.attempts, 1),
             "why": "; ".join(why) or "in full service",
         }
 
@@ -45,6 +45,6 @@
     ep = planner.endpoints.get(name)
     if ep is None:
         return "unknown to the module"
-    if planner.barred(name):
+    if planner.is_unroutable(name):
         return f"the list says {ep.state}"
     return "listed as ready and no old line is left"
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -50,7 +50,7 @@
         self.trust = Trust()
         self.changed: Callable[[], None] = lambda: None
         self.said = "nothing yet"
-        self.taken: tuple[str, list[api.ListEntry]] | None = None  # believed source and list, as last handed on
+        self.taken: tuple[str, list[api.EndpointEntry]] | None = None  # believed source and list, as last handed on
         self.disputes: list[str] = []
         engine.doubted = lambda: self.trust.again()
 
@@ -84,14 +84,14 @@
         async for said in source.lists():
             self.heard(name, said)
 
-    def members(self, entries: list[api.ListEntry]) -> None:
+    def members(self, entries: list[api.EndpointEntry]) -> None:
         """What is said over SASP: a quiesced member drains by the rule that a drain of any live source binds."""
         if entries:
             self.heard(MEMBERS, entries)
         elif self.sources.all[MEMBERS].up:
             self.heard(MEMBERS, ListError("no members are registered"))
 
-    def heard(self, name: str, said: list[api.ListEntry] | ListError) -> None:
+    def heard(self, name: str, said: list[api.EndpointEntry] | ListError) -> None:
         """One source has given a list, or why there is none; the module hears of both."""
         now = self.clock.now()
         if not isinstance(said, ListError) and not said and self.roster.entries:
@@ -139,7 +139,7 @@
         self.changed()
         self.stir()
 
-    def _keep(self, event: api.ListChanged) -> None:
+    def _keep(self, event: api.EndpointListChanged) -> None:
         states: dict[str, int] = {}
         for entry in event.entries:
             states[entry.state] = states.get(entry.state, 0) + 1
@@ -157,7 +157,7 @@
         if verdict is not None:
             self._use(verdict)
         if said := self.trust.say(now):
-            self.log.info("list_trust", **{e.endpoint: e.trust for e in said[:20]}, of=len(said))
+            self.log.info("list_trust", **{e.endpoint: e.confidence for e in said[:20]}, of=len(said))
             self.engine.tell(*said)
             self.stir()
 
--- a/damsonpick/decisions/planner.py
+++ b/damsonpick/decisions/planner.py
@@ -53,78 +53,81 @@
 RULE, FAILURE, BALANCE, LEISURE = 0, 1, 2, 3  # urgencies
 
 
-class Endpoint:
+class EndpointState:
     def __init__(self, name: str, state: str = "unlisted") -> None:
         self.name, self.weight, self.state, self.started = name, 1.0, state, 0
-        self.speed = 1.0  # learned, against the fleet's median; the machine's, so it outlives a process
-        self.recalled, self.trust = 0.0, 1.0  # how much of the speed is hearsay; how far the list is believed
+        self.capacity_factor = 1.0  # learned, against the fleet's median; the machine's, so it outlives a process
+        self.restored_share, self.list_confidence = (
+            0.0,
+            1.0,
+        )  # how much of the speed is hearsay; how far the list is believed
         self.forget()
 
     def forget(self) -> None:
         """Start with no evidence: first seen, or a new process under the old name."""
-        self.tries = self.fails = self.rate = 0.0  # sums; answers a second
+        self.attempts = self.failures = self.answer_rate = 0.0  # sums; answers a second
         self.latency = 0.0  # ns
-        self.sound, self.seen = 1.0, 0  # share answered where it is most, and zones that told of it
-        self.heard = 0  # when evidence last came
-        self.views: dict[str, list[float]] = {}  # by proxy zone: tries, good, their time, s covered, heard
+        self.success_ratio, self.reporting_zones = 1.0, 0  # share answered where it is most, and zones that told of it
+        self.last_report_at = 0  # when evidence last came
+        self.zone_views: dict[str, list[float]] = {}  # by proxy zone: tries, good, their time, s covered, heard
 
     def hear(self, now: int, report: api.EndpointReport) -> None:
         """Add a report to what its zone saw. Rates go by the time covered, which grows with the fleet."""
-        good, span = report.tries - report.failures, report.period / SECOND
-        view = self.views.setdefault(report.zone, [0.0, 0.0, 0.0, 0.0, now, 0.0, 0.0])
+        good, span = report.attempts - report.failures, report.period / SECOND
+        view = self.zone_views.setdefault(report.zone, [0.0, 0.0, 0.0, 0.0, now, 0.0, 0.0])
         age = max(0, now - view[4]) / SECOND
         keep, recent = math.exp(-age / EVIDENCE_TAU), math.exp(-age / LATE_TAU)
-        new = report.tries, good, good * report.latency, span
+        new = report.attempts, good, good * report.latency, span
         view[:] = [
             *(old * keep + more for old, more in zip(view, new, strict=False)),
             now,
             view[5] * recent + good,
             view[6] * recent + good * report.latency,
         ]
-        self.heard = now
-        views = [v for v in self.views.values() if now - v[4] < 2 * EVIDENCE_TAU * SECOND]
-        self.tries, answered, time = (sum(v[k] for v in views) for k in range(3))
-        self.fails = self.tries - answered
+        self.last_report_at = now
+        views = [v for v in self.zone_views.values() if now - v[4] < 2 * EVIDENCE_TAU * SECOND]
+        self.attempts, answered, time = (sum(v[k] for v in views) for k in range(3))
+        self.failures = self.attempts - answered
         self.latency = time / answered if answered > 0 else 0.0
-        self.rate = sum(v[1] / v[3] for v in views)
-        self.sound, self.seen = max(v[1] / v[0] for v in views), len(views)
+        self.answer_rate = sum(v[1] / v[3] for v in views)
+        self.success_ratio, self.reporting_zones = max(v[1] / v[0] for v in views), len(views)
 
 
-class Slice:
+class SliceState:
     """One slice in this instance's charge: where it should live and what the store holds."""
 
     def __init__(self, number: int, rates: list[float], now: int) -> None:
         self.number, self.since = number, now  # since when it is in our charge
-        self.homes: list[str] = []
-        self.lines: dict[str, float] = {}  # as published
+        self.assigned: list[str] = []
+        self.published: dict[str, float] = {}  # as published
         self.rates = rates  # requests a second by class, averaged
-        self.heard = [0] * len(rates)
-        self.guessed = True  # rates of classes not heard of are the usual ones
+        self.last_reports_at = [0] * len(rates)
+        self.rates_assumed = True  # rates of classes not heard of are the usual ones
         self.warmth: dict[str, float] = {}
-        self.weights: dict[str, float] = {}  # advised from outside; a line without one weighs 1
-        self.laid = False  # advised whole: rounds leave it alone
+        self.advised_weights: dict[str, float] = {}  # advised from outside; a line without one weighs 1
+        self.externally_assigned = False  # advised whole: rounds leave it alone
 
     @property
-    def heat(self) -> float:
+    def load(self) -> float:
         return sum(self.rates) + 0.01  # an unheard slice still counts a little
 
-    def part(self, home: str) -> float:
+    def load_share(self, home: str) -> float:
         """Heat that a home gets."""
-        if not self.weights:
-            return self.heat / len(self.homes)
-        return self.heat * self.wanted(home) / sum(map(self.wanted, self.homes))
+        if not self.advised_weights:
+            return self.load / len(self.assigned)
+        return self.load * self.desired_weight(home) / sum(map(self.desired_weight, self.assigned))
 
-    def wanted(self, home: str) -> float:
-        return self.weights.get(home, 1.0)
+    def desired_weight(self, home: str) -> float:
+        return self.advised_weights.get(home, 1.0)
 
-    def astray(self) -> bool:
+    def is_out_of_sync(self) -> bool:
         """The store does not hold what is wanted."""
-        return self.lines.keys() != dict.fromkeys(self.homes).keys() or any(
-            self.lines.get(n, w) != w for n, w in self.weights.items()
+        return self.published.keys() != dict.fromkeys(self.assigned).keys() or any(
+            self.published.get(n, w) != w for n, w in self.advised_weights.items()
         )
 
 
-class Channel:
+class FlowControl:
     """Lines sent and not yet acknowledged: holds when the channel runs slower than stated. Messages leave in
     order, so what half of the proxies it went to (not those joined since) have applied is out, with all
     before it; waiting for every proxy would let one stalled or cut off stop the drains."""
@@ -132,12 +135,12 @@
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
         self.proxies: dict[int, str] = {}  # joined, with their zones
-        self.flights: deque[tuple[int, float, int, dict[int, str]]] = deque()  # mark, cost, for, still to ack
+        self.in_flight: deque[tuple[int, float, int, dict[int, str]]] = deque()  # mark, cost, for, still to ack
         self.sent: deque[int] = deque()  # times of messages, for the window
-        self.mark = self.last = self.moved = 0  # moved: the last mark behind more than old lines
-        self.head = settings.message_overhead + 2  # lines of a message beside its orders
+        self.last_token = self.last = self.last_move_token = 0  # moved: the last mark behind more than old lines
+        self.message_head = settings.message_overhead + 2  # lines of a message beside its orders
 
-    def room(self, now: int, urgency: int) -> int:
+    def available(self, now: int, urgency: int) -> int:
         """Lines that a message may hold now; below 1: none."""
         s = self.settings
         while self.sent and self.sent[0] <= now - s.message_window:
@@ -147,38 +150,38 @@
             spaced = urgency != RULE or 4 * len(self.sent) > allowed
             if len(self.sent) + 1 > allowed or (spaced and now - self.last < s.message_window / allowed):
                 return 0
-        room = self.lines(urgency, sum(cost * len(waits) / most for _, cost, most, waits in self.flights))
-        if urgency == RULE and not self.flights:  # where the limit takes no message at all, rules still go
+        room = self.message_capacity(urgency, sum(cost * len(waits) / most for _, cost, most, waits in self.in_flight))
+        if urgency == RULE and not self.in_flight:  # where the limit takes no message at all, rules still go
             return max(room, 2)
-        return room if 2 * room >= self.lines(urgency, 0.0) else 0  # many small messages would be all heads
+        return room if 2 * room >= self.message_capacity(urgency, 0.0) else 0  # many small messages would be all heads
 
-    def lines(self, urgency: int, waiting: float) -> int:
+    def message_capacity(self, urgency: int, waiting: float) -> int:
         """Lines of a message to all proxies, with this much waiting. Each costs its head as well."""
         proxies = max(1, len(self.proxies))
-        return int((FILL[urgency] * self.settings.channel_limit - waiting) / proxies - self.head)
+        return int((FILL[urgency] * self.settings.channel_limit - waiting) / proxies - self.message_head)
 
-    def landed(self) -> bool:
+    def moves_acknowledged(self) -> bool:
         """No moves are on their way; old lines that are being cleared away do not hold up a round."""
-        return all(number != self.moved for number, *_ in self.flights)
+        return all(number != self.last_move_token for number, *_ in self.in_flight)
 
-    def send(self, now: int, lines: int, moves: bool) -> api.Mark:
-        self.mark = (self.mark + 1) % 65536
-        self.moved = self.mark if moves else self.moved
-        cost = len(self.proxies) * (self.head + lines)
-        self.flights.append((self.mark, cost, len(self.proxies), dict(self.proxies)))
+    def send(self, now: int, lines: int, moves: bool) -> api.RequestSync:
+        self.last_token = (self.last_token + 1) % 65536
+        self.last_move_token = self.last_token if moves else self.last_move_token
+        cost = len(self.proxies) * (self.message_head + lines)
+        self.in_flight.append((self.last_token, cost, len(self.proxies), dict(self.proxies)))
         self.sent.append(now)
         self.last = now
-        return api.Mark(self.mark, True)  # all: withdrawals alone may reach nobody, and wait for ever
+        return api.RequestSync(self.last_token, True)  # all: withdrawals alone may reach nobody, and wait for ever
 
-    def settle(self, proxy: int, mark: int | None) -> None:
+    def acknowledge(self, proxy: int, mark: int | None) -> None:
         """A proxy has applied what came up to a mark, or (None) has left and will apply nothing."""
         out = 0
-        for k, (number, _, most, waits) in enumerate(self.flights):
+        for k, (number, _, most, waits) in enumerate(self.in_flight):
             if mark in (None, number):
                 waits.pop(proxy, None)
             out = k + 1 if 2 * len(waits) <= most else out
         for _ in range(out):
-            self.flights.popleft()
+            self.in_flight.popleft()
 
 
 class Planner:
@@ -188,24 +191,31 @@
         self.settings = settings
         self.random = random.Random(seed)
         self.class_index = {c.name: k for k, c in enumerate(settings.classes)}
-        self.aim = min(c.aim for c in settings.classes)
-        self.endpoints: dict[str, Endpoint] = {}
-        self.slices: dict[int, Slice] = {}
-        self.channel = Channel(settings)
+        self.aim = min(c.latency_objective for c in settings.classes)
+        self.endpoints: dict[str, EndpointState] = {}
+        self.slices: dict[int, SliceState] = {}
+        self.flow_control = FlowControl(settings)
         self.listed = False  # a list newer than `restored` has come
         self.ask_at: int | None = 0 if settings.subscribe else None
-        self.met: dict[int, str] = {}  # proxies that have joined since our start, and their zones
-        self.span = float(settings.report_period)  # that reports cover: more where they are many
+        self.known_proxies: dict[int, str] = {}  # proxies that have joined since our start, and their zones
+        self.report_span = float(settings.report_period)  # that reports cover: more where they are many
         self.greet = True  # standing orders must be sent (again)
-        self.level = self.wanted = (1.0,) * len(settings.classes)  # let in: as published, as wanted
-        self.dirty: dict[int, Slice] = {}  # slices whose table is not as wanted
-        self.shut: dict[str, bool] = {}  # endpoints ever withdrawn, and whether they are now
-        self.restate: list[str] = []  # what a proxy that was away may have missed of it
-        self.tick_at = self.round_at = self.judge_at = self.report_at = self.ask_fails = 0
-        self.allow, self.best, self.cut_at = math.inf, 0.0, 0  # answers/s allowed, seen at best; last cut
+        self.published_levels = self.desired_levels = (1.0,) * len(settings.classes)  # let in: as published, as wanted
+        self.unpublished: dict[int, SliceState] = {}  # slices whose table is not as wanted
+        self.withdrawn: dict[str, bool] = {}  # endpoints ever withdrawn, and whether they are now
+        self.resync_withdrawals: list[str] = []  # what a proxy that was away may have missed of it
+        self.tick_at = self.round_at = self.judge_at = self.last_report_at = self.ask_fails = 0
+        self.admitted_rate_limit, self.best_throughput, self.cut_at = (
+            math.inf,
+            0.0,
+            0,
+        )  # answers/s allowed, seen at best; last cut
         self.advised = 0.0  # answers/s that the fleet can give, as reckoned outside; 0: not known
         self.usual = math.inf  # least part of the aim that answers took, slowly forgotten
-        self.pace, self.admitted = 0.0, 1.0  # best answers/s for each unit of capacity; share let in
+        self.throughput_per_capacity, self.admitted_share = (
+            0.0,
+            1.0,
+        )  # best answers/s for each unit of capacity; share let in
         self.taken_over = self.hearsay = False  # levels of an earlier life not weighed yet; best not tried
         self.changed, self.landed, self.over = True, True, 0.0
         self.rates = [0.0] * len(settings.classes)  # usual ones of a slice
@@ -233,7 +243,7 @@
     def on_other(self, event: api.Event) -> None:
         """Timers only wake; probes, peers and per-proxy demand are not used."""
 
-    def on_ListChanged(self, event: api.ListChanged) -> None:
+    def on_EndpointListChanged(self, event: api.EndpointListChanged) -> None:
         if event.kind == "unavailable":
             # Asking again at once would pile onto a list service that just failed.
             self.ask_fails = min(self.ask_fails + 1, 4)
@@ -248,51 +258,54 @@
                 if ep.state != "unlisted" and ep.name not in named:
                     ep.state = "terminated"
         for entry in event.entries:
-            ep = self.endpoints.setdefault(entry.endpoint, Endpoint(entry.endpoint))
-            if ep.state == "unlisted" and not ep.heard:  # a newcomer is like others of its weight
-                like = [e.speed for e in self.endpoints.values() if e.weight == entry.weight and e.tries]
-                ep.speed = sum(like) / len(like) if like else ep.speed
+            ep = self.endpoints.setdefault(entry.endpoint, EndpointState(entry.endpoint))
+            if ep.state == "unlisted" and not ep.last_report_at:  # a newcomer is like others of its weight
+                like = [e.capacity_factor for e in self.endpoints.values() if e.weight == entry.weight and e.attempts]
+                ep.capacity_factor = sum(like) / len(like) if like else ep.capacity_factor
             if entry.started != ep.started:
                 ep.forget()
-                ep.speed = 1.0 if ep.recalled else ep.speed  # hearsay of a process that is no more
+                ep.capacity_factor = (
+                    1.0 if ep.restored_share else ep.capacity_factor
+                )  # hearsay of a process that is no more
             ep.started, ep.state = entry.started, entry.state
             ep.weight = entry.weight if entry.weight > 0 else 1.0
         self.changed = True
 
     def on_ProxyJoined(self, event: api.ProxyJoined) -> None:
-        self.channel.proxies[event.proxy] = event.zone
+        self.flow_control.proxies[event.proxy] = event.zone
         self.greet = True
         if not event.fresh:  # it keeps withdrawals of earlier streams; of our earlier lives, who knows which
-            if event.proxy not in self.met:
-                self.shut = dict.fromkeys(self.endpoints, False) | self.shut
-            self.restate = [n for n in self.shut if n in self.endpoints]
-        self.met[event.proxy] = event.zone
+            if event.proxy not in self.known_proxies:
+                self.withdrawn = dict.fromkeys(self.endpoints, False) | self.withdrawn
+            self.resync_withdrawals = [n for n in self.withdrawn if n in self.endpoints]
+        self.known_proxies[event.proxy] = event.zone
 
     def on_ProxyLeft(self, event: api.ProxyLeft) -> None:
-        self.channel.proxies.pop(event.proxy, None)
-        self.channel.settle(event.proxy, None)
+        self.flow_control.proxies.pop(event.proxy, None)
+        self.flow_control.acknowledge(event.proxy, None)
 
-    def on_Applied(self, event: api.Applied) -> None:
-        self.channel.settle(event.proxy, event.mark)
+    def on_SyncAcknowledged(self, event: api.SyncAcknowledged) -> None:
+        self.flow_control.acknowledge(event.proxy, event.token)
 
-    def on_CustodyChanged(self, event: api.CustodyChanged) -> None:
+    def on_SliceOwnershipChanged(self, event: api.SliceOwnershipChanged) -> None:
         had = len(self.slices)
         self.slices.pop(event.slice, None)
-        self.dirty.pop(event.slice, None)
+        self.unpublished.pop(event.slice, None)
         if event.owned:
-            self.slices[event.slice] = Slice(event.slice, list(self.rates), self.now)
+            self.slices[event.slice] = SliceState(event.slice, list(self.rates), self.now)
             # Reports cover it in part at first.
             self.cut_at = self.now
         if had and self.slices:  # what is allowed is allowed for the slices in charge
-            self.allow, self.best = (x * len(self.slices) / had for x in (self.allow, self.best))
+            self.admitted_rate_limit = self.admitted_rate_limit * len(self.slices) / had
+            self.best_throughput = self.best_throughput * len(self.slices) / had
         self.changed = True
 
-    def on_StoredLine(self, event: api.StoredLine) -> None:
+    def on_StoredEntry(self, event: api.StoredEntry) -> None:
         piece = self.slices.get(event.slice)
         if piece is not None and event.weight > 0:
-            self.endpoints.setdefault(event.endpoint, Endpoint(event.endpoint))
-            piece.lines[event.endpoint] = event.weight
-            piece.homes.append(event.endpoint)
+            self.endpoints.setdefault(event.endpoint, EndpointState(event.endpoint))
+            piece.published[event.endpoint] = event.weight
+            piece.assigned.append(event.endpoint)
             piece.warmth[event.endpoint] = 1.0
             self.changed = True
 
@@ -304,156 +317,160 @@
         rate, share = event.requests / span, 1 - math.exp(-span / HEAT_TAU)
         if self.young(piece.since):
             rate = max(rate, piece.rates[k])  # it counts what came since the slice is ours
-        surge = not piece.heard[k] or rate > SURGE * (piece.rates[k] + 1)
+        surge = not piece.last_reports_at[k] or rate > SURGE * (piece.rates[k] + 1)
         piece.rates[k] += (SURGE_SHARE if surge else share) * (rate - piece.rates[k])
-        piece.heard[k] = self.report_at = self.now
+        piece.last_reports_at[k] = self.last_report_at = self.now
 
     def on_EndpointReport(self, event: api.EndpointReport) -> None:
         ep = self.endpoints.get(event.endpoint)
-        if ep is None or event.tries <= 0 or event.period <= 0:
+        if ep is None or event.attempts <= 0 or event.period <= 0:
             return
         if ep.started and self.now - ep.started < event.period:
             return  # counted before the present process began
         ep.hear(self.now, event)
-        self.report_at = self.now
-        self.span += 0.02 * (event.period - self.span)
+        self.last_report_at = self.now
+        self.report_span += 0.02 * (event.period - self.report_span)
 
     def on_TableAdvised(self, event: api.TableAdvised) -> None:
         """Exception (no slices, or unlike lines): weights come from outside. List, starts, channel and levels
         bind them as they bind the search; what they name that is not listed is passed over."""
         piece = self.slices.get(event.table)
         if piece is not None:
-            piece.weights = {n: w for n, w in event.lines if n in self.endpoints and 0 < w < math.inf}
-            piece.laid = event.whole and (bool(piece.weights) or not event.lines)
-            piece.homes = list(piece.weights) if piece.laid else piece.homes
+            piece.advised_weights = {n: w for n, w in event.entries if n in self.endpoints and 0 < w < math.inf}
+            piece.externally_assigned = event.complete and (bool(piece.advised_weights) or not event.entries)
+            piece.assigned = list(piece.advised_weights) if piece.externally_assigned else piece.assigned
             self.changed = True
 
-    def on_LoadAdvised(self, event: api.LoadAdvised) -> None:
+    def on_CapacityAdvised(self, event: api.CapacityAdvised) -> None:
         self.advised = event.rate
 
-    def on_EndpointRecalled(self, event: api.EndpointRecalled) -> None:
+    def on_EndpointRestored(self, event: api.EndpointRestored) -> None:
         """Exception (restart): what an earlier life learned counts until evidence replaces it, which it does
         faster than what was learned here. Wrong hearsay costs a slow or a fast server some seconds."""
         ep = self.endpoints.get(event.endpoint)
-        if ep is not None and ep.started == event.started and not ep.heard:
-            ep.speed, ep.recalled = min(SPEEDS[1], max(SPEEDS[0], event.speed)), 1.0
+        if ep is not None and ep.started == event.started and not ep.last_report_at:
+            ep.capacity_factor, ep.restored_share = min(SPEEDS[1], max(SPEEDS[0], event.capacity_factor)), 1.0
 
-    def on_SliceRecalled(self, event: api.SliceRecalled) -> None:
+    def on_SliceRestored(self, event: api.SliceRestored) -> None:
         piece = self.slices.get(event.slice)  # the first report counts as a surge and takes most of it back
-        if piece is not None and not any(piece.heard) and len(event.rates) == len(piece.rates):
-            piece.rates, piece.guessed = list(event.rates), False
+        if piece is not None and not any(piece.last_reports_at) and len(event.rates) == len(piece.rates):
+            piece.rates, piece.rates_assumed = list(event.rates), False
             piece.warmth.update(event.warmth)
 
-    def on_FleetRecalled(self, event: api.FleetRecalled) -> None:
+    def on_FleetRestored(self, event: api.FleetRestored) -> None:
         """Exception (restart): proxies go on by the levels and withdrawals of an earlier life. Forgetting the
         levels would open an overloaded fleet at once; they hold until reports come, which then decide."""
-        self.level = self.wanted = event.levels
-        self.shut.update(dict.fromkeys(event.shut, True))
-        self.best, self.pace, self.taken_over = event.best, event.pace, True
-        for name in event.shut:  # one that no list names stays out
-            self.endpoints.setdefault(name, Endpoint(name, "terminated"))
+        self.published_levels = self.desired_levels = event.levels
+        self.withdrawn.update(dict.fromkeys(event.withdrawn, True))
+        self.best_throughput, self.throughput_per_capacity, self.taken_over = (
+            event.best_throughput,
+            event.throughput_per_capacity,
+            True,
+        )
+        for name in event.withdrawn:  # one that no list names stays out
+            self.endpoints.setdefault(name, EndpointState(name, "terminated"))
         self.changed = True
 
-    def on_EndpointTrusted(self, event: api.EndpointTrusted) -> None:
+    def on_EndpointConfidenceChanged(self, event: api.EndpointConfidenceChanged) -> None:
         if event.endpoint in self.endpoints:
-            self.endpoints[event.endpoint].trust = event.trust
+            self.endpoints[event.endpoint].list_confidence = event.confidence
             self.changed = True
 
-    def barred(self, name: str) -> bool:
+    def is_unroutable(self, name: str) -> bool:
         """No proxy may send there: told so by the list. Before a fresh list, the store is trusted."""
         state = self.endpoints[name].state if name in self.endpoints else "terminated"
         return state in ("terminating", "terminated") or (state == "unlisted" and self.listed)
 
-    def ramp(self, ep: Endpoint) -> float:
+    def warm_up_share(self, ep: EndpointState) -> float:
         """Share of its warm capacity that a newly started endpoint has at least."""
         s, age = self.settings, self.now - ep.started
-        if not ep.started or age >= s.cold_time:
+        if not ep.started or age >= s.warm_up_time:
             return 1.0
-        return s.cold_share + (1 - s.cold_share) * max(0.0, age / s.cold_time)
+        return s.cold_capacity_share + (1 - s.cold_capacity_share) * max(0.0, age / s.warm_up_time)
 
-    def tender(self, name: str) -> bool:
-        return self.ramp(self.endpoints[name]) < 1  # cold: it must not get more than its present share
+    def is_warming_up(self, name: str) -> bool:
+        return self.warm_up_share(self.endpoints[name]) < 1  # cold: it must not get more than its present share
 
     def part(self, heat: float, capacity: float) -> float:
         """Mean heat by which a cold endpoint's part is measured: what is let in, at most the fleet's pace."""
-        return min(self.admitted * (heat + 1e-9) / (capacity + 1e-9), self.pace or math.inf)
+        return min(self.admitted_share * (heat + 1e-9) / (capacity + 1e-9), self.throughput_per_capacity or math.inf)
 
-    def capacity(self, ep: Endpoint) -> float:
+    def capacity_of(self, ep: EndpointState) -> float:
         """Listed weight, corrected for a start and learned speed."""
-        return ep.weight * self.ramp(ep) * ep.speed * max(ep.trust, LAST_RESORT / 2)
+        return ep.weight * self.warm_up_share(ep) * ep.capacity_factor * max(ep.list_confidence, LAST_RESORT / 2)
 
-    def usable(self) -> dict[str, float]:
+    def usable_capacities(self) -> dict[str, float]:
         """Endpoints that may take slices, with their present capacity; doubtful ones are better than none."""
-        fit = {n: self.capacity(ep) for n, ep in self.endpoints.items() if not self.barred(n)}
-        fit = {n: room for n, room in fit.items() if not self.shut.get(n)} or fit
-        return {n: room for n, room in fit.items() if self.endpoints[n].trust >= LAST_RESORT} or fit
+        fit = {n: self.capacity_of(ep) for n, ep in self.endpoints.items() if not self.is_unroutable(n)}
+        fit = {n: room for n, room in fit.items() if not self.withdrawn.get(n)} or fit
+        return {n: room for n, room in fit.items() if self.endpoints[n].list_confidence >= LAST_RESORT} or fit
 
-    def loads(self, names: Iterable[str]) -> dict[str, float]:
+    def endpoint_loads(self, names: Iterable[str]) -> dict[str, float]:
         """Heat that each endpoint should get from our slices as they are wanted."""
         load = dict.fromkeys(names, 0.0)
         for piece in self.slices.values():
-            for home in filter(load.__contains__, piece.homes):
-                load[home] += piece.part(home)
+            for home in filter(load.__contains__, piece.assigned):
+                load[home] += piece.load_share(home)
         return load
 
     def evacuate(self) -> None:
         """Exception: what the list rules out, or a cold endpoint cannot hold, moves past gate and cap."""
-        cap = self.usable()
-        load = self.loads(cap)
+        cap = self.usable_capacities()
+        load = self.endpoint_loads(cap)
         mean = self.part(sum(load.values()), sum(cap.values()))
-        for piece in sorted(self.slices.values(), key=lambda p: (-p.heat, p.number)):
-            piece.homes = [h for h in piece.homes if h in cap]
+        for piece in sorted(self.slices.values(), key=lambda p: (-p.load, p.number)):
+            piece.assigned = [h for h in piece.assigned if h in cap]
             # Cold endpoints fall over when pushed: what they hold above their share leaves.
-            for home in filter(self.tender, list(piece.homes)):
-                heat = piece.part(home)
+            for home in filter(self.is_warming_up, list(piece.assigned)):
+                heat = piece.load_share(home)
                 over = load[home] > COLD_HEADROOM * mean * cap[home]
                 if over and (
-                    len(piece.homes) > 1
-                    if piece.laid
+                    len(piece.assigned) > 1
+                    if piece.externally_assigned
                     # all are homes, others take its part
-                    else self.roomiest(cap, load, heat, mean, piece.homes)
+                    else self.roomiest(cap, load, heat, mean, piece.assigned)
                 ):
-                    piece.homes.remove(home)
+                    piece.assigned.remove(home)
                     load[home] -= heat
-            if not piece.homes and cap and (piece.weights or not piece.laid):  # some tables are to be empty
-                best = self.roomiest(self.known(piece, cap), load, piece.heat, mean, None)
-                piece.homes = [best]
-                load[best] += piece.heat
-            if piece.astray():
-                self.dirty[piece.number] = piece
+            if not piece.assigned and cap and (piece.advised_weights or not piece.externally_assigned):
+                best = self.roomiest(self.known(piece, cap), load, piece.load, mean, None)
+                piece.assigned = [best]
+                load[best] += piece.load
+            if piece.is_out_of_sync():
+                self.unpublished[piece.number] = piece
 
     def young(self, since: int) -> bool:
         """Whether reports can cover the time in our charge in part at most: heat is not known yet."""
-        return self.now - since <= self.settings.report_period + 2 * self.span
+        return self.now - since <= self.settings.report_period + 2 * self.report_span
 
-    def known(self, piece: Slice, cap: dict[str, float]) -> dict[str, float]:
+    def known(self, piece: SliceState, cap: dict[str, float]) -> dict[str, float]:
         """Where a slice may go as far as its heat is known: one that may be hot, to no cold endpoint."""
-        return {n: c for n, c in cap.items() if not self.tender(n)} or cap if self.young(piece.since) else cap
+        return {n: c for n, c in cap.items() if not self.is_warming_up(n)} or cap if self.young(piece.since) else cap
 
     def roomiest(self, cap: dict, load: dict, heat: float, mean: float, taken: list | None) -> str | None:
         """Where heat adds least per capacity; a cold endpoint only within its share, but for `taken` None."""
         levels = {n: (load[n] + heat) / room for n, room in cap.items() if n not in (taken or ())}
-        fit = [n for n, level in levels.items() if level <= COLD_HEADROOM * mean or not self.tender(n)]
+        fit = [n for n, level in levels.items() if level <= COLD_HEADROOM * mean or not self.is_warming_up(n)]
         return min(fit or (levels if taken is None else []), key=levels.__getitem__, default=None)
 
     def tick(self) -> None:
         """The slow clockwork: list, learned speed, levels, rounds."""
         if self.ask_at is not None and self.now >= self.ask_at:
-            self.out.append(api.Subscribe(True))
-            self.ask_at = self.now + max(SECOND, self.settings.ask_every // 2)  # in case no answer comes
+            self.out.append(api.SubscribeEndpointList(True))
+            self.ask_at = self.now + max(SECOND, self.settings.poll_interval // 2)  # in case no answer comes
         if self.now >= self.judge_at:
             self.judge_at = self.now + self.settings.report_period
-            if self.now - self.report_at <= 2 * self.span:  # reports late for all: heat and levels hold
+            if self.now - self.last_report_at <= 2 * self.report_span:  # reports late for all: heat and levels hold
                 self.cool()
                 self.learn_speed()
                 self.shed()
             self.evacuate()
-        old = self.now - self.channel.last > 2 * SECOND + 2 * self.settings.transit_max
-        due = self.now >= self.round_at and self.report_at and not self.search
-        if due and self.landed and (old or self.channel.landed()):
+        old = self.now - self.flow_control.last > 2 * SECOND + 2 * self.settings.max_transit
+        due = self.now >= self.round_at and self.last_report_at and not self.search
+        if due and self.landed and (old or self.flow_control.moves_acknowledged()):
             self.round_at = self.now + PERIOD
             self.split_hot()
-            search = Search(self, self.usable())
+            search = Search(self, self.usable_capacities())
             if search.skewed():
                 self.search = search.run()
             self.evacuate()
@@ -472,20 +489,20 @@
         period = self.settings.report_period
         fade, warm = (math.exp(-period / SECOND / tau) for tau in (HEAT_TAU, WARM_TAU))
         for k in range(len(self.rates)):
-            heard = [p.rates[k] for p in self.slices.values() if p.heard[k]]
+            heard = [p.rates[k] for p in self.slices.values() if p.last_reports_at[k]]
             self.rates[k] = sum(heard) / len(heard) if heard else self.rates[k]
         for piece in self.slices.values():
-            for k, heard in enumerate(piece.heard):
-                if self.now - heard > period + 2 * self.span and not self.young(piece.since):
+            for k, heard in enumerate(piece.last_reports_at):
+                if self.now - heard > period + 2 * self.report_span and not self.young(piece.since):
                     piece.rates[k] *= fade
-                elif piece.guessed and not heard:
+                elif piece.rates_assumed and not heard:
                     piece.rates[k] = self.rates[k]
-            for name in [*piece.warmth, *(h for h in piece.homes if h not in piece.warmth)]:
-                aim = float(name in piece.homes)
+            for name in [*piece.warmth, *(h for h in piece.assigned if h not in piece.warmth)]:
+                aim = float(name in piece.assigned)
                 piece.warmth[name] = aim + (piece.warmth.get(name, 0.0) - aim) * warm
             piece.warmth = {n: w for n, w in piece.warmth.items() if w > 0.01}
         # Gone and in no table: forgotten once no proxy that was away may come back with a line of it.
-        named = {n: True for p in self.slices.values() for n in (*p.lines, *p.homes)}
+        named = {n: True for p in self.slices.values() for n in (*p.published, *p.assigned)}
         self.gone = {
             n: self.gone.get(n, self.now)
             for n, e in self.endpoints.items()
@@ -493,8 +510,8 @@
         }
         gone = {n: True for n, since in self.gone.items() if self.now - since > AWAY}
         self.endpoints = {n: e for n, e in self.endpoints.items() if n not in gone}
-        while len(self.shut) > SHUT_MOST:
-            del self.shut[next(iter(self.shut))]
+        while len(self.withdrawn) > SHUT_MOST:
+            del self.withdrawn[next(iter(self.withdrawn))]
 
     def learn_speed(self) -> None:
         """Exception (doubt: listed weight does not tell speed): capacity follows latency, and the share that
@@ -504,33 +521,37 @@
             e
             for e in self.endpoints.values()
             if e.state == "in_service"
-            and self.ramp(e) >= 1
-            and e.tries >= MIN_TRIES
-            and self.now - e.heard <= 2 * self.span
+            and self.warm_up_share(e) >= 1
+            and e.attempts >= MIN_TRIES
+            and self.now - e.last_report_at <= 2 * self.report_span
         ]
         times = sorted(e.latency for e in warm if e.latency > 0) or [1.0]
         middle = times[len(times) // 2]
         # A link cut around us is no dead server, nor a lossy one: half of the zones must tell of it.
-        zones = len(dict.fromkeys(self.met.values()))
-        sound = {e.name: e.sound if 2 * e.seen >= zones else 1.0 for e in warm}
+        zones = len(dict.fromkeys(self.known_proxies.values()))
+        sound = {e.name: e.success_ratio if 2 * e.reporting_zones >= zones else 1.0 for e in warm}
         usual = sum(sound.values()) / (len(sound) or 1) + 1e-9
         for ep in warm:
             target = middle / (ep.latency or middle) * min(1.0, sound[ep.name] / usual) ** FAILING
-            gain = max(SPEED_DOWN if target < ep.speed else SPEED_UP, RECALL_GAIN * ep.recalled)
-            ep.recalled /= 2
-            ep.speed *= (min(SPEEDS[1], max(SPEEDS[0], target)) / ep.speed) ** gain
+            gain = max(SPEED_DOWN if target < ep.capacity_factor else SPEED_UP, RECALL_GAIN * ep.restored_share)
+            ep.restored_share /= 2
+            ep.capacity_factor *= (min(SPEEDS[1], max(SPEEDS[0], target)) / ep.capacity_factor) ** gain
 
     def shed(self) -> None:
         """Exception: when answers come late across the fleet it is allowed less than it was seen to answer,
         then slowly more. Late reports would drive steps of a level far past the mark, and a level for each
         slice would fill the channel and hold up drains."""
-        cap = self.usable()
-        fresh = [e for e in map(self.endpoints.get, cap) if self.now - e.heard <= 2 * self.span and e.rate]
-        good = sum(e.rate for e in fresh)
-        rates = [sum(p.rates[k] for p in self.slices.values()) for k in range(len(self.level))]
-        let_in = sum(level * rate for level, rate in zip(self.level, rates, strict=True))
+        cap = self.usable_capacities()
+        fresh = [
+            e
+            for e in map(self.endpoints.get, cap)
+            if self.now - e.last_report_at <= 2 * self.report_span and e.answer_rate
+        ]
+        good = sum(e.answer_rate for e in fresh)
+        rates = [sum(p.rates[k] for p in self.slices.values()) for k in range(len(self.published_levels))]
+        let_in = sum(level * rate for level, rate in zip(self.published_levels, rates, strict=True))
         # Reports of a large fleet, or after a start, cover a part: the share answered there holds for all.
-        share = sum(e.tries - e.fails for e in fresh) / (sum(e.tries for e in fresh) or 1.0)
+        share = sum(e.attempts - e.failures for e in fresh) / (sum(e.attempts for e in fresh) or 1.0)
         good = max(good, min(share * let_in, good / max(0.1, self.covered(cap))))
         # The middle of what all zones met: slow links, or servers, that are fewer than half do not shed.
         # A view that heard nothing since fades: a jam that is over would else be seen where few still ask.
@@ -538,7 +559,7 @@
             sorted(
                 (v[6] / v[5], v[5] * math.exp((v[4] - self.now) / SECOND / LATE_TAU))
                 for e in fresh
-                for v in e.views.values()
+                for v in e.zone_views.values()
                 if v[5] > 0
             ),
             0.0,
@@ -547,42 +568,50 @@
         late = next((time for time, n in views if (seen := seen + n) >= half), 0.0) / self.aim
         if self.taken_over:  # what the levels of the earlier life let in is the first allowance
             self.taken_over, self.hearsay = False, True
-            if min(self.level) < 1:
-                self.allow = let_in
-        self.best = max(good, self.best * BEST_KEPT)
+            if min(self.published_levels) < 1:
+                self.admitted_rate_limit = let_in
+        self.best_throughput = max(good, self.best_throughput * BEST_KEPT)
         self.usual = min(late or math.inf, self.usual / USUAL_KEPT)
         if late > SHED_LATENCY:
             if self.now - self.cut_at > CUT_HOLD:
                 if self.hearsay:  # it may lead the way back, not the cut: one too high would not cut at all
-                    self.hearsay, self.best = False, min(self.best, RECALL_MOST * good)
+                    self.hearsay, self.best_throughput = False, min(self.best_throughput, RECALL_MOST * good)
                 cut, self.cut_at = max(CUT_LEAST, 1 - CUT_DEPTH * late), self.now
-                self.allow = max(1.0, cut * max(good, KNOWN * self.best))
+                self.admitted_rate_limit = max(1.0, cut * max(good, KNOWN * self.best_throughput))
         elif late > CALM_LATENCY and self.advised and sum(rates) > self.advised:  # before answers are late
-            self.allow = min(self.allow, max(self.advised, good))
+            self.admitted_rate_limit = min(self.admitted_rate_limit, max(self.advised, good))
         elif late < CALM_LATENCY:
-            sure = self.allow < KNOWN * self.best or late < max(CALM_LATENCY / 2, EASY * self.usual)
-            grown = self.allow * (ALLOW_UP if sure else ALLOW_PROBE)
-            self.allow = grown if grown < 2 * sum(rates) else math.inf
+            sure = self.admitted_rate_limit < KNOWN * self.best_throughput or late < max(
+                CALM_LATENCY / 2, EASY * self.usual
+            )
+            grown = self.admitted_rate_limit * (ALLOW_UP if sure else ALLOW_PROBE)
+            self.admitted_rate_limit = grown if grown < 2 * sum(rates) else math.inf
         total = sum(cap.values()) + 1e-6
-        self.pace = max(0.99 * self.pace, good / total)
-        if 2 * sum(cap[n] for n in filter(self.tender, cap)) > total:  # cold ones refuse before they fall
-            self.allow = min(self.allow, COLD_PACE * self.pace * total or math.inf)
-        self.admitted = min(1.0, self.allow / (sum(rates) + 1e-6))
+        self.throughput_per_capacity = max(0.99 * self.throughput_per_capacity, good / total)
+        if 2 * sum(cap[n] for n in filter(self.is_warming_up, cap)) > total:  # cold ones refuse before they fall
+            self.admitted_rate_limit = min(
+                self.admitted_rate_limit, COLD_PACE * self.throughput_per_capacity * total or math.inf
+            )
+        self.admitted_share = min(1.0, self.admitted_rate_limit / (sum(rates) + 1e-6))
         if self.settings.admission == "ratio":
-            self.wanted = self.levels(self.admitted, rates)
+            self.desired_levels = self.levels(self.admitted_share, rates)
 
     def covered(self, cap: dict[str, float]) -> float:
         """Share of the capacity that our slices are on, and of the zones that use it, heard of lately."""
-        zones = len(dict.fromkeys(self.met.values())) or 1
-        homes = {h: True for p in self.slices.values() for h in p.homes if h in cap}
-        late = self.now - 2 * self.span
-        seen = sum(cap[h] * min(1.0, self.endpoints[h].seen / zones) for h in homes if self.endpoints[h].heard >= late)
+        zones = len(dict.fromkeys(self.known_proxies.values())) or 1
+        homes = {h: True for p in self.slices.values() for h in p.assigned if h in cap}
+        late = self.now - 2 * self.report_span
+        seen = sum(
+            cap[h] * min(1.0, self.endpoints[h].reporting_zones / zones)
+            for h in homes
+            if self.endpoints[h].last_report_at >= late
+        )
         return seen / (sum(cap[h] for h in homes) or 1.0)
 
     def levels(self, share: float, rates: list[float]) -> tuple[float, ...]:
         """Admission level of each class where this share of demand can be let in: the most worth first."""
         left, result = share * sum(rates), [1.0] * len(rates)
-        for k in sorted(range(len(rates)), key=lambda k: -self.settings.classes[k].worth):
+        for k in sorted(range(len(rates)), key=lambda k: -self.settings.classes[k].priority_weight):
             level = 1.0 if share >= 1 else min(1.0, (max(0.0, left) + 1e-6) / (rates[k] + 1e-6))
             left -= rates[k]
             result[k] = min(STEPS, key=lambda step: abs(step - level))
@@ -593,88 +622,97 @@
         its homes are above the mean. A line more costs half of a move and keeps the warmth where it is."""
         if self.settings.sole_owner:
             return
-        cap = self.usable()
-        load = self.loads(cap)
+        cap = self.usable_capacities()
+        load = self.endpoint_loads(cap)
         mean = (sum(load.values()) + 1e-9) / (sum(cap.values()) + 1e-9)
         fair = mean * max(cap.values(), default=1.0)
         whole = fair * max(1.0, self.settings.slices / (len(self.slices) or 1))  # and that of others
-        part, budget = self.part(mean, 1.0), max(4, int(ROUND_MESSAGES * self.channel.lines(BALANCE, 0.0)))
-        for piece in sorted(self.slices.values(), key=lambda p: (-p.heat, p.number)):
-            have = len(piece.homes) if not piece.laid else 0
-            need = max(1, math.ceil(piece.heat / (HOT_SHARE * fair)))
-            need = min(need, max(3, math.ceil(piece.heat / whole)))
-            if need > have > 0 < budget and any(load[h] > mean * cap[h] for h in piece.homes):
-                best = self.roomiest(self.known(piece, cap), load, piece.heat / (have + 1), part, piece.homes)
+        part, budget = (
+            self.part(mean, 1.0),
+            max(4, int(ROUND_MESSAGES * self.flow_control.message_capacity(BALANCE, 0.0))),
+        )
+        for piece in sorted(self.slices.values(), key=lambda p: (-p.load, p.number)):
+            have = len(piece.assigned) if not piece.externally_assigned else 0
+            need = max(1, math.ceil(piece.load / (HOT_SHARE * fair)))
+            need = min(need, max(3, math.ceil(piece.load / whole)))
+            if need > have > 0 < budget and any(load[h] > mean * cap[h] for h in piece.assigned):
+                best = self.roomiest(self.known(piece, cap), load, piece.load / (have + 1), part, piece.assigned)
                 if best and load[best] < mean * cap[best]:
-                    load.update((h, load[h] - piece.heat / have / (have + 1)) for h in piece.homes)
-                    piece.homes.append(best)
-                    load[best] += piece.heat / (have + 1)
+                    load.update((h, load[h] - piece.load / have / (have + 1)) for h in piece.assigned)
+                    piece.assigned.append(best)
+                    load[best] += piece.load / (have + 1)
                     budget -= 1
 
-    def orders(self, piece: Slice) -> tuple[int, list[str], list[str]]:
+    def orders(self, piece: SliceState) -> tuple[int, list[str], list[str]]:
         """How urgent a slice's table is, and the endpoints it gains and loses. New lines go alone where it is
         bare; lines of endpoints that are withdrawn and stay away can wait until nothing else does."""
-        adds = [n for n in piece.homes if piece.lines.get(n) != piece.wanted(n)]
-        gone = [n for n in piece.lines if n not in piece.homes and not self.settings.sole_owner]
-        if all(self.barred(n) or self.shut.get(n) for n in piece.lines):
+        adds = [n for n in piece.assigned if piece.published.get(n) != piece.desired_weight(n)]
+        gone = [n for n in piece.published if n not in piece.assigned and not self.settings.sole_owner]
+        if all(self.is_unroutable(n) or self.withdrawn.get(n) for n in piece.published):
             return RULE, adds, []
-        live = [n for n in gone if not (self.shut.get(n) and self.barred(n))]
+        live = [n for n in gone if not (self.withdrawn.get(n) and self.is_unroutable(n))]
         return (BALANCE, adds, live) if adds or live else (LEISURE, adds, gone)
 
     def publish(self) -> None:
         """Send what differs from the published state: levels and rules, then balance, then old lines, hottest
         first, as one message a proxy and as much as the channel has room for."""
-        back = [n for n, out in self.shut.items() if out and not self.barred(n)]
-        if not self.channel.proxies or not (
-            self.dirty or self.greet or self.restate or back or self.wanted != self.level
+        back = [n for n, out in self.withdrawn.items() if out and not self.is_unroutable(n)]
+        if not self.flow_control.proxies or not (
+            self.unpublished
+            or self.greet
+            or self.resync_withdrawals
+            or back
+            or self.desired_levels != self.published_levels
         ):
             return
-        room = [self.channel.room(self.now, urgency) for urgency in (RULE, FAILURE, BALANCE, LEISURE)]
+        room = [self.flow_control.available(self.now, urgency) for urgency in (RULE, FAILURE, BALANCE, LEISURE)]
         if max(room) < 1:
             return
-        stale = {n: True for p in self.dirty.values() for n in p.lines if n not in p.homes}
+        stale = {n: True for p in self.unpublished.values() for n in p.published if n not in p.assigned}
         # Exception: one line withdraws what the list bars, as two for each slice would miss the grace at 100
         # proxies. It goes before all: the message after next is too late. Old lines leave the tables when
         # nothing else waits, and only then may an endpoint come back.
-        flips = [api.Withdraw(n, True) for n in stale if self.barred(n) and not self.shut.get(n)]
+        flips = [api.SetWithdrawn(n, True) for n in stale if self.is_unroutable(n) and not self.withdrawn.get(n)]
         lines: list[api.Action] = flips[: max(0, room[RULE])]
         out = {f.endpoint: True for f in lines}
-        self.shut.update(out)
-        again = room[FAILURE] / (2 if self.dirty else 1)  # what is said again leaves room for bare slices
-        while self.restate and len(lines) < again:
-            name = self.restate.pop()
-            lines += [api.Withdraw(name, self.shut[name])] if name in self.shut and name not in out else []
-        if (self.greet or self.wanted != self.level) and room[FAILURE] > len(lines) + 2:
-            self.greet, self.level = False, self.wanted
-            lines += [api.Admit(None, (k,), level, RETRY) for k, level in enumerate(self.wanted)]
+        self.withdrawn.update(out)
+        again = room[FAILURE] / (2 if self.unpublished else 1)  # what is said again leaves room for bare slices
+        while self.resync_withdrawals and len(lines) < again:
+            name = self.resync_withdrawals.pop()
+            lines += (
+                [api.SetWithdrawn(name, self.withdrawn[name])] if name in self.withdrawn and name not in out else []
+            )
+        if (self.greet or self.desired_levels != self.published_levels) and room[FAILURE] > len(lines) + 2:
+            self.greet, self.published_levels = False, self.desired_levels
+            lines += [api.SetAdmission(None, (k,), level, RETRY) for k, level in enumerate(self.desired_levels)]
         todo = sorted(
-            ((*self.orders(p), p) for p in self.dirty.values()), key=lambda t: (t[0], -t[3].heat, t[3].number)
+            ((*self.orders(p), p) for p in self.unpublished.values()), key=lambda t: (t[0], -t[3].load, t[3].number)
         )
         if lines or room[BALANCE] > 0:  # a return alone is not worth a message kept for rules
-            backs = [api.Withdraw(n, False) for n in back if n not in stale][: max(0, room[RULE] - len(lines))]
-            self.shut.update((b.endpoint, False) for b in backs)
+            backs = [api.SetWithdrawn(n, False) for n in back if n not in stale][: max(0, room[RULE] - len(lines))]
+            self.withdrawn.update((b.endpoint, False) for b in backs)
             lines += backs
             self.changed |= bool(backs)
         moves = bool(lines)
         self.changed |= bool(out)
         self.landed, sole = True, self.settings.sole_owner  # a sole owner's line replaces the old
         for urgency, adds, drops, piece in todo:
-            if piece.laid:  # it may be longer than a message: what fits, and the rest with the next
+            if piece.externally_assigned:  # it may be longer than a message: what fits, and the rest with the next
                 adds = adds[: max(0, int(room[urgency]) - len(lines) - len(drops))]
             if len(lines) + len(adds) + len(drops) <= room[urgency]:
                 moves = moves or urgency != LEISURE
-                lines += [api.SetLine(piece.number, n, piece.wanted(n)) for n in adds]
-                lines += [api.SetLine(piece.number, n, 0.0) for n in drops]
-                kept = {n: w for n, w in piece.lines.items() if n not in drops and not sole}
-                kept |= {n: piece.wanted(n) for n in piece.homes if n in adds or n in kept or sole}
-                piece.lines = kept
-                if not piece.astray():
-                    del self.dirty[piece.number]
+                lines += [api.SetEntry(piece.number, n, piece.desired_weight(n)) for n in adds]
+                lines += [api.SetEntry(piece.number, n, 0.0) for n in drops]
+                kept = {n: w for n, w in piece.published.items() if n not in drops and not sole}
+                kept |= {n: piece.desired_weight(n) for n in piece.assigned if n in adds or n in kept or sole}
+                piece.published = kept
+                if not piece.is_out_of_sync():
+                    del self.unpublished[piece.number]
             else:
                 self.landed = self.landed and urgency == LEISURE
         if lines:
-            self.out += [*lines, self.channel.send(self.now, len(lines), moves)]
-            if self.channel.flights[-1][1] > self.settings.channel_limit > self.over:
+            self.out += [*lines, self.flow_control.send(self.now, len(lines), moves)]
+            if self.flow_control.in_flight[-1][1] > self.settings.channel_limit > self.over:
                 self.over = math.inf  # said once
                 self.out.append(api.Log("the channel's limit is below one message to all proxies"))
 
@@ -687,18 +725,18 @@
         self.names = list(cap)
         self.cap = [max(1e-6, cap[n]) for n in self.names]
         place = {n: i for i, n in enumerate(self.names)}
-        self.cold = [planner.tender(n) for n in self.names]
-        self.units: list[tuple[Slice, int]] = []  # the slice and which of its homes
+        self.cold = [planner.is_warming_up(n) for n in self.names]
+        self.units: list[tuple[SliceState, int]] = []  # the slice and which of its homes
         self.at: list[int] = []
         self.heat: list[float] = []
         self.on: list[list[int]] = [[] for _ in place]  # units by endpoint
         self.load = [0.0] * len(place)
         for piece in planner.slices.values():
-            for k, home in enumerate(piece.homes):
-                if home in place and piece.laid:
-                    self.load[place[home]] += piece.part(home)
+            for k, home in enumerate(piece.assigned):
+                if home in place and piece.externally_assigned:
+                    self.load[place[home]] += piece.load_share(home)
                 elif home in place:
-                    at, heat = place[home], piece.part(home)
+                    at, heat = place[home], piece.load_share(home)
                     self.on[at].append(len(self.units))
                     self.load[at] += heat
                     self.units.append((piece, k))
@@ -793,7 +831,7 @@
         piece, _ = self.units[unit]
         room = self.load[to] + self.heat[unit] <= self.most * self.cap[to]
         fits = not self.cold[to] or (room and not self.planner.young(piece.since))
-        return fits and (to == self.start[unit] or self.names[to] not in piece.homes)  # each home once
+        return fits and (to == self.start[unit] or self.names[to] not in piece.assigned)  # each home once
 
     def run(self) -> Iterator[None]:
         """Keep a step only if it is cheaper by the least gain; slices follow at the end. In parts."""
@@ -810,10 +848,10 @@
                 best, self.sums = cost, sums
                 for unit, to in moves:
                     self.shift(unit, to)
-        usable = self.planner.usable()
+        usable = self.planner.usable_capacities()
         for unit, (piece, k) in enumerate(self.units):
             home, to = self.names[self.start[unit]], self.names[self.at[unit]]
             # List, starts or charge may have changed since the search began: such moves are left out.
-            ours = self.planner.slices.get(piece.number) is piece and piece.homes[k : k + 1] == [home]
-            if ours and to in usable and to not in piece.homes and not piece.laid:
-                piece.homes[k] = to
+            ours = self.planner.slices.get(piece.number) is piece and piece.assigned[k : k + 1] == [home]
+            if ours and to in usable and to not in piece.assigned and not piece.externally_assigned:
+                piece.assigned[k] = to
--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -13,12 +13,12 @@
     """One kind of request and what it is worth, in the order the settings list them."""
 
     name: str
-    aim: int
+    latency_objective: int
     deadline: int
     effect: str  # "read_like", "idempotency_key" or "non_idempotent"
     key_scope: str  # "all", "zone" or "cell"
     key_window: int
-    worth: float
+    priority_weight: float
 
 
 class Settings(NamedTuple):
@@ -33,27 +33,27 @@
     sole_owner: bool
     admission: str  # "ratio", "rps" or "none"
     subscribe: bool  # the endpoint list must be asked for
-    ask_every: int
+    poll_interval: int
     channel_rate: float  # lines a second
     channel_limit: float  # lines that may wait
     message_overhead: float  # lines added to each message
     messages_per_window: int  # to one proxy; 0: unlimited
     message_window: int
-    transit_max: int
+    max_transit: int
     report_period: int
     drain_grace: int
-    cold_share: float
-    cold_time: int
+    cold_capacity_share: float
+    warm_up_time: int
     write_linger: int  # how long a write a proxy took in may stay in hand
     write_lease: int  # how long a proxy that lost its stream keeps writing
     load_fields: tuple[str, ...]
-    pick: str  # "lottery", "wheel" or "pair"
+    balancing_policy: str  # "lottery", "wheel" or "pair"
 
 
 # ---- events -------------------------------------------------------------------------------------
 
 
-class ListEntry(NamedTuple):
+class EndpointEntry(NamedTuple):
     """One endpoint as discovery lists it."""
 
     endpoint: str
@@ -63,11 +63,11 @@
     started: int  # clock time of the last start; 0: long ago
 
 
-class ListChanged(NamedTuple):
+class EndpointListChanged(NamedTuple):
     """News of the endpoint list."""
 
     kind: str  # "update", "replace", "restored" or "unavailable"
-    entries: tuple[ListEntry, ...]
+    entries: tuple[EndpointEntry, ...]
 
 
 class TimerFired(NamedTuple):
@@ -102,7 +102,7 @@
 
     zone: str
     endpoint: str
-    tries: int
+    attempts: int
     failures: int
     latency: int  # mean of the good answers; 0: none
     period: int
@@ -129,12 +129,12 @@
     period: int
 
 
-class CustodyChanged(NamedTuple):
+class SliceOwnershipChanged(NamedTuple):
     slice: int
     owned: bool
 
 
-class StoredLine(NamedTuple):
+class StoredEntry(NamedTuple):
     """A line of a slice's table as the store holds it."""
 
     slice: int
@@ -146,25 +146,25 @@
     """Weights for a table's lines, reckoned outside the module; `whole`: these lines and no others."""
 
     table: int
-    lines: tuple[tuple[str, float], ...]
-    whole: bool
+    entries: tuple[tuple[str, float], ...]
+    complete: bool
 
 
-class LoadAdvised(NamedTuple):
+class CapacityAdvised(NamedTuple):
     """Requests a second that the fleet can answer in time, reckoned outside the module; 0: not known."""
 
     rate: float
 
 
-class EndpointRecalled(NamedTuple):
+class EndpointRestored(NamedTuple):
     """What an earlier life learned of the process that started then, aged. Speed is against the fleet's; 1: usual."""
 
     endpoint: str
     started: int
-    speed: float
+    capacity_factor: float
 
 
-class SliceRecalled(NamedTuple):
+class SliceRestored(NamedTuple):
     """What an earlier life learned of a slice, aged: requests a second by class, warmth by endpoint (0 to 1)."""
 
     slice: int
@@ -172,7 +172,7 @@
     warmth: tuple[tuple[str, float], ...]
 
 
-class FleetRecalled(NamedTuple):
+class FleetRestored(NamedTuple):
     """Orders of an earlier life that are in force, and its aged pace.
 
     `levels` by class and `shut` (withdrawn endpoints) are what proxies hold; `best` answers a second were seen, `pace`
@@ -180,28 +180,28 @@
     """
 
     levels: tuple[float, ...]
-    shut: tuple[str, ...]
-    best: float
-    pace: float
+    withdrawn: tuple[str, ...]
+    best_throughput: float
+    throughput_per_capacity: float
 
 
-class EndpointTrusted(NamedTuple):
+class EndpointConfidenceChanged(NamedTuple):
     """How far a list that may be old is believed in naming an endpoint: 1 as listed, 0 only if no other is left."""
 
     endpoint: str
-    trust: float
+    confidence: float
 
 
-class Applied(NamedTuple):
+class SyncAcknowledged(NamedTuple):
     """A proxy has applied the message that carried this mark."""
 
-    mark: int
+    token: int
     proxy: int
     delay: int
 
 
 Event = (
-    ListChanged
+    EndpointListChanged
     | TimerFired
     | ProbeResult
     | PeerMessage
@@ -210,21 +210,21 @@
     | EndpointReport
     | ProxyDemand
     | SliceDemand
-    | CustodyChanged
-    | StoredLine
+    | SliceOwnershipChanged
+    | StoredEntry
     | TableAdvised
-    | LoadAdvised
-    | EndpointRecalled
-    | SliceRecalled
-    | FleetRecalled
-    | EndpointTrusted
-    | Applied
+    | CapacityAdvised
+    | EndpointRestored
+    | SliceRestored
+    | FleetRestored
+    | EndpointConfidenceChanged
+    | SyncAcknowledged
 )
 
 # ---- actions ------------------------------------------------------------------------------------
 
 
-class SetLine(NamedTuple):
+class SetEntry(NamedTuple):
     """Give an endpoint this weight in a table; 0 removes the line."""
 
     table: int
@@ -244,14 +244,14 @@
     classes: tuple[int, ...]
 
 
-class Withdraw(NamedTuple):
+class SetWithdrawn(NamedTuple):
     """Stop (or let again) joined proxies sending to an endpoint, whatever their tables say."""
 
     endpoint: str
-    out: bool
+    withdrawn: bool
 
 
-class Admit(NamedTuple):
+class SetAdmission(NamedTuple):
     """Admission level and retry mode of some classes; table None: all tables of this instance."""
 
     table: int | None
@@ -260,16 +260,16 @@
     retry: int  # 0 never, 1 on proof it never ran, 2 once after any failure, 3 twice
 
 
-class Mark(NamedTuple):
-    number: int
-    everyone: bool
+class RequestSync(NamedTuple):
+    token: int
+    all_proxies: bool
 
 
-class Subscribe(NamedTuple):
+class SubscribeEndpointList(NamedTuple):
     on: bool
 
 
-class FetchList(NamedTuple):
+class FetchEndpointList(NamedTuple):
     pass
 
 
@@ -282,7 +282,7 @@
     endpoint: str
 
 
-class SendPeer(NamedTuple):
+class SendToPeer(NamedTuple):
     to: int | None  # None: every peer
     payload: bytes
 
@@ -291,17 +291,19 @@
     text: str
 
 
+TableOrder = SetEntry | ClearTable | SetWithdrawn | SetAdmission | RequestSync  # what a front end publishes
+
 Action = (
-    SetLine
+    SetEntry
     | ClearTable
     | BindTable
-    | Withdraw
-    | Admit
-    | Mark
-    | Subscribe
-    | FetchList
+    | SetWithdrawn
+    | SetAdmission
+    | RequestSync
+    | SubscribeEndpointList
+    | FetchEndpointList
     | SetTimer
     | Probe
-    | SendPeer
+    | SendToPeer
     | Log
 )
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -25,7 +25,7 @@
 KEYS = ("zone", "state", "weight", "started")
 
 
-def parse(text: str, name: str = "list") -> list[api.ListEntry]:
+def parse(text: str, name: str = "list") -> list[api.EndpointEntry]:
     """All entries, or ListError naming the first thing wrong: half a list would be a smaller fleet."""
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     try:
@@ -35,7 +35,7 @@
     return [_entry(name, section, parser[section]) for section in parser.sections()]
 
 
-def _entry(name: str, section: str, values: configparser.SectionProxy) -> api.ListEntry:
+def _entry(name: str, section: str, values: configparser.SectionProxy) -> api.EndpointEntry:
     kind, _, endpoint = section.partition(" ")
     if kind != "server":
         raise ListError(f"{name}: [{section}] is no section of a list; write [server IP:PORT]")
@@ -57,10 +57,10 @@
             numbers[key] = float(values.get(key, usual)) if key == "weight" else int(values.get(key, usual))
         except ValueError:
             raise ListError(f"{name}: [{section}] {key} = {values[key]!r}: write a number") from None
-    return api.ListEntry(endpoint, values["zone"], state, numbers["weight"], numbers["started"])
+    return api.EndpointEntry(endpoint, values["zone"], state, numbers["weight"], numbers["started"])
 
 
-def render(entries: list[api.ListEntry]) -> str:
+def render(entries: list[api.EndpointEntry]) -> str:
     return "".join(
         f"[server {e.endpoint}]\nzone = {e.zone}\nstate = {e.state}\nweight = {e.weight:g}\nstarted = {e.started}\n\n"
         for e in entries
@@ -73,13 +73,13 @@
     def __init__(self, path: Path, poll_s: float) -> None:
         self.path, self.poll_s = path, poll_s
 
-    async def lists(self) -> AsyncIterator[list[api.ListEntry] | ListError]:
+    async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
         """Endless; an error stands in the place of a list, and the next good text follows it."""
         last: object = None
         while True:
             try:
                 text = await anyio.Path(self.path).read_text(encoding="utf-8")
-                said: list[api.ListEntry] | ListError = parse(text, str(self.path))
+                said: list[api.EndpointEntry] | ListError = parse(text, str(self.path))
             except (OSError, UnicodeDecodeError) as error:
                 text = f"error {error}"
                 said = ListError(f"{self.path}: cannot be read ({error}); restore the file")
--- a/damsonpick/protocols/platform/discovery.py
+++ b/damsonpick/protocols/platform/discovery.py
@@ -27,7 +27,7 @@
 
     version: int
     full: bool
-    entries: tuple[api.ListEntry, ...]
+    entries: tuple[api.EndpointEntry, ...]
     spoilt: tuple[str, ...] = ()  # ids of entries that cannot be read
     doubts: tuple[str, ...] = ()
 
@@ -39,7 +39,7 @@
     return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < most
 
 
-def _entry(raw: Any) -> api.ListEntry:
+def _entry(raw: Any) -> api.EndpointEntry:
     if not isinstance(raw, dict) or not isinstance(raw.get("id"), str) or not raw["id"]:
         raise ListingError("id: missing, or not text")
     name = raw["id"][:80]
@@ -52,7 +52,7 @@
         raise ListingError(f"{name}: weight: {str(weight)[:40]} is no number from 0")
     if not _whole(started, MOST_MS):
         raise ListingError(f"{name}: started_ms: {str(started)[:40]} is no time in ms")
-    return api.ListEntry(raw["id"], raw["zone"], STATES[raw["state"]], float(weight), started * MS)
+    return api.EndpointEntry(raw["id"], raw["zone"], STATES[raw["state"]], float(weight), started * MS)
 
 
 def read_listing(raw: Any) -> Listing:
@@ -111,14 +111,14 @@
     def begin(self) -> list[api.Event]:
         """What a new planner is told of the list."""
         kept = tuple(self.entries.values())
-        events: list[api.Event] = [api.ListChanged("restored", kept)]
-        return [*events, api.ListChanged("replace", kept)] if self.fresh else events
+        events: list[api.Event] = [api.EndpointListChanged("restored", kept)]
+        return [*events, api.EndpointListChanged("replace", kept)] if self.fresh else events
 
     def since(self) -> int:
         """The version from which changes are to be asked for; 0: the whole list."""
         return 0 if self.whole else self.version
 
-    def take(self, listing: Listing, now: int) -> api.ListChanged | None:
+    def take(self, listing: Listing, now: int) -> api.EndpointListChanged | None:
         """The event that a listing is; None: it is older than what is known, and changes nothing. An older copy would
         bring drained and ended endpoints back.
 
@@ -137,7 +137,7 @@
             if entry.state == "terminated":
                 del self.entries[entry.endpoint]
         self.version, self.fresh, self.older_since = listing.version, True, None
-        return api.ListChanged("replace" if listing.full else "update", entries)
+        return api.EndpointListChanged("replace" if listing.full else "update", entries)
 
     def _believed(self, listing: Listing, now: int) -> bool:
         """Whether a listing that is older than what is known is to be taken all the same."""
--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -140,10 +140,10 @@
     """How many orders of each kind, for the log."""
     kinds = {"lines": 0, "removed": 0, "out": 0, "let_in": 0, "levels": 0}
     for order in orders:
-        if isinstance(order, api.SetLine):
+        if isinstance(order, api.SetEntry):
             kinds["lines" if order.weight > 0 else "removed"] += 1
-        elif isinstance(order, api.Withdraw):
-            kinds["out" if order.out else "let_in"] += 1
-        elif isinstance(order, api.Admit):
+        elif isinstance(order, api.SetWithdrawn):
+            kinds["out" if order.withdrawn else "let_in"] += 1
+        elif isinstance(order, api.SetAdmission):
             kinds["levels"] += 1
     return {kind: n for kind, n in kinds.items() if n}
--- a/damsonpick/protocols/platform/pending_orders.py
+++ b/damsonpick/protocols/platform/pending_orders.py
@@ -24,7 +24,7 @@
 _ENCODE = msgspec.json.Encoder().encode
 
 Key = tuple
-Order = api.SetLine | api.ClearTable | api.Withdraw | api.Admit | api.Mark
+Order = api.TableOrder
 
 
 def number(value: float) -> float | int:
@@ -35,11 +35,11 @@
 
 def key(order: Order) -> Key:
     """Where an order waits: a table's lines together, all else by what it is about."""
-    if isinstance(order, api.SetLine | api.ClearTable):
+    if isinstance(order, api.SetEntry | api.ClearTable):
         return ("table", order.table)
-    if isinstance(order, api.Withdraw):
+    if isinstance(order, api.SetWithdrawn):
         return ("out", order.endpoint)
-    return ("level", order.table, order.classes) if isinstance(order, api.Admit) else ("mark",)
+    return ("level", order.table, order.classes) if isinstance(order, api.SetAdmission) else ("mark",)
 
 
 class TableOrders:
@@ -47,20 +47,20 @@
 
     def __init__(self) -> None:
         self.clear: api.ClearTable | None = None
-        self.lines: dict[str, api.SetLine] = {}  # by endpoint, the newest order last
+        self.lines: dict[str, api.SetEntry] = {}  # by endpoint, the newest order last
 
-    def push(self, order: api.SetLine | api.ClearTable) -> None:
+    def push(self, order: api.SetEntry | api.ClearTable) -> None:
         if isinstance(order, api.ClearTable):  # lines ordered before it would come to life again behind it
             self.clear, self.lines = order, {}
         else:
             self.lines.pop(order.endpoint, None)
             self.lines[order.endpoint] = order
 
-    def drop(self, order: api.SetLine | api.ClearTable) -> None:
+    def drop(self, order: api.SetEntry | api.ClearTable) -> None:
         """This one waits no more; one that was overtaken meanwhile stays."""
         if self.clear is order:
             self.clear = None
-        elif isinstance(order, api.SetLine) and self.lines.get(order.endpoint) is order:
+        elif isinstance(order, api.SetEntry) and self.lines.get(order.endpoint) is order:
             del self.lines[order.endpoint]
 
     def __iter__(self) -> Iterator[Order]:
@@ -102,12 +102,12 @@
         """Orders of one step of the module, in order."""
         for order in orders:
             at = key(order)
-            if isinstance(order, api.SetLine | api.ClearTable):
+            if isinstance(order, api.SetEntry | api.ClearTable):
                 self.waiting.setdefault(at, TableOrders()).push(order)
                 continue
             # The last mark answers for all before it. Of levels that overlap, the last one holds. An endpoint is let
             # in behind the lines that were taken from it first.
-            if not (isinstance(order, api.Withdraw) and order.out):
+            if not (isinstance(order, api.SetWithdrawn) and order.withdrawn):
                 self.waiting.pop(at, None)
             self.waiting[at] = order
 
@@ -169,9 +169,9 @@
         """Endpoints that are withdrawn once all that waits is carried out."""
         out = dict.fromkeys(shut)
         for order in self.waiting.values():
-            if isinstance(order, api.Withdraw) and order.out:
+            if isinstance(order, api.SetWithdrawn) and order.withdrawn:
                 out[order.endpoint] = None
-            elif isinstance(order, api.Withdraw):
+            elif isinstance(order, api.SetWithdrawn):
                 out.pop(order.endpoint, None)
         return tuple(out)
 
@@ -179,7 +179,7 @@
         """Levels of all tables, by class, once all that waits is carried out."""
         levels = dict(levels)
         for order in self.waiting.values():
-            if isinstance(order, api.Admit) and order.table is None:
+            if isinstance(order, api.SetAdmission) and order.table is None:
                 levels.update((k, order.level) for k in order.classes or range(len(self.classes)))
         return tuple(levels.get(k, 1.0) for k in range(len(self.classes)))
 
@@ -188,20 +188,20 @@
         return (nonce - self.shift) % MARKS
 
     def _op(self, order: Order) -> dict[str, object]:
-        if isinstance(order, api.SetLine):
+        if isinstance(order, api.SetEntry):
             return {"op": "SET", "table": order.table, "server": order.endpoint, "weight": number(order.weight)}
         if isinstance(order, api.ClearTable):
             return {"op": "DEL", "table": order.table}
-        if isinstance(order, api.Withdraw):
-            return {"op": "OUT" if order.out else "IN", "server": order.endpoint}
-        if isinstance(order, api.Mark):
-            return {"op": "SYNC", "nonce_out": (order.number + self.shift) % MARKS, "on": int(order.everyone)}
+        if isinstance(order, api.SetWithdrawn):
+            return {"op": "OUT" if order.withdrawn else "IN", "server": order.endpoint}
+        if isinstance(order, api.RequestSync):
+            return {"op": "SYNC", "nonce_out": (order.token + self.shift) % MARKS, "on": int(order.all_proxies)}
         op: dict[str, object] = {"op": "LIMIT", "table": "*" if order.table is None else order.table}
         op["routes"] = [self.classes[k] for k in order.classes] or "*"
         return op | {"admit": number(order.level), "policy": order.retry}
 
 
-def apply(lines: dict[str, float], order: api.SetLine) -> None:
+def apply(lines: dict[str, float], order: api.SetEntry) -> None:
     """Carry out an order on a table's lines."""
     if order.weight > 0:
         lines[order.endpoint] = order.weight
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -126,7 +126,7 @@
         self.rng = random.Random(config.seed)
         self.loop = Loop(log)
         self.doubts = Doubts(log)
-        self.roster = discovery.Roster(config.known, config.settings.ask_every)
+        self.roster = discovery.Roster(config.known, config.settings.poll_interval)
         names = tuple(c.name for c in config.settings.classes)
         self.orders = Orders(names, self.rng.randrange(MARKS))
         self.registry = Registry(self.orders, config.settings.proxies, config.settings.slices)
@@ -259,9 +259,7 @@
 
     def _carry_out(self, step: Step) -> None:
         """Orders go to the relay. A list that is wanted is on its way: it is watched at all times."""
-        orders = [
-            a for a in step.actions if isinstance(a, api.SetLine | api.ClearTable | api.Withdraw | api.Admit | api.Mark)
-        ]
+        orders = [a for a in step.actions if isinstance(a, api.TableOrder)]
         if orders:
             self.calls.push(orders)
 
--- a/damsonpick/protocols/platform/registry.py
+++ b/damsonpick/protocols/platform/registry.py
@@ -72,7 +72,7 @@
             events += self._given(number, self.orders.overlay(number, lines))
         shut, levels = self.orders.overlay_shut(self.shut), self.orders.overlay_levels(self.levels)
         if shut or min(levels) < 1:
-            events.append(api.FleetRecalled(levels, shut, 0.0, 0.0))
+            events.append(api.FleetRestored(levels, shut, 0.0, 0.0))
         return events + [api.ProxyJoined(n, m.zone, m.weight, False) for n, m in self.members.items()]
 
     def reconcile(self, standing: Standing, gap: bool = True) -> list[api.Event]:
@@ -113,7 +113,7 @@
             return [api.ProxyLeft(news.proxy)] if self.members.pop(news.proxy, None) else []
         if isinstance(news, messages.Done):
             mark, delay = self.orders.mark_of(news.mark), int(news.took_ms * messages.MS)
-            return [api.Applied(mark, news.proxy, delay)] if news.proxy in self.members else []
+            return [api.SyncAcknowledged(mark, news.proxy, delay)] if news.proxy in self.members else []
         if isinstance(news, messages.Owner):
             return self._own(news)
         if isinstance(news, messages.Beat):
@@ -140,7 +140,7 @@
             # A call answered a moment ago may have come behind the next charge, whose first lines do not tell of it.
             for lines in self.taken:
                 self.suspect.setdefault(news.slice, {}).update(lines.get(news.slice, {}))
-        return [api.CustodyChanged(news.slice, news.on)]
+        return [api.SliceOwnershipChanged(news.slice, news.on)]
 
     def _line(self, news: messages.Entry) -> list[api.Event]:
         lines = self.tables.get(news.slice)
@@ -150,13 +150,13 @@
             del lines[news.server]
             return self._given(news.slice, self.orders.overlay(news.slice, lines))
         lines[news.server] = news.weight
-        return [api.StoredLine(news.slice, news.server, news.weight)]
+        return [api.StoredEntry(news.slice, news.server, news.weight)]
 
     @staticmethod
     def _given(number: int, lines: dict[str, float]) -> list[api.Event]:
         return [
-            api.CustodyChanged(number, True),
-            *(api.StoredLine(number, name, weight) for name, weight in lines.items()),
+            api.SliceOwnershipChanged(number, True),
+            *(api.StoredEntry(number, name, weight) for name, weight in lines.items()),
         ]
 
     # -- orders
@@ -170,7 +170,7 @@
     def _again(self, number: int, names: Iterable[str]) -> bool:
         """Order lines as they are wanted now, whatever stands; True if any was not ordered yet."""
         wanted = self.orders.overlay(number, self.tables[number])
-        again = [api.SetLine(number, n, wanted.get(n, 0.0)) for n in names if not self.orders.waits(number, n)]
+        again = [api.SetEntry(number, n, wanted.get(n, 0.0)) for n in names if not self.orders.waits(number, n)]
         self.orders.push(again)
         return bool(again)
 
@@ -186,19 +186,19 @@
                 left to `unsure`.
         """
         for order in orders:
-            if isinstance(order, api.SetLine | api.ClearTable):
+            if isinstance(order, api.SetEntry | api.ClearTable):
                 if order.table in self.tables and not self._since(order.table, charges):
                     self._lay(order)
-            elif isinstance(order, api.Withdraw):
+            elif isinstance(order, api.SetWithdrawn):
                 self._shut(order)
-            elif isinstance(order, api.Admit) and order.table is None:
+            elif isinstance(order, api.SetAdmission) and order.table is None:
                 self.levels.update((k, order.level) for k in order.classes or range(len(self.orders.classes)))
 
     def _since(self, number: int, charges: int | None) -> bool:
         return charges is not None and self.changed.get(number, 0) > charges
 
-    def _lay(self, order: api.SetLine | api.ClearTable) -> None:
-        if isinstance(order, api.SetLine):
+    def _lay(self, order: api.SetEntry | api.ClearTable) -> None:
+        if isinstance(order, api.SetEntry):
             apply(self.tables[order.table], order)
             self.taken[0].setdefault(order.table, {})[order.endpoint] = None
         else:
@@ -212,23 +212,23 @@
         """
         said = False
         for order in orders:
-            if not isinstance(order, api.SetLine | api.ClearTable) or not self._since(order.table, charges):
+            if not isinstance(order, api.SetEntry | api.ClearTable) or not self._since(order.table, charges):
                 continue
             if order.table not in self.tables:
                 continue
-            names = [order.endpoint] if isinstance(order, api.SetLine) else list(self.tables[order.table])
+            names = [order.endpoint] if isinstance(order, api.SetEntry) else list(self.tables[order.table])
             said = self._again(order.table, names) or said
         return said
 
-    def _shut(self, order: api.Withdraw) -> None:
+    def _shut(self, order: api.SetWithdrawn) -> None:
         self.shut.pop(order.endpoint, None)
-        if order.out:
+        if order.withdrawn:
             self.shut[order.endpoint] = None
         while len(self.shut) > SHUT_MOST:  # the longest withdrawn are gone for good
             del self.shut[next(iter(self.shut))]
 
     def refused(self, order: Order) -> list[api.Event]:
         """An order the relay would not take: the module is told the table as it is, to decide anew."""
-        if isinstance(order, api.SetLine) and order.table in self.tables:
+        if isinstance(order, api.SetEntry) and order.table in self.tables:
             return self._given(order.table, self.orders.overlay(order.table, self.tables[order.table]))
         return []
--- a/damsonpick/protocols/platform/state_log.py
+++ b/damsonpick/protocols/platform/state_log.py
@@ -27,34 +27,38 @@
 
     def say(self, planner: Planner, pilot: Pilot) -> None:
         """Say it, and begin anew."""
-        load = planner.loads(planner.endpoints)
+        load = planner.endpoint_loads(planner.endpoints)
         lines: dict[str, int] = {}
         for table in pilot.registry.tables.values():
             for name in table:
                 lines[name] = lines.get(name, 0) + 1
         named = sorted(load, key=load.__getitem__, reverse=True)[:MOST]
         servers = {
-            n: f"{e.state[:2]} heat={load[n]:.1f} lines={lines.get(n, 0)} speed={e.speed:.2f} "
-            f"ms={e.latency / 1e6:.0f} ok={e.sound:.2f}"
+            n: f"{e.state[:2]} heat={load[n]:.1f} lines={lines.get(n, 0)} speed={e.capacity_factor:.2f} "
+            f"ms={e.latency / 1e6:.0f} ok={e.success_ratio:.2f}"
             for n, e in ((n, planner.endpoints[n]) for n in named)
         }
         now = planner.now
-        heard = [e for e in planner.endpoints.values() if e.heard and now - e.heard <= 2 * planner.span]
+        heard = [
+            e
+            for e in planner.endpoints.values()
+            if e.last_report_at and now - e.last_report_at <= 2 * planner.report_span
+        ]
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.log.info(
             "beliefs",
-            proxies=len(planner.channel.proxies),
+            proxies=len(planner.flow_control.proxies),
             slices=len(planner.slices),
-            levels=planner.level,
-            allow=None if planner.allow == float("inf") else round(planner.allow, 1),
-            best=round(planner.best, 1),
-            demand=round(sum(p.heat for p in planner.slices.values()), 1),
-            answered=round(sum(e.rate for e in heard), 1),
+            levels=planner.published_levels,
+            allow=None if planner.admitted_rate_limit == float("inf") else round(planner.admitted_rate_limit, 1),
+            best=round(planner.best_throughput, 1),
+            demand=round(sum(p.load for p in planner.slices.values()), 1),
+            answered=round(sum(e.answer_rate for e in heard), 1),
             heard=len(heard),
-            span_s=round(planner.span / 1e9, 1),
-            flights=len(planner.channel.flights),
+            span_s=round(planner.report_span / 1e9, 1),
+            flights=len(planner.flow_control.in_flight),
             waiting=len(pilot.orders.waiting),
-            dirty=len(planner.dirty),
+            dirty=len(planner.unpublished),
             reports=self.reports,
             steps=self.steps,
             longest_ms=self.longest // 1_000_000,
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -55,7 +55,7 @@
         engine: Controller,
         clock: Clock,
         stir: Callable[[], None],
-        feed: Callable[[list[api.ListEntry]], None],
+        feed: Callable[[list[api.EndpointEntry]], None],
         log: Any,
     ) -> None:
         self.settings, self.hub, self.engine, self.clock = settings, hub, engine, clock
@@ -102,18 +102,18 @@
 
     def _heat(self, number: int) -> float:
         piece = self.engine.planner.slices.get(number) if self.engine.planner else None
-        return piece.heat if piece is not None else 0.01
+        return piece.load if piece is not None else 0.01
 
     def _blind(self) -> dict[str, float]:
         planner = self.engine.planner
-        if planner is None or (planner.report_at and planner.now - planner.report_at < SILENT):
+        if planner is None or (planner.last_report_at and planner.now - planner.last_report_at < SILENT):
             return {}
-        return {n: planner.capacity(ep) for n, ep in planner.endpoints.items() if not planner.barred(n)}
+        return {n: planner.capacity_of(ep) for n, ep in planner.endpoints.items() if not planner.is_unroutable(n)}
 
     def _known(self, name: str) -> weights.Known:
         entry = self.engine.roster.entries.get(name)
         ep = self.engine.planner.endpoints.get(name) if self.engine.planner else None
-        lately = ep is not None and bool(ep.heard) and self.clock.now() - ep.heard < HEARD
+        lately = ep is not None and bool(ep.last_report_at) and self.clock.now() - ep.last_report_at < HEARD
         return weights.Known(entry is not None, entry is not None and entry.state == "in_service", lately)
 
     # -- life
@@ -185,7 +185,7 @@
         known = self.engine.roster
         self.feed(
             [
-                api.ListEntry(
+                api.EndpointEntry(
                     n,
                     known.places.get(n, self.settings.pilot.zone),
                     "terminating" if quiesced else "in_service",
--- a/damsonpick/protocols/shared/instance_settings.py
+++ b/damsonpick/protocols/shared/instance_settings.py
@@ -104,31 +104,31 @@
         sole_owner=get.flag("domain.soleOwner"),
         admission=get.word("domain.admission", "none"),
         subscribe=get.word("discovery", "automatic") == "subscribe",
-        ask_every=get.whole("rules.askEveryNs", 0),
+        poll_interval=get.whole("rules.askEveryNs", 0),
         channel_rate=get.number("domain.egressPerS"),
         channel_limit=get.number("domain.mostWaiting"),
         message_overhead=get.number("domain.overhead"),
         messages_per_window=get.whole("domain.pushesAllowed", 0),
         message_window=get.whole("domain.updateWindowNs", 0),
-        transit_max=get.whole("domain.transitMaxNs", 0),
+        max_transit=get.whole("domain.transitMaxNs", 0),
         report_period=get.whole("domain.reportEveryNs"),
         drain_grace=get.whole("rules.stopSendingWithinNs"),
-        cold_share=get.number("rules.coldShare"),
-        cold_time=get.whole("rules.coldNs"),
+        cold_capacity_share=get.number("rules.coldShare"),
+        warm_up_time=get.whole("rules.coldNs"),
         write_linger=get.whole("domain.lingersNs", 0),
         write_lease=get.whole("domain.leaseNs", 0),
         load_fields=get.words("report.fields"),
-        pick=get.word("domain.pick", "lottery"),
+        balancing_policy=get.word("domain.pick", "lottery"),
     )
 
 
 def _read_class(get: Fields, prefix: str) -> api.RequestClass:
     return api.RequestClass(
         name=get.word(prefix + "name"),
-        aim=get.whole(prefix + "aimNs"),
+        latency_objective=get.whole(prefix + "aimNs"),
         deadline=get.whole(prefix + "deadlineNs"),
         effect=get.word(prefix + "effect"),
         key_scope=get.word(prefix + "keyScope", "all"),
         key_window=get.whole(prefix + "windowNs", 0),
-        worth=get.number(prefix + "worth", 1.0),
+        priority_weight=get.number(prefix + "worth", 1.0),
     )
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -173,7 +173,7 @@
             if any(first <= mark.seq <= upto for first, upto in session.void if first):
                 continue  # rejected: not applied, and a later mark clears the module's books
             member.acked_at = now
-            self.events.append(api.Applied(mark.mark, member.number, max(0, now - mark.ordered)))
+            self.events.append(api.SyncAcknowledged(mark.mark, member.number, max(0, now - mark.ordered)))
         if not member.marks:
             session.void.clear()
 
--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -106,9 +106,9 @@
     "ROUNDUP": ((str, str, _int, _int, _opt_int, _opt_int, _row), api.EndpointReport),
     "OFFERED_LOAD": ((_int, str, _int, _int, _opt_int), api.ProxyDemand),
     "ACTIVITY": ((_opt_int, _int, _int, str, _int), _swap_demand),
-    "CUSTODY": ((_int, _bool), api.CustodyChanged),
-    "RECORDED": ((_int, str, _float), api.StoredLine),
-    "CAUGHT_UP": ((_int, _int, _opt_int), api.Applied),
+    "CUSTODY": ((_int, _bool), api.SliceOwnershipChanged),
+    "RECORDED": ((_int, str, _float), api.StoredEntry),
+    "CAUGHT_UP": ((_int, _int, _opt_int), api.SyncAcknowledged),
 }
 
 
@@ -177,14 +177,14 @@
             raise ValueError(f"wants {len(readers) + 1} values, got {len(values)}")
         return Told(values[0], build(*(read(text) for read, text in zip(readers, values[1:], strict=True))))
 
-    def _topology(self, values: list[str]) -> api.ListChanged:
+    def _topology(self, values: list[str]) -> api.EndpointListChanged:
         if len(values) < 2:
             raise ValueError("wants mode, rev and entries")
         mode = _MODE(values[0])
         count = _opt_int(values[2]) if len(values) > 2 else 0
-        return api.ListChanged(mode, tuple(self._entry() for _ in range(count)))
+        return api.EndpointListChanged(mode, tuple(self._entry() for _ in range(count)))
 
-    def _entry(self) -> api.ListEntry:
+    def _entry(self) -> api.EndpointEntry:
         line = self._next()
         if line is None:
             raise ValueError("input ended inside a list")
@@ -192,7 +192,7 @@
         if parts[0] != "ITEM" or len(parts) != 8:
             raise ValueError(f"expected ITEM with 7 values, got {line[:60]!r}")
         _, endpoint, zone, _machine, _cell, state, weight, started = parts
-        return api.ListEntry(endpoint, zone, _STATE(state), _opt_float(weight), _opt_int(started))
+        return api.EndpointEntry(endpoint, zone, _STATE(state), _opt_float(weight), _opt_int(started))
 
 
 def read_settings(pairs: list[str]) -> api.Settings:
@@ -215,23 +215,23 @@
 
 
 _WRITERS: dict[type, Callable[..., tuple[object, ...]]] = {
-    api.SetLine: lambda a: ("WEIGH", a.endpoint, a.table, _number(a.weight)),
+    api.SetEntry: lambda a: ("WEIGH", a.endpoint, a.table, _number(a.weight)),
     api.ClearTable: lambda a: ("EMPTY", a.table),
     api.BindTable: lambda a: ("USE_TABLE", _mask(a.classes), a.proxy, a.table),
-    api.Withdraw: lambda a: ("BENCH", a.endpoint, int(a.out)),
-    api.Admit: lambda a: (
+    api.SetWithdrawn: lambda a: ("BENCH", a.endpoint, int(a.withdrawn)),
+    api.SetAdmission: lambda a: (
         "THROTTLE",
         ALL_TABLES if a.table is None else a.table,
         _mask(a.classes),
         _number(a.level),
         a.retry,
     ),
-    api.Mark: lambda a: ("SEAL", a.number, int(a.everyone)),
-    api.Subscribe: lambda a: ("LISTEN", int(a.on)),
-    api.FetchList: lambda a: ("GET_LIST",),
+    api.RequestSync: lambda a: ("SEAL", a.token, int(a.all_proxies)),
+    api.SubscribeEndpointList: lambda a: ("LISTEN", int(a.on)),
+    api.FetchEndpointList: lambda a: ("GET_LIST",),
     api.SetTimer: lambda a: ("WAKE_ME", a.delay, a.token),
     api.Probe: lambda a: ("SOUND_OUT", a.endpoint),
-    api.SendPeer: lambda a: ("TELL", "all" if a.to is None else a.to, a.payload.hex() or "-"),
+    api.SendToPeer: lambda a: ("TELL", "all" if a.to is None else a.to, a.payload.hex() or "-"),
     api.Log: lambda a: ("RECORD", " ".join(a.text.split())),
 }
 
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -30,7 +30,7 @@
 }
 
 
-def read(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.ListEntry]:
+def read(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.EndpointEntry]:
     """Entries of an assignment.
 
     Raises:
@@ -39,7 +39,7 @@
     return [_entry(place.locality.zone, line) for place in assignment.endpoints for line in place.lb_endpoints]
 
 
-def _entry(zone: str, line: endpoint_components_pb2.LbEndpoint) -> api.ListEntry:
+def _entry(zone: str, line: endpoint_components_pb2.LbEndpoint) -> api.EndpointEntry:
     at = line.endpoint.address.socket_address
     host = f"[{at.address}]" if ":" in at.address else at.address
     name = f"{host}:{at.port_value}"
@@ -50,14 +50,14 @@
     text = fields[STARTED].string_value if STARTED in fields else "0"
     if not text.lstrip("-").isdigit():
         raise ListError(f"upstream list: endpoint {name} started = {text!r}: write nanoseconds as text")
-    return api.ListEntry(name, zone, STATES.get(line.health_status, "terminated"), float(weight), int(text))
+    return api.EndpointEntry(name, zone, STATES.get(line.health_status, "terminated"), float(weight), int(text))
 
 
-def write(cluster: str, entries: list[api.ListEntry]) -> endpoint_pb2.ClusterLoadAssignment:
+def write(cluster: str, entries: list[api.EndpointEntry]) -> endpoint_pb2.ClusterLoadAssignment:
     """The other half of `read`, for a list server that stands in."""
     health = {"in_service": health_check_pb2.HEALTHY, "terminating": health_check_pb2.DRAINING}
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=cluster)
-    zones: dict[str, list[api.ListEntry]] = {}
+    zones: dict[str, list[api.EndpointEntry]] = {}
     for entry in entries:
         zones.setdefault(entry.zone, []).append(entry)
     for zone, inside in sorted(zones.items()):
@@ -88,7 +88,7 @@
         self.address, self.cluster, self.node, self.redial = address, cluster, node, redial
         self.budget, self.clock = budget or Budget(), clock
 
-    async def lists(self) -> AsyncIterator[list[api.ListEntry] | ListError]:
+    async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
         while True:
             await anyio.sleep(self.budget.wait(self.clock()) / 1e9)
             self.budget.spend(self.clock())
@@ -100,7 +100,7 @@
             yield ListError(f"upstream list at {self.address}: {why}; it is dialled again")
             await anyio.sleep(self.redial.failed())
 
-    async def _stream(self) -> AsyncIterator[list[api.ListEntry] | ListError]:
+    async def _stream(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
         options = [("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 3000)]
         async with grpc.aio.insecure_channel(self.address, options) as channel:
             call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources()
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -20,7 +20,7 @@
 from damsonpick.proxy.settings import ProxySettings
 from damsonpick.proxy.stream import Stream
 from damsonpick.proxy.watch_client import Follower
-from damsonpick.runtime import port_file
+from damsonpick.runtime import port_files
 from damsonpick.runtime.backoff import Redial
 from damsonpick.runtime.clock import Clock
 
@@ -72,7 +72,7 @@
         own = self.settings.proxy
         if own.port_file is None:
             return list(own.pilots)
-        return [address] if (address := port_file.address(own.port_file)) else []
+        return [address] if (address := port_files.address(own.port_file)) else []
 
     def kept(self) -> Path | None:
         state = self.settings.proxy.state
@@ -156,7 +156,7 @@
     proxy = Proxy(settings, log)
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with proxy.running():
-            port_file.write(port_file, proxy.port)
+            port_files.write(port_file, proxy.port)
             async for _ in signals:
                 break
             log.info("proxy_drains", clients=proxy.relay.clients)
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from damsonpick import interface as api
-from damsonpick.decisions.planner import Planner, Slice
+from damsonpick.decisions.planner import Planner, SliceState
 from damsonpick.settings.model import PilotSettings
 from damsonpick.solver import plan as plans
 from damsonpick.solver.lines import LinesProblem, Piece
@@ -57,7 +57,7 @@
         return now >= self.due_at or self._fleet(planner) != self.seen
 
     def _fleet(self, planner: Planner) -> tuple:
-        return tuple((n, ep.started) for n, ep in sorted(planner.endpoints.items()) if not planner.barred(n))
+        return tuple((n, ep.started) for n, ep in sorted(planner.endpoints.items()) if not planner.is_unroutable(n))
 
     def begin(self, now: int, planner: Planner) -> None:
         """A solve starts now."""
@@ -74,13 +74,13 @@
     def servers(self, planner: Planner) -> tuple[Server, ...]:
         """Every server that may be used, in a settled order."""
         shares = {row.name: row.share for row in self.last.servers} if self.last else {}
-        usable = planner.usable()
+        usable = planner.usable_capacities()
         total = sum(usable.values()) or 1.0
         used = min(1.0, sum(map(self._work, planner.slices.values())) / total)
         found = []
         for name in sorted(usable):
             ep = planner.endpoints[name]
-            cold = planner.tender(name)
+            cold = planner.is_warming_up(name)
             capacity = usable[name] if math.isfinite(usable[name]) else 1.0
             found.append(
                 Server(
@@ -89,13 +89,13 @@
                     max(LEAST_CAPACITY, capacity),
                     max(1, min(256, round(ep.weight))),
                     max(COLD_PART, used) if cold else 1.0,
-                    round(min(1.0, max(0.0, 1.0 - ep.sound)), 3),
+                    round(min(1.0, max(0.0, 1.0 - ep.success_ratio)), 3),
                     shares.get(name, 0.0),
                 )
             )
         return tuple(found)
 
-    def _work(self, piece: Slice) -> float:
+    def _work(self, piece: SliceState) -> float:
         """Averaged work a second that a table's requests bring."""
         return sum(rate * kind.work for rate, kind in zip(piece.rates, self.kinds, strict=True))
 
@@ -115,9 +115,9 @@
         pieces = []
         for number, piece in sorted(planner.slices.items()):
             work = self._work(piece)
-            if piece.homes and work > 0:
-                old = tuple(piece.wanted(h) for h in piece.homes)
-                pieces.append(Piece(number, work, tuple(piece.homes), old))
+            if piece.assigned and work > 0:
+                old = tuple(piece.desired_weight(h) for h in piece.assigned)
+                pieces.append(Piece(number, work, tuple(piece.assigned), old))
         return LinesProblem(self.kinds, self.servers(planner), tuple(pieces), self.costs)
 
     # -- what is told
@@ -140,7 +140,7 @@
         self.before, self.last = self.last, plan
         events = self._tables(plan.weights, planner)
         if self.settings.solver.levels:
-            events.append(api.LoadAdvised(self._bearable(plan)))
+            events.append(api.CapacityAdvised(self._bearable(plan)))
         return events
 
     def repair(self, planner: Planner) -> list[api.Event]:
@@ -170,10 +170,12 @@
             for k, kind in enumerate(self.kinds):
                 number = place * len(self.kinds) + k
                 piece = planner.slices.get(number)
-                has = {h: piece.wanted(h) for h in piece.homes} if piece and piece.laid else {}
+                has = (
+                    {h: piece.desired_weight(h) for h in piece.assigned} if piece and piece.externally_assigned else {}
+                )
                 lines = plans.keep(tables.get((zone, kind.name), ()), has)
                 self.told[number] = dict(lines)
-                if dict(lines) != has or not (piece and piece.laid):
+                if dict(lines) != has or not (piece and piece.externally_assigned):
                     events.append(api.TableAdvised(number, lines, True))
         return events
 
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -26,7 +26,7 @@
     """What one source has said."""
 
     def __init__(self) -> None:
-        self.entries: list[api.ListEntry] | None = None  # its last list
+        self.entries: list[api.EndpointEntry] | None = None  # its last list
         self.up = False
         self.since = 0  # of `up`
         self.why = "has not answered yet"
@@ -39,7 +39,7 @@
         self.all = {name: Source() for name in names}
         self.started, self.believed = now, ""
 
-    def take(self, now: int, name: str, said: list[api.ListEntry] | None, why: str = "") -> None:
+    def take(self, now: int, name: str, said: list[api.EndpointEntry] | None, why: str = "") -> None:
         """A source has given a list, or (None) has failed."""
         source = self.all[name]
         if (said is not None) != source.up:
@@ -77,7 +77,7 @@
         """It may still answer for the first time."""
         return self.all[name].since == 0
 
-    def merged(self, now: int) -> tuple[list[api.ListEntry] | None, list[str]]:
+    def merged(self, now: int) -> tuple[list[api.EndpointEntry] | None, list[str]]:
         """The list in force, and disagreements in words; None: no source has given one."""
         chosen = self.choose(now)
         if not chosen or self.all[chosen].entries is None:
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -26,7 +26,7 @@
 class Verdict(NamedTuple):
     """An event for the module (or none) and what was wrong with the list, in words."""
 
-    event: api.ListChanged | None
+    event: api.EndpointListChanged | None
     doubts: list[str]
 
 
@@ -35,28 +35,28 @@
 
     def __init__(self, zones: tuple[str, ...]) -> None:
         self.zones = zones
-        self.entries: dict[str, api.ListEntry] = {}
+        self.entries: dict[str, api.EndpointEntry] = {}
         self.fresh = False  # a list has come since the start
-        self.claim: list[api.ListEntry] = []  # the last list that was taken, as it came
-        self.held: dict[str, api.ListEntry] = {}  # missing from it, and kept
+        self.claim: list[api.EndpointEntry] = []  # the last list that was taken, as it came
+        self.held: dict[str, api.EndpointEntry] = {}  # missing from it, and kept
         self.held_since = 0
         self.accepted = False  # an operator accepts what is missing
         self.places: dict[str, str] = {}  # zone by endpoint, kept after it has left the list
 
-    def restore(self, entries: Iterable[api.ListEntry]) -> api.ListChanged:
+    def restore(self, entries: Iterable[api.EndpointEntry]) -> api.EndpointListChanged:
         """The kept list, before any source has answered."""
         self.entries = {e.endpoint: e for e in entries}
         self.places = {e.endpoint: e.zone for e in self.entries.values()}
-        return api.ListChanged("restored", tuple(self.entries.values()))
+        return api.EndpointListChanged("restored", tuple(self.entries.values()))
 
-    def moved(self, entries: Iterable[api.ListEntry]) -> list[str]:
+    def moved(self, entries: Iterable[api.EndpointEntry]) -> list[str]:
         """Endpoints whose zone is news; it is taken over."""
         news = [e.endpoint for e in entries if self.places.get(e.endpoint) != e.zone]
         self.places.update((e.endpoint, e.zone) for e in entries)
         return news
 
-    def failed(self) -> api.ListChanged:
-        return api.ListChanged("unavailable", ())
+    def failed(self) -> api.EndpointListChanged:
+        return api.EndpointListChanged("unavailable", ())
 
     def recheck(self, now: int, lost: Callable[[str], bool]) -> Verdict | None:
         """Whether entries that are held can go by now; None: none are held."""
@@ -67,7 +67,9 @@
         self.accepted = True
         return self.recheck(now, lost)
 
-    def _hold(self, now: int, listed: dict[str, api.ListEntry], lost: Callable[[str], bool], doubts: list[str]) -> None:
+    def _hold(
+        self, now: int, listed: dict[str, api.EndpointEntry], lost: Callable[[str], bool], doubts: list[str]
+    ) -> None:
         """Keep what vanished in too large a part, in `listed`."""
         serving = [n for n, e in self.entries.items() if e.state == "in_service"]
         missing = [n for n in serving if n not in listed]
@@ -86,7 +88,7 @@
         listed.update(held)
 
     def take(
-        self, now: int, claimed: Iterable[api.ListEntry], lost: Callable[[str], bool] = lambda name: False
+        self, now: int, claimed: Iterable[api.EndpointEntry], lost: Callable[[str], bool] = lambda name: False
     ) -> Verdict:
         """A whole list from a source, as a `replace` event; nothing where it says what is known.
 
@@ -95,7 +97,7 @@
         """
         self.claim = claimed = list(claimed)
         doubts: list[str] = []
-        listed: dict[str, api.ListEntry] = {}
+        listed: dict[str, api.EndpointEntry] = {}
         for entry in claimed:
             entry = self._mend(now, entry, doubts)
             twin = listed.get(entry.endpoint)
@@ -110,9 +112,9 @@
         if self.fresh and listed == self.entries:
             return Verdict(None, doubts)
         self.entries, self.fresh = listed, True
-        return Verdict(api.ListChanged("replace", tuple(listed.values())), doubts)
+        return Verdict(api.EndpointListChanged("replace", tuple(listed.values())), doubts)
 
-    def _mend(self, now: int, entry: api.ListEntry, doubts: list[str]) -> api.ListEntry:
+    def _mend(self, now: int, entry: api.EndpointEntry, doubts: list[str]) -> api.EndpointEntry:
         if entry.started > now:
             known = self.entries.get(entry.endpoint)
             same = known is not None and 0 < known.started <= now and known.state == entry.state
--- a/damsonpick/state/history/rollback.py
+++ b/damsonpick/state/history/rollback.py
@@ -27,7 +27,7 @@
 
 
 class Plan(NamedTuple):
-    orders: list[api.SetLine]
+    orders: list[api.SetEntry]
     kept: list[Kept]
 
 
@@ -42,20 +42,20 @@
         barred: endpoints that may not be picked now: draining, gone, unlisted, withdrawn.
         cold: endpoints that still warm up.
     """
-    orders: list[api.SetLine] = []
+    orders: list[api.SetEntry] = []
     kept: list[Kept] = []
     for number, have in sorted(tables.items()):
         want = _safe(number, history.lines(target, number), have, barred, cold, kept)
         if want is None:
             continue
-        orders += [api.SetLine(number, n, w) for n, w in want.items() if have.get(n) != w]
-        orders += [api.SetLine(number, n, 0.0) for n in have if n not in want]
+        orders += [api.SetEntry(number, n, w) for n, w in want.items() if have.get(n) != w]
+        orders += [api.SetEntry(number, n, 0.0) for n in have if n not in want]
     return Plan(orders, kept)
 
 
-def admissions(target: history.State, present: history.State, classes: int) -> list[api.Admit]:
+def admissions(target: history.State, present: history.State, classes: int) -> list[api.SetAdmission]:
     """Orders that set levels and retry modes as a version had them; none where they are so already."""
-    orders: list[api.Admit] = []
+    orders: list[api.SetAdmission] = []
     for unit in {**present, **target}:
         table = None if unit == FLEET else history.number_of(unit)
         if unit != FLEET and table is None:
@@ -63,7 +63,7 @@
         for k in range(classes):
             was, now = (_admission(state, unit, table, k) for state in (target, present))
             if was != now:
-                orders.append(api.Admit(table, (k,), *was))
+                orders.append(api.SetAdmission(table, (k,), *was))
     return orders
 
 
@@ -137,7 +137,7 @@
         held = 0
         lines: dict[int, dict[str, float]] = {}
         for order in orders:
-            if isinstance(order, api.SetLine):
+            if isinstance(order, api.SetEntry):
                 have = lines.setdefault(order.table, dict(tables.get(order.table, {})))
                 if not self._needed(order, have, barred):
                     held += 1
@@ -148,7 +148,7 @@
                     have.pop(order.endpoint, None)
             elif isinstance(order, api.ClearTable) or (
                 self.levels
-                and isinstance(order, api.Admit)
+                and isinstance(order, api.SetAdmission)
                 and all(order.level >= level(order.table, k) for k in order.classes)
             ):
                 held += 1
@@ -156,7 +156,7 @@
             flow.append(order)
         return flow, held
 
-    def _needed(self, order: api.SetLine, have: Lines, barred: Callable[[str], bool]) -> bool:
+    def _needed(self, order: api.SetEntry, have: Lines, barred: Callable[[str], bool]) -> bool:
         """What the rules need: off a barred server while another line is open; onto one where none is."""
         others = [n for n in have if n != order.endpoint and not barred(n)]
         if order.weight > 0:
--- a/damsonpick/state/learned/list_confidence.py
+++ b/damsonpick/state/learned/list_confidence.py
@@ -78,8 +78,8 @@
         for event in events:
             if isinstance(event, api.EndpointReport):
                 sums = tries.setdefault(event.endpoint, [0, 0])
-                sums[0] += event.tries
-                sums[1] += event.tries - event.failures
+                sums[0] += event.attempts
+                sums[1] += event.attempts - event.failures
         for name, (count, good) in tries.items():
             if good:
                 self.answered[name] = now
@@ -141,7 +141,7 @@
                 doubt.trial, self.turn = True, now + TURN
                 return
 
-    def say(self, now: int) -> list[api.EndpointTrusted]:
+    def say(self, now: int) -> list[api.EndpointConfidenceChanged]:
         """Changes of trust since the last time."""
         if not self.due(now):
             return []
@@ -149,9 +149,9 @@
         for name, level in self.levels(now).items():
             if self.said.get(name, 1.0) != level:
                 self.said[name] = level
-                found.append(api.EndpointTrusted(name, level))
+                found.append(api.EndpointConfidenceChanged(name, level))
         return found
 
-    def again(self) -> list[api.EndpointTrusted]:
+    def again(self) -> list[api.EndpointConfidenceChanged]:
         """All that was said, for a planner that was started over."""
-        return [api.EndpointTrusted(name, level) for name, level in self.said.items() if level != 1.0]
+        return [api.EndpointConfidenceChanged(name, level) for name, level in self.said.items() if level != 1.0]
--- a/damsonpick/state/learned/restore.py
+++ b/damsonpick/state/learned/restore.py
@@ -52,8 +52,10 @@
         planner = self.planner
         for name, ep in list(planner.endpoints.items()):
             when = self.answered.get(name, 0)
-            if ep.heard or ep.recalled or when:  # the rest is as the ignorant assume
-                self.servers.append(Server(name, ep.started, min(MOST_SPEED, max(LEAST_SPEED, ep.speed)), when))
+            if ep.last_report_at or ep.restored_share or when:  # the rest is as the ignorant assume
+                self.servers.append(
+                    Server(name, ep.started, min(MOST_SPEED, max(LEAST_SPEED, ep.capacity_factor)), when)
+                )
         yield
         for k, piece in enumerate(list(planner.slices.values())):
             warmth = tuple((n, min(1.0, w)) for n, w in piece.warmth.items() if w > LEAST_WARMTH)
@@ -74,7 +76,7 @@
     def _made(self, kind: type, pieces: object) -> Any:
         planner = self.planner
         classes = tuple(c.name for c in planner.settings.classes)
-        fleet = Fleet(max(0.0, planner.best), max(0.0, planner.pace))
+        fleet = Fleet(max(0.0, planner.best_throughput), max(0.0, planner.throughput_per_capacity))
         return kind(
             self.sequence,
             self.pilot,
@@ -107,7 +109,7 @@
 
 
 def events(
-    snapshot: Snapshot, listed: Mapping[str, api.ListEntry], owned: Iterable[int], whole: bool = True
+    snapshot: Snapshot, listed: Mapping[str, api.EndpointEntry], owned: Iterable[int], whole: bool = True
 ) -> tuple[list[api.Event], list[str]]:
     """What a planner is told of an aged snapshot, and the servers that nothing is told of as they started anew.
 
@@ -123,10 +125,10 @@
         if entry.started != server.started:
             anew.append(server.endpoint)
             continue
-        found.append(api.EndpointRecalled(server.endpoint, server.started, server.speed))
+        found.append(api.EndpointRestored(server.endpoint, server.started, server.speed))
     if whole:
         mine = set(owned)
-        found += [api.SliceRecalled(p.number, p.rates, p.warmth) for p in snapshot.pieces if p.number in mine]
+        found += [api.SliceRestored(p.number, p.rates, p.warmth) for p in snapshot.pieces if p.number in mine]
     return found, anew
 
 
@@ -134,7 +136,7 @@
     snapshot: Snapshot | None,
     now: int,
     away: int | None,
-    listed: Mapping[str, api.ListEntry],
+    listed: Mapping[str, api.EndpointEntry],
     at: Mapping[str, tuple[int, str]],
 ) -> dict[str, Kept]:
     """When each entry of a kept list was last spoken for, on the clock of this life.
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -91,10 +91,10 @@
         urgent = False
         self.seq += 1
         for order in orders:
-            if isinstance(order, api.Mark):
-                marks.append(order.number)
+            if isinstance(order, api.RequestSync):
+                marks.append(order.token)
                 continue
-            urgent |= isinstance(order, api.Withdraw) and order.out and order.endpoint not in self.withdrawn
+            urgent |= isinstance(order, api.SetWithdrawn) and order.withdrawn and order.endpoint not in self.withdrawn
             for unit, line in self._one(order):
                 lines.setdefault(unit, set()).add(line)
         for unit in lines:
@@ -102,17 +102,17 @@
         return Change(self.seq, lines, marks, urgent)
 
     def _one(self, order: api.Action) -> list[tuple[str, str]]:
-        if isinstance(order, api.SetLine):
+        if isinstance(order, api.SetEntry):
             return self._set_line(order)
         if isinstance(order, api.ClearTable):
             return self._clear(order.table)
-        if isinstance(order, api.Withdraw):
+        if isinstance(order, api.SetWithdrawn):
             return self._withdraw(order)
-        if isinstance(order, api.Admit):
+        if isinstance(order, api.SetAdmission):
             return self._admit(order)
         return []
 
-    def _set_line(self, order: api.SetLine) -> list[tuple[str, str]]:
+    def _set_line(self, order: api.SetEntry) -> list[tuple[str, str]]:
         table = self.tables.get(order.table)
         if table is None or table.get(order.endpoint, 0.0) == order.weight:
             return []
@@ -133,16 +133,16 @@
                 gone.append((slice_unit(number), f"level {k}"))
         return gone
 
-    def _withdraw(self, order: api.Withdraw) -> list[tuple[str, str]]:
-        if order.out == (order.endpoint in self.withdrawn):
+    def _withdraw(self, order: api.SetWithdrawn) -> list[tuple[str, str]]:
+        if order.withdrawn == (order.endpoint in self.withdrawn):
             return []
-        if order.out:
+        if order.withdrawn:
             self.withdrawn[order.endpoint] = self.seq
         else:
             del self.withdrawn[order.endpoint]
         return [(FLEET, order.endpoint)]
 
-    def _admit(self, order: api.Admit) -> list[tuple[str, str]]:
+    def _admit(self, order: api.SetAdmission) -> list[tuple[str, str]]:
         unit = FLEET if order.table is None else slice_unit(order.table)
         result = []
         for k in order.classes or range(len(self.classes)):
--- a/damsonpick/state/store/sqlite.py
+++ b/damsonpick/state/store/sqlite.py
@@ -142,9 +142,10 @@
             self.db.execute("INSERT INTO gateways VALUES (?, ?)", (last + 1, node))
         return last + 1
 
-    def listed(self) -> list[api.ListEntry]:
+    def listed(self) -> list[api.EndpointEntry]:
         return [
-            api.ListEntry(*row) for row in self.db.execute("SELECT endpoint, zone, state, weight, started FROM listed")
+            api.EndpointEntry(*row)
+            for row in self.db.execute("SELECT endpoint, zone, state, weight, started FROM listed")
         ]
 
     def listed_at(self) -> dict[str, tuple[int, str]]:
@@ -152,7 +153,11 @@
         return {name: (at, source) for name, at, source in self.db.execute("SELECT endpoint, at, source FROM listed")}
 
     def keep_list(
-        self, entries: Iterable[api.ListEntry], at: int = 0, source: str = "", held: Mapping[str, object] | None = None
+        self,
+        entries: Iterable[api.EndpointEntry],
+        at: int = 0,
+        source: str = "",
+        held: Mapping[str, object] | None = None,
     ) -> None:
         """The list in force. Entries that are `held`, though no source names them, keep their former time."""
         former = self.listed_at() if held else {}
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -14,7 +14,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from damsonpick.runtime import port_file
+from damsonpick.runtime import port_files
 from damsonpick.runtime.clock import Clock
 from damsonpick.testing.fakes.balancer import Balancer
 from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
@@ -96,10 +96,10 @@
         self.count = 0
 
     def sasp(self) -> str:
-        return port_file.address(self.port_file.with_suffix(".sasp"))
+        return port_files.address(self.port_file.with_suffix(".sasp"))
 
     def pilot(self) -> str:
-        return port_file.address(self.port_file)
+        return port_files.address(self.port_file)
 
     async def run(self) -> None:
         async with anyio.create_task_group() as group:
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -19,7 +19,7 @@
 
     def __init__(self, cluster: str, record: Recorder) -> None:
         self.cluster, self.record = cluster, record
-        self.entries: dict[str, api.ListEntry] = {}
+        self.entries: dict[str, api.EndpointEntry] = {}
         self.version = 0
         self.down = self.empty = False
         self.bells: set[anyio.Event] = set()
@@ -31,7 +31,7 @@
         await server.start()
         return server, f"127.0.0.1:{port}"
 
-    def put(self, *entries: api.ListEntry) -> None:
+    def put(self, *entries: api.EndpointEntry) -> None:
         """Change entries; `terminated` ones leave the list."""
         for entry in entries:
             if entry.state == "terminated":
@@ -65,7 +65,7 @@
                 self.bells.discard(bell)
             group.cancel_scope.cancel()
 
-    def _response(self, shown: list[api.ListEntry]) -> discovery_pb2.DiscoveryResponse:
+    def _response(self, shown: list[api.EndpointEntry]) -> discovery_pb2.DiscoveryResponse:
         body = any_pb2.Any()
         body.Pack(endpoint_list_client.write(self.cluster, shown))
         return discovery_pb2.DiscoveryResponse(
--- a/damsonpick/testing/scenarios/environment.py
+++ b/damsonpick/testing/scenarios/environment.py
@@ -193,9 +193,9 @@
     async def wait(self, ns: float) -> None:
         await anyio.sleep(self.clock.seconds(int(ns)))
 
-    def entry(self, server: ResultsServer, state: str = "in_service") -> api.ListEntry:
+    def entry(self, server: ResultsServer, state: str = "in_service") -> api.EndpointEntry:
         make = server.make
-        return api.ListEntry(server.address, make.zone, state, float(make.cores), server.started)
+        return api.EndpointEntry(server.address, make.zone, state, float(make.cores), server.started)
 
     async def tell(self, server: ResultsServer, state: str) -> None:
         """The list comes to know a server's state."""
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -15,9 +15,9 @@
 
     def listed(self, event):
         kept = tuple(e._replace(state="in_service") for e in event.entries)
-        return heard(self, api.ListChanged("update" if event.kind == "replace" else event.kind, kept))
+        return heard(self, api.EndpointListChanged("update" if event.kind == "replace" else event.kind, kept))
 
-    heard, Planner.on_ListChanged = Planner.on_ListChanged, listed
+    heard, Planner.on_EndpointListChanged = Planner.on_EndpointListChanged, listed
 
 
 def bare() -> None:
@@ -39,15 +39,15 @@
     """All classes are tried again after any failure."""
 
     def apply(self, orders):
-        return real(self, [o._replace(retry=3) if isinstance(o, api.Admit) else o for o in orders])
+        return real(self, [o._replace(retry=3) if isinstance(o, api.SetAdmission) else o for o in orders])
 
     real, Published.apply = Published.apply, apply
 
 
 def reckless() -> None:
     """A cold server is taken for a warm one, and for a huge one."""
-    Planner.ramp = lambda self, ep: 1.0
-    Planner.capacity = lambda self, ep: 1000.0 if ep.started else 0.1
+    Planner.warm_up_share = lambda self, ep: 1.0
+    Planner.capacity_of = lambda self, ep: 1000.0 if ep.started else 0.1
 
 
 if __name__ == "__main__":
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,27 +23,27 @@
         sole_owner=False,
         admission="ratio",
         subscribe=False,
-        ask_every=10 * SECOND,
+        poll_interval=10 * SECOND,
         channel_rate=4000.0,
         channel_limit=6000.0,
         message_overhead=8.0,
         messages_per_window=0,
         message_window=10 * SECOND,
-        transit_max=SECOND // 2,
+        max_transit=SECOND // 2,
         report_period=SECOND,
         drain_grace=2 * SECOND,
-        cold_share=0.2,
-        cold_time=15 * SECOND,
+        cold_capacity_share=0.2,
+        warm_up_time=15 * SECOND,
         write_linger=SECOND // 50,
         write_lease=SECOND,
         load_fields=(),
-        pick="pair",
+        balancing_policy="pair",
     )
     return base._replace(**changes)
 
 
 def entry(name: str, state: str = "in_service", weight: float = 1.0, started: int = 0, zone: str = "a"):
-    return api.ListEntry(name, zone, state, weight, started)
+    return api.EndpointEntry(name, zone, state, weight, started)
 
 
 class World:
@@ -60,13 +60,13 @@
         self.acks = True
         self.log: list[api.Action] = []
         events = [
-            api.ListChanged("restored", tuple(entry(n) for n in names)),
-            api.ListChanged("replace", tuple(entry(n) for n in names)),
+            api.EndpointListChanged("restored", tuple(entry(n) for n in names)),
+            api.EndpointListChanged("replace", tuple(entry(n) for n in names)),
         ]
         events += [api.ProxyJoined(k, "a", 5.0, True) for k in range(proxies)]
         for number in range(slices):
             home = names[number % len(names)]
-            events += [api.CustodyChanged(number, True), api.StoredLine(number, home, 1.0)]
+            events += [api.SliceOwnershipChanged(number, True), api.StoredEntry(number, home, 1.0)]
             self.tables[number] = {home: 1.0}
         self.proxies = list(range(proxies))
         self.tell(*events)
@@ -77,7 +77,7 @@
         self.log += orders
         acks = []
         for order in orders:
-            if isinstance(order, api.SetLine):
+            if isinstance(order, api.SetEntry):
                 table = self.tables.setdefault(order.table, {})
                 if order.weight > 0:
                     if self.settings.sole_owner:
@@ -85,13 +85,13 @@
                     table[order.endpoint] = order.weight
                 else:
                     table.pop(order.endpoint, None)
-            elif isinstance(order, api.Withdraw):
-                self.shut[order.endpoint] = order.out
-            elif isinstance(order, api.Admit):
+            elif isinstance(order, api.SetWithdrawn):
+                self.shut[order.endpoint] = order.withdrawn
+            elif isinstance(order, api.SetAdmission):
                 for k in order.classes:
                     self.levels[order.table, k] = order.level
-            elif isinstance(order, api.Mark) and self.acks:
-                acks = [api.Applied(order.number, proxy, SECOND // 10) for proxy in self.proxies]
+            elif isinstance(order, api.RequestSync) and self.acks:
+                acks = [api.SyncAcknowledged(order.token, proxy, SECOND // 10) for proxy in self.proxies]
         if acks:
             orders = orders + self.tell(*acks)
         return orders
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -103,11 +103,11 @@
 # -- orders
 
 MODEL = st.one_of(
-    st.builds(api.SetLine, st.integers(0, 2), st.sampled_from("pq"), st.sampled_from([0.0, 1.0, 2.0])),
-    st.builds(api.Withdraw, st.sampled_from("pq"), st.booleans()),
-    st.builds(lambda level: api.Admit(None, (0,), level, 1), st.sampled_from([0.5, 1.0])),
+    st.builds(api.SetEntry, st.integers(0, 2), st.sampled_from("pq"), st.sampled_from([0.0, 1.0, 2.0])),
+    st.builds(api.SetWithdrawn, st.sampled_from("pq"), st.booleans()),
+    st.builds(lambda level: api.SetAdmission(None, (0,), level, 1), st.sampled_from([0.5, 1.0])),
     st.builds(api.ClearTable, st.integers(0, 2)),
-    st.builds(api.Mark, st.integers(0, 9), st.just(True)),
+    st.builds(api.RequestSync, st.integers(0, 9), st.just(True)),
 )
 
 
@@ -118,11 +118,11 @@
         self.state: dict = {}
 
     def do(self, order) -> None:
-        if isinstance(order, api.SetLine):
+        if isinstance(order, api.SetEntry):
             self.state[order.table, order.endpoint] = order.weight
-        elif isinstance(order, api.Withdraw):
-            self.state[order.endpoint] = order.out
-        elif isinstance(order, api.Admit):
+        elif isinstance(order, api.SetWithdrawn):
+            self.state[order.endpoint] = order.withdrawn
+        elif isinstance(order, api.SetAdmission):
             self.state["level"] = order.level
         elif isinstance(order, api.ClearTable):
             self.state |= {k: 0.0 for k in self.state if isinstance(k, tuple) and k[0] == order.table}
@@ -143,13 +143,13 @@
         orders.push(pushed)
         for order in pushed:
             wanted.do(order)
-            marks = [order.number] if isinstance(order, api.Mark) else marks
+            marks = [order.token] if isinstance(order, api.RequestSync) else marks
         call = orders.call()
         if call is None:
             continue
         half, count = len(call.orders) // 2, len(call.orders)
         if outcome == "part":  # the relay refuses what names an endpoint it does not know
-            count = next((k for k in range(half, count) if isinstance(call.orders[k], api.SetLine)), count)
+            count = next((k for k in range(half, count) if isinstance(call.orders[k], api.SetEntry)), count)
         if outcome in ("taken", "lost", "part"):
             for order in call.orders[:count]:
                 store.do(order)
@@ -162,7 +162,7 @@
 
 def test_a_call_is_cut_between_orders_and_marks_go_last():
     orders = Orders(("x",), shift=70)
-    orders.push([api.SetLine(n, "s-" + "x" * 80, 1.0) for n in range(1000)] + [api.Mark(3, True)])
+    orders.push([api.SetEntry(n, "s-" + "x" * 80, 1.0) for n in range(1000)] + [api.RequestSync(3, True)])
     first = orders.call()
     assert len(first.body) <= MOST_BYTES and 0 < len(first.orders) < 1000
     while (last := orders.call()).orders != tuple(orders):
@@ -189,7 +189,7 @@
     believed = {n: set(lines) for n, lines in store.items()}
     for table, target, outcome, length in [*steps, *((n, {"s"}, "taken", 99) for n in (0, 1))]:
         adds, gone = sorted(target - believed[table]), sorted(believed[table] - target)
-        orders.push([*(api.SetLine(table, n, 1.0) for n in adds), *(api.SetLine(table, n, 0.0) for n in gone)])
+        orders.push([*(api.SetEntry(table, n, 1.0) for n in adds), *(api.SetEntry(table, n, 0.0) for n in gone)])
         believed[table] = set(target)
         call = tuple(orders)[:length]
         if outcome in ("taken", "lost"):
@@ -203,19 +203,19 @@
 
 def test_what_is_ordered_last_holds_and_an_endpoint_is_let_in_behind_its_lines():
     orders = Orders(("x", "y"))
-    orders.push([api.Admit(3, (0,), 0.5, 1), api.Admit(None, (0,), 0.2, 1), api.Withdraw("p", True)])
-    orders.push([api.SetLine(1, "q", 1.0), api.SetLine(1, "p", 0.0), api.Admit(3, (0,), 0.9, 1)])
-    orders.push([api.Withdraw("p", False), api.Mark(4, True)])
+    orders.push([api.SetAdmission(3, (0,), 0.5, 1), api.SetAdmission(None, (0,), 0.2, 1), api.SetWithdrawn("p", True)])
+    orders.push([api.SetEntry(1, "q", 1.0), api.SetEntry(1, "p", 0.0), api.SetAdmission(3, (0,), 0.9, 1)])
+    orders.push([api.SetWithdrawn("p", False), api.RequestSync(4, True)])
     assert tuple(orders) == (
-        api.Admit(None, (0,), 0.2, 1),
-        api.SetLine(1, "q", 1.0),
-        api.SetLine(1, "p", 0.0),
-        api.Admit(3, (0,), 0.9, 1),
-        api.Withdraw("p", False),
-        api.Mark(4, True),
+        api.SetAdmission(None, (0,), 0.2, 1),
+        api.SetEntry(1, "q", 1.0),
+        api.SetEntry(1, "p", 0.0),
+        api.SetAdmission(3, (0,), 0.9, 1),
+        api.SetWithdrawn("p", False),
+        api.RequestSync(4, True),
     )
-    orders.push([api.Withdraw("p", True)])
-    assert tuple(orders)[4] == api.Withdraw("p", True)
+    orders.push([api.SetWithdrawn("p", True)])
+    assert tuple(orders)[4] == api.SetWithdrawn("p", True)
 
 
 class Charge:
@@ -232,16 +232,16 @@
 
     def hear(self, events) -> None:
         for event in events:
-            if isinstance(event, api.CustodyChanged):
+            if isinstance(event, api.SliceOwnershipChanged):
                 self.believed = {} if event.owned else None
-            elif isinstance(event, api.StoredLine):
+            elif isinstance(event, api.StoredEntry):
                 self.believed[event.endpoint] = event.weight
         self.decide()
 
     def decide(self) -> None:
         if self.believed is not None and self.believed != {self.wanted: 1.0}:
             gone = [n for n in self.believed if n != self.wanted]
-            self.orders.push([api.SetLine(1, self.wanted, 1.0), *(api.SetLine(1, n, 0.0) for n in gone)])
+            self.orders.push([api.SetEntry(1, self.wanted, 1.0), *(api.SetEntry(1, n, 0.0) for n in gone)])
             self.believed = {self.wanted: 1.0}
 
     def step(self, what: str) -> None:
@@ -294,7 +294,7 @@
     orders = Orders(("x",))
     registry = Registry(orders, 4, 4)
     registry.news(messages.Owner(1, True))
-    orders.push([api.SetLine(1, "p", 1.0), api.SetLine(2, "p", 1.0)])
+    orders.push([api.SetEntry(1, "p", 1.0), api.SetEntry(2, "p", 1.0)])
     registry.news(messages.Owner(1, False))
     assert [o.table for o in orders] == [2]
 
@@ -337,10 +337,10 @@
     registry.reconcile(standing([(0, True), (1, True)], t1="p", t2="q", t3="r"))
     events = registry.reconcile(standing([(1, True), (2, False)], t1="p", t2="pq"))
     assert events == [
-        api.CustodyChanged(3, False),
-        api.CustodyChanged(2, True),
-        api.StoredLine(2, "p", 1.0),
-        api.StoredLine(2, "q", 1.0),
+        api.SliceOwnershipChanged(3, False),
+        api.SliceOwnershipChanged(2, True),
+        api.StoredEntry(2, "p", 1.0),
+        api.StoredEntry(2, "q", 1.0),
         api.ProxyLeft(0),
         api.ProxyLeft(1),
         api.ProxyJoined(1, "a", 0.0, False),
@@ -365,7 +365,7 @@
     orders = Orders(("x",))
     registry = Registry(orders, 8, 8)
     registry.reconcile(standing(t1="p"))
-    orders.push([api.SetLine(1, "q", 1.0), api.SetLine(1, "p", 0.0)])
+    orders.push([api.SetEntry(1, "q", 1.0), api.SetEntry(1, "p", 0.0)])
     orders.call()
     assert registry.reconcile(standing(t1="q")) == [] == registry.reconcile(standing(t1="p"))
 
@@ -388,24 +388,26 @@
 def test_what_the_registry_keeps_of_withdrawals_is_bounded():
     registry = Registry(Orders(("x",)), 8, 8)
     for k in range(3 * SHUT_MOST):
-        registry.carried_out((api.Withdraw(f"s{k}", True),))
+        registry.carried_out((api.SetWithdrawn(f"s{k}", True),))
     assert len(registry.shut) == SHUT_MOST and f"s{3 * SHUT_MOST - 1}" in registry.shut
 
 
 def test_a_planner_begun_anew_is_told_withdrawals_and_levels_that_wait():
     orders = Orders(("x", "y"))
     registry = Registry(orders, 8, 8)
-    registry.carried_out((api.Withdraw("p", True), api.Withdraw("q", True), api.Admit(None, (0, 1), 0.9, 1)))
-    orders.push([api.Withdraw("r", True), api.Withdraw("q", False), api.Admit(None, (1,), 0.4, 1)])
-    assert registry.begin() == [api.FleetRecalled((0.9, 0.4), ("p", "r"), 0.0, 0.0)]
+    registry.carried_out(
+        (api.SetWithdrawn("p", True), api.SetWithdrawn("q", True), api.SetAdmission(None, (0, 1), 0.9, 1))
+    )
+    orders.push([api.SetWithdrawn("r", True), api.SetWithdrawn("q", False), api.SetAdmission(None, (1,), 0.4, 1)])
+    assert registry.begin() == [api.FleetRestored((0.9, 0.4), ("p", "r"), 0.0, 0.0)]
 
 
 def test_a_planner_begun_anew_is_told_what_stands_and_what_was_ordered():
     registry = Registry(Orders(("x", "y")), 8, 8)
     registry.reconcile(standing([(0, True)], t1="p"))
-    registry.carried_out((api.Withdraw("p", True), api.Admit(None, (1,), 0.5, 1), api.SetLine(1, "q", 1.0)))
+    registry.carried_out((api.SetWithdrawn("p", True), api.SetAdmission(None, (1,), 0.5, 1), api.SetEntry(1, "q", 1.0)))
     events = registry.begin()
-    assert api.FleetRecalled((1.0, 0.5), ("p",), 0.0, 0.0) in events and api.StoredLine(1, "q", 1.0) in events
+    assert api.FleetRestored((1.0, 0.5), ("p",), 0.0, 0.0) in events and api.StoredEntry(1, "q", 1.0) in events
     assert events[-1] == api.ProxyJoined(0, "a", 0.0, False)
 
 
@@ -507,7 +509,7 @@
 
 def test_the_configuration_is_read_whole():
     made = config.parse(json.dumps(config_file(known={"version": 4, "full": True, "servers": [server("p")]})).encode())
-    assert made.known.version == 4 and made.zones == ("a", "b") and made.settings.classes[1].worth == 3.0
+    assert made.known.version == 4 and made.zones == ("a", "b") and made.settings.classes[1].priority_weight == 3.0
     assert made.seed == 0x8C1F30D27A5BE964 and made.settings.load_fields == ("busy_reqs",)
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -58,7 +58,7 @@
         self.list("in_service", "in_service", "in_service")
 
     def list(self, *states):
-        entries = [api.ListEntry(f"127.0.0.1:{9001 + k}", "a", s, 1.0, 0) for k, s in enumerate(states)]
+        entries = [api.EndpointEntry(f"127.0.0.1:{9001 + k}", "a", s, 1.0, 0) for k, s in enumerate(states)]
         verdict = self.roster.take(self.now, entries)
         if verdict.event:
             self.engine.tell(verdict.event)
@@ -105,8 +105,8 @@
     session = world.join()
     world.run(1)
     assert world.open() and world.store.tables() == world.published.tables
-    assert world.hub.by[session].session is session and world.engine.planner.channel.mark
-    assert not world.engine.planner.channel.flights, "every mark was answered"
+    assert world.hub.by[session].session is session and world.engine.planner.flow_control.last_token
+    assert not world.engine.planner.flow_control.in_flight, "every mark was answered"
 
 
 def test_a_failing_module_keeps_the_tables_and_starts_over_from_the_store(tmp_path):
@@ -127,8 +127,8 @@
 def test_what_a_failed_module_had_learned_is_handed_on_once_and_not_after_a_second_failure(tmp_path):
     world = World(tmp_path)
     world.run(1)
-    world.engine.planner.endpoints["127.0.0.1:9001"].speed = 0.25
-    world.engine.planner.endpoints["127.0.0.1:9001"].heard = 1
+    world.engine.planner.endpoints["127.0.0.1:9001"].capacity_factor = 0.25
+    world.engine.planner.endpoints["127.0.0.1:9001"].last_report_at = 1
     kept = world.engine.learned()
     assert [s.speed for s in kept.servers] == [0.25]
     world.engine._failed(world.now, [], ValueError("first"))
@@ -196,10 +196,12 @@
 
 def test_orders_that_change_nothing_cost_nothing():
     published = Published(("page",), 2)
-    line = api.SetLine(0, "x:1", 1.0)
+    line = api.SetEntry(0, "x:1", 1.0)
     assert published.apply([line]).cost() == 1 and published.apply([line]).cost() == 0
-    assert published.apply([api.Withdraw("x:1", False), api.Admit(None, (), 1.0, 0)]).cost() == 0
-    change = published.apply([api.Withdraw("x:1", True), api.Admit(0, (0,), 0.5, 1), api.Mark(7, True)])
+    assert published.apply([api.SetWithdrawn("x:1", False), api.SetAdmission(None, (), 1.0, 0)]).cost() == 0
+    change = published.apply(
+        [api.SetWithdrawn("x:1", True), api.SetAdmission(0, (0,), 0.5, 1), api.RequestSync(7, True)]
+    )
     assert change.urgent and change.marks == [7] and set(change.lines) == {"fleet", slice_unit(0), "routes"}
     assert published.open_lines(0) == [] and published.level(0, 0) == 0.5
     assert published.apply([api.ClearTable(0)]).lines == {slice_unit(0): {"x:1", "level 0"}}
--- a/tests/test_full_size.py
+++ b/tests/test_full_size.py
@@ -5,7 +5,7 @@
 import random
 
 from damsonpick import interface as api
-from damsonpick.decisions import planner
+from damsonpick.decisions import planner as decisions
 
 from .helpers import SECOND, World, entry
 
@@ -32,7 +32,7 @@
 def searched(world: World, monkeypatch) -> list[int]:
     """Counts the steps that each call of `handle` searches; the last figure is of the call under way."""
     counts = [0]
-    pick, handle = planner.Search.pick, world.planner.handle
+    pick, handle = decisions.Search.pick, world.planner.handle
 
     def counted(search):
         counts[-1] += 1
@@ -42,7 +42,7 @@
         counts.append(0)
         return handle(now, events)
 
-    monkeypatch.setattr(planner.Search, "pick", counted)
+    monkeypatch.setattr(decisions.Search, "pick", counted)
     monkeypatch.setattr(world.planner, "handle", handled)
     return counts
 
@@ -69,7 +69,7 @@
         world.tell(api.TimerFired(0))
         calls += 1
         assert calls < 200
-    assert max(counts) <= planner.PART < sum(counts)
+    assert max(counts) <= decisions.PART < sum(counts)
     assert before != world.tables
 
 
@@ -79,8 +79,8 @@
     until_searching(world)
     assert world.planner.search
     for name in NAMES[:20]:
-        world.tell(api.ListChanged("update", (entry(name, "terminating"),)))
-        assert world.shut[name] and counts[-1] <= planner.PART
+        world.tell(api.EndpointListChanged("update", (entry(name, "terminating"),)))
+        assert world.shut[name] and counts[-1] <= decisions.PART
     assert world.planner.search  # it was under way all the time
     while world.planner.search:
         world.now += SECOND // 100
@@ -104,8 +104,8 @@
         )
     started = world.now - 2 * SECOND
     cold = [f"z{k}" for k in range(4)]
-    world.tell(api.ListChanged("update", tuple(entry(n, started=started) for n in cold)))
-    world.tell(api.ListChanged("update", tuple(entry(n, "terminating") for n in drained)))
+    world.tell(api.EndpointListChanged("update", tuple(entry(n, started=started) for n in cold)))
+    world.tell(api.EndpointListChanged("update", tuple(entry(n, "terminating") for n in drained)))
     ramp = 0.2 + 0.8 * 2 / 15
     fair = ramp * 240 / (20 + 4 * ramp)  # slices, as all are alike
     assert not world.bare()
@@ -113,20 +113,20 @@
 
 
 def test_slice_taken_away_in_the_middle_of_a_search_gets_no_order(monkeypatch):
-    monkeypatch.setattr(planner, "MOVE_CAP", 0.2)  # so that it moves some that are taken away and some that are not
+    monkeypatch.setattr(decisions, "MOVE_CAP", 0.2)  # so that it moves some that are taken away and some that are not
     world = fleet()
     until_searching(world)
     world.log.clear()
-    world.tell(*(api.CustodyChanged(n, False) for n in range(120)))
+    world.tell(*(api.SliceOwnershipChanged(n, False) for n in range(120)))
     assert world.planner.search
     for number in range(120):
         world.tables.pop(number)
     while world.planner.search:
         world.now += SECOND // 100
         world.tell(api.TimerFired(0))
-    orders = [o for o in world.log if isinstance(o, api.SetLine)] + world.run(1)
-    assert not [o for o in orders if isinstance(o, api.SetLine) and o.table < 120]
-    assert [o for o in orders if isinstance(o, api.SetLine)]
+    orders = [o for o in world.log if isinstance(o, api.SetEntry)] + world.run(1)
+    assert not [o for o in orders if isinstance(o, api.SetEntry) and o.table < 120]
+    assert [o for o in orders if isinstance(o, api.SetEntry)]
 
 
 def test_what_is_kept_of_replaced_endpoints_stays_bounded():
@@ -137,12 +137,14 @@
         gone, new = world.names.pop(0), f"n{turn}"
         world.names.append(new)
         events = [
-            api.ListChanged("update", (entry(new, started=world.now - 20 * SECOND), entry(gone, "terminating"))),
+            api.EndpointListChanged(
+                "update", (entry(new, started=world.now - 20 * SECOND), entry(gone, "terminating"))
+            ),
             *world.report(),
         ]
         world.tell(*events)
         world.now += SECOND
-        world.tell(api.ListChanged("update", (entry(gone, "terminated"),)), *world.report())
+        world.tell(api.EndpointListChanged("update", (entry(gone, "terminated"),)), *world.report())
         if turn % 7 == 0:
             proxy = turn % 4
             world.tell(api.ProxyLeft(proxy), api.ProxyJoined(proxy, "a", 5.0, False))
@@ -150,25 +152,25 @@
         sizes.append(
             (
                 len(planner.endpoints),
-                len(planner.restate),
+                len(planner.resync_withdrawals),
                 sum(len(p.warmth) for p in planner.slices.values()),
-                len(planner.channel.flights),
-                len(planner.dirty),
+                len(planner.flow_control.in_flight),
+                len(planner.unpublished),
             )
         )
         assert not world.bare()
-    assert max(sizes[1000:]) <= max(sizes[:500]) and sizes[-1][0] < 8 + planner.AWAY / (6 * SECOND) + 8
-    assert len(world.planner.shut) <= planner.SHUT_MOST + len(world.planner.endpoints)
+    assert max(sizes[1000:]) <= max(sizes[:500]) and sizes[-1][0] < 8 + decisions.AWAY / (6 * SECOND) + 8
+    assert len(world.planner.withdrawn) <= decisions.SHUT_MOST + len(world.planner.endpoints)
 
 
 def test_an_endpoint_that_was_forgotten_and_is_listed_anew_is_let_in():
     world = World(slices=12)
-    world.tell(api.ListChanged("update", (entry("p", "terminated"),)))
-    world.run(planner.AWAY // SECOND + 4)
+    world.tell(api.EndpointListChanged("update", (entry("p", "terminated"),)))
+    world.run(decisions.AWAY // SECOND + 4)
     assert world.shut["p"] and "p" not in world.planner.endpoints
     world.tell(api.ProxyLeft(0), api.ProxyJoined(0, "a", 5.0, False))
     world.run(1)
-    world.tell(api.ListChanged("update", (entry("p"),)))
+    world.tell(api.EndpointListChanged("update", (entry("p"),)))
     world.run(1)
     assert not world.shut["p"]
 
@@ -181,13 +183,13 @@
         world.tell(*world.report())
     for number in range(120, 160):
         world.tables[number] = {"e000": 1.0}
-        world.tell(api.CustodyChanged(number, True), api.StoredLine(number, "e000", 1.0))
+        world.tell(api.SliceOwnershipChanged(number, True), api.StoredEntry(number, "e000", 1.0))
     cold = [f"z{k}" for k in range(20)]
-    world.tell(api.ListChanged("update", tuple(entry(n, started=world.now - 2 * SECOND) for n in cold)))
+    world.tell(api.EndpointListChanged("update", tuple(entry(n, started=world.now - 2 * SECOND) for n in cold)))
     world.now += SECOND
     world.tell(*(api.SliceDemand(n, k, 1, 0, SECOND) for n in range(120, 160) for k in ("cheap", "dear")))
     assert min(sum(world.planner.slices[n].rates) for n in range(120, 160)) > 10  # 20 a second is usual
-    world.tell(api.ListChanged("update", (entry("e000", "terminating"),)))
+    world.tell(api.EndpointListChanged("update", (entry("e000", "terminating"),)))
     assert not world.bare()
     assert not [n for n in range(120, 160) if world.live(n) & set(cold)]
 
@@ -203,8 +205,8 @@
             *(api.EndpointReport("a", n, 20, 0, 700_000_000, SECOND, ()) for n in world.names[:16]),
         )
     planner = world.planner
-    assert planner.allow < 1600, "answers are late: less is let in"
-    assert planner.allow > 0.4 * 1600
+    assert planner.admitted_rate_limit < 1600, "answers are late: less is let in"
+    assert planner.admitted_rate_limit > 0.4 * 1600
     assert max(world.levels.values()) == 1.0
 
 
@@ -228,8 +230,8 @@
     world = World(slices=12)
     world.run(3)
     world.tell(api.ProxyLeft(0))
-    world.tell(api.ListChanged("update", (entry("p", "terminated"),)))
+    world.tell(api.EndpointListChanged("update", (entry("p", "terminated"),)))
     world.run(5)
     assert not world.count("p") and not any("p" in table for table in world.tables.values())
     orders = world.tell(api.ProxyJoined(0, "a", 5.0, False)) + world.run(1)
-    assert api.Withdraw("p", True) in orders
+    assert api.SetWithdrawn("p", True) in orders
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -318,8 +318,8 @@
     assert not anew
     new.tell(*told)
     for name in "pqrs":
-        assert new.planner.endpoints[name].speed == old.planner.endpoints[name].speed
-    assert new.planner.endpoints["p"].speed < 0.5
+        assert new.planner.endpoints[name].capacity_factor == old.planner.endpoints[name].capacity_factor
+    assert new.planner.endpoints["p"].capacity_factor < 0.5
     assert all(new.planner.slices[n].rates == old.planner.slices[n].rates for n in range(12))
 
 
@@ -336,22 +336,22 @@
 def test_nothing_is_told_of_a_server_replaced_under_the_same_name():
     kept = restore.take(taught().planner, 1, "pilot-0", NOW)
     told, anew = restore.events(kept, {"p": entry("p", started=9), "q": entry("q")}, range(12))
-    assert anew == ["p"] and [e.endpoint for e in told if isinstance(e, api.EndpointRecalled)] == ["q"]
+    assert anew == ["p"] and [e.endpoint for e in told if isinstance(e, api.EndpointRestored)] == ["q"]
 
 
 def test_hearsay_of_a_server_that_turns_out_to_be_new_is_dropped():
     world = World("pqrs", slices=12)
-    world.tell(api.EndpointRecalled("p", 0, 0.2))
-    assert world.planner.endpoints["p"].speed == 0.2
-    world.tell(api.ListChanged("replace", tuple(entry(n, started=5 if n == "p" else 0) for n in "pqrs")))
-    assert world.planner.endpoints["p"].speed == 1.0
+    world.tell(api.EndpointRestored("p", 0, 0.2))
+    assert world.planner.endpoints["p"].capacity_factor == 0.2
+    world.tell(api.EndpointListChanged("replace", tuple(entry(n, started=5 if n == "p" else 0) for n in "pqrs")))
+    assert world.planner.endpoints["p"].capacity_factor == 1.0
 
 
 def test_wrong_speeds_are_put_right_within_seconds():
     world = World("pqrs", slices=12)
-    world.tell(api.EndpointRecalled("p", 0, 0.1), api.EndpointRecalled("q", 0, 2.0))
+    world.tell(api.EndpointRestored("p", 0, 0.1), api.EndpointRestored("q", 0, 2.0))
     world.run(10)
-    speeds = {n: world.planner.endpoints[n].speed for n in "pqrs"}
+    speeds = {n: world.planner.endpoints[n].capacity_factor for n in "pqrs"}
     assert speeds["p"] > 0.6 and speeds["q"] < 1.3, speeds
 
 
@@ -360,20 +360,20 @@
     assert "12 slices" in restore.fits(kept, ("cheap", "dear"), 13) and "classes" in restore.fits(kept, ("cheap",), 12)
     assert not restore.fits(kept, ("cheap", "dear"), 12)
     told, _ = restore.events(kept, {"p": entry("p")}, range(12), whole=False)
-    assert told == [api.EndpointRecalled("p", 0, 0.5)]
+    assert told == [api.EndpointRestored("p", 0, 0.5)]
 
 
 def test_levels_of_an_earlier_life_hold_until_reports_come_and_then_are_weighed():
     world = World("pqrs", slices=12, proxies=0)
-    world.tell(api.FleetRecalled((0.5, 0.6), ("s",), 240.0, 2.0))
+    world.tell(api.FleetRestored((0.5, 0.6), ("s",), 240.0, 2.0))
     world.proxies = [0, 1]
     world.tell(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
-    assert world.planner.wanted == (0.5, 0.6) and world.planner.allow > 1e9
+    assert world.planner.desired_levels == (0.5, 0.6) and world.planner.admitted_rate_limit > 1e9
     assert world.levels[None, 0] == 0.5 and world.levels[None, 1] == 0.6, "greeted with what is in force"
     world.run(1, latency=dict.fromkeys("pqrs", 700))
-    assert world.planner.allow < 0.62 * 240, "what the levels let in is the first allowance"
+    assert world.planner.admitted_rate_limit < 0.62 * 240, "what the levels let in is the first allowance"
     world.run(40, latency=dict.fromkeys("pqrs", 50))
-    assert world.planner.wanted == (1.0, 1.0), "and it grows back"
+    assert world.planner.desired_levels == (1.0, 1.0), "and it grows back"
 
 
 def test_a_recalled_best_leads_the_way_back_fast_and_does_not_blunt_the_first_cut():
@@ -381,7 +381,7 @@
 
     def back(best):
         world = World("pqrs", slices=12, proxies=0)
-        world.tell(api.FleetRecalled((0.1, 0.1), (), best, 2.0))
+        world.tell(api.FleetRestored((0.1, 0.1), (), best, 2.0))
         world.proxies = [0, 1]
         world.tell(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
         # calm, but not so calm, nor so near to the usual, that growth is sure by itself
@@ -389,17 +389,17 @@
         world.run(6, latency=dict.fromkeys("pqrs", 200), rate=40, tries=12)
         return world
 
-    assert back(240.0).planner.allow > 1.3 * back(0.0).planner.allow
+    assert back(240.0).planner.admitted_rate_limit > 1.3 * back(0.0).planner.admitted_rate_limit
     world = back(5000.0)
     world.run(2, latency=dict.fromkeys("pqrs", 900), rate=40, tries=12)
-    good = sum(ep.rate for ep in world.planner.endpoints.values())
-    assert world.planner.best <= 1.6 * good and world.planner.allow <= 1.2 * good
+    good = sum(ep.answer_rate for ep in world.planner.endpoints.values())
+    assert world.planner.best_throughput <= 1.6 * good and world.planner.admitted_rate_limit <= 1.2 * good
 
 
 def test_a_withdrawal_of_an_earlier_life_is_lifted_once_the_list_lets_it_in():
     world = World("pqrs", slices=12)
-    world.planner.shut.clear()
-    world.tell(api.FleetRecalled((1.0, 1.0), ("s", "ghost"), 0.0, 0.0))
+    world.planner.withdrawn.clear()
+    world.tell(api.FleetRestored((1.0, 1.0), ("s", "ghost"), 0.0, 0.0))
     world.run(2)
     assert world.shut.get("s") is False and world.shut.get("ghost") is None
 
@@ -411,17 +411,17 @@
     names = "pqrstux"
     for _ in range(4):
         world.tell(
-            *[api.EndpointRecalled(n, rng.choice((0, 5)), rng.choice((0.01, 0.3, 1, 90))) for n in names],
-            *[api.EndpointTrusted(n, rng.choice((0.0, 0.3, 1.0))) for n in names],
-            *[api.SliceRecalled(k, (rng.random() * 1e3, 0.0), ((rng.choice(names), 1.0),)) for k in range(14)],
-            api.FleetRecalled(
+            *[api.EndpointRestored(n, rng.choice((0, 5)), rng.choice((0.01, 0.3, 1, 90))) for n in names],
+            *[api.EndpointConfidenceChanged(n, rng.choice((0.0, 0.3, 1.0))) for n in names],
+            *[api.SliceRestored(k, (rng.random() * 1e3, 0.0), ((rng.choice(names), 1.0),)) for k in range(14)],
+            api.FleetRestored(
                 (rng.choice((0.05, 1.0)),) * 2, tuple(rng.sample(names, 2)), rng.random() * 1e4, rng.random() * 1e2
             ),
         )
         out = rng.choice("pqr")
-        world.tell(api.ListChanged("update", (entry(out, rng.choice(("terminating", "terminated"))),)))
+        world.tell(api.EndpointListChanged("update", (entry(out, rng.choice(("terminating", "terminated"))),)))
         world.run(4, latency={n: rng.choice((50, 900)) for n in names})
         assert not world.bare()
         assert not any(out in world.live(n) for n in world.tables)
-        world.tell(api.ListChanged("update", (entry(out),)))
+        world.tell(api.EndpointListChanged("update", (entry(out),)))
         world.run(1)
--- a/tests/test_knowledge_pilot.py
+++ b/tests/test_knowledge_pilot.py
@@ -16,7 +16,7 @@
 import msgspec
 import pytest
 
-from damsonpick.runtime import port_file
+from damsonpick.runtime import port_files
 from damsonpick.runtime.clock import Clock
 from damsonpick.state.learned import codec, generations
 from damsonpick.state.learned.snapshot import FORMAT, Moment
@@ -81,7 +81,7 @@
                 f"g{k}",
                 "ab"[k % 2],
                 True,
-                lambda: port_file.address(pilot.port_file),
+                lambda: port_files.address(pilot.port_file),
                 self.kinds,
                 self.clock,
                 self.record,
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -303,7 +303,7 @@
     from damsonpick.state.published_tables import Published
 
     published = Published(("page",), 2)
-    published.apply([api.SetLine(0, "127.0.0.1:1", 1.0), api.SetLine(1, "127.0.0.1:2", 2.0)])
+    published.apply([api.SetEntry(0, "127.0.0.1:1", 1.0), api.SetEntry(1, "127.0.0.1:2", 2.0)])
     catalogue = Catalogue.__new__(Catalogue)
     catalogue.published, catalogue.zone_of = published, lambda n: "a"
     return {EDS: {f"slice/{n}": (str(n), catalogue._slice(n).SerializeToString()) for n in (0, 1)}}
--- a/tests/test_roster_evidence_store.py
+++ b/tests/test_roster_evidence_store.py
@@ -23,7 +23,7 @@
 
 
 def entry(name, state="in_service", zone="a", weight=1.0, started=0):
-    return api.ListEntry(name, zone, state, weight, started)
+    return api.EndpointEntry(name, zone, state, weight, started)
 
 
 def test_contradictory_entries_take_the_safer_state():
@@ -102,7 +102,7 @@
         made.join(NOW, g)
     assert made.hear(NOW, sums(0)) == [] and made.hear(NOW, sums(1, tries=20, failures=2, answered=18)) == []
     report, demand = made.flush()
-    assert (report.tries, report.failures, report.period) == (30, 3, SECOND)
+    assert (report.attempts, report.failures, report.period) == (30, 3, SECOND)
     assert report.latency == (9 * 200_000_000 + 18 * 100_000_000) // 27
     assert (demand.slice, demand.requests, demand.period) == (2, 30, SECOND)
     assert made.flush() == []
@@ -117,7 +117,7 @@
     later = NOW + 5 * SECOND
     assert made.hear(later, sums(period=5 * SECOND, tries=50, failures=0, answered=50)) == []
     report = made.flush()[0]
-    assert (report.tries, report.period) == (50, 5 * SECOND)
+    assert (report.attempts, report.period) == (50, 5 * SECOND)
     assert made.dropped == 1
 
 
@@ -126,7 +126,7 @@
     made.join(NOW, 0)
     assert not any(made.hear(NOW + 6 * SECOND, sums()) for _ in range(6))
     report = made.flush()[0]
-    assert (report.tries, report.period) == (60, 6 * SECOND)
+    assert (report.attempts, report.period) == (60, 6 * SECOND)
 
 
 @pytest.mark.parametrize("period", [0, -5, 11 * SECOND, 1 << 70])
@@ -139,7 +139,7 @@
     made.join(NOW, 0)
     assert "cut" in made.hear(NOW, sums(tries=3, failures=9, answered=7))[0]
     report = made.flush()[0]
-    assert (report.tries, report.failures, report.latency) == (3, 3, 0)
+    assert (report.attempts, report.failures, report.latency) == (3, 3, 0)
 
 
 def test_strangers_in_a_sum_are_dropped():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,14 +26,14 @@
         world, settings = self.world, self.world.settings
         due = [mark for at, mark in self.coming if at <= world.now]
         self.coming = [(at, mark) for at, mark in self.coming if at > world.now]
-        acks = [api.Applied(mark, proxy, self.late) for mark in due for proxy in world.proxies]
+        acks = [api.SyncAcknowledged(mark, proxy, self.late) for mark in due for proxy in world.proxies]
         orders = world.tell(*events, *acks)
-        lines = sum(isinstance(o, api.SetLine | api.Admit | api.Withdraw | api.Mark) for o in orders)
+        lines = sum(isinstance(o, api.SetEntry | api.SetAdmission | api.SetWithdrawn | api.RequestSync) for o in orders)
         for order in orders:
-            if isinstance(order, api.Mark):
+            if isinstance(order, api.RequestSync):
                 cost = (settings.message_overhead + lines) * len(world.proxies)
                 self.free_at = max(self.free_at, world.now) + int(cost / self.rate * SECOND)
-                self.coming.append((self.free_at + self.late, order.number))
+                self.coming.append((self.free_at + self.late, order.token))
                 self.most = max(self.most, (self.free_at - world.now) / SECOND * self.rate)
                 self.sent.append(world.now)
         return orders
@@ -68,7 +68,7 @@
     for wave in range(4):
         leaving = NAMES[15 * wave : 15 * wave + 15]
         told = world.now
-        line.step(api.ListChanged("update", tuple(entry(n, "terminating") for n in leaving)))
+        line.step(api.EndpointListChanged("update", tuple(entry(n, "terminating") for n in leaving)))
         line.leave(leaving, told, slower * world.settings.drain_grace)  # times grow by the same factor
         line.run(8 * slower)
         assert not world.bare()
@@ -96,13 +96,13 @@
     for proxy in range(PROXIES):
         world.tell(api.ProxyLeft(proxy))
     world.tell(*(api.ProxyJoined(proxy, "a", 5.0, True) for proxy in range(3)))
-    world.tell(api.ListChanged("update", (entry("e01", "terminating"),)))
-    marks = [o.number for o in world.log if isinstance(o, api.Mark)]
+    world.tell(api.EndpointListChanged("update", (entry("e01", "terminating"),)))
+    marks = [o.token for o in world.log if isinstance(o, api.RequestSync)]
     world.tell(*(api.ProxyJoined(proxy, "a", 5.0, True) for proxy in range(3, PROXIES)))
-    world.tell(*(api.Applied(marks[-1], proxy, 0) for proxy in range(3)))
+    world.tell(*(api.SyncAcknowledged(marks[-1], proxy, 0) for proxy in range(3)))
     world.now += 2 * SECOND
-    orders = world.tell(api.ListChanged("update", (entry("e02", "terminating"),)))
-    assert api.Withdraw("e02", True) in orders
+    orders = world.tell(api.EndpointListChanged("update", (entry("e02", "terminating"),)))
+    assert api.SetWithdrawn("e02", True) in orders
 
 
 def test_a_return_waits_for_old_lines_and_reaches_proxies_that_were_away():
@@ -110,25 +110,25 @@
     world = World(slices=40)
     world.run(6, tries=200)
     for _ in range(3):
-        world.tell(api.ListChanged("update", (entry("p", "terminated"),)))
+        world.tell(api.EndpointListChanged("update", (entry("p", "terminated"),)))
         assert world.count("p") == 0
         world.run(4, tries=200)
-        world.tell(api.ListChanged("update", (entry("p", started=world.now),)))
+        world.tell(api.EndpointListChanged("update", (entry("p", started=world.now),)))
         world.run(4, tries=200)
         assert not world.shut["p"] and 0 < world.heat("p") < 10
     world.tell(api.ProxyLeft(1))
     orders = world.tell(api.ProxyJoined(1, "a", 5.0, False))
     orders += world.run(2)
-    assert api.Withdraw("p", False) in orders
+    assert api.SetWithdrawn("p", False) in orders
 
 
 @pytest.mark.parametrize("started", ["old", "future", "backwards"])
 def test_odd_start_times_do_no_harm(started):
     world = World(slices=24)
-    world.tell(api.ListChanged("update", (entry("p", started=world.now - 5 * SECOND),)))
+    world.tell(api.EndpointListChanged("update", (entry("p", started=world.now - 5 * SECOND),)))
     world.run(3)
     at = {"old": 1, "future": world.now + 50 * SECOND, "backwards": world.now - 30 * SECOND}[started]
-    world.tell(api.ListChanged("update", (entry("p", started=at),)))
+    world.tell(api.EndpointListChanged("update", (entry("p", started=at),)))
     world.run(10)
     assert not world.bare()
 
@@ -137,16 +137,16 @@
     world = World(slices=24)
     world.run(4)
     states = ("terminating", "in_service", "terminated", "in_service")
-    world.tell(*(api.ListChanged("update", (entry("p", state),)) for state in states))
+    world.tell(*(api.EndpointListChanged("update", (entry("p", state),)) for state in states))
     assert world.count("p") > 0
-    world.tell(*(api.ListChanged("update", (entry("p", state),)) for state in states[:3]))
+    world.tell(*(api.EndpointListChanged("update", (entry("p", state),)) for state in states[:3]))
     assert world.count("p") == 0 and not world.bare()
 
 
 def test_odd_report_lines_are_harmless():
     world = World(slices=24)
     world.run(4)
-    world.tell(api.ListChanged("update", (entry("p", started=world.now - SECOND),)))
+    world.tell(api.EndpointListChanged("update", (entry("p", started=world.now - SECOND),)))
     spanning = api.EndpointReport("a", "p", 50, 50, 0, 4 * SECOND, ())
     before = world.heat("p")
     for _ in range(3):
@@ -192,8 +192,8 @@
     world.tell(api.SliceDemand(3, "cheap", 4000, 0, SECOND))
     world.log.clear()
     world.run(8, rate=40)
-    assert not [o for o in world.log if isinstance(o, api.SetLine)]
-    world.tell(api.ListChanged("update", (entry("p", "terminating"),)))
+    assert not [o for o in world.log if isinstance(o, api.SetEntry)]
+    world.tell(api.EndpointListChanged("update", (entry("p", "terminating"),)))
     world.run(10, rate=40)
     assert world.count("p") == 0 and not world.bare()
     assert sum("limit" in o.text for o in world.log if isinstance(o, api.Log)) == 1
@@ -206,7 +206,7 @@
         world.now += SECOND // 10
         world.proxies.append(proxy)
         world.tell(api.ProxyJoined(proxy, "a", 5.0, False))
-    assert sum(isinstance(o, api.Mark) for o in world.log) <= 6
+    assert sum(isinstance(o, api.RequestSync) for o in world.log) <= 6
     world.run(6, latency=dict.fromkeys("pqrs", 900))
     assert world.levels[None, 0] < 1.0
 
@@ -217,10 +217,10 @@
     line = Line(world, 8500.0)
     line.run(6)
     leaving = NAMES[:25]
-    line.step(api.ListChanged("update", tuple(entry(n, "terminating") for n in leaving)))
+    line.step(api.EndpointListChanged("update", tuple(entry(n, "terminating") for n in leaving)))
     line.run(0.5)
     told = world.now - SECOND // 2
-    line.step(api.ListChanged("update", tuple(entry(n, "terminated") for n in leaving)))
+    line.step(api.EndpointListChanged("update", tuple(entry(n, "terminated") for n in leaving)))
     line.leave(leaving, told, world.settings.drain_grace)
     line.run(8)
     assert not world.bare() and line.most < 0.65 * world.settings.channel_limit
@@ -231,9 +231,9 @@
     world = World(slices=24)
     world.run(6)
     for _ in range(3):
-        world.tell(api.ListChanged("update", (entry("p", "terminated"),)))
+        world.tell(api.EndpointListChanged("update", (entry("p", "terminated"),)))
         world.run(2)
         assert world.count("p") == 0 and not world.bare()
-        world.tell(api.ListChanged("update", (entry("p"),)))
+        world.tell(api.EndpointListChanged("update", (entry("p"),)))
         world.run(8)
         assert world.count("p") > 0 and not world.shut["p"]
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -353,29 +353,30 @@
         self.pending: list[tuple[int, list[api.Event]]] = []
         self.moved: list[float] = []
         self.tell(
-            api.ListChanged("restored", ()),
+            api.EndpointListChanged("restored", ()),
             self.listed(),
             api.ProxyJoined(0, "a", 1.0, True),
             api.ProxyJoined(1, "b", 1.0, True),
-            *(api.CustodyChanged(n, True) for n in range(4)),
+            *(api.SliceOwnershipChanged(n, True) for n in range(4)),
         )
         self.tell(*self.advisor.stopgap(self.planner))
 
     def listed(self):
-        return api.ListChanged(
-            "replace", tuple(api.ListEntry(n, z, self.states[n], 4.0, self.started[n]) for n, z in self.zones.items())
+        return api.EndpointListChanged(
+            "replace",
+            tuple(api.EndpointEntry(n, z, self.states[n], 4.0, self.started[n]) for n, z in self.zones.items()),
         )
 
     def tell(self, *events):
         for order in self.planner.handle(self.now, list(events)):
-            if isinstance(order, api.SetLine):
+            if isinstance(order, api.SetEntry):
                 self.tables[order.table][order.endpoint] = order.weight
                 if order.weight <= 0:
                     del self.tables[order.table][order.endpoint]
-            elif isinstance(order, api.Withdraw):
-                self.shut[order.endpoint] = order.out
-            elif isinstance(order, api.Mark):
-                self.pending.append((self.now, [api.Applied(order.number, p, SECOND // 10) for p in (0, 1)]))
+            elif isinstance(order, api.SetWithdrawn):
+                self.shut[order.endpoint] = order.withdrawn
+            elif isinstance(order, api.RequestSync):
+                self.pending.append((self.now, [api.SyncAcknowledged(order.token, p, SECOND // 10) for p in (0, 1)]))
 
     def used(self):
         """True utilisation by server, from the tables."""
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -69,16 +69,16 @@
 
 def test_a_source_ends_all_doubt_and_silence_under_a_running_pilot_starts_none():
     made = started(p=WEEK, q=0)
-    assert [e for e in made.say(NOW + 2 * SECOND)] == [api.EndpointTrusted("p", 0.0)]
+    assert [e for e in made.say(NOW + 2 * SECOND)] == [api.EndpointConfidenceChanged("p", 0.0)]
     made.vouch(NOW, ["p", "q", "new"])
-    assert made.say(NOW + 3 * SECOND) == [api.EndpointTrusted("p", 1.0)]
+    assert made.say(NOW + 3 * SECOND) == [api.EndpointConfidenceChanged("p", 1.0)]
     assert set(made.levels(NOW + WEEK).values()) == {1.0}
 
 
 def test_a_planner_started_over_is_told_again():
     made = started(p=WEEK, q=0)
     made.say(NOW + 2 * SECOND)
-    assert made.again() == [api.EndpointTrusted("p", 0.0)]
+    assert made.again() == [api.EndpointConfidenceChanged("p", 0.0)]
 
 
 def test_kept_ages_survive_a_clock_that_was_set():
@@ -109,20 +109,20 @@
 
 def test_the_module_leaves_last_resorts_alone_while_others_are_there_and_uses_them_where_none_is():
     world = World("pqrs", slices=12)
-    world.tell(api.EndpointTrusted("p", 0.0))
+    world.tell(api.EndpointConfidenceChanged("p", 0.0))
     world.run(3)
     assert world.count("p") == 0 and not world.bare()
-    world.tell(*[api.EndpointTrusted(n, 0.0) for n in "qrs"])
+    world.tell(*[api.EndpointConfidenceChanged(n, 0.0) for n in "qrs"])
     world.run(3)
     assert not world.bare(), "better than none"
-    world.tell(*[api.EndpointTrusted(n, 1.0) for n in "pqrs"])
+    world.tell(*[api.EndpointConfidenceChanged(n, 1.0) for n in "pqrs"])
     world.run(30)
     assert world.count("p") > 0
 
 
 def test_a_smaller_share_for_an_old_entry():
     world = World("pqrs", slices=40)
-    world.tell(api.EndpointTrusted("p", SMALL))
+    world.tell(api.EndpointConfidenceChanged("p", SMALL))
     world.run(60)
     assert world.heat("p") < 0.8 * min(world.heat(n) for n in "qrs")
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -25,7 +25,7 @@
 
 
 def order(table, endpoint, weight):
-    return api.SetLine(table, endpoint, weight)
+    return api.SetEntry(table, endpoint, weight)
 
 
 def grown(steps, keep=1000, age=10**18, slices=4):
@@ -75,8 +75,10 @@
     st.lists(
         st.one_of(
             st.builds(order, st.integers(0, 3), st.sampled_from("abcd"), st.sampled_from((0.0, 1.0, 2.5))),
-            st.builds(api.Withdraw, st.sampled_from("abcd"), st.booleans()),
-            st.builds(lambda lv, t: api.Admit(t, (0,), lv, 1), st.sampled_from((1.0, 0.5)), st.sampled_from((None, 1))),
+            st.builds(api.SetWithdrawn, st.sampled_from("abcd"), st.booleans()),
+            st.builds(
+                lambda lv, t: api.SetAdmission(t, (0,), lv, 1), st.sampled_from((1.0, 0.5)), st.sampled_from((None, 1))
+            ),
         ),
         min_size=1,
         max_size=4,
@@ -248,8 +250,8 @@
         order(1, "a", 0.0),
         order(1, "b", 1.0),
         order(1, "a", 0.0),
-        api.Withdraw("a", True),
-        api.Admit(None, (0,), 0.5, 1),
+        api.SetWithdrawn("a", True),
+        api.SetAdmission(None, (0,), 0.5, 1),
         api.ClearTable(0),
         order(0, "b", 2.0),
     ]
@@ -260,8 +262,8 @@
             order(0, "a", 0.0),
             order(1, "b", 1.0),
             order(1, "a", 0.0),
-            api.Withdraw("a", True),
-            api.Admit(None, (0,), 0.5, 1),
+            api.SetWithdrawn("a", True),
+            api.SetAdmission(None, (0,), 0.5, 1),
         ]
         and held == 4
     )
@@ -288,16 +290,16 @@
 
 def test_levels_and_retry_modes_set_back_may_fall_and_not_rise_until_the_pin_ends():
     published = Published(("page", "tally"), 2)
-    published.apply([api.Admit(None, (0, 1), 0.5, 1), api.Admit(1, (1,), 0.25, 0)])
+    published.apply([api.SetAdmission(None, (0, 1), 0.5, 1), api.SetAdmission(1, (1,), 0.25, 0)])
     target = {unit: content(published, unit) for unit in published.units()}
-    published.apply([api.Admit(None, (0, 1), 1.0, 0), api.Admit(1, (1,), 1.0, 2)])
+    published.apply([api.SetAdmission(None, (0, 1), 1.0, 0), api.SetAdmission(1, (1,), 1.0, 2)])
     present = {unit: content(published, unit) for unit in published.units()}
     published.apply(rollback.admissions(target, present, 2))
     assert {unit: content(published, unit) for unit in published.units()} == target
     assert not rollback.admissions(target, target, 2)
     pin = rollback.Pin()
     pin.set(3, 100, levels=True)
-    lower, higher = api.Admit(None, (0,), 0.3, 1), api.Admit(None, (0,), 0.9, 1)
+    lower, higher = api.SetAdmission(None, (0,), 0.3, 1), api.SetAdmission(None, (0,), 0.9, 1)
     assert pin.sift([lower, higher], published.tables, lambda n: False, published.level) == ([lower], 1)
     pin.set(3, 100)
     assert pin.sift([lower, higher], published.tables, lambda n: False, published.level) == ([lower, higher], 0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -75,9 +75,9 @@
         ),
         ("OFFERED_LOAD\tpilot/3\t41\tpage\t9\t0\t2000000000", api.ProxyDemand(41, "page", 9, 0, 2 * 10**9)),
         ("ACTIVITY\tpilot/3\t1000000000\t2\t23\tpage\t117", api.SliceDemand(117, "page", 23, 2, 10**9)),
-        ("CUSTODY\tpilot/3\t117\t1", api.CustodyChanged(117, True)),
-        ("RECORDED\tpilot/3\t117\t1.2.3.4:5\t0.5", api.StoredLine(117, "1.2.3.4:5", 0.5)),
-        ("CAUGHT_UP\tpilot/3\t12\t41\t412500000", api.Applied(12, 41, 412500000)),
+        ("CUSTODY\tpilot/3\t117\t1", api.SliceOwnershipChanged(117, True)),
+        ("RECORDED\tpilot/3\t117\t1.2.3.4:5\t0.5", api.StoredEntry(117, "1.2.3.4:5", 0.5)),
+        ("CAUGHT_UP\tpilot/3\t12\t41\t412500000", api.SyncAcknowledged(12, 41, 412500000)),
         ("FIRED\tpilot/3\t77", api.TimerFired(77)),
         ("PONG\tpilot/3\t1.2.3.4:5\tOk\t1400000\t3", api.ProbeResult("1.2.3.4:5", "Ok", 1400000, (3.0,))),
         ("FROM_PEER\tpilot/3\t2\t68692037", api.PeerMessage(2, b"hi 7")),
@@ -98,28 +98,28 @@
     )
     first, second = batch.items
     assert first.event.entries == (
-        api.ListEntry("x:1", "a", "in_service", 1.0, 0),
-        api.ListEntry("y:1", "b", "terminating", 1.5, 61),
+        api.EndpointEntry("x:1", "a", "in_service", 1.0, 0),
+        api.EndpointEntry("y:1", "b", "terminating", 1.5, 61),
     )
-    assert second.event == api.ListChanged("unavailable", ())
+    assert second.event == api.EndpointListChanged("unavailable", ())
 
 
 @pytest.mark.parametrize(
     ("action", "row"),
     [
-        (api.SetLine(117, "x:1", 0.75), "WEIGH\tpilot/3\tx:1\t117\t0.75"),
-        (api.SetLine(117, "x:1", 0.0), "WEIGH\tpilot/3\tx:1\t117\t0"),
+        (api.SetEntry(117, "x:1", 0.75), "WEIGH\tpilot/3\tx:1\t117\t0.75"),
+        (api.SetEntry(117, "x:1", 0.0), "WEIGH\tpilot/3\tx:1\t117\t0"),
         (api.ClearTable(117), "EMPTY\tpilot/3\t117"),
         (api.BindTable(41, 117, (0, 2)), "USE_TABLE\tpilot/3\t5\t41\t117"),
-        (api.Withdraw("x:1", True), "BENCH\tpilot/3\tx:1\t1"),
-        (api.Admit(None, (1,), 0.75, 1), "THROTTLE\tpilot/3\t65535\t2\t0.75\t1"),
-        (api.Admit(4, (), 1.0, 0), "THROTTLE\tpilot/3\t4\t0\t1\t0"),
-        (api.Mark(12, False), "SEAL\tpilot/3\t12\t0"),
-        (api.Subscribe(True), "LISTEN\tpilot/3\t1"),
-        (api.FetchList(), "GET_LIST\tpilot/3"),
+        (api.SetWithdrawn("x:1", True), "BENCH\tpilot/3\tx:1\t1"),
+        (api.SetAdmission(None, (1,), 0.75, 1), "THROTTLE\tpilot/3\t65535\t2\t0.75\t1"),
+        (api.SetAdmission(4, (), 1.0, 0), "THROTTLE\tpilot/3\t4\t0\t1\t0"),
+        (api.RequestSync(12, False), "SEAL\tpilot/3\t12\t0"),
+        (api.SubscribeEndpointList(True), "LISTEN\tpilot/3\t1"),
+        (api.FetchEndpointList(), "GET_LIST\tpilot/3"),
         (api.SetTimer(500, 77), "WAKE_ME\tpilot/3\t500\t77"),
         (api.Probe("x:1"), "SOUND_OUT\tpilot/3\tx:1"),
-        (api.SendPeer(None, b"hi 7"), "TELL\tpilot/3\tall\t68692037"),
+        (api.SendToPeer(None, b"hi 7"), "TELL\tpilot/3\tall\t68692037"),
         (api.Log("two\nservers\tknown"), "RECORD\tpilot/3\ttwo servers known"),
     ],
 )
