--- a/benchmarks/sasp.py
+++ b/benchmarks/sasp.py
@@ -35,7 +35,7 @@
 from damsonpick.protocols.sasp.registry import Limits, Registry
 from damsonpick.protocols.sasp.session import Desk, SaspSession
 from damsonpick.protocols.sasp.weights import Known
-from damsonpick.state.published_tables import Published
+from damsonpick.state.published_tables import PublishedTables
 from tests.gates import Gate
 from tests.pilots import Pilot, name
 
@@ -46,7 +46,7 @@
 
 def polls(groups: int, seconds: float = 1.0) -> dict[str, float]:
     """Polls of all groups of one balancer, a second of CPU."""
-    published = Published(("page",), 400)
+    published = PublishedTables(("page",), 400)
     for n in range(400):
         published.restore(n, {name(1 + n % MEMBERS): 1.0, name(1 + (n + 7) % MEMBERS): 1.0})
     registry = Registry(
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -35,13 +35,13 @@
 from damsonpick.proxy.received_state import Asker, Holdings
 from damsonpick.proxy.settings import Own, ProxySettings, RequestClass
 from damsonpick.proxy.watch_client import Follower
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings import load
 from damsonpick.state.history.database import VersionStore
 from damsonpick.state.history.digest import Digest
-from damsonpick.state.history.recorder import Keeper
-from damsonpick.state.published_tables import Published
+from damsonpick.state.history.recorder import HistoryRecorder
+from damsonpick.state.published_tables import PublishedTables
 from tests.pilots import SETTINGS, Pilot
 
 SLICES, LINES, READERS = 400, 60, 10
@@ -85,9 +85,9 @@
             pilot += time.process_time() - start
 
 
-def filled(folder: Path) -> tuple[Published, Catalogue]:
+def filled(folder: Path) -> tuple[PublishedTables, Catalogue]:
     (folder / "pilot.ini").write_text(SETTINGS.format(slices=SLICES, rate=0))
-    published = Published(("page",), SLICES)
+    published = PublishedTables(("page",), SLICES)
     for n in range(SLICES):
         published.restore(n, {server(k): 1.0 for k in range(LINES)})
     return published, Catalogue(published, load(folder / "pilot.ini"), lambda name: "a")
@@ -155,8 +155,8 @@
 def store(folder: Path, count: int, rng: random.Random) -> dict[str, float]:
     """`count` versions of one to ten lines each."""
     published, catalogue = filled(folder)
-    keeper = Keeper(published, catalogue.versions, VersionStore(folder / "v.db"), count + 10, 10**18, LOG)
-    keeper.start(0)
+    recorder = HistoryRecorder(published, catalogue.versions, VersionStore(folder / "v.db"), count + 10, 10**18, LOG)
+    recorder.start(0)
     start = time.perf_counter()
     for k in range(count):
         change = published.apply(
@@ -166,11 +166,11 @@
             ]
         )
         catalogue.refresh(change.lines)
-        keeper.note(k, change.lines, "module")
+        recorder.note(k, change.lines, "module")
     took = time.perf_counter() - start
-    keeper.store.close()
+    recorder.store.close()
     size = sum(p.stat().st_size for p in folder.glob("v.db*"))
-    again = Keeper(published, catalogue.versions, VersionStore(folder / "v.db"), count + 10, 10**18, LOG)
+    again = HistoryRecorder(published, catalogue.versions, VersionStore(folder / "v.db"), count + 10, 10**18, LOG)
     start = time.perf_counter()
     again.start(count)
     opened = time.perf_counter() - start
@@ -252,7 +252,7 @@
                     lambda: [f"127.0.0.1:{pilot.port}"],
                     holdings,
                     Clock(),
-                    Redial(rng, 0.05, 0.3),
+                    Backoff(rng, 0.05, 0.3),
                     lambda *a: None,
                     lambda: {},
                     watch.said,
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -19,19 +19,19 @@
 from damsonpick.decisions.planner import Planner
 from damsonpick.protocols.sasp.server import SaspServer
 from damsonpick.protocols.shared.send_queue import Channel
-from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.protocols.xds.resources import Catalogue
 from damsonpick.protocols.xds.server import XdsServer
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
 from damsonpick.solver.advice import Advisor
-from damsonpick.state.endpoint_list.validation import Roster
+from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.history.database import open_store
-from damsonpick.state.history.recorder import Keeper
+from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.learned.disk import FolderLock
-from damsonpick.state.load_reports import Evidence, GatewaySums
-from damsonpick.state.published_tables import Published
+from damsonpick.state.load_reports import GatewaySums, LoadReports
+from damsonpick.state.published_tables import PublishedTables
 from damsonpick.state.store.sqlite import Store
 
 SECOND = 1_000_000_000
@@ -66,30 +66,38 @@
         self.remembering = Remembering(s, self.clock, log)
         self.store = Store(s.store_path(), count)
         self.epoch = self.store.epoch()
-        self.published = Published(tuple(s.classes), count)
-        self.roster = Roster(s.pilot.zones)
+        self.published = PublishedTables(tuple(s.classes), count)
+        self.endpoint_list = EndpointList(s.pilot.zones)
         c = s.channel
         self.channel = Channel(c.lines_per_second, c.head, c.limit, c.messages, c.window)
-        self.catalogue = Catalogue(self.published, s, lambda endpoint: self.roster.places.get(endpoint, ""))
-        self.hub = Hub(self.published, self.catalogue, self.channel, self.store.gateway)
-        self.hub.stop_share = s.versions.stop
+        self.catalogue = Catalogue(self.published, s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
+        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway)
+        self.session_manager.stop_share = s.versions.stop
         self.history = open_store(s.history_path())
-        self.keeper = Keeper(
+        self.recorder = HistoryRecorder(
             self.published, self.catalogue.versions, self.history, s.versions.keep, s.versions.age, log
         )
-        self.engine = Engine(s, self.store, self.published, self.hub, self.roster, log, make, self.keeper)
-        self.questions = Questions(self.engine, self.keeper, self.hub, s)
-        self.evidence = Evidence(tuple(s.classes), count, s.reports.every, s.reports.oldest)
+        self.engine = Engine(
+            s, self.store, self.published, self.session_manager, self.endpoint_list, log, make, self.recorder
+        )
+        self.questions = Questions(self.engine, self.recorder, self.session_manager, s)
+        self.load_reports = LoadReports(tuple(s.classes), count, s.reports.every, s.reports.oldest)
         self.bell = anyio.Event()
-        self.xds = XdsServer(self.hub, self.epoch, self.clock.now, self.stir, self._hear, s.reports.every, log)
+        self.xds = XdsServer(
+            self.session_manager, self.epoch, self.clock.now, self.stir, self._hear, s.reports.every, log
+        )
         self.sasp: SaspServer | None = None
-        self.advisor = advisor(s, lambda endpoint: self.roster.places.get(endpoint, ""))
+        self.advisor = advisor(s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
         more = {"solve": solve} if solve else {}
         self.solving = Solving(self.advisor, self.engine, self.clock, self.stir, log, **more)
         self.port = 0
-        self.listing = Listing(s, self.clock, self.roster, self.engine, self.evidence, self.store, self.stir, log)
+        self.listing = Listing(
+            s, self.clock, self.endpoint_list, self.engine, self.load_reports, self.store, self.stir, log
+        )
         if s.sasp.listen is not None:
-            self.sasp = SaspServer(s, self.hub, self.engine, self.clock, self.stir, self.listing.members, log)
+            self.sasp = SaspServer(
+                s, self.session_manager, self.engine, self.clock, self.stir, self.listing.members, log
+            )
         self.remembering.vouched = self.listing.vouched
         self.listing.changed = self._replan
 
@@ -116,7 +124,7 @@
             port=self.port,
             epoch=self.epoch,
             slices=len(self.engine.owned),
-            listed=len(self.roster.entries),
+            listed=len(self.endpoint_list.entries),
         )
         try:
             async with anyio.create_task_group() as group:
@@ -152,15 +160,15 @@
             now = self.clock.now()
             self.bell = anyio.Event()
             touched = self.engine.step(now)
-            stirred, pause = self.hub.pump(now)
+            stirred, pause = self.session_manager.pump(now)
             for session in touched:
-                self.hub.settle(now, session)
+                self.session_manager.settle(now, session)
             self._held_back()
             self.xds.ring(stirred)
             if self.sasp is not None:
                 self.sasp.ring(stirred)
             await anyio.sleep(GATHER)
-            if self.hub.events or self.engine.inbox:
+            if self.session_manager.events or self.engine.inbox:
                 continue
             due = self.engine.due()
             waits = [w for w in (pause, None if due is None else due - now) if w is not None]
@@ -168,7 +176,7 @@
                 await self.bell.wait()
 
     def _held_back(self) -> None:
-        for name, version, count in self.hub.stopped:
+        for name, version, count in self.session_manager.stopped:
             self.log.error(
                 "rollout_stopped",
                 resource=name,
@@ -176,7 +184,7 @@
                 refused_by=count,
                 remedy="others keep the former one; see `versions who`, then go back or change the table",
             )
-        self.hub.stopped.clear()
+        self.session_manager.stopped.clear()
 
     def _replan(self) -> None:
         """The list has changed: tables that the solver lays follow at once, and advice on members does."""
@@ -188,14 +196,14 @@
 
     def _hear(self, sums: GatewaySums) -> None:
         now = self.clock.now()
-        self.evidence.join(now, sums.gateway)
-        for doubt in self.evidence.hear(now, sums)[:3]:
+        self.load_reports.join(now, sums.gateway)
+        for doubt in self.load_reports.hear(now, sums)[:3]:
             self.log.info("sum_doubted", gateway=sums.gateway, what=doubt)
 
     async def _reports(self) -> None:
         while True:
             await anyio.sleep(self.clock.seconds(self.settings.reports.every))
-            events = self.evidence.flush()
+            events = self.load_reports.flush()
             self.listing.trust.hear(self.clock.now(), events)
             if events:
                 self.engine.tell(*events)
@@ -263,7 +271,7 @@
             "levels": {name: self.published.level(None, k) for k, name in enumerate(classes)},
             "knowledge": self.remembering.written,
             "channel": {"waiting": self.channel.waiting(), "most": self.channel.most, "limit": self.channel.limit},
-            "gateways": list(self.hub.view(now)),
+            "gateways": list(self.session_manager.view(now)),
             "endpoints": self.engine.view(),
         }
 
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -14,22 +14,22 @@
 from damsonpick.controller import explain
 from damsonpick.decisions.planner import Planner
 from damsonpick.protocols.shared.session import Session
-from damsonpick.protocols.shared.session_manager import Hub
-from damsonpick.runtime.decision_loop import SECOND, Loop
+from damsonpick.protocols.shared.session_manager import SessionManager
+from damsonpick.runtime.decision_loop import SECOND, DecisionLoop
 from damsonpick.settings.model import PilotSettings
-from damsonpick.state.endpoint_list.validation import Roster
+from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.history import rollback
 from damsonpick.state.history.history import number_of
-from damsonpick.state.history.recorder import Keeper
+from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.learned import ageing, restore
 from damsonpick.state.learned.snapshot import Fleet, Moment, Snapshot
-from damsonpick.state.published_tables import Change, Published
+from damsonpick.state.published_tables import Change, PublishedTables
 from damsonpick.state.store.sqlite import Store
 
 NOTHING_LEARNED = Fleet(0.0, 0.0)
 
 
-class Engine(Loop):
+class Engine(DecisionLoop):
     """One pilot's loop body.
 
     Args:
@@ -44,17 +44,17 @@
         self,
         settings: PilotSettings,
         store: Store,
-        published: Published,
-        hub: Hub,
-        roster: Roster,
+        published: PublishedTables,
+        session_manager: SessionManager,
+        endpoint_list: EndpointList,
         log: Any,
         make: Callable[[api.Settings, int], Planner] = Planner,
-        keeper: Keeper | None = None,
+        recorder: HistoryRecorder | None = None,
     ) -> None:
         super().__init__(log)
-        self.settings, self.store, self.published, self.hub = settings, store, published, hub
-        self.roster, self.make = roster, make
-        self.keeper = keeper
+        self.settings, self.store, self.published, self.session_manager = settings, store, published, session_manager
+        self.endpoint_list, self.make = endpoint_list, make
+        self.recorder = recorder
         self.owner = settings.pilot.name
         self.owned: set[int] = set()
         self.unsaved: set[int] = set()  # slices whose tables the store does not hold yet
@@ -83,10 +83,10 @@
             self.published.restore(number, lines)
         self.published.restore_standing(self.store.standing(), ageing.levels_hold(away))
         self.stood = self.published.standing()
-        self.roster.restore(self.store.listed())
-        self.hub.catalogue.refresh(self.published.units())
-        if self.keeper:
-            self.keeper.start(now)
+        self.endpoint_list.restore(self.store.listed())
+        self.session_manager.catalogue.refresh(self.published.units())
+        if self.recorder:
+            self.recorder.start(now)
             if self.holds(now):
                 self._recall_gone()
         self.owned = {charge.slice for charge in self.store.claim(self.owner, now, self.lease())}
@@ -100,9 +100,9 @@
         """A new planner, told the list, the tables and who is joined. `anew`: in place of one that was at work."""
         again = anew or bool(self.failures)
         seed = self.settings.pilot.seed * 1000 + self.failures
-        kept = tuple(self.roster.entries.values())
+        kept = tuple(self.endpoint_list.entries.values())
         events: list[api.Event] = [api.EndpointListChanged("restored", kept)]
-        if self.roster.fresh:
+        if self.endpoint_list.fresh:
             events.append(api.EndpointListChanged("replace", kept))
         for number in sorted(self.owned):
             events.append(api.SliceOwnershipChanged(number, True))
@@ -111,8 +111,12 @@
             events += [api.StoredEntry(number, name, weight) for name, weight in lines.items()]
         events += [*self._recalled(learned), *self.doubted()]
         if again:  # they hold withdrawals of the planner that failed
-            events += [api.ProxyJoined(m.number, m.session.zone, 0.0, False) for m in self.hub.members.values()]
-        self.hub.events = [e for e in self.hub.events if not isinstance(e, api.SyncAcknowledged)] if not again else []
+            events += [
+                api.ProxyJoined(m.number, m.session.zone, 0.0, False) for m in self.session_manager.members.values()
+            ]
+        self.session_manager.events = (
+            [e for e in self.session_manager.events if not isinstance(e, api.SyncAcknowledged)] if not again else []
+        )
         self.begin_with(self.make(self.settings.planner(), seed), events)
 
     def _recalled(self, learned: Snapshot | None) -> list[api.Event]:
@@ -121,7 +125,7 @@
         events: list[api.Event] = []
         if learned is not None:
             wrong = restore.fits(learned, classes, self.published.slices)
-            events, anew = restore.events(learned, self.roster.entries, self.owned, not wrong)
+            events, anew = restore.events(learned, self.endpoint_list.entries, self.owned, not wrong)
             self.log.info(
                 "recalled",
                 servers=sum(isinstance(e, api.EndpointRestored) for e in events),
@@ -187,9 +191,9 @@
         if self.unsaved:
             times.append(self.save_at)
         if self.pinned:
-            times.append(self.keeper.pin.until)
-        if self.keeper and self.keeper.pending:
-            times.append(self.keeper.retry_at)
+            times.append(self.recorder.pin.until)
+        if self.recorder and self.recorder.pending:
+            times.append(self.recorder.retry_at)
         return min(times, default=None)
 
     def step(self, now: int) -> list[Session]:
@@ -197,8 +201,8 @@
         now = self.clock.take(now)
         if self.unsaved and now >= self.save_at:
             self._save(now, {})
-        if self.keeper and self.keeper.pending and now >= self.keeper.retry_at:
-            self.keeper.write(now)
+        if self.recorder and self.recorder.pending and now >= self.recorder.retry_at:
+            self.recorder.write(now)
         if self.planner is None:
             if now < self.restart_at:
                 return []
@@ -206,9 +210,9 @@
         if self.pinned != self.holds(now):
             self._repin(now)
         if self.list_changed:
-            self.hub.hasten(now)
+            self.session_manager.hasten(now)
             self.list_changed = False
-        more, self.hub.events = self.hub.events, []
+        more, self.session_manager.events = self.session_manager.events, []
         done = self.advance(now, more)
         return self._carry_out(now, done.actions, _cause(done.events)) if done else []
 
@@ -226,7 +230,7 @@
         if not table_orders:
             return []
         if self.pinned:
-            table_orders, self.withheld = self.keeper.pin.sift(
+            table_orders, self.withheld = self.recorder.pin.sift(
                 table_orders, self.published.tables, self.barred, self.published.level
             )
         change = self.published.apply(table_orders)
@@ -238,9 +242,9 @@
     def _publish(
         self, now: int, change: Change, cause: str, words: str = "", stages: dict[str, int] | None = None
     ) -> list[Session]:
-        idle = self.hub.publish(now, change, stages)
-        if self.keeper and change.lines:
-            self.keeper.note(now, change.lines, cause, words)
+        idle = self.session_manager.publish(now, change, stages)
+        if self.recorder and change.lines:
+            self.recorder.note(now, change.lines, cause, words)
         return idle
 
     # -- the way back
@@ -248,9 +252,9 @@
     def _recall_gone(self) -> None:
         """Lines that rollbacks of this pin took out before the restart: gateways may hold them yet, so that a
         server which drains now must be withdrawn although no table names it."""
-        history = self.keeper.history
+        history = self.recorder.history
         for version in history.versions.values():
-            if version.cause == "rollback" and version.number > self.keeper.pin.version:
+            if version.cause == "rollback" and version.number > self.recorder.pin.version:
                 for unit, keys in version.difference.items():
                     number = number_of(unit)
                     for key, (before, after) in keys.items():
@@ -258,19 +262,21 @@
                             self.gone.setdefault(number, {})[key[5:]] = before
 
     def holds(self, now: int) -> bool:
-        return self.keeper is not None and self.keeper.pin.holds(now)
+        return self.recorder is not None and self.recorder.pin.holds(now)
 
     def _repin(self, now: int) -> None:
         """A pin has begun or ended: the module goes on from the tables as they are, without a jump."""
         self.pinned = self.holds(now)
         if not self.pinned:
             self.gone.clear()
-        self.log.info("pinned" if self.pinned else "unpinned", version=self.keeper.pin.version, withheld=self.withheld)
+        self.log.info(
+            "pinned" if self.pinned else "unpinned", version=self.recorder.pin.version, withheld=self.withheld
+        )
         self._begin(now, anew=True, learned=self.learned())
 
     def barred(self, name: str) -> bool:
         """Whether an endpoint may not be picked now."""
-        entry = self.roster.entries.get(name)
+        entry = self.endpoint_list.entries.get(name)
         return entry is None or entry.state != "in_service" or name in self.published.withdrawn
 
     def cold(self, name: str) -> bool:
@@ -300,13 +306,13 @@
         Raises:
             ValueError: no such version, or somebody else acted meanwhile.
         """
-        now, keeper = self.clock.take(now), self.keeper
-        keeper.pin.check(expected)
-        version = keeper.history.find(name)
+        now, recorder = self.clock.take(now), self.recorder
+        recorder.pin.check(expected)
+        version = recorder.history.find(name)
         owned = {n: self.published.tables[n] for n in self.owned}
-        target = keeper.history.at(version.number)
+        target = recorder.history.at(version.number)
         made = rollback.plan(target, owned, self.barred, self.cold)
-        admit = rollback.admissions(target, keeper.history.state, len(self.published.classes)) if levels else []
+        admit = rollback.admissions(target, recorder.history.state, len(self.published.classes)) if levels else []
         said = {
             "version": version.number,
             "root": version.root,
@@ -316,16 +322,16 @@
             "kept": [k._asdict() for k in made.kept],
         }
         if dry:
-            return said | {"done": False, "generation": keeper.pin.generation}
+            return said | {"done": False, "generation": recorder.pin.generation}
         for o in made.orders:
             if not o.weight:
                 self.gone.setdefault(o.table, {})[o.endpoint] = self.published.tables[o.table][o.endpoint]
         change = self.published.apply([*made.orders, *admit])
         self._save(now, {n: self.published.tables[n] for n in {o.table for o in made.orders}})
-        keeper.set_pin(version.number, until, levels)
+        recorder.set_pin(version.number, until, levels)
         self._publish(now, change, "rollback", f"to {version.number}", stages)
         self._repin(now)
-        newest = keeper.history.newest()
+        newest = recorder.history.newest()
         self.log.warning(
             "rolled_back", to=version.number, now=newest.number, lines=len(made.orders), kept=len(made.kept)
         )
@@ -333,7 +339,7 @@
             "done": True,
             "now": newest.number,
             "now_root": newest.root,
-            "generation": keeper.pin.generation,
+            "generation": recorder.pin.generation,
             "same": newest.root == version.root,
         }
 
--- a/damsonpick/controller/explain.py
+++ b/damsonpick/controller/explain.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 
 from damsonpick.decisions.planner import Planner
-from damsonpick.state.published_tables import Published
+from damsonpick.state.published_tables import PublishedTables
 
 SLOW = 0.75  # learned speed below which an operator is told; a word for people, no decision
 
 
-def endpoints(planner: Planner, published: Published) -> Iterable[dict[str, object]]:
+def endpoints(planner: Planner, published: PublishedTables) -> Iterable[dict[str, object]]:
     """One row an endpoint: state, what holds it back, and the evidence."""
     lines: dict[str, int] = {}
     for table in published.tables.values():
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -12,15 +12,15 @@
 from damsonpick.controller.engine import Engine
 from damsonpick.protocols.list_file import FileSource
 from damsonpick.protocols.xds.endpoint_list_client import UpstreamSource
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import ListSource, PilotSettings
 from damsonpick.state.endpoint_list.sources import ListError, Sources
-from damsonpick.state.endpoint_list.validation import Roster, Verdict
+from damsonpick.state.endpoint_list.validation import EndpointList, ListValidation
 from damsonpick.state.learned import restore
 from damsonpick.state.learned.list_confidence import Trust
 from damsonpick.state.learned.snapshot import Snapshot
-from damsonpick.state.load_reports import Evidence
+from damsonpick.state.load_reports import LoadReports
 from damsonpick.state.store.sqlite import Store
 
 LOOK = 250_000_000  # ns between looks at what only time changes
@@ -35,15 +35,15 @@
         self,
         settings: PilotSettings,
         clock: Clock,
-        roster: Roster,
+        endpoint_list: EndpointList,
         engine: Engine,
-        evidence: Evidence,
+        load_reports: LoadReports,
         store: Store,
         stir: Callable[[], None],
         log: Any,
     ) -> None:
-        self.settings, self.clock, self.roster, self.engine = settings, clock, roster, engine
-        self.evidence, self.store, self.stir, self.log = evidence, store, stir, log
+        self.settings, self.clock, self.endpoint_list, self.engine = settings, clock, endpoint_list, engine
+        self.load_reports, self.store, self.stir, self.log = load_reports, store, stir, log
         self.named: dict[str, ListSource] = {FIRST: settings.list, **settings.lists}
         names = [*self.named, MEMBERS] if settings.sasp.feed else list(self.named)
         self.sources = Sources(tuple(names), clock.now())
@@ -57,8 +57,8 @@
     def begin(self, learned: Snapshot | None, away: int | None) -> None:
         """The kept list is in force."""
         now = self.clock.now()
-        self.evidence.known = set(self.roster.entries)
-        self.trust.start(now, restore.kept(learned, now, away, self.roster.entries, self.store.listed_at()))
+        self.load_reports.known = set(self.endpoint_list.entries)
+        self.trust.start(now, restore.kept(learned, now, away, self.endpoint_list.entries, self.store.listed_at()))
 
     def vouched(self) -> int:
         """Clock time when the believed source last stood by the list; 0: it does not."""
@@ -79,8 +79,8 @@
         if s.source == "file":
             source = FileSource(s.file, self.clock.seconds(s.poll))
         else:
-            redial = Redial(random.Random(f"{self.settings.pilot.seed} {name}"))
-            source = UpstreamSource(s.upstream, s.cluster, self.settings.pilot.name, redial)
+            backoff = Backoff(random.Random(f"{self.settings.pilot.seed} {name}"))
+            source = UpstreamSource(s.upstream, s.cluster, self.settings.pilot.name, backoff)
         async for said in source.lists():
             self.heard(name, said)
 
@@ -94,16 +94,16 @@
     def heard(self, name: str, said: list[api.EndpointEntry] | ListError) -> None:
         """One source has given a list, or why there is none; the module hears of both."""
         now = self.clock.now()
-        if not isinstance(said, ListError) and not said and self.roster.entries:
+        if not isinstance(said, ListError) and not said and self.endpoint_list.entries:
             said = ListError(f"{name}: the list is empty: taken as a failed source, the kept list stays in force")
             self.log.warning("list_doubted", what=str(said))
         if isinstance(said, ListError):
             if self.sources.all[name].why != str(said):
-                self.log.warning("list_failed", source=name, why=str(said), kept=len(self.roster.entries))
+                self.log.warning("list_failed", source=name, why=str(said), kept=len(self.endpoint_list.entries))
             self.sources.take(now, name, None, str(said))
             if not any(s.up for s in self.sources.all.values()):
                 self.said = str(said)
-                self.engine.tell(self.roster.failed())
+                self.engine.tell(self.endpoint_list.failed())
         else:
             self.sources.take(now, name, said)
         self._merge(now)
@@ -120,21 +120,21 @@
         if self.taken is not None and self.taken[0] != self.sources.believed:
             self.log.warning("list_source", now=self.sources.believed, before=self.taken[0])
         self.taken = (self.sources.believed, entries)
-        self._use(self.roster.take(now, entries, lambda name: self.trust.lost(now, name)))
+        self._use(self.endpoint_list.take(now, entries, lambda name: self.trust.lost(now, name)))
         self.said = f"{len(entries)} servers"
 
-    def _use(self, verdict: Verdict) -> None:
+    def _use(self, verdict: ListValidation) -> None:
         """Hand on a list."""
         for doubt in verdict.doubts:
             self.log.warning("list_doubted", what=doubt)
         event, now = verdict.event, self.clock.now()
         if event is None:
             return
-        self.evidence.known.update(e.endpoint for e in event.entries)
+        self.load_reports.known.update(e.endpoint for e in event.entries)
         if event.kind == "replace":
             self.trust.vouch(now, (e.endpoint for e in event.entries))
             self._keep(event)
-        self.engine.relocate(now, self.roster.moved(event.entries))
+        self.engine.relocate(now, self.endpoint_list.moved(event.entries))
         self.engine.tell(event, *self.trust.say(now))
         self.changed()
         self.stir()
@@ -145,7 +145,7 @@
             states[entry.state] = states.get(entry.state, 0) + 1
         self.log.info("listed", **states)
         try:
-            self.store.keep_list(event.entries, self.clock.now(), self.sources.believed, self.roster.held)
+            self.store.keep_list(event.entries, self.clock.now(), self.sources.believed, self.endpoint_list.held)
         except Exception as error:
             self.log.error("list_not_kept", error=str(error), remedy="free space or rights on the state folder")
 
@@ -153,7 +153,7 @@
         """What only time changes: which source is believed, what is held, how far entries are trusted."""
         now = self.clock.now()
         self._merge(now)
-        verdict = self.roster.recheck(now, lambda name: self.trust.lost(now, name))
+        verdict = self.endpoint_list.recheck(now, lambda name: self.trust.lost(now, name))
         if verdict is not None:
             self._use(verdict)
         if said := self.trust.say(now):
@@ -171,8 +171,8 @@
         """
         now, what = self.clock.now(), request.get("do", "show")
         if what == "accept":
-            held = sorted(self.roster.held)
-            verdict = self.roster.accept(now, lambda name: False)
+            held = sorted(self.endpoint_list.held)
+            verdict = self.endpoint_list.accept(now, lambda name: False)
             if verdict is not None:
                 self._use(verdict)
                 self.log.warning("list_accepted", gone=held)
@@ -188,17 +188,17 @@
                 "weight": e.weight,
                 "started": e.started,
                 "trust": levels.get(e.endpoint, 1.0),
-                "held": e.endpoint in self.roster.held,
+                "held": e.endpoint in self.endpoint_list.held,
                 "spoken_for_s": self._spoken(now, e.endpoint),
             }
-            for e in sorted(self.roster.entries.values())
+            for e in sorted(self.endpoint_list.entries.values())
         ]
         return {
             "live": self.trust.live,
             "sources": self.sources.view(now),
             "disputes": self.disputes,
             "servers": rows,
-            "held_for_s": round((now - self.roster.held_since) / 1e9, 1) if self.roster.held else None,
+            "held_for_s": round((now - self.endpoint_list.held_since) / 1e9, 1) if self.endpoint_list.held else None,
         }
 
     def _spoken(self, now: int, name: str) -> float | None:
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from damsonpick.controller.engine import Engine
-from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.settings.model import PilotSettings
-from damsonpick.state.history.recorder import Keeper
+from damsonpick.state.history.recorder import HistoryRecorder
 
 MOST = 1000  # versions in one answer
 
@@ -15,8 +15,10 @@
 class Questions:
     """Args: engine, keeper, hub, settings of one pilot."""
 
-    def __init__(self, engine: Engine, keeper: Keeper, hub: Hub, settings: PilotSettings) -> None:
-        self.engine, self.keeper, self.hub, self.settings = engine, keeper, hub, settings
+    def __init__(
+        self, engine: Engine, recorder: HistoryRecorder, session_manager: SessionManager, settings: PilotSettings
+    ) -> None:
+        self.engine, self.recorder, self.session_manager, self.settings = engine, recorder, session_manager, settings
 
     def answer(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         """One answer.
@@ -30,30 +32,30 @@
         return getattr(self, f"_{what}")(now, request)
 
     def _state(self, now: int) -> dict[str, Any]:
-        pin, newest = self.keeper.pin, self.keeper.history.newest()
+        pin, newest = self.recorder.pin, self.recorder.history.newest()
         return {
             "newest": newest.number,
             "root": newest.root,
             "generation": pin.generation,
             "pinned": pin.version if pin.holds(now) else None,
             "pin_left_s": round((pin.until - now) / 1e9, 1) if pin.holds(now) else 0.0,
-            "waiting_for_disk": len(self.keeper.pending),
+            "waiting_for_disk": len(self.recorder.pending),
         }
 
     def _list(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         most = min(MOST, max(1, int(request.get("most", 20))))
-        chosen = list(self.keeper.history.versions.values())[-most:]
+        chosen = list(self.recorder.history.versions.values())[-most:]
         return self._state(now) | {
-            "kept": len(self.keeper.history.versions),
+            "kept": len(self.recorder.history.versions),
             "versions": [v.brief() for v in reversed(chosen)],
         }
 
     def _show(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        version = self.keeper.history.find(str(request["version"]))
-        return version.brief() | {"difference": version.difference, "state": self.keeper.history.at(version.number)}
+        version = self.recorder.history.find(str(request["version"]))
+        return version.brief() | {"difference": version.difference, "state": self.recorder.history.at(version.number)}
 
     def _diff(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        history = self.keeper.history
+        history = self.recorder.history
         one, other = history.find(str(request["one"])), history.find(str(request["other"]))
         return {
             "one": one.number,
@@ -63,14 +65,14 @@
         }
 
     def _who(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        history = self.keeper.history
+        history = self.recorder.history
         asked = history.find(str(request["version"])) if request.get("version") else history.newest()
-        rows = [row | {"holds": row["root"] == asked.root} for row in self.hub.holders(now, history.roots)]
+        rows = [row | {"holds": row["root"] == asked.root} for row in self.session_manager.holders(now, history.roots)]
         return {
             "version": asked.number,
             "root": asked.root,
             "gateways": rows,
-            "stopped": dict(self.hub.catalogue.stopped),
+            "stopped": dict(self.session_manager.catalogue.stopped),
         }
 
     def _until(self, now: int, request: dict[str, Any]) -> int:
@@ -96,11 +98,11 @@
 
     def _pin(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         """Hold the tables as they are."""
-        self.keeper.pin.check(request.get("expected"))
-        self.keeper.set_pin(self.keeper.history.newest().number, self._until(now, request))
+        self.recorder.pin.check(request.get("expected"))
+        self.recorder.set_pin(self.recorder.history.newest().number, self._until(now, request))
         return self._state(now)
 
     def _release(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        self.keeper.pin.check(request.get("expected"))
-        self.keeper.release()
+        self.recorder.pin.check(request.get("expected"))
+        self.recorder.release()
         return self._state(now)
--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -1,12 +1,19 @@
-"""The planner's own vocabulary: settings it starts with, events it is told, actions it orders.
+"""The planner's vocabulary: the settings it starts with, the events it receives, the actions it orders.
 
-Types only. Times and durations are integer nanoseconds. A *slice* is a fixed part of the key space
-with one table; a *table* lists endpoints with weights; a *mark* asks proxies to acknowledge.
+Types only. Times and durations are integer nanoseconds. A *slice* is a fixed part of the key space with one table; a
+*table* holds entries, each an endpoint with its weight; a *sync token* asks proxies to acknowledge what came before it.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Literal, NamedTuple
+
+EndpointStatus = Literal["in_service", "terminating", "terminated"]
+ListChangeKind = Literal["update", "replace", "restored", "unavailable"]
+AdmissionMode = Literal["ratio", "rps", "none"]
+BalancingPolicy = Literal["lottery", "wheel", "pair"]  # weighted random, weighted round robin, power of two choices
+Effect = Literal["read_like", "idempotency_key", "non_idempotent"]
+KeyScope = Literal["all", "zone", "cell"]
 
 
 class RequestClass(NamedTuple):
@@ -15,8 +22,8 @@
     name: str
     latency_objective: int
     deadline: int
-    effect: str  # "read_like", "idempotency_key" or "non_idempotent"
-    key_scope: str  # "all", "zone" or "cell"
+    effect: Effect
+    key_scope: KeyScope
     key_window: int
     priority_weight: float
 
@@ -31,7 +38,7 @@
     slices: int  # 0: no slices, tables are bound to proxies
     proxies: int
     sole_owner: bool
-    admission: str  # "ratio", "rps" or "none"
+    admission: AdmissionMode
     subscribe: bool  # the endpoint list must be asked for
     poll_interval: int
     channel_rate: float  # lines a second
@@ -47,7 +54,7 @@
     write_linger: int  # how long a write a proxy took in may stay in hand
     write_lease: int  # how long a proxy that lost its stream keeps writing
     load_fields: tuple[str, ...]
-    balancing_policy: str  # "lottery", "wheel" or "pair"
+    balancing_policy: BalancingPolicy
 
 
 # ---- events -------------------------------------------------------------------------------------
@@ -58,7 +65,7 @@
 
     endpoint: str
     zone: str
-    state: str  # "in_service", "terminating" or "terminated"
+    state: EndpointStatus
     weight: float
     started: int  # clock time of the last start; 0: long ago
 
@@ -66,7 +73,7 @@
 class EndpointListChanged(NamedTuple):
     """News of the endpoint list."""
 
-    kind: str  # "update", "replace", "restored" or "unavailable"
+    kind: ListChangeKind
     entries: tuple[EndpointEntry, ...]
 
 
--- a/damsonpick/protocols/platform/discovery.py
+++ b/damsonpick/protocols/platform/discovery.py
@@ -92,7 +92,7 @@
         raise ListingError(f"not JSON: {error}") from None
 
 
-class Roster:
+class EndpointList:
     """The list as the module has been told it.
 
     Args:
--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -13,7 +13,7 @@
 from damsonpick.protocols.platform.config import Address
 from damsonpick.protocols.platform.pending_orders import Call, Order, Orders, read_answer
 from damsonpick.protocols.platform.registry import Registry
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 
 CONNECT = 0.3  # s
 ANSWER = 0.16  # s; an answer comes within 50 ms or never, and the loop may be late itself
@@ -42,7 +42,7 @@
     ) -> None:
         self.caller = http_client.Caller(address, KEEP)
         self.orders, self.registry, self.tell, self.takes, self.log = orders, registry, tell, takes, log
-        self.redial = Redial(rng, FIRST, MOST)
+        self.backoff = Backoff(rng, FIRST, MOST)
         self.bell = anyio.Event()
         self.made = self.unknown = self.malformed = self.running = 0  # running: unknown outcomes in a row
 
@@ -54,7 +54,7 @@
     def point(self, address: Address) -> None:
         """Call this address from now on; the call under way ends where it began."""
         self.caller = http_client.Caller(address, KEEP)
-        self.redial.succeeded()
+        self.backoff.succeeded()
         self.bell.set()
 
     async def run(self) -> None:
@@ -70,7 +70,7 @@
                 self.log.error("call_failed", error=repr(error), exc_info=error)
                 good = False
             if not good:
-                await anyio.sleep(self.redial.failed())
+                await anyio.sleep(self.backoff.failed())
             if caller is not self.caller:
                 await caller.close()
 
@@ -121,7 +121,7 @@
         if refused is not None:
             self.log.warning("order_refused", order=repr(refused), at=answer.taken, of=len(call.orders))
             self.tell(*self.registry.refused(refused))
-        self.redial.succeeded()
+        self.backoff.succeeded()
         self.malformed = self.running = 0
         return True
 
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -24,7 +24,7 @@
 from damsonpick.protocols.platform.state_log import Beliefs
 from damsonpick.protocols.platform.watch_client import Follower
 from damsonpick.runtime.clock import Clock
-from damsonpick.runtime.decision_loop import Loop, Step
+from damsonpick.runtime.decision_loop import DecisionLoop, Step
 
 GATHER = 0.004  # s: what happens within it is handed over in one step
 NEWS_SILENCE = 2.4  # s; a sign of life is due every second
@@ -82,14 +82,14 @@
         self.at: int | None = None  # version that this watch has told
 
     def path(self) -> str:
-        return f"/catalog/members?watch=1&from={self.pilot.roster.since()}"
+        return f"/catalog/members?watch=1&from={self.pilot.endpoint_list.since()}"
 
     def take(self, lines: list[bytes]) -> bool:
         for line in filter(None, lines):
             try:
                 self._one(discovery.decode(line))
             except discovery.ListingError as error:
-                self.pilot.roster.whole = True  # a change may be lost in this line
+                self.pilot.endpoint_list.whole = True  # a change may be lost in this line
                 raise http_client.Broken(f"list: {error}") from None
         if self.at is None:  # signs of life alone do not tell what stands
             return False
@@ -102,9 +102,9 @@
         self.at = listing.version
         for doubt in listing.doubts:
             self.pilot.doubts.add("list", doubt)
-        event = self.pilot.roster.take(listing, self.pilot.clock.now())
+        event = self.pilot.endpoint_list.take(listing, self.pilot.clock.now())
         if event is None:
-            self.pilot.doubts.add("list", f"version {listing.version}: {self.pilot.roster.version} is known")
+            self.pilot.doubts.add("list", f"version {listing.version}: {self.pilot.endpoint_list.version} is known")
         else:
             self.pilot.tell(event)
         if listing.spoilt and not listing.full:
@@ -124,9 +124,9 @@
         self.config, self.log, self.make = config, log, make
         self.clock = Clock()
         self.rng = random.Random(config.seed)
-        self.loop = Loop(log)
+        self.loop = DecisionLoop(log)
         self.doubts = Doubts(log)
-        self.roster = discovery.Roster(config.known, config.settings.poll_interval)
+        self.endpoint_list = discovery.EndpointList(config.known, config.settings.poll_interval)
         names = tuple(c.name for c in config.settings.classes)
         self.orders = Orders(names, self.rng.randrange(MARKS))
         self.registry = Registry(self.orders, config.settings.proxies, config.settings.slices)
@@ -200,7 +200,7 @@
 
     def _begin(self) -> None:
         """A planner, told the list and, in place of one that failed, what stands."""
-        events = [*self.roster.begin(), *self.registry.begin()]
+        events = [*self.endpoint_list.begin(), *self.registry.begin()]
         self.loop.begin_with(self.make(self.config.settings, self.rng.getrandbits(48)), events)
 
     def _reload(self, group: TaskGroup) -> None:
--- a/damsonpick/protocols/platform/watch_client.py
+++ b/damsonpick/protocols/platform/watch_client.py
@@ -12,7 +12,7 @@
 
 from damsonpick.protocols.platform import http_client
 from damsonpick.protocols.platform.config import Address
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 
 DIAL = 0.5  # s to a connection, and to the head of an answer
 FIRST, MOST = 0.04, 1.0  # s between tries: bounds of the first and of any
@@ -102,11 +102,11 @@
         group.start_soon(self._run, self.newest)
 
     async def _run(self, link: Link) -> None:
-        redial = Redial(self.rng, FIRST, MOST)
+        backoff = Backoff(self.rng, FIRST, MOST)
         with link.scope:
             while link is self.newest:
                 try:
-                    await self._watch(link, redial)
+                    await self._watch(link, backoff)
                 except http_client.Broken as error:
                     link.open = False
                     self.breaks += 1
@@ -116,9 +116,9 @@
                     self.breaks += 1
                     self.log.error("watch_failed", what=self.name, error=repr(error), exc_info=error)
                 if not link.over:
-                    await anyio.sleep(redial.failed())
+                    await anyio.sleep(backoff.failed())
 
-    async def _watch(self, link: Link, redial: Redial) -> None:
+    async def _watch(self, link: Link, backoff: Backoff) -> None:
         reader, began = self.reader(), anyio.current_time()
         async with aclosing(follow(link.address, reader.path(), self.silence)) as watch:
             async for lines in watch:
@@ -130,7 +130,7 @@
                         raise http_client.Broken("what stands is not told")
                     continue
                 if now - began > MOST:  # one that stands up and breaks at once must not be dialled without a pause
-                    redial.succeeded()
+                    backoff.succeeded()
                 self._believe(link)
 
     def _believe(self, link: Link) -> None:
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -17,11 +17,11 @@
 from damsonpick.protocols.sasp.registry import Limits, Registry
 from damsonpick.protocols.sasp.session import Desk, SaspSession
 from damsonpick.protocols.shared.send_queue import Waiting
-from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
-from damsonpick.state.endpoint_list.validation import Roster
-from damsonpick.state.published_tables import Published
+from damsonpick.state.endpoint_list.validation import EndpointList
+from damsonpick.state.published_tables import PublishedTables
 
 CHUNK = 65_536
 AT_ONCE = 4  # messages worked on between two turns of the loop: a crowd of polls holds up no push
@@ -36,8 +36,8 @@
     """What the server reads of the controller that owns it."""
 
     planner: Planner | None  # None while it is being restarted
-    published: Published
-    roster: Roster
+    published: PublishedTables
+    endpoint_list: EndpointList
 
 
 class FrontError(Exception):
@@ -51,14 +51,14 @@
     def __init__(
         self,
         settings: PilotSettings,
-        hub: Hub,
+        session_manager: SessionManager,
         engine: Controller,
         clock: Clock,
         stir: Callable[[], None],
         feed: Callable[[list[api.EndpointEntry]], None],
         log: Any,
     ) -> None:
-        self.settings, self.hub, self.engine, self.clock = settings, hub, engine, clock
+        self.settings, self.session_manager, self.engine, self.clock = settings, session_manager, engine, clock
         self.stir, self.feed, self.log = stir, feed, log
         s = settings.sasp
         self.registry = Registry(Limits(s.groups, s.members), self._covers, self._rights)
@@ -68,7 +68,7 @@
             Pace(random.Random(settings.pilot.seed)),
             self._heat,
             self._known,
-            lambda: hub.channel.waiting() / hub.channel.limit,
+            lambda: session_manager.channel.waiting() / session_manager.channel.limit,
             self._blind,
         )
         self.streams: dict[SaspSession, anyio.Event] = {}
@@ -111,7 +111,7 @@
         return {n: planner.capacity_of(ep) for n, ep in planner.endpoints.items() if not planner.is_unroutable(n)}
 
     def _known(self, name: str) -> weights.Known:
-        entry = self.engine.roster.entries.get(name)
+        entry = self.engine.endpoint_list.entries.get(name)
         ep = self.engine.planner.endpoints.get(name) if self.engine.planner else None
         lately = ep is not None and bool(ep.last_report_at) and self.clock.now() - ep.last_report_at < HEARD
         return weights.Known(entry is not None, entry is not None and entry.state == "in_service", lately)
@@ -159,19 +159,21 @@
     def learn(self) -> None:
         """What is known of endpoints. Polls hear of a drain at once; pushes with the withdrawal that the module orders,
         behind those to gateways, which are a line each."""
-        about = {n: self._known(n) for n in self.engine.roster.entries}
+        about = {n: self._known(n) for n in self.engine.endpoint_list.entries}
         if about != self.about:
             self.about = about
             self.desk.listed += 1
 
     def _offer(self, session: SaspSession) -> None:
         now = self.clock.now()
-        channel = self.hub.channel
-        if channel.waits.get(self.hub.by[session].number if session in self.hub.by else -1, IDLE).units:
+        channel = self.session_manager.channel
+        if channel.waits.get(
+            self.session_manager.by[session].number if session in self.session_manager.by else -1, IDLE
+        ).units:
             return  # what waits for it is looked at when its turn comes
         lines, urgent = session.news(now, max(1, int(SHARE * channel.limit / max(1, len(self.streams)))))
         if lines:
-            self.hub.offer(now, session, lines, urgent)
+            self.session_manager.offer(now, session, lines, urgent)
             self.stir()
 
     def _feed(self) -> None:
@@ -182,7 +184,7 @@
         if said == self.fed:
             return
         self.fed = said
-        known = self.engine.roster
+        known = self.engine.endpoint_list
         self.feed(
             [
                 api.EndpointEntry(
@@ -246,9 +248,9 @@
         if not self.addresses[address]:
             del self.addresses[address]
         self.registry.leave(self.clock.now(), session)
-        if session in self.hub.by:
+        if session in self.session_manager.by:
             self.log.info("balancer_left", balancer=session.node, why=why)
-        self.hub.leave(session)
+        self.session_manager.leave(session)
         self.stir()
 
     async def _read(self, stream: SocketStream, session: SaspSession, lock: anyio.Lock) -> str:
@@ -290,7 +292,7 @@
         return reply
 
     def _joined(self, session: SaspSession) -> None:
-        member = self.hub.join(self.clock.now(), session)
+        member = self.session_manager.join(self.clock.now(), session)
         self.log.info(
             "balancer_joined",
             balancer=session.node,
@@ -307,11 +309,11 @@
             await self.streams[session].wait()
             self.streams[session] = anyio.Event()
             while (push := session.compose(self.clock.now())) is not None:
-                self.hub.channel.charge(session.rows)
+                self.session_manager.channel.charge(session.rows)
                 await self._send(stream, lock, push)
                 session.written()
-            self.hub.settle(self.clock.now(), session)
-            if self.hub.review(session) or self.hub.events:
+            self.session_manager.settle(self.clock.now(), session)
+            if self.session_manager.review(session) or self.session_manager.events:
                 self.stir()
 
     # -- questions
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -17,7 +17,7 @@
 from damsonpick.protocols.sasp.weights import Advice, Known
 from damsonpick.protocols.shared.session import Due
 from damsonpick.settings.units import numbers
-from damsonpick.state.published_tables import FLEET, Published, slice_unit
+from damsonpick.state.published_tables import FLEET, PublishedTables, slice_unit
 
 SECOND = 1_000_000_000
 FRESH = 2 * SECOND  # ns for which shares are kept while no table changes: heat moves slowly
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        published: Published,
+        published: PublishedTables,
         registry: Registry,
         pace: Pace,
         heat: Callable[[int], float],
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from damsonpick.protocols.sasp.layout import MOST_WEIGHT, WeightFlag
-from damsonpick.state.published_tables import Published
+from damsonpick.state.published_tables import PublishedTables
 
 TOP = 60_000  # of the largest share: room above for keeping apart what rounds alike
 SAME = 1e-9  # shares closer than this are one
@@ -30,10 +30,10 @@
 
     listed: bool
     serving: bool  # listed as in service
-    evidence: bool  # answers have been seen lately
+    load_reports: bool  # answers have been seen lately
 
 
-def shares(published: Published, slices: Iterable[int], heat: Callable[[int], float]) -> dict[str, float]:
+def shares(published: PublishedTables, slices: Iterable[int], heat: Callable[[int], float]) -> dict[str, float]:
     """Share of each endpoint, adding up to 1 (or nothing, if no slice has an open line)."""
     found: dict[str, float] = {}
     for number in slices:
@@ -104,7 +104,7 @@
             flags |= WeightFlag.QUIESCE
         if name in own:
             flags |= WeightFlag.REGISTERED
-        if about.evidence:
+        if about.load_reports:
             flags |= WeightFlag.CONFIDENT
         found[name] = Advice(weights[name], flags)
     return found
--- a/damsonpick/protocols/shared/send_queue.py
+++ b/damsonpick/protocols/shared/send_queue.py
@@ -14,7 +14,7 @@
 BURST = 0.05  # s of the pace that an idle channel may send at once
 
 
-class Parcel(NamedTuple):
+class OutboundMessage(NamedTuple):
     """What leaves for one gateway now."""
 
     gateway: int
@@ -100,7 +100,7 @@
         """Lines that wait, heads included."""
         return sum(self.waits[g].lines + self.head for g in self.line)
 
-    def take(self, now: int) -> Parcel | None:
+    def take(self, now: int) -> OutboundMessage | None:
         """The next message to leave, or None: nothing waits, or the pace does not allow it yet."""
         self._refill(now)
         for gateway in [*self.rush, *(g for g in self.line if g not in self.rush)]:
@@ -114,13 +114,13 @@
             return self._pop(now, gateway, wait)
         return None
 
-    def _pop(self, now: int, gateway: int, wait: Waiting) -> Parcel:
+    def _pop(self, now: int, gateway: int, wait: Waiting) -> OutboundMessage:
         self.waits[gateway] = Waiting()
         self.line.pop(gateway, None)
         self.rush.pop(gateway, None)
         if self.messages:
             self.sent[gateway].append(now)
-        return Parcel(gateway, wait.units, wait.ordered, wait.first, wait.lines)
+        return OutboundMessage(gateway, wait.units, wait.ordered, wait.first, wait.lines)
 
     def _refill(self, now: int) -> None:
         """A message may leave while tokens are above nought, and takes them below: large ones are not stuck."""
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -11,7 +11,7 @@
 from damsonpick.protocols.shared.send_queue import Channel
 from damsonpick.protocols.shared.session import Due, Session
 from damsonpick.state.history.digest import Digest
-from damsonpick.state.published_tables import FLEET, Change, Published
+from damsonpick.state.published_tables import FLEET, Change, PublishedTables
 
 MOST_REFUSED = 10_000  # resources and versions whose refusers are remembered
 SPARE = 60_000  # numbers from here on are for second streams under a node id that is taken
@@ -42,7 +42,7 @@
         self.acked_at = now
 
 
-class Hub:
+class SessionManager:
     """Streams, their queues and their marks.
 
     Args:
@@ -52,7 +52,7 @@
     """
 
     def __init__(
-        self, published: Published, catalogue: Catalogue, channel: Channel, number_of: Callable[[str], int]
+        self, published: PublishedTables, catalogue: Catalogue, channel: Channel, number_of: Callable[[str], int]
     ) -> None:
         self.published, self.catalogue, self.channel, self.number_of = published, catalogue, channel, number_of
         self.members: dict[int, Member] = {}
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -19,7 +19,7 @@
 from damsonpick import interface as api
 from damsonpick.protocols.shared import grpc_stream
 from damsonpick.protocols.xds.names import EDS
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.state.endpoint_list.sources import Budget, ListError
 
 METADATA, STARTED = "damsonpick", "started"
@@ -81,11 +81,11 @@
         address: str,
         cluster: str,
         node: str,
-        redial: Redial,
+        backoff: Backoff,
         budget: Budget | None = None,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        self.address, self.cluster, self.node, self.redial = address, cluster, node, redial
+        self.address, self.cluster, self.node, self.backoff = address, cluster, node, backoff
         self.budget, self.clock = budget or Budget(), clock
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
@@ -98,7 +98,7 @@
             except grpc_stream.StreamEnded as error:
                 why = str(error)
             yield ListError(f"upstream list at {self.address}: {why}; it is dialled again")
-            await anyio.sleep(self.redial.failed())
+            await anyio.sleep(self.backoff.failed())
 
     async def _stream(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
         options = [("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 3000)]
@@ -108,7 +108,7 @@
             version = ""
             while True:
                 response = await grpc_stream.read(call)
-                self.redial.succeeded()
+                self.backoff.succeeded()
                 try:
                     found = [self._unpack(body) for body in response.resources]
                     for assignment in found:
--- a/damsonpick/protocols/xds/resources.py
+++ b/damsonpick/protocols/xds/resources.py
@@ -22,7 +22,7 @@
 
 from damsonpick.protocols.xds.names import CDS, CLASS_HEADER, CLUSTER_HEADER, EDS, RDS, ZONE_HEADER, slice_of
 from damsonpick.settings.model import PilotSettings
-from damsonpick.state.published_tables import FLEET, ROUTES, Published
+from damsonpick.state.published_tables import FLEET, ROUTES, PublishedTables
 
 WEIGHT = 1000  # xDS weights are whole numbers: one line of weight 1 is this many
 MILLION = 1_000_000
@@ -57,7 +57,7 @@
         zone_of: the zone of an endpoint, '' if unknown.
     """
 
-    def __init__(self, published: Published, settings: PilotSettings, zone_of: Callable[[str], str]) -> None:
+    def __init__(self, published: PublishedTables, settings: PilotSettings, zone_of: Callable[[str], str]) -> None:
         self.published, self.settings, self.zone_of = published, settings, zone_of
         self.by: dict[str, dict[str, Resource]] = {CDS: {}, EDS: {}, RDS: {}}
         self.stopped: dict[str, str] = {}  # resource: a version that too many gateways refused
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -11,7 +11,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.protocols.xds import load_stats
 from damsonpick.protocols.xds.names import ADS_SERVICE, LRS_SERVICE
 from damsonpick.protocols.xds.session import DeltaSession, ProtocolError, Session, SotwSession
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        hub: Hub,
+        session_manager: SessionManager,
         epoch: int,
         now: Callable[[], int],
         stir: Callable[[], None],
@@ -64,7 +64,7 @@
         report_every: int,
         log: Any,
     ) -> None:
-        self.hub, self.epoch, self.now, self.stir, self.hear = hub, epoch, now, stir, hear
+        self.session_manager, self.epoch, self.now, self.stir, self.hear = session_manager, epoch, now, stir, hear
         self.report_every, self.log = report_every, log
         self.streams: dict[Session, Stream] = {}
 
@@ -98,12 +98,15 @@
 
     async def _sotw(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
         await self._serve(
-            SotwSession(self.hub.catalogue, self.epoch), discovery_pb2.DiscoveryRequest, requests, context
+            SotwSession(self.session_manager.catalogue, self.epoch), discovery_pb2.DiscoveryRequest, requests, context
         )
 
     async def _delta(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
         await self._serve(
-            DeltaSession(self.hub.catalogue, self.epoch), discovery_pb2.DeltaDiscoveryRequest, requests, context
+            DeltaSession(self.session_manager.catalogue, self.epoch),
+            discovery_pb2.DeltaDiscoveryRequest,
+            requests,
+            context,
         )
 
     async def _serve(
@@ -120,13 +123,13 @@
                     while (response := session.compose(self.now())) is not None:
                         await context.write(response)
                         await anyio.lowlevel.checkpoint()
-                    if self.hub.review(session):
+                    if self.session_manager.review(session):
                         self.stir()  # room for what was merged meanwhile
         finally:
             del self.streams[session]
-            if session in self.hub.by:
+            if session in self.session_manager.by:
                 self.log.info("gateway_left", gateway=session.node, why=str(ended[0]) if ended else "the stream broke")
-            self.hub.leave(session)
+            self.session_manager.leave(session)
             self.stir()
         if ended:
             await context.abort(grpc.StatusCode[ended[0].code], str(ended[0]))
@@ -147,9 +150,9 @@
                 if session.joined and not joined:
                     self._joined(session)
                 self._notes(session)
-                self.hub.settle(self.now(), session)
+                self.session_manager.settle(self.now(), session)
                 stream.ring()
-                if self.hub.review(session) or self.hub.events:
+                if self.session_manager.review(session) or self.session_manager.events:
                     self.stir()
         except DecodeError:
             ended.append(ProtocolError(f"a request is no {kind.DESCRIPTOR.name}; send protobuf as specified"))
@@ -160,7 +163,7 @@
         scope.cancel()
 
     def _joined(self, session: Session) -> None:
-        member = self.hub.join(self.now(), session)
+        member = self.session_manager.join(self.now(), session)
         self.log.info(
             "gateway_joined",
             gateway=session.node,
@@ -194,7 +197,7 @@
                 node, zone = report.node.id, report.node.locality.zone
                 if not node:
                     await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report names no node.id")
-                number = self.hub.number_of(node)
+                number = self.session_manager.number_of(node)
                 await context.write(load_stats.ask_for(self.report_every).SerializeToString())
             sums = load_stats.read(number, zone, report)
             if sums is not None:
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -21,7 +21,7 @@
 from damsonpick.proxy.stream import Stream
 from damsonpick.proxy.watch_client import Follower
 from damsonpick.runtime import port_files
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 
 BACKLOG = 1024
@@ -57,7 +57,7 @@
             self.pilots,
             self.router.holdings,
             self.clock,
-            Redial(rng, 0.1, 2.0),
+            Backoff(rng, 0.1, 2.0),
             self._took,
             self.relay.sums,
             said,
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -14,7 +14,7 @@
 from damsonpick.protocols.xds import load_stats
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.proxy.received_state import Asker, Bad, Holdings
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 
 OPTIONS = [
@@ -43,7 +43,7 @@
         pilots: Callable[[], list[str]],
         holdings: Holdings,
         clock: Clock,
-        redial: Redial,
+        backoff: Backoff,
         took: Callable[..., None],
         counts: Callable[[], dict[int, load_stats.SliceCounts]],
         said: Callable[..., None],
@@ -51,7 +51,7 @@
         delta: bool = True,
     ) -> None:
         self.name, self.zone, self.pilots, self.holdings, self.clock = name, zone, pilots, holdings, clock
-        self.redial, self.took, self.counts, self.said, self.log = redial, took, counts, said, log
+        self.backoff, self.took, self.counts, self.said, self.log = backoff, took, counts, said, log
         self.delta, self.seen, self.linked = delta, False, False
         self.version: dict[str, str] = {}  # of the last response taken, by type
         self.may_dial: Callable[[], bool] = lambda: True
@@ -74,7 +74,7 @@
                     self.linked = False
                     self.log.warning("pilot_lost", pilot=address, why=why, tables="the last good ones stay")
                     self.said("stream", up=False)
-            await anyio.sleep(self.redial.failed() / self.clock.rate)
+            await anyio.sleep(self.backoff.failed() / self.clock.rate)
 
     async def _session(self, address: str) -> None:
         async with grpc.aio.insecure_channel(address, OPTIONS) as channel:
@@ -124,7 +124,7 @@
         )
         await grpc_stream.write(call, asker.opening(RDS, ["routes"], self.version.get(RDS, "")))
         self.linked = True
-        self.redial.succeeded()
+        self.backoff.succeeded()
         self.log.info("pilot_found", pilot=address)
         self.said("stream", up=True, zone=self.zone, fresh=not self.seen)
         self.seen = True
--- a/damsonpick/runtime/backoff.py
+++ b/damsonpick/runtime/backoff.py
@@ -7,7 +7,7 @@
 LEAST, MOST = 0.05, 5.0  # s
 
 
-class Redial:
+class Backoff:
     """Waits before tries; a crowd that lost one source does not come back at once."""
 
     def __init__(self, rng: random.Random, least: float = LEAST, most: float = MOST) -> None:
--- a/damsonpick/runtime/clock.py
+++ b/damsonpick/runtime/clock.py
@@ -26,7 +26,7 @@
         return max(0, ns) / 1e9 / self.rate
 
 
-class Steady:
+class MonotonicReading:
     """A clock's reading that cannot go back, whatever it is handed: a step back stands still."""
 
     def __init__(self) -> None:
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -11,7 +11,7 @@
 
 from damsonpick import interface as api
 from damsonpick.decisions.planner import Planner
-from damsonpick.runtime.clock import Steady
+from damsonpick.runtime.clock import MonotonicReading
 
 SECOND = 1_000_000_000
 RESTART_FIRST, RESTART_MOST = SECOND // 10, 9 * SECOND // 10  # ns before another planner is tried
@@ -27,14 +27,14 @@
     actions: list[api.Action]
 
 
-class Loop:
+class DecisionLoop:
     """Args: log: a structlog logger."""
 
     def __init__(self, log: Any) -> None:
         self.log = log
         self.inbox: list[api.Event] = []
         self.timers: list[tuple[int, int]] = []
-        self.clock = Steady()
+        self.clock = MonotonicReading()
         self.planner: Planner | None = None
         self.failures = self.failed_at = self.restart_at = 0
 
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -23,14 +23,14 @@
 STATES = ("in_service", "terminating", "terminated")  # from harmless to binding
 
 
-class Verdict(NamedTuple):
+class ListValidation(NamedTuple):
     """An event for the module (or none) and what was wrong with the list, in words."""
 
     event: api.EndpointListChanged | None
     doubts: list[str]
 
 
-class Roster:
+class EndpointList:
     """The list as the module has been told it."""
 
     def __init__(self, zones: tuple[str, ...]) -> None:
@@ -58,11 +58,11 @@
     def failed(self) -> api.EndpointListChanged:
         return api.EndpointListChanged("unavailable", ())
 
-    def recheck(self, now: int, lost: Callable[[str], bool]) -> Verdict | None:
+    def recheck(self, now: int, lost: Callable[[str], bool]) -> ListValidation | None:
         """Whether entries that are held can go by now; None: none are held."""
         return self.take(now, self.claim, lost) if self.held else None
 
-    def accept(self, now: int, lost: Callable[[str], bool]) -> Verdict | None:
+    def accept(self, now: int, lost: Callable[[str], bool]) -> ListValidation | None:
         """An operator believes the list."""
         self.accepted = True
         return self.recheck(now, lost)
@@ -89,7 +89,7 @@
 
     def take(
         self, now: int, claimed: Iterable[api.EndpointEntry], lost: Callable[[str], bool] = lambda name: False
-    ) -> Verdict:
+    ) -> ListValidation:
         """A whole list from a source, as a `replace` event; nothing where it says what is known.
 
         Args:
@@ -107,12 +107,12 @@
             listed[entry.endpoint] = entry
         if not listed and self.entries:
             doubts.append("the list is empty: taken as a failed source, the kept list stays in force")
-            return Verdict(self.failed(), doubts)
+            return ListValidation(self.failed(), doubts)
         self._hold(now, listed, lost, doubts)
         if self.fresh and listed == self.entries:
-            return Verdict(None, doubts)
+            return ListValidation(None, doubts)
         self.entries, self.fresh = listed, True
-        return Verdict(api.EndpointListChanged("replace", tuple(listed.values())), doubts)
+        return ListValidation(api.EndpointListChanged("replace", tuple(listed.values())), doubts)
 
     def _mend(self, now: int, entry: api.EndpointEntry, doubts: list[str]) -> api.EndpointEntry:
         if entry.started > now:
--- a/damsonpick/state/history/history.py
+++ b/damsonpick/state/history/history.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from damsonpick.state.published_tables import FLEET, ROUTES, Published, slice_unit
+from damsonpick.state.published_tables import FLEET, ROUTES, PublishedTables, slice_unit
 
 Content = dict[str, float]
 State = dict[str, Content]
@@ -48,7 +48,7 @@
     """No such version is kept; the text says which are."""
 
 
-def content(published: Published, unit: str) -> Content:
+def content(published: PublishedTables, unit: str) -> Content:
     """What a unit holds now."""
     if unit == ROUTES:
         return {f"retry {'-' if t is None else t} {k}": float(m) for (t, k), m in published.retries.items() if m}
@@ -91,17 +91,17 @@
             self.versions[version.number] = version
             self.roots[version.root] = version.number
 
-    def begin(self, now: int, published: Published, root: str, cause: str) -> Version:
+    def begin(self, now: int, published: PublishedTables, root: str, cause: str) -> Version:
         """The state at a start. It is a version of its own: what changed since the last one is its difference."""
         self.resume(published)
         return self._add(now, root, cause, "", _difference(self._replayed(), self.state))
 
-    def resume(self, published: Published) -> None:
+    def resume(self, published: PublishedTables) -> None:
         """The newest version is what is published: nothing has changed since."""
         self.state = {unit: content(published, unit) for unit in published.units()}
 
     def add(
-        self, now: int, published: Published, units: Iterable[str], root: str, cause: str, note: str = ""
+        self, now: int, published: PublishedTables, units: Iterable[str], root: str, cause: str, note: str = ""
     ) -> Version | None:
         """The state after a change of some units; None: nothing is different."""
         difference: Difference = {}
--- a/damsonpick/state/history/recorder.py
+++ b/damsonpick/state/history/recorder.py
@@ -11,7 +11,7 @@
 from damsonpick.state.history.digest import Digest
 from damsonpick.state.history.history import History, Version
 from damsonpick.state.history.rollback import Pin
-from damsonpick.state.published_tables import Published
+from damsonpick.state.published_tables import PublishedTables
 
 SECOND = 1_000_000_000
 MOST_PENDING = 1000  # versions that wait for a store that cannot be written
@@ -26,12 +26,12 @@
     def set_pin(self, version: int, until: int, generation: int, levels: bool) -> None: ...
 
 
-class Keeper:
+class HistoryRecorder:
     """Args: published; held: versions by unit, of the units named; store; keep, age: retention; log."""
 
     def __init__(
         self,
-        published: Published,
+        published: PublishedTables,
         held: Callable[[Iterable[str]], Mapping[str, str]],
         store: Store,
         keep: int,
--- a/damsonpick/state/load_reports.py
+++ b/damsonpick/state/load_reports.py
@@ -59,7 +59,7 @@
         return round(self.total(0) / rate) if rate > 0 else 0
 
 
-class Evidence:
+class LoadReports:
     """Reports since the last flush.
 
     Args:
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -35,7 +35,7 @@
         return sum(map(len, self.lines.values()))
 
 
-class Published:
+class PublishedTables:
     """Tables by slice, levels and retry modes by class, endpoints withdrawn."""
 
     def __init__(self, classes: tuple[str, ...], slices: int) -> None:
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -11,7 +11,7 @@
 from damsonpick.protocols.sasp.layout import Group, LbFlag, MembersOf, Register, Sender, SendWeights, WeightsOf, member
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.proxy.received_state import Table
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
 from damsonpick.testing.fakes.record import Recorder
@@ -42,24 +42,24 @@
 
     async def follow(self) -> None:
         """Keep a session with the pilot, for ever; what was advised last stays in force meanwhile."""
-        redial = Redial(self.rng, 0.1, 1.0)
+        backoff = Backoff(self.rng, 0.1, 1.0)
         while True:
             address = self.dial()
             if address and self.links.to_pilot(self.name, self.zone):
                 try:
-                    await self._session(address, redial)
+                    await self._session(address, backoff)
                 except* LOST:
                     pass
-            await anyio.sleep(redial.failed() / self.clock.rate)
+            await anyio.sleep(backoff.failed() / self.clock.rate)
 
-    async def _session(self, address: str, redial: Redial) -> None:
+    async def _session(self, address: str, backoff: Backoff) -> None:
         pushes, receive = anyio.create_memory_object_stream[SendWeights](1000)
         up = False
         try:
             async with connect(address, self.name.encode(), pushes.send_nowait) as client:
                 await self._register(client)
                 first = (await client.weights()).groups
-                redial.succeeded()
+                backoff.succeeded()
                 up = True
                 self.record.put("stream", gw=self.name, up=True, zone=self.zone, fresh=not self.seen)
                 self.seen = True
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -13,7 +13,7 @@
 from damsonpick.protocols.xds.names import EDS, slice_of
 from damsonpick.proxy.received_state import Holdings
 from damsonpick.proxy.watch_client import Follower
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.testing.fakes import http
 from damsonpick.testing.fakes.picking import Picker
@@ -95,7 +95,7 @@
             lambda: [address] if (address := dial()) else [],
             self.holdings,
             clock,
-            Redial(rng, 0.1, 1.0),
+            Backoff(rng, 0.1, 1.0),
             self._took,
             self._sums,
             self._said,
--- a/fuzz/edge_messages.py
+++ b/fuzz/edge_messages.py
@@ -90,10 +90,10 @@
 
 
 def listed(pieces: list[bytes]) -> list[object]:
-    roster, events = discovery.Roster(discovery.EMPTY), []
+    endpoint_list, events = discovery.EndpointList(discovery.EMPTY), []
     for line in watched(pieces):
         try:
-            events.append(roster.take(discovery.decode(line), 0))
+            events.append(endpoint_list.take(discovery.decode(line), 0))
         except discovery.ListingError:
             break
     return events
--- a/fuzz/sasp_messages.py
+++ b/fuzz/sasp_messages.py
@@ -18,14 +18,14 @@
 from damsonpick.protocols.sasp.session import Desk, SaspSession
 from damsonpick.protocols.sasp.weights import Known
 from damsonpick.protocols.shared.session import Due
-from damsonpick.state.published_tables import Published
+from damsonpick.state.published_tables import PublishedTables
 
 NOW = 10**18
 LARGEST = 4096  # bytes of a frame here
 
 
 def session() -> SaspSession:
-    published = Published(("page",), 2)
+    published = PublishedTables(("page",), 2)
     published.restore(0, {"10.0.0.1:80": 1.0})
     published.restore(1, {"10.0.0.2:80": 2.0})
     registry = Registry(Limits(20, 50), lambda name: None if name == b"no" else "fleet", lambda lb: "state")
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -7,7 +7,7 @@
 from damsonpick import interface as api
 from damsonpick.cli import main as cli
 from damsonpick.decisions.planner import Planner
-from damsonpick.state.published_tables import Published
+from damsonpick.state.published_tables import PublishedTables
 
 
 def deaf_to_drains() -> None:
@@ -32,7 +32,7 @@
                     change.lines.setdefault(f"slice/{number}", set()).add(name)
         return change
 
-    real, Published.apply = Published.apply, apply
+    real, PublishedTables.apply = PublishedTables.apply, apply
 
 
 def retrying() -> None:
@@ -41,7 +41,7 @@
     def apply(self, orders):
         return real(self, [o._replace(retry=3) if isinstance(o, api.SetAdmission) else o for o in orders])
 
-    real, Published.apply = Published.apply, apply
+    real, PublishedTables.apply = PublishedTables.apply, apply
 
 
 def reckless() -> None:
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -11,7 +11,7 @@
 
 from damsonpick.proxy.received_state import Holdings
 from damsonpick.proxy.watch_client import Follower
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from tests.pilots import Pilot
 
@@ -37,7 +37,7 @@
             pilots,
             self.holdings,
             Clock(),
-            Redial(random.Random(name), 0.02, 0.2),
+            Backoff(random.Random(name), 0.02, 0.2),
             lambda *a: None,
             lambda: {},
             self._said,
--- a/tests/test_edge_crossings.py
+++ b/tests/test_edge_crossings.py
@@ -388,7 +388,7 @@
                     raise RuntimeError("orders lost")
 
             made.calls.push = fails
-            made.roster.take(
+            made.endpoint_list.take(
                 discovery.decode(b'{"version":1,"full":true,"servers":[{"id":"p","zone":"a","state":"Ready"}]}'), 0
             )
             first = Standing()
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -423,27 +423,35 @@
 
 
 def test_lists_bind_at_once_and_spoilt_entries_cost_only_themselves():
-    roster = discovery.Roster(listing(3, True, server("p"), server("q"), server("r")))
-    event = roster.take(listing(5, True, server("p"), server("q", state="Odd")), 0)
+    endpoint_list = discovery.EndpointList(listing(3, True, server("p"), server("q"), server("r")))
+    event = endpoint_list.take(listing(5, True, server("p"), server("q", state="Odd")), 0)
     assert event.kind == "replace" and {e.endpoint for e in event.entries} == {"p", "q"}
-    event = roster.take(listing(6, False, server("p", "Gone"), server("s", started_ms=7)), 0)
-    assert event.kind == "update" and set(roster.entries) == {"q", "s"} and roster.entries["s"].started == 7_000_000
+    event = endpoint_list.take(listing(6, False, server("p", "Gone"), server("s", started_ms=7)), 0)
+    assert (
+        event.kind == "update"
+        and set(endpoint_list.entries) == {"q", "s"}
+        and endpoint_list.entries["s"].started == 7_000_000
+    )
 
 
 def test_an_older_copy_of_the_list_brings_nothing_back_unless_no_newer_one_comes():
     second = 1_000_000_000
-    roster = discovery.Roster(listing(3, True, server("p"), server("q")), 10 * second)
-    roster.take(listing(6, False, server("p", "Gone"), server("q", "Terminating")), 0)
+    endpoint_list = discovery.EndpointList(listing(3, True, server("p"), server("q")), 10 * second)
+    endpoint_list.take(listing(6, False, server("p", "Gone"), server("q", "Terminating")), 0)
     for made in (listing(3, True, server("p"), server("q")), listing(5, False, server("p"))):
-        assert roster.take(made, second) is None
-    assert roster.entries["q"].state == "terminating" and "p" not in roster.entries and roster.since() == 6
-    assert roster.take(listing(6, True, server("q", "Terminating")), 8 * second).kind == "replace"
-    assert roster.take(listing(4, False), 9 * second) is None  # the patience begins anew
+        assert endpoint_list.take(made, second) is None
+    assert (
+        endpoint_list.entries["q"].state == "terminating"
+        and "p" not in endpoint_list.entries
+        and endpoint_list.since() == 6
+    )
+    assert endpoint_list.take(listing(6, True, server("q", "Terminating")), 8 * second).kind == "replace"
+    assert endpoint_list.take(listing(4, False), 9 * second) is None  # the patience begins anew
     with pytest.raises(discovery.ListingError, match="version 4 after 6"):
-        roster.take(listing(4, False), 19 * second)
-    assert roster.since() == 0
-    assert roster.take(listing(2, True, server("p")), 20 * second).kind == "replace"
-    assert roster.version == roster.since() == 2 and set(roster.entries) == {"p"}
+        endpoint_list.take(listing(4, False), 19 * second)
+    assert endpoint_list.since() == 0
+    assert endpoint_list.take(listing(2, True, server("p")), 20 * second).kind == "replace"
+    assert endpoint_list.version == endpoint_list.since() == 2 and set(endpoint_list.entries) == {"p"}
 
 
 VERSIONS = st.lists(st.tuples(st.integers(1, 9), st.booleans()), max_size=12)
@@ -453,7 +461,7 @@
 def test_whole_and_partial_lists_in_any_order_end_at_the_newest(steps):
     """Two watches interleave while discovery moves: each tells in its order, and neither undoes the other."""
     states = {v: {f"s{k}": ("Ready" if k > v else "Terminating") for k in range(10)} for v in range(10)}
-    roster = discovery.Roster(listing(1, True, *(server(n, s) for n, s in states[1].items())))
+    endpoint_list = discovery.EndpointList(listing(1, True, *(server(n, s) for n, s in states[1].items())))
     for version, full in steps:
         if full:
             made = listing(version, True, *(server(n, s) for n, s in states[version].items()))
@@ -461,13 +469,16 @@
             made = listing(
                 version,
                 False,
-                *(server(f"s{k}", states[version][f"s{k}"]) for k in range(min(version, roster.version), version + 1)),
+                *(
+                    server(f"s{k}", states[version][f"s{k}"])
+                    for k in range(min(version, endpoint_list.version), version + 1)
+                ),
             )
-        before = roster.version
-        event = roster.take(made, 0)
-        assert (event is None) == (version < before) and roster.version == max(before, version)
-        assert {n: e.state == "terminating" for n, e in roster.entries.items()} == {
-            n: s == "Terminating" for n, s in states[roster.version].items()
+        before = endpoint_list.version
+        event = endpoint_list.take(made, 0)
+        assert (event is None) == (version < before) and endpoint_list.version == max(before, version)
+        assert {n: e.state == "terminating" for n, e in endpoint_list.entries.items()} == {
+            n: s == "Terminating" for n, s in states[endpoint_list.version].items()
         }
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,12 +12,12 @@
 from damsonpick.controller.engine import Engine
 from damsonpick.decisions.planner import Planner
 from damsonpick.protocols.shared.send_queue import Channel
-from damsonpick.protocols.shared.session_manager import Hub
+from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.protocols.xds.resources import Catalogue
 from damsonpick.protocols.xds.session import DeltaSession
 from damsonpick.settings import load
-from damsonpick.state.endpoint_list.validation import Roster
-from damsonpick.state.published_tables import Published, slice_unit
+from damsonpick.state.endpoint_list.validation import EndpointList
+from damsonpick.state.published_tables import PublishedTables, slice_unit
 from damsonpick.state.store.sqlite import Store
 from tests.pilots import SETTINGS, Pilot, until
 from tests.test_xds_hard_cases import SLICES, drained, served
@@ -46,20 +46,22 @@
         (folder / "pilot.ini").write_text(SETTINGS.format(slices=6, rate=0))
         self.settings = load(folder / "pilot.ini")
         self.store = Store(folder / "t.db", 6)
-        self.published = Published(("page", "tally"), 6)
+        self.published = PublishedTables(("page", "tally"), 6)
         self.catalogue = Catalogue(self.published, self.settings, lambda n: "a")
-        self.hub = Hub(self.published, self.catalogue, Channel(0, 8, 1e9), self.store.gateway)
-        self.roster = Roster(("a", "b"))
+        self.session_manager = SessionManager(self.published, self.catalogue, Channel(0, 8, 1e9), self.store.gateway)
+        self.endpoint_list = EndpointList(("a", "b"))
         self.log = structlog.testing.LogCapture()
         log = structlog.wrap_logger(None, processors=[self.log])
-        self.engine = Engine(self.settings, self.store, self.published, self.hub, self.roster, log, make)
+        self.engine = Engine(
+            self.settings, self.store, self.published, self.session_manager, self.endpoint_list, log, make
+        )
         self.now = NOW
         self.engine.start(NOW)
         self.list("in_service", "in_service", "in_service")
 
     def list(self, *states):
         entries = [api.EndpointEntry(f"127.0.0.1:{9001 + k}", "a", s, 1.0, 0) for k, s in enumerate(states)]
-        verdict = self.roster.take(self.now, entries)
+        verdict = self.endpoint_list.take(self.now, entries)
         if verdict.event:
             self.engine.tell(verdict.event)
 
@@ -72,19 +74,19 @@
         )
         request.node.id = node
         session.receive(self.now, request)
-        self.hub.join(self.now, session)
+        self.session_manager.join(self.now, session)
         return session
 
     def run(self, seconds, step=SECOND // 10):
         end = self.now + int(seconds * SECOND)
         while self.now < end:
             self.engine.step(self.now)
-            self.hub.pump(self.now)
-            for session in list(self.hub.by):
+            self.session_manager.pump(self.now)
+            for session in list(self.session_manager.by):
                 while (response := session.compose(self.now)) is not None:
                     self.acknowledge(session, response)
-                self.hub.review(session)
-                self.hub.settle(self.now, session)
+                self.session_manager.review(session)
+                self.session_manager.settle(self.now, session)
             self.now += step
 
     def acknowledge(self, session, response):
@@ -105,7 +107,7 @@
     session = world.join()
     world.run(1)
     assert world.open() and world.store.tables() == world.published.tables
-    assert world.hub.by[session].session is session and world.engine.planner.flow_control.last_token
+    assert world.session_manager.by[session].session is session and world.engine.planner.flow_control.last_token
     assert not world.engine.planner.flow_control.in_flight, "every mark was answered"
 
 
@@ -195,7 +197,7 @@
 
 
 def test_orders_that_change_nothing_cost_nothing():
-    published = Published(("page",), 2)
+    published = PublishedTables(("page",), 2)
     line = api.SetEntry(0, "x:1", 1.0)
     assert published.apply([line]).cost() == 1 and published.apply([line]).cost() == 0
     assert published.apply([api.SetWithdrawn("x:1", False), api.SetAdmission(None, (), 1.0, 0)]).cost() == 0
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -300,9 +300,9 @@
 def filled():
     from damsonpick import interface as api
     from damsonpick.protocols.xds.resources import Catalogue
-    from damsonpick.state.published_tables import Published
+    from damsonpick.state.published_tables import PublishedTables
 
-    published = Published(("page",), 2)
+    published = PublishedTables(("page",), 2)
     published.apply([api.SetEntry(0, "127.0.0.1:1", 1.0), api.SetEntry(1, "127.0.0.1:2", 2.0)])
     catalogue = Catalogue.__new__(Catalogue)
     catalogue.published, catalogue.zone_of = published, lambda n: "a"
--- a/tests/test_roster_evidence_store.py
+++ b/tests/test_roster_evidence_store.py
@@ -14,8 +14,8 @@
 from damsonpick import interface as api
 from damsonpick.protocols import list_file
 from damsonpick.protocols.xds import endpoint_list_client, load_stats
-from damsonpick.state.endpoint_list.validation import Roster
-from damsonpick.state.load_reports import EndpointSum, Evidence, GatewaySums, SliceSum
+from damsonpick.state.endpoint_list.validation import EndpointList
+from damsonpick.state.load_reports import EndpointSum, GatewaySums, LoadReports, SliceSum
 from damsonpick.state.store.sqlite import Store, StoreError
 
 SECOND = 1_000_000_000
@@ -27,28 +27,28 @@
 
 
 def test_contradictory_entries_take_the_safer_state():
-    verdict = Roster(("a",)).take(NOW, [entry("x"), entry("x", "terminating"), entry("x"), entry("y")])
+    verdict = EndpointList(("a",)).take(NOW, [entry("x"), entry("x", "terminating"), entry("x"), entry("y")])
     assert {e.endpoint: e.state for e in verdict.event.entries} == {"x": "terminating", "y": "in_service"}
     assert "twice" in verdict.doubts[0]
 
 
 def test_an_empty_list_after_a_full_one_is_a_failed_source():
-    roster = Roster(("a",))
-    roster.take(NOW, [entry("x")])
-    verdict = roster.take(NOW, [])
-    assert verdict.event.kind == "unavailable" and "x" in roster.entries
-    assert roster.take(NOW, [entry("x", "terminating")]).event.kind == "replace"
+    endpoint_list = EndpointList(("a",))
+    endpoint_list.take(NOW, [entry("x")])
+    verdict = endpoint_list.take(NOW, [])
+    assert verdict.event.kind == "unavailable" and "x" in endpoint_list.entries
+    assert endpoint_list.take(NOW, [entry("x", "terminating")]).event.kind == "replace"
 
 
 def test_a_start_in_the_future_is_the_moment_it_was_first_seen():
-    roster = Roster(("a",))
-    first = roster.take(NOW, [entry("x", started=NOW + 5 * SECOND)]).event.entries[0]
-    again = roster.take(NOW + SECOND, [entry("x", started=NOW + 5 * SECOND)])
+    endpoint_list = EndpointList(("a",))
+    first = endpoint_list.take(NOW, [entry("x", started=NOW + 5 * SECOND)]).event.entries[0]
+    again = endpoint_list.take(NOW + SECOND, [entry("x", started=NOW + 5 * SECOND)])
     assert first.started == NOW and again.event is None, "and it does not start anew with each list"
 
 
 def test_odd_weight_state_and_zone_are_doubted_not_believed():
-    verdict = Roster(("a",)).take(NOW, [entry("x", "asleep", "mars", -3.0)])
+    verdict = EndpointList(("a",)).take(NOW, [entry("x", "asleep", "mars", -3.0)])
     assert verdict.event.entries[0] == entry("x", "terminating", "mars", 1.0) and len(verdict.doubts) == 3
 
 
@@ -80,8 +80,8 @@
 # -- sums
 
 
-def evidence():
-    made = Evidence(("page",), 4, SECOND, 10 * SECOND)
+def load_reports():
+    made = LoadReports(("page",), 4, SECOND, 10 * SECOND)
     made.known = {"s:1", "s:2"}
     return made
 
@@ -97,7 +97,7 @@
 
 
 def test_sums_of_a_zone_add_up_as_rates():
-    made = evidence()
+    made = load_reports()
     for g in (0, 1):
         made.join(NOW, g)
     assert made.hear(NOW, sums(0)) == [] and made.hear(NOW, sums(1, tries=20, failures=2, answered=18)) == []
@@ -109,7 +109,7 @@
 
 
 def test_a_repeated_sum_is_dropped_and_a_late_one_counts_with_its_time():
-    made = evidence()
+    made = load_reports()
     made.join(NOW, 0)
     assert made.hear(NOW, sums()) == []
     assert "more time than has passed" in made.hear(NOW, sums())[0]
@@ -122,7 +122,7 @@
 
 
 def test_late_batches_that_come_at_once_all_count():
-    made = evidence()
+    made = load_reports()
     made.join(NOW, 0)
     assert not any(made.hear(NOW + 6 * SECOND, sums()) for _ in range(6))
     report = made.flush()[0]
@@ -131,11 +131,11 @@
 
 @pytest.mark.parametrize("period", [0, -5, 11 * SECOND, 1 << 70])
 def test_a_sum_over_no_time_or_too_much_is_dropped(period):
-    assert "dropped" in evidence().hear(NOW, sums(period=period))[0]
+    assert "dropped" in load_reports().hear(NOW, sums(period=period))[0]
 
 
 def test_a_sum_that_contradicts_itself_is_cut_to_what_can_be():
-    made = evidence()
+    made = load_reports()
     made.join(NOW, 0)
     assert "cut" in made.hear(NOW, sums(tries=3, failures=9, answered=7))[0]
     report = made.flush()[0]
@@ -143,7 +143,7 @@
 
 
 def test_strangers_in_a_sum_are_dropped():
-    made = evidence()
+    made = load_reports()
     made.join(NOW, 0)
     odd = GatewaySums(0, "a", SECOND, (EndpointSum("who:1", 1, 0, 1, 1),), (SliceSum(99, "page", 1, 0),))
     assert len(made.hear(NOW, odd)) == 2 and made.flush() == []
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -41,7 +41,7 @@
 from damsonpick.protocols.sasp.session import Desk, SaspSession
 from damsonpick.protocols.sasp.weights import Advice, Known
 from damsonpick.protocols.shared.session import Due
-from damsonpick.state.published_tables import Published
+from damsonpick.state.published_tables import PublishedTables
 from fuzz import sasp_messages
 
 SECOND = 1_000_000_000
@@ -326,7 +326,7 @@
 
 
 def published():
-    made = Published(("page",), 3)
+    made = PublishedTables(("page",), 3)
     for n, lines in enumerate(({"p": 1.0, "q": 3.0}, {"q": 1.0}, {"r": 1.0})):
         made.restore(n, lines)
     return made
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -24,7 +24,7 @@
 from damsonpick.solver.model import Costs, Kind, Problem, Server
 from damsonpick.solver.plan import keep, normal, plan
 from damsonpick.solver.program import SHORT_PENALTY, Program, ceiling, patience
-from damsonpick.state.load_reports import EndpointSum, Evidence, GatewaySums, SliceSum
+from damsonpick.state.load_reports import EndpointSum, GatewaySums, LoadReports, SliceSum
 from tests.pilots import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -333,7 +333,7 @@
 # -- through the module
 
 
-class Loop:
+class DecisionLoop:
     """The module and the advisor on a fleet that answers as its true speeds let it."""
 
     def __init__(self, tmp_path, speeds, rate, seed=1, late=(1.0, 3.0), noise=0.3):
@@ -419,7 +419,7 @@
 
 def test_weights_settle_and_do_not_swing(tmp_path):
     """Reports 1 to 3 s late, noise 0.3: once settled, the mean part of the weight that moves in a round."""
-    loop = Loop(tmp_path, [1.0, 1.0, 0.5, 1.5, 1.0, 0.8, 1.2, 1.0], rate=12.0)
+    loop = DecisionLoop(tmp_path, [1.0, 1.0, 0.5, 1.5, 1.0, 0.8, 1.2, 1.0], rate=12.0)
     loop.run(90)
     tail = loop.moved[-20:]
     assert sum(tail) / len(tail) < 0.03 and max(tail) < 0.10, tail
@@ -430,7 +430,7 @@
 def test_a_server_that_misreports_its_load_as_low_is_not_poured_onto(tmp_path):
     """It answers four times slower and says it is idle. Its answers count: within a report period nothing more
     goes there, and then it loses."""
-    loop = Loop(tmp_path, [1.0] * 8, rate=12.0, noise=0.1)
+    loop = DecisionLoop(tmp_path, [1.0] * 8, rate=12.0, noise=0.1)
     loop.run(30)
     liar = next(iter(loop.zones))
     share = [sum(t.get(liar, 0) / sum(t.values()) for t in loop.tables.values()) / 4]
@@ -453,7 +453,7 @@
 
 
 def test_a_barred_server_has_no_line_and_a_cold_one_its_part(tmp_path):
-    loop = Loop(tmp_path, [1.0] * 6, rate=10.0)
+    loop = DecisionLoop(tmp_path, [1.0] * 6, rate=10.0)
     loop.run(20)
     one, two = list(loop.zones)[:2]
     loop.states[one] = "terminating"
@@ -471,18 +471,18 @@
 
 
 def test_stale_and_contradictory_reports_do_no_harm(tmp_path):
-    loop = Loop(tmp_path, [1.0] * 4, rate=6.0)
+    loop = DecisionLoop(tmp_path, [1.0] * 4, rate=6.0)
     loop.run(10)
     name = next(iter(loop.zones))
-    evidence = Evidence(("page", "tally"), 4, SECOND, 10 * SECOND)
-    evidence.known = set(loop.zones)
+    load_reports = LoadReports(("page", "tally"), 4, SECOND, 10 * SECOND)
+    load_reports.known = set(loop.zones)
     for g, (tries, bad) in enumerate(((5, 50), (0, 0), (10**15, 3))):
-        evidence.join(loop.now, g)
-        evidence.hear(
+        load_reports.join(loop.now, g)
+        load_reports.hear(
             loop.now,
             GatewaySums(g, "a", SECOND, (EndpointSum(name, tries, bad, 9, -3),), (SliceSum(0, "page", 10**15, 0),)),
         )
-    loop.tell(*evidence.flush())
+    loop.tell(*load_reports.flush())
     made = plan(loop.program, loop.advisor.problem(loop.planner))
     assert made.status == "optimal" and all(math.isfinite(w) for t in made.weights.values() for _, w in t)
     loop.run(15)
@@ -490,7 +490,7 @@
 
 
 def test_failures_of_the_solver_leave_the_last_weights_and_tries_grow_rarer(tmp_path):
-    loop = Loop(tmp_path, [1.0] * 4, rate=6.0)
+    loop = DecisionLoop(tmp_path, [1.0] * 4, rate=6.0)
     loop.run(10)
     told, gaps = dict(loop.advisor.told), []
     for _ in range(6):
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -7,10 +7,10 @@
 import pytest
 
 from damsonpick import interface as api
-from damsonpick.runtime.backoff import Redial
+from damsonpick.runtime.backoff import Backoff
 from damsonpick.state.endpoint_list import validation
 from damsonpick.state.endpoint_list.sources import HOLD, PATIENCE, STEADY, Budget, Sources
-from damsonpick.state.endpoint_list.validation import Roster
+from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.learned import list_confidence, restore
 from damsonpick.state.learned.list_confidence import FRESH, OLD, SMALL, TRIAL, Kept, Trust
 from damsonpick.state.learned.snapshot import Fleet, Moment, Server, Snapshot
@@ -130,8 +130,8 @@
 # -- a list from which much vanished
 
 
-def roster(count=10):
-    made = Roster(("a",))
+def endpoint_list(count=10):
+    made = EndpointList(("a",))
     made.take(NOW, [entry(f"s{k}") for k in range(count)])
     return made
 
@@ -141,7 +141,7 @@
 
 
 def test_a_list_that_returns_half_empty_is_held_until_it_has_said_so_for_a_while():
-    made = roster()
+    made = endpoint_list()
     verdict = made.take(NOW, some(0, 1, 2, 3))
     assert len(made.entries) == 10 and verdict.event is None and "list accept" in verdict.doubts[0]
     assert made.recheck(NOW + validation.CONFIRM - 1, lambda n: False).event is None
@@ -150,7 +150,7 @@
 
 
 def test_a_list_that_is_whole_again_ends_the_doubt():
-    made = roster()
+    made = endpoint_list()
     made.take(NOW, some(0, 1, 2, 3))
     made.take(NOW + SECOND, some(*range(10)))
     made.take(NOW + validation.CONFIRM, some(0, 1, 2, 3))
@@ -158,26 +158,26 @@
 
 
 def test_what_fails_goes_at_once_and_the_rest_is_held():
-    made = roster()
+    made = endpoint_list()
     made.take(NOW, some(0, 1, 2, 3))
     verdict = made.recheck(NOW + SECOND, lambda n: n in ("s8", "s9"))
     assert {e.endpoint for e in verdict.event.entries} == {f"s{k}" for k in range(8)}
 
 
 def test_an_operator_lets_them_go():
-    made = roster()
+    made = endpoint_list()
     made.take(NOW, some(0, 1, 2, 3))
     assert len(made.accept(NOW, lambda n: False).event.entries) == 4
     assert made.accept(NOW, lambda n: False) is None
 
 
 def test_states_that_are_stated_bind_however_many_and_a_few_may_vanish():
-    made = roster()
+    made = endpoint_list()
     verdict = made.take(NOW, [entry(f"s{k}", "terminating" if k else "in_service") for k in range(10)])
     assert sum(e.state == "terminating" for e in verdict.event.entries) == 9
-    made = roster()
+    made = endpoint_list()
     assert len(made.take(NOW, some(*range(4, 10))).event.entries) == 6, "four of ten: as told"
-    made = roster(3)
+    made = endpoint_list(3)
     assert len(made.take(NOW, some(0)).event.entries) == 1, "two are too few to be a sign"
 
 
@@ -235,13 +235,13 @@
 def test_a_source_that_hangs_up_at_once_is_called_within_its_budget():
     budget, now, calls = Budget(20, 60 * SECOND), NOW, []
     rng = random.Random(1)
-    redial = Redial(rng)
+    backoff = Backoff(rng)
     while now < NOW + 600 * SECOND:
         now += budget.wait(now)
         budget.spend(now)
         calls.append(now)
-        redial.succeeded()
-        now += int(redial.failed() * SECOND)
+        backoff.succeeded()
+        now += int(backoff.failed() * SECOND)
     assert len(calls) <= 20 * 11
     assert all(b - a >= 60 * SECOND for a, b in zip(calls, calls[20:], strict=False))
 
@@ -251,9 +251,9 @@
     """Each pilot lost it at the same moment and dials on its own; it is back after 60 s."""
     arrivals = []
     for k in range(pilots):
-        redial, now = Redial(random.Random(k)), 0.0
+        backoff, now = Backoff(random.Random(k)), 0.0
         while now < 60:
-            now += redial.failed()
+            now += backoff.failed()
         arrivals.append(now - 60)
     most = max(sum(t <= a < t + 0.25 for a in arrivals) for t in (k / 4 for k in range(24)))
     assert most < pilots * 0.2, "no quarter of a second sees a fifth of them"
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -16,9 +16,9 @@
 from damsonpick.state.history.database import VersionStore
 from damsonpick.state.history.digest import RANGES, Digest, range_of, within
 from damsonpick.state.history.history import History, UnknownVersion, content, lines
-from damsonpick.state.history.recorder import Keeper
+from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.history.rollback import Pin
-from damsonpick.state.published_tables import Published
+from damsonpick.state.published_tables import PublishedTables
 
 SECOND = 1_000_000_000
 LOG = structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()])
@@ -30,7 +30,7 @@
 
 def grown(steps, keep=1000, age=10**18, slices=4):
     """A history of some steps of orders; returns it with every state on the way."""
-    published, history = Published(("page",), slices), History(keep, age)
+    published, history = PublishedTables(("page",), slices), History(keep, age)
     history.begin(0, published, "r0", "restart")
     states = {1: {u: dict(k) for u, k in history.state.items()}}
     for k, orders in enumerate(steps, 1):
@@ -110,17 +110,17 @@
         history.find("2")
     assert history.prune(10**6 * SECOND) == 11, "the newest is always kept"
     _, back, _ = grown([[order(0, "a", 1.0)]])
-    newer = back.begin(-5, Published(("page",), 4), "x", "restart")
+    newer = back.begin(-5, PublishedTables(("page",), 4), "x", "restart")
     assert newer.at == back.versions[2].at, "a clock set back makes no version older than the one before"
 
 
 # -- store
 
 
-def keeper(path, published=None, held=None, keep=100):
-    published = published or Published(("page",), 4)
+def recorder(path, published=None, held=None, keep=100):
+    published = published or PublishedTables(("page",), 4)
     versions = held if held is not None else {}
-    made = Keeper(
+    made = HistoryRecorder(
         published, lambda units: {u: versions[u] for u in units if u in versions}, VersionStore(path), keep, 10**18, LOG
     )
     return made, published, versions
@@ -133,14 +133,14 @@
 
 
 def test_a_history_outlives_its_pilot_and_goes_on(tmp_path):
-    made, published, versions = keeper(tmp_path / "v.db")
+    made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
     for k in range(20):
         step(made, published, versions, k)
     made.set_pin(5, 10**15, True)
     root, state = made.digest.root(), made.history.at(7)
     made.store.close()
-    again, _, _ = keeper(tmp_path / "v.db", published, versions)
+    again, _, _ = recorder(tmp_path / "v.db", published, versions)
     again.start(30 * SECOND)
     assert again.digest.root() == root and again.history.newest().root == root
     assert again.history.at(7) == state and again.pin.version == 5 and again.pin.holds(0)
@@ -148,7 +148,7 @@
 
 
 def test_a_store_cut_at_every_byte_of_its_last_record_leaves_the_old_or_the_new(tmp_path):
-    made, published, versions = keeper(tmp_path / "v.db")
+    made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
     step(made, published, versions, 0)
     wal = tmp_path / "v.db-wal"
@@ -171,7 +171,7 @@
 
 
 def test_a_damaged_row_is_left_out_with_all_that_is_older(tmp_path):
-    made, published, versions = keeper(tmp_path / "v.db")
+    made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
     for k in range(6):
         step(made, published, versions, k)
@@ -183,7 +183,7 @@
 
 
 def test_a_full_disk_is_said_and_made_up_for(tmp_path):
-    made, published, versions = keeper(tmp_path / "v.db")
+    made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
     real, made.store.append = made.store.append, lambda *a: (_ for _ in ()).throw(OSError("disk full"))
     for k in range(3):
@@ -228,7 +228,7 @@
     tables = {k: table() for k in range(4)}
     target = {f"slice/{k}": {f"line {n}": w for n, w in table().items()} for k in range(4)}
     made = rollback.plan(target, tables, barred.__contains__, cold.__contains__)
-    published = Published(("page",), 4)
+    published = PublishedTables(("page",), 4)
     for k, have in tables.items():
         published.restore(k, have)
     published.apply(made.orders)
@@ -289,7 +289,7 @@
 
 
 def test_levels_and_retry_modes_set_back_may_fall_and_not_rise_until_the_pin_ends():
-    published = Published(("page", "tally"), 2)
+    published = PublishedTables(("page", "tally"), 2)
     published.apply([api.SetAdmission(None, (0, 1), 0.5, 1), api.SetAdmission(1, (1,), 0.25, 0)])
     target = {unit: content(published, unit) for unit in published.units()}
     published.apply([api.SetAdmission(None, (0, 1), 1.0, 0), api.SetAdmission(1, (1,), 1.0, 2)])
