--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -17,7 +17,11 @@
 
 
 class RequestClass(NamedTuple):
-    """One kind of request and what it is worth, in the order the settings list them."""
+    """One class of requests; classes keep the order of the settings.
+
+    `latency_objective`, `deadline` and `key_window` are in nanoseconds. `priority_weight` is what a served request of
+    the class is worth beside those of others.
+    """
 
     name: str
     latency_objective: int
@@ -29,7 +33,7 @@
 
 
 class Settings(NamedTuple):
-    """What a planner is told once, at its start."""
+    """What a planner is given once, at its start. Durations are in nanoseconds."""
 
     instance: int
     instances: int
@@ -39,25 +43,25 @@
     proxies: int
     sole_owner: bool
     admission: AdmissionMode
-    subscribe: bool  # the endpoint list must be asked for
-    poll_interval: int
-    channel_rate: float  # lines a second
-    channel_limit: float  # lines that may wait
-    message_overhead: float  # lines added to each message
+    subscribe: bool  # the endpoint list is sent on request only
+    poll_interval: int  # between requests for the endpoint list
+    channel_rate: float  # table entries a second, over all proxies
+    channel_limit: float  # table entries that may wait to be sent
+    message_overhead: float  # entries that each message costs beside its own
     messages_per_window: int  # to one proxy; 0: unlimited
-    message_window: int
-    max_transit: int
-    report_period: int
-    drain_grace: int
-    cold_capacity_share: float
-    warm_up_time: int
-    write_linger: int  # how long a write a proxy took in may stay in hand
-    write_lease: int  # how long a proxy that lost its stream keeps writing
+    message_window: int  # in which `messages_per_window` counts
+    max_transit: int  # longest way of a message to a proxy
+    report_period: int  # between load reports
+    drain_grace: int  # within which no proxy may send to a draining endpoint any more
+    cold_capacity_share: float  # of its warm capacity that a newly started endpoint has
+    warm_up_time: int  # from a start to full capacity
+    write_linger: int  # how long a proxy may hold a write before it forwards it
+    write_lease: int  # how long a proxy that lost its stream goes on writing
     load_fields: tuple[str, ...]
     balancing_policy: BalancingPolicy
 
 
-# ---- events -------------------------------------------------------------------------------------
+# -- events
 
 
 class EndpointEntry(NamedTuple):
@@ -67,21 +71,29 @@
     zone: str
     state: EndpointStatus
     weight: float
-    started: int  # clock time of the last start; 0: long ago
+    started: int  # time of the last start; 0: long ago
 
 
 class EndpointListChanged(NamedTuple):
-    """News of the endpoint list."""
+    """The endpoint list has changed, or could not be had (`unavailable`, without entries).
+
+    `update` names the entries that changed; `replace` is the full list, and endpoints it does not name are gone;
+    `restored` is the list that was kept over a restart and may be old.
+    """
 
     kind: ListChangeKind
     entries: tuple[EndpointEntry, ...]
 
 
 class TimerFired(NamedTuple):
+    """A timer ordered by `SetTimer` is due."""
+
     token: int
 
 
 class ProbeResult(NamedTuple):
+    """The outcome of a health check ordered by `Probe`; latency in nanoseconds."""
+
     endpoint: str
     outcome: str
     latency: int
@@ -89,35 +101,41 @@
 
 
 class PeerMessage(NamedTuple):
+    """A message from another instance of the controller."""
+
     sender: int
     payload: bytes
 
 
 class ProxyJoined(NamedTuple):
+    """A proxy has opened its stream; `rate` is what it reckons to send, in requests a second."""
+
     proxy: int
     zone: str
     rate: float
-    fresh: bool  # holds only its standing tables
+    fresh: bool  # it holds nothing of earlier streams but its persistent tables
 
 
 class ProxyLeft(NamedTuple):
+    """The stream of a proxy has ended."""
+
     proxy: int
 
 
 class EndpointReport(NamedTuple):
-    """What the joined proxies of one zone met at one endpoint during one period."""
+    """A load report: what the joined proxies of one zone met at one endpoint during one period (ns)."""
 
     zone: str
     endpoint: str
     attempts: int
     failures: int
-    latency: int  # mean of the good answers; 0: none
+    latency: int  # ns, mean of the successful answers; 0: there was none
     period: int
-    load: tuple[float, ...]  # empty: no load report
+    load: tuple[float, ...]  # as the endpoint states it; empty: not stated
 
 
 class ProxyDemand(NamedTuple):
-    """Requests of a class that reached one proxy (sites without slices)."""
+    """Requests of a class that reached one proxy during one period (ns), on sites without slices."""
 
     proxy: int
     request_class: str
@@ -127,7 +145,7 @@
 
 
 class SliceDemand(NamedTuple):
-    """Requests of a class that came for one slice."""
+    """Requests of a class that came for one slice during one period (ns)."""
 
     slice: int
     request_class: str
@@ -137,12 +155,14 @@
 
 
 class SliceOwnershipChanged(NamedTuple):
+    """This instance has become the owner of a slice, or is no longer."""
+
     slice: int
     owned: bool
 
 
 class StoredEntry(NamedTuple):
-    """A line of a slice's table as the store holds it."""
+    """An entry of a slice's table as the store holds it; follows the `SliceOwnershipChanged` that gives the slice."""
 
     slice: int
     endpoint: str
@@ -150,7 +170,7 @@
 
 
 class TableAdvised(NamedTuple):
-    """Weights for a table's lines, reckoned outside the module; `whole`: these lines and no others."""
+    """Weights for a table's entries, computed outside the decision package; `complete`: these entries and no others."""
 
     table: int
     entries: tuple[tuple[str, float], ...]
@@ -158,13 +178,16 @@
 
 
 class CapacityAdvised(NamedTuple):
-    """Requests a second that the fleet can answer in time, reckoned outside the module; 0: not known."""
+    """Requests a second that the fleet can answer in time, computed outside the decision package; 0: not known."""
 
     rate: float
 
 
 class EndpointRestored(NamedTuple):
-    """What an earlier life learned of the process that started then, aged. Speed is against the fleet's; 1: usual."""
+    """What an earlier incarnation learned of the endpoint process that started then, aged.
+
+    `capacity_factor` is learned capacity against the fleet's median; 1 is usual.
+    """
 
     endpoint: str
     started: int
@@ -172,7 +195,7 @@
 
 
 class SliceRestored(NamedTuple):
-    """What an earlier life learned of a slice, aged: requests a second by class, warmth by endpoint (0 to 1)."""
+    """What an earlier incarnation learned of a slice, aged: requests a second by class, warmth by endpoint (0 to 1)."""
 
     slice: int
     rates: tuple[float, ...]
@@ -180,10 +203,10 @@
 
 
 class FleetRestored(NamedTuple):
-    """Orders of an earlier life that are in force, and its aged pace.
+    """Orders of an earlier incarnation that are in force, and the throughput it saw, aged.
 
-    `levels` by class and `shut` (withdrawn endpoints) are what proxies hold; `best` answers a second were seen, `pace`
-    of them for each unit of capacity. 0: not known.
+    Proxies hold `levels` by class and the withdrawals. `best_throughput` is in answers a second,
+    `throughput_per_capacity` in answers a second for each unit of capacity; 0: not known.
     """
 
     levels: tuple[float, ...]
@@ -193,14 +216,17 @@
 
 
 class EndpointConfidenceChanged(NamedTuple):
-    """How far a list that may be old is believed in naming an endpoint: 1 as listed, 0 only if no other is left."""
+    """How far an endpoint list that may be stale is believed on one endpoint.
+
+    1: as listed; 0: use it only if no other endpoint is left.
+    """
 
     endpoint: str
     confidence: float
 
 
 class SyncAcknowledged(NamedTuple):
-    """A proxy has applied the message that carried this mark."""
+    """A proxy has applied the message that carried this sync token, `delay` nanoseconds after it was ordered."""
 
     token: int
     proxy: int
@@ -228,11 +254,11 @@
     | SyncAcknowledged
 )
 
-# ---- actions ------------------------------------------------------------------------------------
+# -- actions
 
 
 class SetEntry(NamedTuple):
-    """Give an endpoint this weight in a table; 0 removes the line."""
+    """Give an endpoint this weight in a table; 0 removes its entry."""
 
     table: int
     endpoint: str
@@ -240,11 +266,13 @@
 
 
 class ClearTable(NamedTuple):
+    """Remove every entry of a table."""
+
     table: int
 
 
 class BindTable(NamedTuple):
-    """Put a proxy on a table for some classes; an empty tuple means all classes."""
+    """Let a proxy use a table for some classes; an empty tuple means all classes."""
 
     proxy: int
     table: int
@@ -252,14 +280,17 @@
 
 
 class SetWithdrawn(NamedTuple):
-    """Stop (or let again) joined proxies sending to an endpoint, whatever their tables say."""
+    """Stop joined proxies from sending to an endpoint, whatever their tables say, or end that."""
 
     endpoint: str
     withdrawn: bool
 
 
 class SetAdmission(NamedTuple):
-    """Admission level and retry mode of some classes; table None: all tables of this instance."""
+    """Admission level (share of requests admitted) and retry mode of some classes.
+
+    `table` None: all tables of this instance; `classes` empty: all classes.
+    """
 
     table: int | None
     classes: tuple[int, ...]
@@ -268,33 +299,45 @@
 
 
 class RequestSync(NamedTuple):
+    """Ask proxies to acknowledge all orders before it; `all_proxies`: also those that none of them concerns."""
+
     token: int
     all_proxies: bool
 
 
 class SubscribeEndpointList(NamedTuple):
+    """Start or end the subscription to the endpoint list."""
+
     on: bool
 
 
 class FetchEndpointList(NamedTuple):
-    pass
+    """Ask for the endpoint list once."""
 
 
 class SetTimer(NamedTuple):
+    """Send `TimerFired` with this token after `delay` nanoseconds."""
+
     delay: int
     token: int
 
 
 class Probe(NamedTuple):
+    """Send a health check to an endpoint."""
+
     endpoint: str
 
 
 class SendToPeer(NamedTuple):
+    """Send a message to another instance of the controller."""
+
     to: int | None  # None: every peer
     payload: bytes
 
 
 class Log(NamedTuple):
+    """A line for the log."""
+
     text: str
 
 
