--- a/benchmarks/proxy_faults.py
+++ b/benchmarks/proxy_faults.py
@@ -121,7 +121,7 @@
             ("page", "slice/0"): ("connect-failure,refused-stream,5xx,reset", 2),
             ("write", "slice/0"): ("connect-failure,refused-stream,5xx,reset", 2),
         }
-        proxy._took(EDS, [("slice/0", "1", b"")], [])
+        proxy.apply_resources(EDS, [("slice/0", "1", b"")], [])
         numbers = iter(range(requests))
 
         async def client() -> None:
--- a/benchmarks/proxy_rate.py
+++ b/benchmarks/proxy_rate.py
@@ -111,7 +111,7 @@
     )
     made = Proxy(settings, structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()]), seed=1)
     async with made.running():
-        made._took(EDS, filled(made.router.holdings, ports, slices, lines), [])
+        made.apply_resources(EDS, filled(made.router.holdings, ports, slices, lines), [])
         print(made.port, flush=True)
         await anyio.to_thread.run_sync(sys.stdin.read)
 
--- a/damsonpick/proxy/client.py
+++ b/damsonpick/proxy/client.py
@@ -1,4 +1,4 @@
-"""A client's side of a connection: its requests read as events, its body kept for another try while small."""
+"""A client's connection: its requests are read as events, a body is kept for a retry while it is small."""
 
 from __future__ import annotations
 
@@ -13,73 +13,97 @@
     """The client has closed or stalled; nobody is left to answer."""
 
 
-class Spans(NamedTuple):
-    """Time-outs in s of the machine's own clock."""
+class ClientTimeouts(NamedTuple):
+    """Timeouts in seconds of the machine's own clock."""
 
     head: float
     idle: float
     stall: float
-    connect: float
 
 
 class Client:
-    """Args: stream; limits: of sizes; spans: of times."""
-
-    def __init__(self, stream: Stream, limits: Limits, spans: Spans) -> None:
-        self.stream, self.limits, self.spans = stream, limits, spans
+    """One client connection.
+
+    Args:
+        stream: the open socket.
+        limits: of sizes.
+        timeouts: of waits.
+    """
+
+    def __init__(self, stream: Stream, limits: Limits, timeouts: ClientTimeouts) -> None:
+        self.stream = stream
+        self.limits = limits
+        self.timeouts = timeouts
         self.reader = http.Reader(True, limits.head)
-        self.queue: list[http.Head | http.Body | http.End] = []
-        self.kept: list[http.Body | http.End] = []
-        self.place = 0
-        self.whole, self.ended, self.begun, self.size = True, True, False, 0
         self.address = stream.peer()
+        self.ended = True  # the request was read completely
+        self.begun = False  # part of an answer was sent
+        self.size = 0  # bytes of the body so far
+        self._events: list[http.Head | http.Body | http.End] = []  # read, not yet used
+        self._kept: list[http.Body | http.End] = []  # of the body, for a retry
+        self._position = 0  # in what is kept
+        self._complete = True  # what is kept is the complete body so far
 
     def pending(self) -> bool:
-        return bool(self.queue or self.reader.raw or self.stream.data)
+        """Whether bytes of a further request have come."""
+        return bool(self._events or self.reader.raw or self.stream.data)
 
     def left(self) -> bool:
-        """Whether it has closed and nothing of it is left to read."""
+        """Whether the client has closed and nothing of it is left to read."""
         return (self.stream.eof or self.stream.lost) and not self.stream.data
 
-    async def _fill(self, patience: float) -> bool:
-        """More events; False at the end of the stream."""
-        until = self.stream.time() + patience
-        while not self.queue:
+    async def _read_events(self, timeout_s: float) -> bool:
+        """Read more events; False at the end of the stream."""
+        until = self.stream.time() + timeout_s
+        while not self._events:
             try:
                 data = await self.stream.receive(until)
             except Lost:
                 raise ClientGone from None
             if not data:
                 return False
-            self.queue.extend(self.reader.feed(data))
+            self._events.extend(self.reader.feed(data))
         return True
 
     async def head(self) -> http.Head | None:
-        """The next request, or None at an orderly end."""
+        """The next request, or None at an orderly end.
+
+        Raises:
+            BadMessage: what came is no request.
+            ClientGone: the connection is gone.
+            TimeoutError: nothing came, or the head took too long.
+        """
         while not self.ended:  # what is left of a body that nobody wanted
             await self.next()
-        queue = self.queue
-        if not queue and not await self._fill(self.spans.head if self.reader.raw else self.spans.idle):
-            return None
-        head = queue.pop(0)
-        self.kept, self.place, self.size = [], 0, 0
-        self.whole, self.ended, self.begun = True, False, False
-        if head.length == 0 and queue and isinstance(queue[0], http.End):
-            self.kept.append(queue.pop(0))
+        events = self._events
+        if not events:
+            timeout_s = self.timeouts.head if self.reader.raw else self.timeouts.idle
+            if not await self._read_events(timeout_s):
+                return None
+        head = events.pop(0)
+        self._kept, self._position, self.size = [], 0, 0
+        self._complete, self.ended, self.begun = True, False, False
+        if head.length == 0 and events and isinstance(events[0], http.End):
+            self._kept.append(events.pop(0))
             self.ended = True
         return head
 
     async def next(self) -> http.Body | http.End:
-        """The next part of the body; what was kept is read again after `rewind`."""
-        if self.place < len(self.kept):
-            self.place += 1
-            return self.kept[self.place - 1]
+        """The next part of the body; what was kept is read again after `rewind`.
+
+        Raises:
+            BadMessage: the body is malformed, too large or stalled.
+            ClientGone: the connection is gone.
+        """
+        if self._position < len(self._kept):
+            self._position += 1
+            return self._kept[self._position - 1]
         try:
-            if not await self._fill(self.spans.stall):
+            if not await self._read_events(self.timeouts.stall):
                 raise ClientGone
         except TimeoutError:
             raise http.BadMessage("the body stalled", 408) from None
-        part = self.queue.pop(0)
+        part = self._events.pop(0)
         self._keep(part)
         return part
 
@@ -89,22 +113,32 @@
             if self.size > self.limits.body:
                 raise http.BadMessage(f"the body is over {self.limits.body} bytes", 413)
             if self.size > self.limits.replay:
-                self.whole, self.kept, self.place = False, [], 0
+                self._complete, self._kept, self._position = False, [], 0
         else:
             self.ended = True
-        if self.whole:
-            self.kept.append(part)
-            self.place = len(self.kept)
+        if self._complete:
+            self._kept.append(part)
+            self._position = len(self._kept)
 
     def replayable(self) -> bool:
-        return self.whole
+        """Whether the body can be sent again."""
+        return self._complete
 
     def rewind(self) -> None:
-        self.place = 0
+        """Read the kept body from its start, for a retry."""
+        self._position = 0
+
+    def skip_kept(self) -> None:
+        """What is kept was sent."""
+        self._position = len(self._kept)
 
     async def send(self, data: bytes) -> None:
-        """Bytes to the client, as fast as it takes them, but not for ever."""
+        """Send bytes, as fast as the client takes them, but not for ever.
+
+        Raises:
+            ClientGone: it has closed or takes nothing.
+        """
         try:
-            await self.stream.send(data, self.stream.time() + self.spans.stall)
+            await self.stream.send(data, self.stream.time() + self.timeouts.stall)
         except (Lost, TimeoutError):
             raise ClientGone from None
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -15,7 +15,7 @@
 
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.proxy import table_cache
-from damsonpick.proxy.relay import Relay, nothing
+from damsonpick.proxy.request_handler import RequestHandler, record_nothing
 from damsonpick.proxy.router import Router
 from damsonpick.proxy.settings import ProxySettings
 from damsonpick.proxy.stream import Stream
@@ -24,25 +24,28 @@
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 
-BACKLOG = 1024
-SAVE_AFTER = 1.0  # s of quiet after which changed tables are kept
+LISTEN_BACKLOG = 1024
+SAVE_DELAY_S = 1.0  # after a change; what changes meanwhile is saved with it
+DRAIN_LOOK_S = 0.02
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0  # between connections to the control service
 
 
 class Proxy:
-    """One proxy.
+    """One proxy, from checked settings to open sockets.
 
     Args:
         settings: checked settings.
         log: a structlog logger.
-        said: hears what passes on the sockets.
-        seed: draws.
+        record: called with what passes on the sockets, for rehearsals.
+        seed: of all random draws; None: another each time.
+        delta: whether the delta variant of xDS is spoken.
     """
 
     def __init__(
         self,
         settings: ProxySettings,
         log: Any,
-        said: Callable[..., None] = nothing,
+        record: Callable[..., None] = record_nothing,
         seed: int | str | None = None,
         delta: bool = True,
     ) -> None:
@@ -50,62 +53,77 @@
         own, rng = settings.proxy, random.Random(seed)
         self.clock = Clock(settings.clock_rate)
         self.router = Router(settings, rng)
-        self.relay = Relay(settings, self.router, self.clock, said, log)
+        self.requests = RequestHandler(settings, self.router, self.clock, record, log)
         self.follower = Follower(
             own.name,
             own.zone,
-            self.pilots,
+            self.pilot_addresses,
             self.router.holdings,
             self.clock,
-            Backoff(rng, 0.1, 2.0),
-            self._took,
-            self.relay.sums,
-            said,
+            Backoff(rng, FIRST_BACKOFF_S, MAX_BACKOFF_S),
+            self.apply_resources,
+            self.requests.take_counts,
+            record,
             log,
             delta,
         )
-        self.bodies: dict[str, dict[str, tuple[str, bytes]]] = {CDS: {}, EDS: {}, RDS: {}}
-        self.dirty = anyio.Event()
+        self.resources: dict[str, dict[str, tuple[str, bytes]]] = {
+            CDS: {},
+            EDS: {},
+            RDS: {},
+        }  # type, name: version, body
+        self.unsaved = anyio.Event()
         self.port = 0
 
-    def pilots(self) -> list[str]:
+    def pilot_addresses(self) -> list[str]:
+        """Addresses of the control service to try now, in order."""
         own = self.settings.proxy
         if own.port_file is None:
             return list(own.pilots)
-        return [address] if (address := port_files.address(own.port_file)) else []
+        address = port_files.address(own.port_file)
+        return [address] if address else []
 
-    def kept(self) -> Path | None:
+    def cache_path(self) -> Path | None:
+        """The file that keeps the last good tables, if there is a folder for it."""
         state = self.settings.proxy.state
         return state / f"{self.settings.proxy.name}.tables" if state else None
 
-    def _took(self, kind: str, resources: list[tuple[str, str, bytes]], removed: list[str]) -> None:
+    def apply_resources(self, type_url: str, resources: list[tuple[str, str, bytes]], removed: list[str]) -> None:
+        """Put received resources into service.
+
+        Args:
+            type_url: xDS type of all of them.
+            resources: name, version and serialized body.
+            removed: names of those that are gone.
+        """
         for name, version, body in resources:
-            self.bodies[kind][name] = (version, body)
+            self.resources[type_url][name] = (version, body)
         for name in removed:
-            self.bodies[kind].pop(name, None)
-        self.relay.took(kind, resources, removed)
-        self.dirty.set()
+            self.resources[type_url].pop(name, None)
+        changed = [name for name, *_ in resources] + removed
+        self.requests.apply_tables(type_url, changed)
+        self.unsaved.set()
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[TaskGroup]:
-        """Serves while the block runs."""
+        """Serve while the block runs."""
         self._restore()
         host, _, port = self.settings.proxy.listen.rpartition(":")
         async with anyio.create_task_group() as group:
 
-            def made(stream: Stream) -> None:
-                group.start_soon(self.relay.serve, stream)
+            def connected(stream: Stream) -> None:
+                group.start_soon(self.requests.serve, stream)
 
             listener = await asyncio.get_running_loop().create_server(
-                lambda: Stream(made), host.strip("[]"), int(port), backlog=BACKLOG
+                lambda: Stream(connected), host.strip("[]"), int(port), backlog=LISTEN_BACKLOG
             )
             self.port = listener.sockets[0].getsockname()[1]
             self.log.info(
                 "proxy_started", name=self.settings.proxy.name, port=self.port, tables=len(self.router.holdings.tables)
             )
             group.start_soon(self.follower.run)
-            group.start_soon(self.relay.sweep)
-            group.start_soon(self._save)
+            group.start_soon(self.requests.connector.close_expired)
+            group.start_soon(self._save_changes)
             try:
                 yield group
             finally:
@@ -113,42 +131,44 @@
                 group.cancel_scope.cancel()
 
     def _restore(self) -> None:
-        path = self.kept()
+        """Start with the cached tables, if there are any."""
+        path = self.cache_path()
         if path is None:
             return
         path.parent.mkdir(parents=True, exist_ok=True)
         try:
-            found = table_cache.load(path, self.router.holdings)
-        except table_cache.Damaged as error:
+            restored = table_cache.load(path, self.router.holdings)
+        except table_cache.TableCacheError as error:
             self.log.error("tables_damaged", why=str(error))
             return
-        for kind in (CDS, EDS):
-            self.router.resources_changed(kind, [])
-        if found:
-            self.log.info("tables_restored", resources=found)
+        for type_url in (CDS, EDS):
+            self.router.resources_changed(type_url, [])
+        if restored:
+            self.log.info("tables_restored", resources=restored)
 
-    async def _save(self) -> None:
+    async def _save_changes(self) -> None:
         while True:
-            await self.dirty.wait()
-            self.dirty = anyio.Event()
-            await anyio.sleep(SAVE_AFTER)
+            await self.unsaved.wait()
+            self.unsaved = anyio.Event()
+            await anyio.sleep(SAVE_DELAY_S)
             self.save()
 
     def save(self) -> None:
-        path = self.kept()
-        if path is None or not any(self.bodies.values()):
+        """Cache the tables in service; a disk that takes nothing is logged and costs nothing else."""
+        path = self.cache_path()
+        if path is None or not any(self.resources.values()):
             return
         try:
-            table_cache.save(path, self.bodies)
+            table_cache.save(path, self.resources)
         except OSError as error:
             self.log.error("tables_not_kept", error=str(error), remedy="free space or rights on the state folder")
 
     async def drain(self) -> None:
-        """No new connections and requests; those under way may end, for a while."""
-        self.relay.drain()
+        """Accept no new connections and requests; those under way may end until the drain time is over."""
+        self.requests.drain()
         with anyio.move_on_after(self.clock.seconds(self.settings.limits.drain_time)):
-            while self.relay.clients:
-                await anyio.sleep(0.02)
+            while self.requests.clients:
+                await anyio.sleep(DRAIN_LOOK_S)
 
 
 async def serve(settings: ProxySettings, log: Any, port_file: Path | None) -> None:
@@ -159,6 +179,6 @@
             port_files.write(port_file, proxy.port)
             async for _ in signals:
                 break
-            log.info("proxy_drains", clients=proxy.relay.clients)
+            log.info("proxy_drains", clients=proxy.requests.clients)
             await proxy.drain()
             proxy.save()
--- /dev/null
+++ b/damsonpick/proxy/server_connector.py
@@ -0,0 +1,132 @@
+"""Connections to servers for single attempts: an idle one, a new one, or a place in the queue."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+import anyio
+
+from damsonpick.proxy import stream as streams
+from damsonpick.proxy.pool import ConnectionPool
+from damsonpick.proxy.retry_policy import NON_IDEMPOTENT, Execution
+from damsonpick.proxy.router import RoutedRequest, Router
+from damsonpick.proxy.settings import Limits
+from damsonpick.proxy.upstream_request import AttemptFailed, UpstreamConnection
+from damsonpick.runtime.clock import Clock
+
+QUEUE_LOOK_S = 0.05  # after which a waiter tries again by itself: the opening rate may allow a connection by then
+SWEEP_PERIOD_S = 1.0
+
+
+class ServerConnector:
+    """Hands out connections to servers and takes them back.
+
+    Args:
+        limits: sizes, numbers and times.
+        router: says whether a server may still be used.
+        clock: the proxy's.
+    """
+
+    def __init__(self, limits: Limits, router: Router, clock: Clock) -> None:
+        self.limits = limits
+        self.router = router
+        self.clock = clock
+        self.connect_timeout_s = clock.seconds(limits.connect_time)
+        self.pool: ConnectionPool[UpstreamConnection, asyncio.Event] = ConnectionPool(
+            limits.per_server, limits.waiting, limits.churn, limits.pool_time
+        )
+        self.reaches: Callable[[str], bool] = lambda zone: True  # rehearsals cut links between zones here
+
+    def take_idle(self, request: RoutedRequest, server: str, now: int) -> UpstreamConnection | None:
+        """An idle connection that still lives."""
+        non_idempotent = request.effect == NON_IDEMPOTENT
+        max_idle_ns = self.limits.write_fresh if non_idempotent else self.limits.pool_time
+        while (connection := self.pool.acquire_idle(now, server, max_idle_ns)) is not None:
+            if connection.is_idle():
+                return connection
+            self.release(server, connection, False, now)
+        return None
+
+    async def connect(self, request: RoutedRequest, server: str, zone: str, until: float) -> UpstreamConnection:
+        """A connection that has to be opened or waited for.
+
+        Args:
+            request: the request.
+            server: where to.
+            zone: of the server.
+            until: time of the loop (s) at which the attempt ends.
+
+        Raises:
+            AttemptFailed: nothing was sent.
+            TimeoutError: the attempt has ended.
+        """
+        loop = asyncio.get_running_loop()
+        with anyio.fail_after(max(0.0, until - loop.time())):
+            connection = await self._open_or_wait(request, server, zone)
+        if self.router.is_routable(request, server):
+            return connection
+        # The table changed while the connection was opened: nothing is sent there.
+        self.release(server, connection, connection.is_idle(), self.clock.now())
+        raise AttemptFailed(Execution.NOT_SENT, "the table changed")
+
+    async def _open_or_wait(self, request: RoutedRequest, server: str, zone: str) -> UpstreamConnection:
+        while True:
+            now = self.clock.now()
+            if (oldest := self.pool.evict_idle(server)) is not None:
+                oldest.close()
+            if self.pool.reserve_new(now, server):
+                return await self._dial(server, zone)
+            await self._wait_in_queue(server)
+            connection = self.take_idle(request, server, self.clock.now())
+            if connection is not None:
+                return connection
+
+    async def _wait_in_queue(self, server: str) -> None:
+        """Until a connection may be free."""
+        woken = asyncio.Event()
+        if not self.pool.enqueue(server, woken):
+            raise AttemptFailed(Execution.NOT_SENT, "too many wait for this server")
+        try:
+            with anyio.move_on_after(QUEUE_LOOK_S):
+                await woken.wait()
+        finally:
+            self.pool.cancel_wait(server, woken)
+
+    async def _dial(self, server: str, zone: str) -> UpstreamConnection:
+        host, _, port = server.rpartition(":")
+        try:
+            with anyio.fail_after(self.connect_timeout_s):
+                if not self.reaches(zone):
+                    await anyio.sleep_forever()
+                return UpstreamConnection(await streams.dial(host.strip("[]"), int(port)), self.limits.head)
+        except (OSError, TimeoutError):
+            self.release(server, None, False, self.clock.now())
+            raise AttemptFailed(Execution.NOT_SENT, "cannot connect") from None
+        except BaseException:  # cancelled: the reserved place goes to the next waiter
+            _wake(self.pool.release(self.clock.now(), server, None))
+            raise
+
+    def release(self, server: str, connection: UpstreamConnection | None, reusable: bool, now: int) -> None:
+        """Give a connection back, or close it; None: it was reserved and never came about."""
+        keep = reusable and connection is not None and server not in self.router.withdrawn
+        _wake(self.pool.release(now, server, connection if keep else None))
+        if connection is not None and not keep:
+            connection.close()
+
+    def close_idle(self, server: str) -> None:
+        """Close the idle connections to a server that was withdrawn."""
+        for connection in self.pool.pop_idle(server):
+            connection.close()
+
+    async def close_expired(self) -> None:
+        """Close idle connections past their time, for ever."""
+        while True:
+            await anyio.sleep(SWEEP_PERIOD_S)
+            for connection in self.pool.pop_expired(self.clock.now()):
+                connection.close()
+
+
+def _wake(waiter: asyncio.Event | None) -> None:
+    if waiter is not None:
+        waiter.set()
--- a/damsonpick/proxy/stream.py
+++ b/damsonpick/proxy/stream.py
@@ -12,9 +12,9 @@
 import select
 from collections.abc import Callable
 
-HIGH = 262_144  # bytes that are read ahead of whoever takes them
-FLUSH = 2.0  # s in which the last bytes of a closed stream may still leave
-LINGER = 1.0, 4_194_304  # s and bytes read and dropped after a refusal, so that a reset does not overtake it
+READ_AHEAD_BYTES = 262_144  # read and not yet taken, before reading is paused
+FLUSH_S = 2.0  # in which the last bytes of a closed stream may still leave
+LINGER_S, LINGER_BYTES = 1.0, 4_194_304  # read and dropped after a rejection, so that a reset does not overtake it
 
 
 class Lost(Exception):
@@ -105,7 +105,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.data = self.data + data if self.data else data
-        if len(self.data) > HIGH and not self.paused:
+        if len(self.data) > READ_AHEAD_BYTES and not self.paused:
             self.paused = True
             self.transport.pause_reading()
         self.reading.ring()
@@ -183,15 +183,15 @@
             return
         self.transport.close()
         if self.transport.get_write_buffer_size():
-            self.reading.loop.call_later(FLUSH, self.transport.abort)
+            self.reading.loop.call_later(FLUSH_S, self.transport.abort)
 
     def abort(self) -> None:
         self.transport.abort()
 
     async def linger(self) -> None:
         """End the own side, then read and drop for a moment what the other is still sending."""
-        seconds, left = LINGER
-        until = self.time() + seconds
+        left = LINGER_BYTES
+        until = self.time() + LINGER_S
         with contextlib.suppress(Lost, TimeoutError, OSError, RuntimeError):
             self.transport.write_eof()
             while left > 0 and (data := await self.receive(until)):
--- a/damsonpick/proxy/table_cache.py
+++ b/damsonpick/proxy/table_cache.py
@@ -1,4 +1,4 @@
-"""The last good tables on disk, so that a proxy starts and serves while no pilot answers.
+"""A cache of the last good tables on disk, so that a proxy starts and serves while no pilot answers.
 
 One file: a checksum line (XXH3 of what follows) and JSON of the serialized resources. It is written beside and
 renamed, after fsync of file and folder: a reader finds the old or the new, never half of one.
@@ -18,8 +18,8 @@
 FORMAT = 1
 
 
-class Damaged(Exception):
-    """The file is not what was written; it is left where it is."""
+class TableCacheError(Exception):
+    """The file is not what was written; it is left where it is. The text names file, reason and consequence."""
 
 
 def save(path: Path, bodies: dict[str, dict[str, tuple[str, bytes]]]) -> None:
@@ -50,28 +50,28 @@
     """Fill holdings from a file; returns how many resources there were, 0 if there is no file.
 
     Raises:
-        Damaged: checksum, form or a resource is wrong; nothing is taken.
+        TableCacheError: checksum, form or a resource is wrong; nothing is taken.
     """
     try:
-        sum_, _, text = path.read_bytes().partition(b"\n")
+        checksum, _, text = path.read_bytes().partition(b"\n")
     except FileNotFoundError:
         return 0
-    if xxhash.xxh3_64_hexdigest(text).encode() != sum_:
-        raise Damaged(f"{path}: the checksum is wrong; the proxy starts without tables and asks the pilots")
+    if xxhash.xxh3_64_hexdigest(text).encode() != checksum:
+        raise TableCacheError(f"{path}: the checksum is wrong; the proxy starts without tables and asks the pilots")
     try:
         kept = json.loads(text)
         if kept["format"] != FORMAT:
-            raise Damaged(f"{path}: format {kept['format']}, this program reads {FORMAT}")
+            raise TableCacheError(f"{path}: format {kept['format']}, this program reads {FORMAT}")
         found = {
             kind: [(n, v, base64.b64decode(b)) for n, (v, b) in rows.items()] for kind, rows in kept["types"].items()
         }
         trial = Holdings()
         for kind, rows in found.items():
             trial.take(kind, rows, [])
-    except Damaged:
+    except TableCacheError:
         raise
     except Exception as error:
-        raise Damaged(f"{path}: cannot be read ({error!r}); the proxy starts without tables") from None
+        raise TableCacheError(f"{path}: cannot be read ({error!r}); the proxy starts without tables") from None
     for kind, rows in found.items():
         holdings.take(kind, rows, [])
     return sum(map(len, found.values()))
--- a/damsonpick/testing/fakes/proxied.py
+++ b/damsonpick/testing/fakes/proxied.py
@@ -43,8 +43,8 @@
         self.proxy.follower.pilots = lambda: [address] if (address := dial()) else []
         self.proxy.follower.may_dial = lambda: links.to_pilot(name, zone)
         self.proxy.follower.pause = self._pause
-        self.proxy.relay.reaches = lambda other: not other or links.joined(zone, other)
-        self.proxy.relay.stand_still = lambda: clock.seconds(self.stalled_until - clock.now())
+        self.proxy.requests.connector.reaches = lambda other: not other or links.joined(zone, other)
+        self.proxy.requests.stall = lambda: clock.seconds(self.stalled_until - clock.now())
         self.holdings = self.proxy.router.holdings
         self.stalled_until = self.read_delay = 0
         self.wires: list[http.Wire] = []
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -13,7 +13,7 @@
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.proxy import messages as http
 from damsonpick.proxy import table_cache
-from damsonpick.proxy.pool import Pool
+from damsonpick.proxy.pool import ConnectionPool
 from damsonpick.proxy.received_state import Holdings
 from fuzz.http_messages import check
 
@@ -21,35 +21,40 @@
 
 
 def test_pools_are_bounded_by_server_and_idle_ones_make_room():
-    pool = Pool(2, 1, 100.0, SECOND)
-    assert pool.make(1, "a") and pool.make(1, "a") and not pool.make(1, "a") and pool.make(1, "b")
-    assert pool.wait("a", "w1") and not pool.wait("a", "w2")
-    assert pool.give(2, "a", "wire") == "w1" and pool.take(2, "a", SECOND) == "wire"
-    pool.give(3, "a", "wire")
-    assert pool.take(3 + SECOND // 2, "a", SECOND // 4) is None, "too old for a write"
-    assert pool.spare("a") == "wire" and pool.make(4, "a")
-    assert pool.counts()["a"][0] == 2
+    pool = ConnectionPool(2, 1, 100.0, SECOND)
+    assert (
+        pool.reserve_new(1, "a")
+        and pool.reserve_new(1, "a")
+        and not pool.reserve_new(1, "a")
+        and pool.reserve_new(1, "b")
+    )
+    assert pool.enqueue("a", "w1") and not pool.enqueue("a", "w2")
+    assert pool.release(2, "a", "wire") == "w1" and pool.acquire_idle(2, "a", SECOND) == "wire"
+    pool.release(3, "a", "wire")
+    assert pool.acquire_idle(3 + SECOND // 2, "a", SECOND // 4) is None, "too old for a write"
+    assert pool.evict_idle("a") == "wire" and pool.reserve_new(4, "a")
+    assert pool.counts()["a"].open == 2
 
 
 def test_new_connections_come_at_a_bounded_rate():
-    pool, now, made = Pool(1000, 10, 10.0, SECOND), SECOND, 0
+    pool, now, made = ConnectionPool(1000, 10, 10.0, SECOND), SECOND, 0
     for _ in range(200):
         now += 10_000_000
-        if pool.make(now, "a"):
+        if pool.reserve_new(now, "a"):
             made += 1
-            pool.give(now, "a", None)
+            pool.release(now, "a", None)
     assert 28 <= made <= 31
 
 
 def test_idle_connections_expire_and_dropped_servers_keep_none():
-    pool = Pool(4, 1, 100.0, SECOND)
+    pool = ConnectionPool(4, 1, 100.0, SECOND)
     for name in ("x", "y"):
-        pool.make(1, "a")
-        pool.give(1, "a", name)
-    assert pool.drop("a") == ["x", "y"]
-    pool.make(1, "a")
-    pool.give(1, "a", "z")
-    assert pool.expired(3 * SECOND) == ["z"] and pool.counts() == {}
+        pool.reserve_new(1, "a")
+        pool.release(1, "a", name)
+    assert pool.pop_idle("a") == ["x", "y"]
+    pool.reserve_new(1, "a")
+    pool.release(1, "a", "z")
+    assert pool.pop_expired(3 * SECOND) == ["z"] and pool.counts() == {}
 
 
 # -- messages
@@ -191,12 +196,12 @@
         data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
         path.write_bytes(data)
         fresh = Holdings()
-        with pytest.raises(table_cache.Damaged):
+        with pytest.raises(table_cache.TableCacheError):
             table_cache.load(path, fresh)
         assert not fresh.tables
     for size in (0, 1, 17, len(whole_file) - 1):
         path.write_bytes(whole_file[:size])
-        with pytest.raises(table_cache.Damaged):
+        with pytest.raises(table_cache.TableCacheError):
             table_cache.load(path, Holdings())
     assert os.listdir(tmp_path) == ["p.tables"]
 
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -84,7 +84,7 @@
         holdings.tables[name] = Table({n: (w, "a") for n, w in lines.items()}, levels or {})
         holdings.tables["fleet"] = Table({n: (1000, "a") for n in fleet}, {})
         holdings.clusters = {("page", "a"): "slice/0", ("write", "a"): "slice/0"}
-        self.proxy._took(EDS, [(name, "1", b""), ("fleet", "1", b"")], [])
+        self.proxy.apply_resources(EDS, [(name, "1", b""), ("fleet", "1", b"")], [])
 
     def retry(self, conditions, most=1):
         for kind in ("page", "write"):
@@ -267,7 +267,7 @@
     async with world() as w:
         old, new = await Server().start(w.group), await Server().start(w.group)
         w.table({old.name: 1000})
-        real = w.proxy.relay._dial
+        real = w.proxy.requests.connector._dial
 
         async def slow_dial(server, zone):
             wire = await real(server, zone)
@@ -275,7 +275,7 @@
                 w.table({new.name: 1000})
             return wire
 
-        w.proxy.relay._dial = slow_dial
+        w.proxy.requests.connector._dial = slow_dial
         w.retry(PROOF)
         assert (await w.ask("write"))[0] == 200
         assert len(old.heads) == 0 and len(new.heads) == 1, "nothing went to a server that left the table"
@@ -287,7 +287,7 @@
         new.script = [changed]
         w.table({new.name: 1000})
         assert (await w.ask("write"))[2] == b"late", "a request under way ends where it runs"
-        w.proxy.relay._dial = real
+        w.proxy.requests.connector._dial = real
         assert (await w.ask("write"))[0] == 200 and len(old.heads) == 1
 
 
@@ -303,7 +303,10 @@
         for _ in range(40):
             assert (await w.ask())[0] == 200
         assert len(one.heads) == before
-        assert one.name not in w.proxy.relay.pool.counts() or w.proxy.relay.pool.counts()[one.name][1] == 0
+        assert (
+            one.name not in w.proxy.requests.connector.pool.counts()
+            or w.proxy.requests.connector.pool.counts()[one.name].idle == 0
+        )
 
 
 async def test_no_line_waits_the_stated_time_and_a_new_table_ends_the_wait():
@@ -430,7 +433,7 @@
             assert (await w.ask("page"))[0] == 200
         assert anyio.current_time() - start < 2.0
         with anyio.fail_after(6):
-            while w.proxy.relay.clients > 1:
+            while w.proxy.requests.clients > 1:
                 await anyio.sleep(0.05)
         for stream in (*idle, half, lazy):
             await anyio.aclose_forcefully(stream)
@@ -469,7 +472,7 @@
             await anyio.aclose_forcefully(stream)
             await ended.wait()
         with anyio.fail_after(1):
-            while w.proxy.relay.clients:
+            while w.proxy.requests.clients:
                 await anyio.sleep(0.01)
         assert w.proxy.router.load_balancer.active_requests == {} and len(server.heads) == 1
         assert not w.proxy.router.load_balancer.consecutive_failures, "a client's leaving is no fault of the server"
