--- a/damsonpick/proxy/client.py
+++ b/damsonpick/proxy/client.py
@@ -6,10 +6,10 @@
 
 from damsonpick.proxy import messages as http
 from damsonpick.proxy.settings import Limits
-from damsonpick.proxy.stream import Lost, Stream
+from damsonpick.proxy.stream import ConnectionLostError, Stream
 
 
-class ClientGone(Exception):
+class ClientDisconnectedError(Exception):
     """The client has closed or stalled; nobody is left to answer."""
 
 
@@ -58,8 +58,8 @@
         while not self._events:
             try:
                 data = await self.stream.receive(until)
-            except Lost:
-                raise ClientGone from None
+            except ConnectionLostError:
+                raise ClientDisconnectedError from None
             if not data:
                 return False
             self._events.extend(self.reader.feed(data))
@@ -70,7 +70,7 @@
 
         Raises:
             BadMessage: what came is no request.
-            ClientGone: the connection is gone.
+            ClientDisconnectedError: the connection is gone.
             TimeoutError: nothing came, or the head took too long.
         """
         while not self.ended:  # what is left of a body that nobody wanted
@@ -93,14 +93,14 @@
 
         Raises:
             BadMessage: the body is malformed, too large or stalled.
-            ClientGone: the connection is gone.
+            ClientDisconnectedError: the connection is gone.
         """
         if self._position < len(self._kept):
             self._position += 1
             return self._kept[self._position - 1]
         try:
             if not await self._read_events(self.timeouts.stall):
-                raise ClientGone
+                raise ClientDisconnectedError
         except TimeoutError:
             raise http.BadMessage("the body stalled", 408) from None
         part = self._events.pop(0)
@@ -136,9 +136,9 @@
         """Send bytes, as fast as the client takes them, but not for ever.
 
         Raises:
-            ClientGone: it has closed or takes nothing.
+            ClientDisconnectedError: it has closed or takes nothing.
         """
         try:
             await self.stream.send(data, self.stream.time() + self.timeouts.stall)
-        except (Lost, TimeoutError):
-            raise ClientGone from None
+        except (ConnectionLostError, TimeoutError):
+            raise ClientDisconnectedError from None
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -67,11 +67,8 @@
             log,
             delta,
         )
-        self.resources: dict[str, dict[str, tuple[str, bytes]]] = {
-            CDS: {},
-            EDS: {},
-            RDS: {},
-        }  # type, name: version, body
+        # Serialized resources in service, for the cache: version and body, by type and name.
+        self.resources: dict[str, dict[str, tuple[str, bytes]]] = {CDS: {}, EDS: {}, RDS: {}}
         self.unsaved = anyio.Event()
         self.port = 0
 
--- a/damsonpick/proxy/request_handler.py
+++ b/damsonpick/proxy/request_handler.py
@@ -14,13 +14,13 @@
 
 from damsonpick.protocols.xds.load_stats import SliceCounts
 from damsonpick.proxy import messages as http
-from damsonpick.proxy.client import Client, ClientGone, ClientTimeouts
+from damsonpick.proxy.client import Client, ClientDisconnectedError, ClientTimeouts
 from damsonpick.proxy.retry_policy import Execution
 from damsonpick.proxy.router import RoutedRequest, Router
 from damsonpick.proxy.server_connector import ServerConnector
 from damsonpick.proxy.settings import ProxySettings
 from damsonpick.proxy.stream import Stream
-from damsonpick.proxy.upstream_request import DEADLINE, TIMED_OUT, AttemptFailed, UpstreamConnection, UpstreamRequest
+from damsonpick.proxy.upstream_request import DEADLINE, TIMED_OUT, AttemptError, UpstreamConnection, UpstreamRequest
 from damsonpick.runtime.clock import Clock
 
 NO_SERVER, DEADLINE_PASSED = "no server", "the deadline passed"
@@ -112,7 +112,7 @@
                 stream.close()
             else:
                 stream.abort()
-        except ClientGone:
+        except ClientDisconnectedError:
             stream.abort()
         except Exception as error:  # a fault of this program ends one connection, never the proxy
             self.log.error("connection_failed", error=repr(error), exc_info=True, remedy="report this as a defect")
@@ -170,7 +170,7 @@
             if head.expects:
                 await client.send(CONTINUE)
             return await self._attempt_until_answered(client, head, request)
-        except AttemptFailed as failed:
+        except AttemptError as failed:
             self._counts_of(request).came(request.request_class, failed=True)
             return await self._answer_failure(client, head, failed)
         except http.BadMessage as error:  # of the client's body
@@ -210,7 +210,7 @@
     def _must_close(self, client: Client, head: http.Head) -> bool:
         return not head.keep or not client.ended or self.draining
 
-    async def _answer_failure(self, client: Client, head: http.Head, failed: AttemptFailed) -> bool:
+    async def _answer_failure(self, client: Client, head: http.Head, failed: AttemptError) -> bool:
         """Tell the client how its last attempt ended; returns whether the connection may go on."""
         if client.begun:  # part of an answer was sent: the only honest end is to abort
             client.ended = False
@@ -235,11 +235,11 @@
                 server = await self._wait_for_server(request, attempted)
                 now = self.clock.now()
             if server is None:
-                raise AttemptFailed(Execution.NOT_SENT, NO_SERVER)
+                raise AttemptError(Execution.NOT_SENT, NO_SERVER)
             attempted.add(server)
             try:
                 return await self._attempt(client, head, request, server, now)
-            except AttemptFailed as failed:
+            except AttemptError as failed:
                 now = self.clock.now()
                 replayable = client.replayable() and not client.begun
                 attempts = len(attempted)
@@ -286,8 +286,8 @@
         except TimeoutError:
             reason = DEADLINE_PASSED if self.clock.now() >= request.deadline else TIMED_OUT
             execution = Execution.NOT_SENT if connection is None else Execution.UNKNOWN
-            raise AttemptFailed(execution, reason) from None
-        except ClientGone:
+            raise AttemptError(execution, reason) from None
+        except ClientDisconnectedError:
             succeeded = True  # not the server's fault
             raise
         finally:
--- a/damsonpick/proxy/server_connector.py
+++ b/damsonpick/proxy/server_connector.py
@@ -12,7 +12,7 @@
 from damsonpick.proxy.retry_policy import NON_IDEMPOTENT, Execution
 from damsonpick.proxy.router import RoutedRequest, Router
 from damsonpick.proxy.settings import Limits
-from damsonpick.proxy.upstream_request import AttemptFailed, UpstreamConnection
+from damsonpick.proxy.upstream_request import AttemptError, UpstreamConnection
 from damsonpick.runtime.clock import Clock
 
 QUEUE_LOOK_S = 0.05  # after which a waiter tries again by itself: the opening rate may allow a connection by then
@@ -58,7 +58,7 @@
             until: time of the loop (s) at which the attempt ends.
 
         Raises:
-            AttemptFailed: nothing was sent.
+            AttemptError: nothing was sent.
             TimeoutError: the attempt has ended.
         """
         loop = asyncio.get_running_loop()
@@ -68,7 +68,7 @@
             return connection
         # The table changed while the connection was opened: nothing is sent there.
         self.release(server, connection, connection.is_idle(), self.clock.now())
-        raise AttemptFailed(Execution.NOT_SENT, "the table changed")
+        raise AttemptError(Execution.NOT_SENT, "the table changed")
 
     async def _open_or_wait(self, request: RoutedRequest, server: str, zone: str) -> UpstreamConnection:
         while True:
@@ -86,7 +86,7 @@
         """Until a connection may be free."""
         woken = asyncio.Event()
         if not self.pool.enqueue(server, woken):
-            raise AttemptFailed(Execution.NOT_SENT, "too many wait for this server")
+            raise AttemptError(Execution.NOT_SENT, "too many wait for this server")
         try:
             with anyio.move_on_after(QUEUE_LOOK_S):
                 await woken.wait()
@@ -102,7 +102,7 @@
                 return UpstreamConnection(await streams.dial(host.strip("[]"), int(port)), self.limits.head)
         except (OSError, TimeoutError):
             self.release(server, None, False, self.clock.now())
-            raise AttemptFailed(Execution.NOT_SENT, "cannot connect") from None
+            raise AttemptError(Execution.NOT_SENT, "cannot connect") from None
         except BaseException:  # cancelled: the reserved place goes to the next waiter
             _wake(self.pool.release(self.clock.now(), server, None))
             raise
--- a/damsonpick/proxy/stream.py
+++ b/damsonpick/proxy/stream.py
@@ -12,34 +12,41 @@
 import select
 from collections.abc import Callable
 
+TIMER_TOLERANCE_S = 0.001  # a timer that fires this early is in time
 READ_AHEAD_BYTES = 262_144  # read and not yet taken, before reading is paused
 FLUSH_S = 2.0  # in which the last bytes of a closed stream may still leave
 LINGER_S, LINGER_BYTES = 1.0, 4_194_304  # read and dropped after a rejection, so that a reset does not overtake it
 
 
-class Lost(Exception):
+class ConnectionLostError(Exception):
     """The connection is gone: reset, or closed on this side."""
 
 
-class Wait:
-    """One side's wait. `until` is the loop's time, in s."""
+class StreamWait:
+    """The wait of one side of a stream. `until` is the loop's time in seconds.
 
-    __slots__ = ("at", "future", "loop", "timer", "until")
+    One timer serves all waits of the side: it is moved only when a deadline comes nearer. A timer that fires while
+    nobody waits, or too early for the present wait, is armed again by that wait or by itself.
+    """
+
+    __slots__ = ("armed_for", "future", "loop", "timer", "until")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self.until, self.at = loop, 0.0, 0.0
+        self.loop = loop
+        self.until = 0.0
+        self.armed_for = 0.0
         self.future: asyncio.Future[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     async def wait(self, until: float) -> None:
-        """Until rung.
+        """Wait until woken.
 
         Raises:
             TimeoutError: the time has come first.
-            Exception: whatever it was rung with.
+            Exception: whatever the wait was woken with.
         """
         self.until = until
-        if self.timer is None or self.at > until:
+        if self.timer is None or self.armed_for > until:
             if self.timer is not None:
                 self.timer.cancel()
             self._arm()
@@ -49,7 +56,8 @@
         finally:
             self.future = None
 
-    def ring(self, error: Exception | None = None) -> None:
+    def wake(self, error: Exception | None = None) -> None:
+        """End the wait that is under way, if there is one, with an error if one is given."""
         future = self.future
         if future is None or future.done():
             return
@@ -59,19 +67,20 @@
             future.set_exception(error)
 
     def _arm(self) -> None:
-        self.at = self.until
-        self.timer = self.loop.call_at(self.until, self._tick)
+        self.armed_for = self.until
+        self.timer = self.loop.call_at(self.until, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         if self.future is None:
-            return  # nobody waits: the next wait arms it again
-        if self.loop.time() >= self.until - 0.001:
-            self.ring(TimeoutError())
+            return
+        if self.loop.time() >= self.until - TIMER_TOLERANCE_S:
+            self.wake(TimeoutError())
         else:
             self._arm()
 
-    def stop(self) -> None:
+    def cancel_timer(self) -> None:
+        """No further wait follows."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -81,56 +90,65 @@
     """One connection.
 
     Args:
-        made: called with the stream once it stands.
+        on_connected: called with the stream once it is open.
     """
 
     transport: asyncio.Transport
 
-    def __init__(self, made: Callable[[Stream], object] | None = None) -> None:
-        self.made = made
-        self.data, self.eof, self.lost = b"", False, False
-        self.paused = self.blocked = False
-        self.gone: Callable[[], None] | None = None  # told when the peer closes, in order or not
+    def __init__(self, on_connected: Callable[[Stream], object] | None = None) -> None:
+        self.on_connected = on_connected
+        self.on_peer_closed: Callable[[], None] | None = None  # in order or not
+        self.data = b""  # received and not yet taken
+        self.eof = False
+        self.lost = False
+        self.reading_paused = False
+        self.writing_paused = False
 
     # -- asyncio's side
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
         self.transport = transport  # type: ignore[assignment]
         loop = asyncio.get_running_loop()
-        self.time, self.reading, self.writing = loop.time, Wait(loop), Wait(loop)
-        self.watch = select.poll()
-        self.watch.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        if self.made is not None:
-            self.made(self)
+        self.time, self.reading, self.writing = loop.time, StreamWait(loop), StreamWait(loop)
+        self._poll = select.poll()
+        self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
+        if self.on_connected is not None:
+            self.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have come; reading is paused while too many are not taken."""
         self.data = self.data + data if self.data else data
-        if len(self.data) > READ_AHEAD_BYTES and not self.paused:
-            self.paused = True
+        if len(self.data) > READ_AHEAD_BYTES and not self.reading_paused:
+            self.reading_paused = True
             self.transport.pause_reading()
-        self.reading.ring()
+        self.reading.wake()
 
     def eof_received(self) -> bool:
+        """The peer sends no more; returns True, as the answer may still be written."""
         self.eof = True
-        self.reading.ring()
-        if self.gone is not None:
-            self.gone()
-        return True  # the answer may still be written
+        self.reading.wake()
+        if self.on_peer_closed is not None:
+            self.on_peer_closed()
+        return True
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is gone."""
         self.lost = True
         for side in (self.reading, self.writing):
-            side.ring()
-            side.stop()
-        if self.gone is not None:
-            self.gone()
+            side.wake()
+            side.cancel_timer()
+        if self.on_peer_closed is not None:
+            self.on_peer_closed()
 
     def pause_writing(self) -> None:
-        self.blocked = True
+        """The write buffer is full."""
+        self.writing_paused = True
 
     def resume_writing(self) -> None:
-        self.blocked = False
-        self.writing.ring()
+        """The write buffer has room again."""
+        self.writing_paused = False
+        self.writing.wake()
 
     # -- the proxy's side
 
@@ -143,18 +161,18 @@
         """What has come; b"" at an orderly end.
 
         Raises:
-            Lost: the connection is gone and all that came was read.
+            ConnectionLostError: the connection is gone and all that came was read.
             TimeoutError: nothing came.
         """
         while not self.data:
             if self.eof:
                 return b""
             if self.lost:
-                raise Lost
+                raise ConnectionLostError
             await self.reading.wait(until)
         data, self.data = self.data, b""
-        if self.paused:
-            self.paused = False
+        if self.reading_paused:
+            self.reading_paused = False
             if not self.lost:
                 self.transport.resume_reading()
         return data
@@ -163,19 +181,20 @@
         """Write; returns when the other side has taken nearly all of it.
 
         Raises:
-            Lost, TimeoutError
+            ConnectionLostError: the connection is gone.
+            TimeoutError: the other side takes nothing.
         """
         if self.lost or self.transport.is_closing():
-            raise Lost
+            raise ConnectionLostError
         self.transport.write(data)
-        while self.blocked:
+        while self.writing_paused:
             await self.writing.wait(until)
             if self.lost:
-                raise Lost
+                raise ConnectionLostError
 
-    def idle(self) -> bool:
-        """Whether nothing came meanwhile: a server that closed an idle connection must not eat a request."""
-        return not (self.data or self.eof or self.lost or self.transport.is_closing() or self.watch.poll(0))
+    def is_idle(self) -> bool:
+        """Whether nothing came meanwhile: a request must not be lost on a connection that the server has closed."""
+        return not (self.data or self.eof or self.lost or self.transport.is_closing() or self._poll.poll(0))
 
     def close(self) -> None:
         """Close once what was written has left, or soon after."""
@@ -186,15 +205,19 @@
             self.reading.loop.call_later(FLUSH_S, self.transport.abort)
 
     def abort(self) -> None:
+        """Close at once; what was not written is dropped."""
         self.transport.abort()
 
     async def linger(self) -> None:
         """End the own side, then read and drop for a moment what the other is still sending."""
         left = LINGER_BYTES
         until = self.time() + LINGER_S
-        with contextlib.suppress(Lost, TimeoutError, OSError, RuntimeError):
+        with contextlib.suppress(ConnectionLostError, TimeoutError, OSError, RuntimeError):
             self.transport.write_eof()
-            while left > 0 and (data := await self.receive(until)):
+            while left > 0:
+                data = await self.receive(until)
+                if not data:
+                    return
                 left -= len(data)
 
 
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -7,10 +7,10 @@
 import anyio
 
 from damsonpick.proxy import messages as http
-from damsonpick.proxy.client import Client, ClientGone
+from damsonpick.proxy.client import Client, ClientDisconnectedError
 from damsonpick.proxy.retry_policy import Execution
 from damsonpick.proxy.settings import Limits
-from damsonpick.proxy.stream import READ_AHEAD_BYTES, Lost, Stream
+from damsonpick.proxy.stream import READ_AHEAD_BYTES, ConnectionLostError, Stream
 
 NOT_RUN = b"x-not-run"  # with a 503: the server did not begin to execute the request
 DEADLINE = b"x-request-timeout-ms"
@@ -24,7 +24,7 @@
     body: bytes
 
 
-class AttemptFailed(Exception):
+class AttemptError(Exception):
     """An attempt that brought no answer to forward.
 
     Args:
@@ -56,7 +56,7 @@
 
     def is_idle(self) -> bool:
         """Whether the connection still lives and the server has sent nothing unasked."""
-        return self.stream.idle()
+        return self.stream.is_idle()
 
     def close(self) -> None:
         """Close at once."""
@@ -101,9 +101,9 @@
             until: time of the loop (s) at which the attempt ends.
 
         Raises:
-            AttemptFailed: it brought no good answer.
+            AttemptError: it brought no good answer.
             TimeoutError: the attempt has ended.
-            ClientGone: nobody waits for the answer.
+            ClientDisconnectedError: nobody waits for the answer.
             BadMessage: the client's body is malformed.
         """
         start = http.onward(self.head, (DEADLINE, b"%d" % self.left_ms))
@@ -132,16 +132,16 @@
                 try:
                     await self._write(start, until)
                     await self._send_body()
-                except AttemptFailed:
+                except AttemptError:
                     pass  # the server stopped reading; its answer, if any, tells why
-                except (ClientGone, http.BadMessage, TimeoutError) as error:
+                except (ClientDisconnectedError, http.BadMessage, TimeoutError) as error:
                     errors.append(error)
                     group.cancel_scope.cancel()
 
             async def read() -> None:
                 try:
                     answers.append(await self._read_head(until))
-                except (AttemptFailed, ClientGone, TimeoutError) as error:
+                except (AttemptError, ClientDisconnectedError, TimeoutError) as error:
                     errors.append(error)
                 group.cancel_scope.cancel()
 
@@ -168,35 +168,35 @@
     async def _write(self, data: bytes, until: float) -> None:
         try:
             await self.connection.stream.send(data, until)
-        except Lost:
-            raise AttemptFailed(Execution.UNKNOWN, CONNECTION_CLOSED) from None
+        except ConnectionLostError:
+            raise AttemptError(Execution.UNKNOWN, CONNECTION_CLOSED) from None
 
     # -- the answer
 
     def _client_closed(self) -> None:
         """The client has closed while the server works: nobody waits for the answer any more."""
         if self.client.left():
-            self.connection.stream.reading.ring(ClientGone())
+            self.connection.stream.reading.wake(ClientDisconnectedError())
 
     async def _read_events(self, until: float) -> None:
         """Read at least one more event; the client's leaving ends the wait."""
         client_stream = self.client.stream
         while not self._events:
             if self.client.left():
-                raise ClientGone
-            client_stream.gone = self._client_closed
+                raise ClientDisconnectedError
+            client_stream.on_peer_closed = self._client_closed
             try:
                 data = await self.connection.stream.receive(until)
-            except Lost:
+            except ConnectionLostError:
                 data = b""
             finally:
-                client_stream.gone = None
+                client_stream.on_peer_closed = None
             if not data:
-                raise AttemptFailed(Execution.UNKNOWN, CONNECTION_CLOSED)
+                raise AttemptError(Execution.UNKNOWN, CONNECTION_CLOSED)
             try:
                 self._events = self.connection.reader.feed(data)
             except http.BadMessage as error:
-                raise AttemptFailed(Execution.UNKNOWN, f"the server's answer is no HTTP: {error}") from None
+                raise AttemptError(Execution.UNKNOWN, f"the server's answer is no HTTP: {error}") from None
 
     async def _next_event(self, until: float) -> http.Head | http.Body | http.End:
         if not self._events:
@@ -214,7 +214,7 @@
                 return event
             interim += 1
             if interim > self.limits.interim:
-                raise AttemptFailed(Execution.UNKNOWN, "the server sends nothing but 1xx")
+                raise AttemptError(Execution.UNKNOWN, "the server sends nothing but 1xx")
 
     async def _fail_with_answer(self, answer: http.Head, until: float) -> None:
         """Keep a 5xx answer while it is small, to forward it if no retry follows."""
@@ -228,14 +228,14 @@
                 break
             body += event.data
             keep_reading = len(body) <= self.limits.replay
-        raise AttemptFailed(execution, f"status {answer.start}", FailedAnswer(answer, body))
+        raise AttemptError(execution, f"status {answer.start}", FailedAnswer(answer, body))
 
     async def forward_answer(self, answer: http.Head) -> bool:
         """Forward the answer to the client; returns whether the connection to the server can be used again.
 
         Raises:
-            AttemptFailed: the answer broke off.
-            ClientGone: nobody reads it.
+            AttemptError: the answer broke off.
+            ClientDisconnectedError: nobody reads it.
         """
         framed = answer.length is not None or answer.chunked
         bodiless = self.connection.reader.bodiless or answer.start in (204, 304)
@@ -246,7 +246,7 @@
         head = http.answer_bytes(answer.start, http.forwardable(answer), length, close=not self.keep)
         try:
             await self._forward_body(head, length is None, framed, bodiless)
-        except AttemptFailed:
+        except AttemptError:
             self.keep = self.keep and not self.client.begun
             raise
         return self._sent_completely and framed and answer.keep and not bodiless and not self._events
@@ -287,8 +287,8 @@
         try:
             await self._read_events(until)
         except TimeoutError:
-            raise AttemptFailed(Execution.UNKNOWN, "the answer stalled") from None
-        except AttemptFailed:
+            raise AttemptError(Execution.UNKNOWN, "the answer stalled") from None
+        except AttemptError:
             if framed or not self.connection.stream.eof:
                 raise
             return True
