--- a/damsonpick/proxy/client.py
+++ b/damsonpick/proxy/client.py
@@ -69,7 +69,7 @@
         """The next request, or None at an orderly end.
 
         Raises:
-            BadMessage: what came is no request.
+            HttpProtocolError: what came is no request.
             ClientDisconnectedError: the connection is gone.
             TimeoutError: nothing came, or the head took too long.
         """
@@ -92,7 +92,7 @@
         """The next part of the body; what was kept is read again after `rewind`.
 
         Raises:
-            BadMessage: the body is malformed, too large or stalled.
+            HttpProtocolError: the body is malformed, too large or stalled.
             ClientDisconnectedError: the connection is gone.
         """
         if self._position < len(self._kept):
@@ -102,7 +102,7 @@
             if not await self._read_events(self.timeouts.stall):
                 raise ClientDisconnectedError
         except TimeoutError:
-            raise http.BadMessage("the body stalled", 408) from None
+            raise http.HttpProtocolError("the body stalled", 408) from None
         part = self._events.pop(0)
         self._keep(part)
         return part
@@ -111,7 +111,7 @@
         if isinstance(part, http.Body):
             self.size += len(part.data)
             if self.size > self.limits.body:
-                raise http.BadMessage(f"the body is over {self.limits.body} bytes", 413)
+                raise http.HttpProtocolError(f"the body is over {self.limits.body} bytes", 413)
             if self.size > self.limits.replay:
                 self._complete, self._kept, self._position = False, [], 0
         else:
--- a/damsonpick/proxy/request_handler.py
+++ b/damsonpick/proxy/request_handler.py
@@ -140,14 +140,14 @@
         self.idle_streams.add(client.stream)
         try:
             return await client.head()
-        except http.BadMessage as error:
+        except http.HttpProtocolError as error:
             self.record("bad", why=str(error))
-            await client.send(http.plain(error.status, str(error), close=True))
+            await client.send(http.plain_answer(error.status, str(error), close=True))
             await client.stream.linger()
             return None
         except TimeoutError:
             if client.reader.raw:
-                await client.send(http.plain(408, "the head took too long", close=True))
+                await client.send(http.plain_answer(408, "the head took too long", close=True))
             return None
         finally:
             self.idle_streams.discard(client.stream)
@@ -157,7 +157,7 @@
         now = self.clock.now()
         request = self._classify(client, head, now)
         if head.length is not None and head.length > self.limits.body:
-            await client.send(http.plain(413, f"the body is over {self.limits.body} bytes", close=True))
+            await client.send(http.plain_answer(413, f"the body is over {self.limits.body} bytes", close=True))
             return False
         if self.stall is not None and (stalled_s := self.stall()) > 0:
             await anyio.sleep(stalled_s)
@@ -173,9 +173,9 @@
         except AttemptError as failed:
             self._counts_of(request).came(request.request_class, failed=True)
             return await self._answer_failure(client, head, failed)
-        except http.BadMessage as error:  # of the client's body
+        except http.HttpProtocolError as error:  # of the client's body
             self._counts_of(request).came(request.request_class, failed=True)
-            await client.send(http.plain(error.status, str(error), close=True))
+            await client.send(http.plain_answer(error.status, str(error), close=True))
             return False
 
     def _classify(self, client: Client, head: http.Head, now: int) -> RoutedRequest:
@@ -204,7 +204,7 @@
     ) -> bool:
         """Answer at once; a body on its way is not waited for. Returns whether the connection may go on."""
         close = self._must_close(client, head)
-        await client.send(http.plain(status, text, headers, close=close))
+        await client.send(http.plain_answer(status, text, headers, close=close))
         return not close
 
     def _must_close(self, client: Client, head: http.Head) -> bool:
@@ -218,7 +218,7 @@
         if failed.answer is not None:
             close = self._must_close(client, head)
             answer = failed.answer
-            headers = http.forwardable(answer.head)
+            headers = http.forwardable_headers(answer.head)
             start = http.answer_bytes(answer.head.start, headers, len(answer.body), close)
             await client.send(start + answer.body)
             return not close
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -104,9 +104,9 @@
             AttemptError: it brought no good answer.
             TimeoutError: the attempt has ended.
             ClientDisconnectedError: nobody waits for the answer.
-            BadMessage: the client's body is malformed.
+            HttpProtocolError: the client's body is malformed.
         """
-        start = http.onward(self.head, (DEADLINE, b"%d" % self.left_ms))
+        start = http.upstream_head_bytes(self.head, (DEADLINE, b"%d" % self.left_ms))
         if self.client.ended and not self.client.size:
             answer = await self._send_without_body(start, until)
         else:
@@ -134,7 +134,7 @@
                     await self._send_body()
                 except AttemptError:
                     pass  # the server stopped reading; its answer, if any, tells why
-                except (ClientDisconnectedError, http.BadMessage, TimeoutError) as error:
+                except (ClientDisconnectedError, http.HttpProtocolError, TimeoutError) as error:
                     errors.append(error)
                     group.cancel_scope.cancel()
 
@@ -195,7 +195,7 @@
                 raise AttemptError(Execution.UNKNOWN, CONNECTION_CLOSED)
             try:
                 self._events = self.connection.reader.feed(data)
-            except http.BadMessage as error:
+            except http.HttpProtocolError as error:
                 raise AttemptError(Execution.UNKNOWN, f"the server's answer is no HTTP: {error}") from None
 
     async def _next_event(self, until: float) -> http.Head | http.Body | http.End:
@@ -243,7 +243,7 @@
         length = None if answer.chunked else answer.length
         if bodiless:
             length = _stated_length(answer)
-        head = http.answer_bytes(answer.start, http.forwardable(answer), length, close=not self.keep)
+        head = http.answer_bytes(answer.start, http.forwardable_headers(answer), length, close=not self.keep)
         try:
             await self._forward_body(head, length is None, framed, bodiless)
         except AttemptError:
--- a/fuzz/http_messages.py
+++ b/fuzz/http_messages.py
@@ -22,7 +22,7 @@
     """Whole messages, in order, and the status with which the rest was refused (0: it was not).
 
     Raises:
-        anything but BadMessage is a finding.
+        anything but HttpProtocolError is a finding.
     """
     reader = http.Reader(requests, 4096)
     found: list[tuple[http.Head, bytes, list]] = []
@@ -30,7 +30,7 @@
     for piece in pieces:
         try:
             events = reader.feed(piece)
-        except http.BadMessage as error:
+        except http.HttpProtocolError as error:
             events, refused = reader.take_events(), error.status
         else:
             refused = 0
@@ -49,7 +49,7 @@
 
 def forwarded(head: http.Head, body: bytes, trailers: list[tuple[bytes, bytes]]) -> bytes:
     """A request as the proxy sends it on."""
-    start = http.onward(head)
+    start = http.upstream_head_bytes(head)
     if head.length is not None:
         return start + body
     return start + (http.chunk(body) if body else b"") + http.last_chunk(trailers)
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("name", SMUGGLED)
 @pytest.mark.parametrize("cut", [None, 1])
 def test_what_could_be_read_two_ways_is_refused(name, cut):
-    with pytest.raises(http.BadMessage) as error:
+    with pytest.raises(http.HttpProtocolError) as error:
         whole(SMUGGLED[name], cut=cut)
     assert error.value.status in (400, 431, 501)
 
@@ -147,13 +147,13 @@
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(PARTS, st.booleans(), st.integers(1, 50))
 def test_odd_bytes_never_crash_the_reader_and_lengths_agree(parts, requests, cut):
-    """Whatever comes: events or BadMessage; and however it is cut, the same requests are seen."""
+    """Whatever comes: events or HttpProtocolError; and however it is cut, the same requests are seen."""
     data = b"".join(parts)
 
     def seen(step):
         try:
             return [(e.start, e.length, e.chunked) for e in whole(data, requests, step) if isinstance(e, http.Head)]
-        except http.BadMessage:
+        except http.HttpProtocolError:
             return None
 
     if data:
@@ -165,7 +165,7 @@
     head = whole(
         b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Own\r\nX-Own: 1\r\nTE: trailers\r\nX-B: 2\r\n\r\n"
     )[0]
-    assert http.forwardable(head) == [(b"host", b"a"), (b"x-b", b"2")] and not head.keep
+    assert http.forwardable_headers(head) == [(b"host", b"a"), (b"x-b", b"2")] and not head.keep
 
 
 # -- kept tables
