--- a/benchmarks/knowledge_cost.py
+++ b/benchmarks/knowledge_cost.py
@@ -22,7 +22,8 @@
 from damsonpick import interface as api
 from damsonpick.decisions.planner import Planner
 from damsonpick.state.learned import ageing, codec, generations, restore
-from damsonpick.state.learned.disk import OsDisk, moment
+from damsonpick.state.learned.capture import Capture, SnapshotInfo
+from damsonpick.state.learned.disk import OsDisk, host_time
 from tests.helpers import SECOND, entry, settings
 
 NOW = 10**18
@@ -53,22 +54,24 @@
 
 def once(made: Planner, folder: Path) -> dict[str, float]:
     answered = dict.fromkeys(made.endpoints, NOW)
-    capture = restore.Capture(made, 1, "pilot-0", moment(), NOW, NOW, answered)
-    steps, walk = [], capture.steps(pack=True)
+    capture = Capture(made, SnapshotInfo(1, "pilot-0", host_time(), NOW, NOW), answered)
+    steps, walk = [], capture.steps(pre_encode=True)
     cpu = time.process_time()
     while True:
         took, more = timed(lambda: next(walk, "end"))
         steps.append(took)
         if more == "end":
             break
-    took, snapshot = timed(capture.draft)
+    took, snapshot = timed(capture.pre_encoded_snapshot)
     steps.append(took)
     encode, data = timed(lambda: codec.encode(snapshot))
     save, _ = timed(lambda: generations.save(OsDisk(), folder, data, (folder / generations.CURRENT).exists()))
     cpu = (time.process_time() - cpu) * 1e3
     read, found = timed(lambda: generations.load(OsDisk(), folder).snapshot)
     listed = {n: entry(n) for n in made.endpoints}
-    tell, (events, _) = timed(lambda: restore.events(ageing.fade(found, SECOND), listed, range(len(made.slices))))
+    tell, (events, _) = timed(
+        lambda: restore.restored_events(ageing.decay(found, SECOND), listed, range(len(made.slices)))
+    )
     new = Planner(made.settings, 1)
     new.handle(
         NOW,
--- a/benchmarks/knowledge_kills.py
+++ b/benchmarks/knowledge_kills.py
@@ -27,6 +27,7 @@
 from benchmarks.knowledge_restart import SECOND
 from damsonpick.settings.load import load
 from damsonpick.state.learned import codec, generations
+from damsonpick.state.learned.errors import SnapshotCorruptError
 from damsonpick.testing.scenarios import player
 from damsonpick.testing.scenarios.environment import Stage
 from damsonpick.testing.scenarios.script import Script
@@ -76,7 +77,7 @@
             found[which] = codec.decode((folder / which).read_bytes()).sequence
         except FileNotFoundError:
             found[which] = None
-        except codec.Damaged as error:
+        except SnapshotCorruptError as error:
             found[which] = str(error)
     return found
 
--- a/benchmarks/knowledge_restart.py
+++ b/benchmarks/knowledge_restart.py
@@ -32,7 +32,7 @@
 
 from damsonpick.state.learned import codec, generations
 from damsonpick.state.learned.disk import OsDisk
-from damsonpick.state.learned.snapshot import Fleet, Snapshot
+from damsonpick.state.learned.snapshot import LearnedFleet, Snapshot
 from damsonpick.testing.scenarios import player
 from damsonpick.testing.scenarios.environment import Stage
 from damsonpick.testing.scenarios.faults import ALL
@@ -82,18 +82,21 @@
 def wrong(kept: Snapshot, seed: int) -> Snapshot:
     """Whole, and wrong throughout."""
     rng = random.Random(seed)
-    rates = [p.rates for p in kept.pieces]
+    rates = [p.rates for p in kept.slices]
     rng.shuffle(rates)
     return msgspec.structs.replace(
         kept,
-        servers=tuple(
+        endpoints=tuple(
             msgspec.structs.replace(
-                s, speed=min(2.0, max(0.1, 1 / s.speed**2 if s.speed < 0.7 else rng.choice((0.3, 1.8))))
+                s,
+                capacity_factor=min(
+                    2.0, max(0.1, 1 / s.capacity_factor**2 if s.capacity_factor < 0.7 else rng.choice((0.3, 1.8)))
+                ),
             )
-            for s in kept.servers
+            for s in kept.endpoints
         ),
-        pieces=tuple(msgspec.structs.replace(p, rates=r) for p, r in zip(kept.pieces, rates, strict=True)),
-        fleet=Fleet(kept.fleet.best * 5, kept.fleet.pace * 5),
+        slices=tuple(msgspec.structs.replace(p, rates=r) for p, r in zip(kept.slices, rates, strict=True)),
+        fleet=LearnedFleet(kept.fleet.best_throughput * 5, kept.fleet.throughput_per_capacity * 5),
     )
 
 
--- a/damsonpick/cli/knowledge.py
+++ b/damsonpick/cli/knowledge.py
@@ -30,10 +30,10 @@
 
 def _aged(found: Any) -> tuple[Any, Any]:
     from damsonpick.state.learned import ageing
-    from damsonpick.state.learned.disk import moment
+    from damsonpick.state.learned.disk import host_time
 
-    age = ageing.age(found.snapshot.at, moment())
-    return age, ageing.fade(found.snapshot, age.ns)
+    age = ageing.age_of(found.snapshot.taken_at, host_time())
+    return age, ageing.decay(found.snapshot, age.ns)
 
 
 @knowledge.command()
@@ -45,7 +45,7 @@
     Exit code 1: nothing is kept, or it cannot be read.
     """
     _, found, folder = _found(file)
-    for wrong in found.wrong:
+    for wrong in found.problems:
         click.echo(wrong, err=True)
     if found.snapshot is None:
         click.echo(f"{folder}: nothing is kept", err=True)
@@ -56,10 +56,10 @@
         click.echo(
             json.dumps(
                 {
-                    "which": found.which,
+                    "which": found.generation,
                     "sequence": kept.sequence,
                     "age_s": age.ns / 1e9,
-                    "doubt": age.doubt,
+                    "doubt": age.clock_warning,
                     "written": msgspec.to_builtins(kept),
                     "aged": msgspec.to_builtins(aged),
                 }
@@ -67,13 +67,13 @@
         )
         return
     click.echo(
-        f"snapshot {kept.sequence} of {kept.pilot} ({found.which}), {age.ns / 1e9:.1f} s old"
-        + (f"; {age.doubt}" if age.doubt else "")
+        f"snapshot {kept.sequence} of {kept.pilot} ({found.generation}), {age.ns / 1e9:.1f} s old"
+        + (f"; {age.clock_warning}" if age.clock_warning else "")
     )
     click.echo(
-        f"best {kept.fleet.best:.1f} answers/s, now {aged.fleet.best:.1f}; "
-        f"{len(kept.pieces)} slices with {sum(map(sum, (p.rates for p in kept.pieces))):.1f} requests/s, now "
-        f"{sum(map(sum, (p.rates for p in aged.pieces))):.1f}"
+        f"best {kept.fleet.best_throughput:.1f} answers/s, now {aged.fleet.best_throughput:.1f}; "
+        f"{len(kept.slices)} slices with {sum(map(sum, (p.rates for p in kept.slices))):.1f} requests/s, now "
+        f"{sum(map(sum, (p.rates for p in aged.slices))):.1f}"
     )
     rows(
         ["server", "process started", "speed", "aged", "last good answer"],
@@ -81,11 +81,13 @@
             [
                 s.endpoint,
                 s.started or "long ago",
-                f"{s.speed:.3f}",
-                f"{now.speed:.3f}",
-                f"{(kept.clock - s.answered) / 1e9:.1f} s before it was written" if s.answered else "not known",
+                f"{s.capacity_factor:.3f}",
+                f"{now.capacity_factor:.3f}",
+                f"{(kept.clock_at - s.last_success_at) / 1e9:.1f} s before it was written"
+                if s.last_success_at
+                else "not known",
             ]
-            for s, now in zip(kept.servers, aged.servers, strict=True)
+            for s, now in zip(kept.endpoints, aged.endpoints, strict=True)
         ],
     )
 
@@ -95,6 +97,7 @@
 def verify(file: Path) -> None:
     """Read every generation and say which are whole. Exit code 1: one is not."""
     from damsonpick.state.learned import codec, generations
+    from damsonpick.state.learned.errors import SnapshotError
 
     folder = load_settings(file).knowledge_path()
     bad = 0
@@ -106,7 +109,7 @@
             click.echo(f"{path}: whole, snapshot {snapshot.sequence}, {len(data)} bytes")
         except FileNotFoundError:
             click.echo(f"{path}: there is none")
-        except (codec.Damaged, codec.Newer, OSError) as error:
+        except (SnapshotError, OSError) as error:
             click.echo(f"{path}: {error}")
             bad += 1
     sys.exit(1 if bad else 0)
--- a/damsonpick/cli/main.py
+++ b/damsonpick/cli/main.py
@@ -67,7 +67,7 @@
     from damsonpick.protocols.sasp.server import FrontError
     from damsonpick.runtime import port_files
     from damsonpick.runtime.logs import configure
-    from damsonpick.state.learned.disk import LockError
+    from damsonpick.state.learned.errors import LockError
     from damsonpick.state.store.sqlite import StoreError
 
     log = configure(settings.log.format, settings.log.level)
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -113,7 +113,7 @@
         learned, away = self.remembering.read() if self.settings.knowledge.keep else (None, None)
         self.engine.start(self.clock.now(), learned, away)
         self.listing.begin(learned, away)
-        self.remembering.answered = self.listing.trust.answered
+        self.remembering.answered = self.listing.trust.last_success_at
         s = self.settings
         if self.sasp is not None:
             await self.sasp.open()
@@ -204,7 +204,7 @@
         while True:
             await anyio.sleep(self.clock.seconds(self.settings.reports.every))
             events = self.load_reports.flush()
-            self.listing.trust.hear(self.clock.now(), events)
+            self.listing.trust.apply_reports(self.clock.now(), events)
             if events:
                 self.engine.tell(*events)
                 self.stir()
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -21,12 +21,12 @@
 from damsonpick.state.history import rollback
 from damsonpick.state.history.history import number_of
 from damsonpick.state.history.recorder import HistoryRecorder
-from damsonpick.state.learned import ageing, restore
-from damsonpick.state.learned.snapshot import Fleet, Moment, Snapshot
+from damsonpick.state.learned import ageing, capture, restore
+from damsonpick.state.learned.snapshot import HostTime, LearnedFleet, Snapshot
 from damsonpick.state.published_tables import Change, PublishedTables
 from damsonpick.state.store.sqlite import Store
 
-NOTHING_LEARNED = Fleet(0.0, 0.0)
+NOTHING_LEARNED = LearnedFleet(0.0, 0.0)
 
 
 class Engine(DecisionLoop):
@@ -81,7 +81,7 @@
         now = self.clock.take(now)
         for number, lines in self.store.tables().items():
             self.published.restore(number, lines)
-        self.published.restore_standing(self.store.standing(), ageing.levels_hold(away))
+        self.published.restore_standing(self.store.standing(), ageing.admission_levels_valid(away))
         self.stood = self.published.standing()
         self.endpoint_list.restore(self.store.listed())
         self.session_manager.catalogue.refresh(self.published.units())
@@ -124,8 +124,8 @@
         classes = self.published.classes
         events: list[api.Event] = []
         if learned is not None:
-            wrong = restore.fits(learned, classes, self.published.slices)
-            events, anew = restore.events(learned, self.endpoint_list.entries, self.owned, not wrong)
+            wrong = restore.settings_mismatch(learned, classes, self.published.slices)
+            events, anew = restore.restored_events(learned, self.endpoint_list.entries, self.owned, not wrong)
             self.log.info(
                 "recalled",
                 servers=sum(isinstance(e, api.EndpointRestored) for e in events),
@@ -135,14 +135,18 @@
         levels = tuple(self.published.level(None, k) for k in range(len(classes)))
         fleet = learned.fleet if learned is not None else NOTHING_LEARNED
         if learned is not None or self.published.withdrawn or min(levels) < 1:
-            events.append(api.FleetRestored(levels, tuple(self.published.withdrawn), fleet.best, fleet.pace))
+            events.append(
+                api.FleetRestored(
+                    levels, tuple(self.published.withdrawn), fleet.best_throughput, fleet.throughput_per_capacity
+                )
+            )
         return events
 
     def learned(self) -> Snapshot | None:
         """What the planner at work has learned, to hand it to the next one."""
         if not isinstance(self.planner, Planner):
             return None
-        return restore.take(self.planner, 0, self.owner, Moment(0, "", 0))
+        return capture.take_snapshot(self.planner, capture.SnapshotInfo(0, self.owner, HostTime(0, "", 0)))
 
     def forget(self, now: int) -> None:
         """A planner that has learned nothing, in place of the one at work; tables and orders stay."""
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -18,7 +18,7 @@
 from damsonpick.state.endpoint_list.sources import ListError, Sources
 from damsonpick.state.endpoint_list.validation import EndpointList, ListValidation
 from damsonpick.state.learned import restore
-from damsonpick.state.learned.list_confidence import Trust
+from damsonpick.state.learned.list_confidence import ListConfidence
 from damsonpick.state.learned.snapshot import Snapshot
 from damsonpick.state.load_reports import LoadReports
 from damsonpick.state.store.sqlite import Store
@@ -47,18 +47,20 @@
         self.named: dict[str, ListSource] = {FIRST: settings.list, **settings.lists}
         names = [*self.named, MEMBERS] if settings.sasp.feed else list(self.named)
         self.sources = Sources(tuple(names), clock.now())
-        self.trust = Trust()
+        self.trust = ListConfidence()
         self.changed: Callable[[], None] = lambda: None
         self.said = "nothing yet"
         self.taken: tuple[str, list[api.EndpointEntry]] | None = None  # believed source and list, as last handed on
         self.disputes: list[str] = []
-        engine.doubted = lambda: self.trust.again()
+        engine.doubted = lambda: self.trust.published_events()
 
     def begin(self, learned: Snapshot | None, away: int | None) -> None:
         """The kept list is in force."""
         now = self.clock.now()
         self.load_reports.known = set(self.endpoint_list.entries)
-        self.trust.start(now, restore.kept(learned, now, away, self.endpoint_list.entries, self.store.listed_at()))
+        self.trust.restore(
+            now, restore.entry_times(learned, now, away, self.endpoint_list.entries, self.store.listed_at())
+        )
 
     def vouched(self) -> int:
         """Clock time when the believed source last stood by the list; 0: it does not."""
@@ -120,7 +122,7 @@
         if self.taken is not None and self.taken[0] != self.sources.believed:
             self.log.warning("list_source", now=self.sources.believed, before=self.taken[0])
         self.taken = (self.sources.believed, entries)
-        self._use(self.endpoint_list.take(now, entries, lambda name: self.trust.lost(now, name)))
+        self._use(self.endpoint_list.take(now, entries, lambda name: self.trust.is_lost(now, name)))
         self.said = f"{len(entries)} servers"
 
     def _use(self, verdict: ListValidation) -> None:
@@ -132,10 +134,10 @@
             return
         self.load_reports.known.update(e.endpoint for e in event.entries)
         if event.kind == "replace":
-            self.trust.vouch(now, (e.endpoint for e in event.entries))
+            self.trust.confirm(now, (e.endpoint for e in event.entries))
             self._keep(event)
         self.engine.relocate(now, self.endpoint_list.moved(event.entries))
-        self.engine.tell(event, *self.trust.say(now))
+        self.engine.tell(event, *self.trust.changes(now))
         self.changed()
         self.stir()
 
@@ -153,10 +155,10 @@
         """What only time changes: which source is believed, what is held, how far entries are trusted."""
         now = self.clock.now()
         self._merge(now)
-        verdict = self.endpoint_list.recheck(now, lambda name: self.trust.lost(now, name))
+        verdict = self.endpoint_list.recheck(now, lambda name: self.trust.is_lost(now, name))
         if verdict is not None:
             self._use(verdict)
-        if said := self.trust.say(now):
+        if said := self.trust.changes(now):
             self.log.info("list_trust", **{e.endpoint: e.confidence for e in said[:20]}, of=len(said))
             self.engine.tell(*said)
             self.stir()
@@ -179,7 +181,7 @@
             return {"accepted": held}
         if what != "show":
             raise ValueError(f"unknown order {what!r}; use show or accept")
-        levels = self.trust.levels(now) if self.trust.due(now) else {}
+        levels = self.trust.confidences(now) if self.trust.is_settled(now) else {}
         rows = [
             {
                 "endpoint": e.endpoint,
@@ -194,7 +196,7 @@
             for e in sorted(self.endpoint_list.entries.values())
         ]
         return {
-            "live": self.trust.live,
+            "live": self.trust.is_confirmed,
             "sources": self.sources.view(now),
             "disputes": self.disputes,
             "servers": rows,
@@ -203,6 +205,5 @@
 
     def _spoken(self, now: int, name: str) -> float | None:
         """Seconds since a source or a good answer spoke for an entry; None: not known."""
-        doubt = self.trust.doubts.get(name)
-        last = max([*(doubt.kept if doubt else ()), self.trust.answered.get(name, 0), 0])
+        last = self.trust.last_evidence_at(name)
         return round((now - last) / 1e9, 1) if last else None
--- a/damsonpick/controller/snapshots.py
+++ b/damsonpick/controller/snapshots.py
@@ -12,9 +12,10 @@
 from damsonpick.controller.engine import Engine
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
-from damsonpick.state.learned import ageing, codec, generations, restore
-from damsonpick.state.learned.disk import OsDisk, moment
-from damsonpick.state.learned.snapshot import Draft, Snapshot
+from damsonpick.state.learned import ageing, codec, generations
+from damsonpick.state.learned.capture import Capture, SnapshotInfo
+from damsonpick.state.learned.disk import OsDisk, host_time
+from damsonpick.state.learned.snapshot import PreEncodedSnapshot, Snapshot
 
 
 class Remembering:
@@ -25,7 +26,7 @@
         self.answered: Mapping[str, int] = {}  # endpoint: when it last gave a good answer
         self.settings, self.clock, self.log, self.disk = settings, clock, log, disk or OsDisk()
         self.folder = settings.knowledge_path()
-        self.found = generations.Found(None, "", (), False)
+        self.found = generations.NOTHING_LOADED
         self.age = ageing.Age(0, "")
         self.sequence = 0
         self.failing = False
@@ -36,28 +37,28 @@
     def read(self) -> tuple[Snapshot | None, int | None]:
         """The aged snapshot, and how long ago (ns of the pilot's clock) the last life was seen; None: not known."""
         self.found = generations.load(self.disk, self.folder)
-        for wrong in self.found.wrong:
+        for wrong in self.found.problems:
             self.log.error("knowledge_refused", what=wrong, remedy="the other generation, or nothing, is used")
         snapshot = self.found.snapshot
         if snapshot is None:
             return None, None
         self.sequence = snapshot.sequence
-        self.age = ageing.age(snapshot.at, moment())
-        if self.age.doubt:
-            self.log.warning("knowledge_age_doubted", why=self.age.doubt)
+        self.age = ageing.age_of(snapshot.taken_at, host_time())
+        if self.age.clock_warning:
+            self.log.warning("knowledge_age_doubted", why=self.age.clock_warning)
         ns = int(self.age.ns * self.clock.rate)
-        return ageing.fade(snapshot, ns), ns
+        return ageing.decay(snapshot, ns), ns
 
     def forget(self) -> None:
         """Remove what is kept."""
         generations.remove(self.folder)
-        self.found = generations.Found(None, "", (), False)
+        self.found = generations.NOTHING_LOADED
 
     # -- while the pilot runs
 
     async def run(self, engine: Engine) -> None:
         """For ever; a folder that cannot be written is said once, and tried again each time."""
-        if self.found.newer:
+        if self.found.newer_format:
             return
         while True:
             await anyio.sleep(self.clock.seconds(self.settings.knowledge.every))
@@ -69,23 +70,16 @@
     async def once(self, engine: Engine) -> None:
         """One snapshot. The planner is read in steps between which the loop runs on; the rest is a thread's."""
         planner = engine.planner
-        if planner is None or self.found.newer:
+        if planner is None or self.found.newer_format:
             return
-        capture = restore.Capture(
-            planner,
-            self.sequence + 1,
-            self.settings.pilot.name,
-            moment(),
-            self.clock.now(),
-            self.vouched(),
-            dict(self.answered),
-        )
+        info = SnapshotInfo(self.sequence + 1, self.settings.pilot.name, host_time(), self.clock.now(), self.vouched())
+        capture = Capture(planner, info, dict(self.answered))
         longest, start = 0.0, time.perf_counter()
-        for _ in capture.steps(pack=True):
+        for _ in capture.steps(pre_encode=True):
             longest = max(longest, time.perf_counter() - start)
             await anyio.lowlevel.checkpoint()
             start = time.perf_counter()
-        draft = capture.draft()
+        draft = capture.pre_encoded_snapshot()
         longest = max(longest, time.perf_counter() - start)
         try:
             size = await anyio.to_thread.run_sync(self._write, draft)
@@ -104,8 +98,8 @@
         self.sequence += 1
         self.written = {"sequence": self.sequence, "bytes": size, "stall_ms": round(longest * 1e3, 3), "error": ""}
 
-    def _write(self, draft: Draft) -> int:
+    def _write(self, draft: PreEncodedSnapshot) -> int:
         data = codec.encode(draft)
-        generations.save(self.disk, self.folder, data, rotate=self.found.which == generations.CURRENT)
-        self.found = generations.Found(None, generations.CURRENT, (), False)
+        generations.save(self.disk, self.folder, data, rotate=self.found.generation == generations.CURRENT)
+        self.found = generations.LoadedSnapshot(None, generations.CURRENT, (), False)
         return len(data)
--- a/damsonpick/state/learned/__init__.py
+++ b/damsonpick/state/learned/__init__.py
@@ -1,1 +1,1 @@
-"""What a pilot may believe of the past: what is kept, how it is written, aged and trusted."""
+"""Learned state: its snapshot on disk, how it ages, how it is restored, and confidence in a kept endpoint list."""
--- /dev/null
+++ b/damsonpick/state/learned/capture.py
@@ -0,0 +1,120 @@
+"""Takes a snapshot of what a planner has learned. Sans I/O; the planner is read, never written."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator, Mapping, Sequence
+from typing import NamedTuple, TypeVar
+
+import msgspec
+
+from damsonpick.decisions.planner import Planner
+from damsonpick.state.learned.snapshot import (
+    HostTime,
+    LearnedEndpoint,
+    LearnedFleet,
+    LearnedSlice,
+    PreEncodedSnapshot,
+    Snapshot,
+)
+
+SLICES_PER_STEP = 200
+MIN_CAPACITY_FACTOR = 0.01
+MAX_CAPACITY_FACTOR = 100.0
+MIN_WARMTH = 0.02  # less is not stored
+
+SnapshotType = TypeVar("SnapshotType", Snapshot, PreEncodedSnapshot)
+
+
+class SnapshotInfo(NamedTuple):
+    """What identifies a snapshot.
+
+    Attributes:
+        sequence: grows with each snapshot written.
+        pilot: name of the pilot.
+        taken_at: the present time of the host.
+        clock_at: the pilot's clock, ns.
+        list_confirmed_at: the pilot's clock when a source last confirmed the endpoint list, ns; 0: never.
+    """
+
+    sequence: int
+    pilot: str
+    taken_at: HostTime
+    clock_at: int = 0
+    list_confirmed_at: int = 0
+
+
+class Capture:
+    """A snapshot taken in small steps, so that the control loop is never held up for long."""
+
+    def __init__(self, planner: Planner, info: SnapshotInfo, last_success_at: Mapping[str, int] | None = None) -> None:
+        """Prepare a snapshot; `steps` reads the planner.
+
+        Args:
+            planner: what is read; it may go on between the steps.
+            info: of the snapshot.
+            last_success_at: by endpoint, the pilot's clock at its last successful response, ns.
+        """
+        self.planner = planner
+        self.info = info
+        self.last_success_at = last_success_at or {}
+        self.endpoints: list[LearnedEndpoint] = []
+        self.slices: list[LearnedSlice] = []
+        self.encoded_slices: list[msgspec.Raw] = []
+
+    def steps(self, pre_encode: bool = False) -> Iterator[None]:
+        """Read the planner; after each step the control loop may run.
+
+        Args:
+            pre_encode: for `pre_encoded_snapshot` in place of `snapshot`.
+        """
+        self._read_endpoints()
+        yield
+        for index, state in enumerate(list(self.planner.slices.values())):
+            # no call for each slice: there are thousands of them, and the control loop waits
+            warmth = tuple((name, min(1.0, share)) for name, share in state.warmth.items() if share > MIN_WARMTH)
+            learned = LearnedSlice(state.number, tuple(max(0.0, rate) for rate in state.rates), warmth)
+            if pre_encode:
+                self.encoded_slices.append(msgspec.Raw(msgspec.msgpack.encode(learned)))
+            else:
+                self.slices.append(learned)
+            if index % SLICES_PER_STEP == SLICES_PER_STEP - 1:
+                yield
+
+    def _read_endpoints(self) -> None:
+        """Endpoints of which nothing is known are left out: a new planner assumes the same of them."""
+        for name, state in list(self.planner.endpoints.items()):
+            last_success_at = self.last_success_at.get(name, 0)
+            if state.last_report_at or state.restored_share or last_success_at:
+                factor = min(MAX_CAPACITY_FACTOR, max(MIN_CAPACITY_FACTOR, state.capacity_factor))
+                self.endpoints.append(LearnedEndpoint(name, state.started, factor, last_success_at))
+
+    def snapshot(self) -> Snapshot:
+        """The snapshot, after all steps."""
+        return self._build(Snapshot, tuple(self.slices))
+
+    def pre_encoded_snapshot(self) -> PreEncodedSnapshot:
+        """The snapshot with its slices encoded, after all steps with `pre_encode`."""
+        return self._build(PreEncodedSnapshot, self.encoded_slices)
+
+    def _build(
+        self, snapshot_type: Callable[..., SnapshotType], slices: Sequence[LearnedSlice] | Sequence[msgspec.Raw]
+    ) -> SnapshotType:
+        planner = self.planner
+        best_throughput = max(0.0, planner.best_throughput)
+        throughput_per_capacity = max(0.0, planner.throughput_per_capacity)
+        return snapshot_type(
+            **self.info._asdict(),
+            classes=tuple(request_class.name for request_class in planner.settings.classes),
+            slice_count=planner.settings.slices,
+            endpoints=tuple(self.endpoints),
+            slices=slices,
+            fleet=LearnedFleet(best_throughput, throughput_per_capacity),
+        )
+
+
+def take_snapshot(planner: Planner, info: SnapshotInfo) -> Snapshot:
+    """A snapshot in one go."""
+    capture = Capture(planner, info)
+    for _ in capture.steps():
+        pass
+    return capture.snapshot()
--- a/damsonpick/state/learned/codec.py
+++ b/damsonpick/state/learned/codec.py
@@ -1,10 +1,11 @@
-"""A snapshot as bytes: a head with format, length and checksum, then MessagePack. Sans I/O.
+"""A snapshot as bytes: a header with format, length and checksum, then MessagePack. Sans I/O.
 
-    8 bytes  magic            2 bytes  format        2 bytes  nothing
-    4 bytes  length of body  16 bytes  XXH3 (128 bits) over the head before it and the body
+    8 bytes  magic            2 bytes  format        2 bytes  reserved, zero
+    4 bytes  length of body  16 bytes  XXH3 (128 bits) over the header before it and the body
 
-Any bit that differs is noticed: in the head by magic, format, length or checksum, in the body by the checksum. A file
-of an older format is migrated, of a newer one refused and left alone.
+Every changed bit is detected: in the header by magic, format, length or checksum, in the body by the checksum. A file
+of an older format is migrated; a file of a newer one is refused and left alone. The keys of the body are in
+`snapshot.STORED_KEYS`.
 """
 
 from __future__ import annotations
@@ -16,76 +17,86 @@
 import msgspec
 import xxhash
 
-from damsonpick.state.learned.snapshot import FORMAT, Draft, Snapshot
+from damsonpick.state.learned.errors import SnapshotCorruptError, SnapshotFormatError
+from damsonpick.state.learned.snapshot import FORMAT, PreEncodedSnapshot, Snapshot
 
 MAGIC = b"DAMSONKN"
-HEAD = struct.Struct(">8sHHI")
-SUM = 16  # bytes
-LARGEST = 64_000_000  # bytes of a body
+HEADER = struct.Struct(">8sHHI")
+CHECKSUM_BYTES = 16
+MAX_BODY_BYTES = 64_000_000
 
-
-def _second(raw: dict[str, Any]) -> dict[str, Any]:
-    """Format 1 did not say when a server last answered, nor when the list was last stood by."""
-    return raw | {"clock": 0, "vouched": 0, "servers": [[*row, 0] for row in raw["servers"]]}
-
-
-MIGRATIONS: dict[int, Callable[[dict[str, Any]], dict[str, Any]]] = {1: _second}  # format: to the next one
+RawSnapshot = dict[str, Any]  # a decoded body before its types are checked, by stored keys
 
 
-class Damaged(ValueError):
-    """Not what was written; the text says what is wrong."""
+def _migrate_1_to_2(raw: RawSnapshot) -> RawSnapshot:
+    """Format 1 held neither the endpoints' last successes nor when the list was last confirmed."""
+    return raw | {"clock": 0, "vouched": 0, "servers": [[*row, 0] for row in raw["servers"]]}
 
 
-class Newer(ValueError):
-    """Written by a newer program."""
+MIGRATIONS: dict[int, Callable[[RawSnapshot], RawSnapshot]] = {1: _migrate_1_to_2}  # format: to the next one
 
 
-def encode(snapshot: Snapshot | Draft) -> bytes:
+def encode(snapshot: Snapshot | PreEncodedSnapshot) -> bytes:
+    """The bytes of a snapshot, in the present format."""
     body = msgspec.msgpack.encode(snapshot)
-    head = HEAD.pack(MAGIC, FORMAT, 0, len(body))
-    return head + xxhash.xxh3_128_digest(head + body) + body
+    header = HEADER.pack(MAGIC, FORMAT, 0, len(body))
+    return header + xxhash.xxh3_128_digest(header + body) + body
 
 
 def decode(data: bytes) -> Snapshot:
     """The snapshot of a file.
 
     Raises:
-        Damaged: a bit differs, something is cut off, or a figure is out of its bounds.
-        Newer: the format is one that this program does not know, and the file is whole.
+        SnapshotCorruptError: a bit differs, something is cut off, or a figure is out of its bounds.
+        SnapshotFormatError: the file is whole, and of a format that this program does not know.
     """
-    if len(data) < HEAD.size + SUM:
-        raise Damaged(f"it has {len(data)} bytes, fewer than a head")
-    magic, form, spare, length = HEAD.unpack_from(data)
-    body = data[HEAD.size + SUM :]
-    if magic != MAGIC or spare:
-        raise Damaged("it does not begin as such a file does")
-    if length != len(body) or length > LARGEST:
-        raise Damaged(f"the head says {length} bytes, there are {len(body)}")
-    if xxhash.xxh3_128_digest(data[: HEAD.size] + body) != data[HEAD.size : HEAD.size + SUM]:
-        raise Damaged("the checksum is wrong")
-    if form > FORMAT:
-        raise Newer(f"it has format {form}, this program reads up to {FORMAT}")
+    found_format, body = _checked_body(data)
+    if found_format > FORMAT:
+        raise SnapshotFormatError(found_format, FORMAT)
     try:
-        if form == FORMAT:
-            return _checked(msgspec.msgpack.decode(body, type=Snapshot))
-        return _checked(msgspec.convert(_migrated(form, msgspec.msgpack.decode(body)), Snapshot))
+        snapshot = _parse_body(found_format, body)
     except (msgspec.MsgspecError, KeyError, TypeError) as error:
-        raise Damaged(f"its content is not of format {form}: {error}") from None
+        raise SnapshotCorruptError("content", f"its content is not of format {found_format}: {error}") from None
+    _check_slices(snapshot)
+    return snapshot
 
 
-def _migrated(form: int, raw: Any) -> Any:
-    while form < FORMAT:
-        if form not in MIGRATIONS:
-            raise Damaged(f"format {form} was never written")
-        raw, form = MIGRATIONS[form](raw), form + 1
+def _checked_body(data: bytes) -> tuple[int, bytes]:
+    """Format and body of a file whose header and checksum are right."""
+    if len(data) < HEADER.size + CHECKSUM_BYTES:
+        raise SnapshotCorruptError("header", f"it has {len(data)} bytes, fewer than a header")
+    magic, found_format, reserved, length = HEADER.unpack_from(data)
+    body = data[HEADER.size + CHECKSUM_BYTES :]
+    if magic != MAGIC or reserved:
+        raise SnapshotCorruptError("header", "it does not begin with the magic bytes of a snapshot")
+    if length != len(body) or length > MAX_BODY_BYTES:
+        raise SnapshotCorruptError("length", f"the header says {length} bytes, there are {len(body)}")
+    stated_checksum = data[HEADER.size : HEADER.size + CHECKSUM_BYTES]
+    if xxhash.xxh3_128_digest(data[: HEADER.size] + body) != stated_checksum:
+        raise SnapshotCorruptError("checksum", "the checksum is wrong")
+    return found_format, body
+
+
+def _parse_body(found_format: int, body: bytes) -> Snapshot:
+    if found_format == FORMAT:
+        return msgspec.msgpack.decode(body, type=Snapshot)
+    return msgspec.convert(_migrate(found_format, msgspec.msgpack.decode(body)), Snapshot)
+
+
+def _migrate(found_format: int, raw: RawSnapshot) -> RawSnapshot:
+    for step in range(found_format, FORMAT):
+        if step not in MIGRATIONS:
+            raise SnapshotCorruptError("format", f"format {step} was never written")
+        raw = MIGRATIONS[step](raw)
     return raw
 
 
-def _checked(snapshot: Snapshot) -> Snapshot:
-    for piece in snapshot.pieces:
-        if len(piece.rates) != len(snapshot.classes) or piece.number >= snapshot.slices:
-            raise Damaged(
-                f"slice {piece.number} has {len(piece.rates)} rates for {len(snapshot.classes)} classes, "
-                f"and there are {snapshot.slices} slices"
+def _check_slices(snapshot: Snapshot) -> None:
+    """Slices must fit the classes and the number of slices that the snapshot itself states."""
+    for learned in snapshot.slices:
+        if len(learned.rates) != len(snapshot.classes) or learned.number >= snapshot.slice_count:
+            raise SnapshotCorruptError(
+                "content",
+                f"slice {learned.number} has {len(learned.rates)} rates for {len(snapshot.classes)} classes, "
+                f"and there are {snapshot.slice_count} slices",
             )
-    return snapshot
--- a/damsonpick/state/learned/disk.py
+++ b/damsonpick/state/learned/disk.py
@@ -1,4 +1,4 @@
-"""The thin shell under knowledge: files, the machine's clocks, and the lock of a state folder."""
+"""The operating system under learned state: files, the host's clocks, and the lock of a state folder."""
 
 from __future__ import annotations
 
@@ -7,28 +7,33 @@
 import time
 from pathlib import Path
 
-from damsonpick.state.learned.snapshot import Moment
+from damsonpick.state.learned.errors import FolderLockedError, FolderUnusableError
+from damsonpick.state.learned.snapshot import HostTime
 
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
+MAX_PID_TEXT_BYTES = 32
 
 
 class OsDisk:
-    """The operating system's files."""
+    """The operating system's files (see `generations.Disk`)."""
 
     def read(self, path: Path) -> bytes:
+        """The content of a file."""
         return path.read_bytes()
 
     def write(self, path: Path, data: bytes) -> None:
+        """Create or replace a file and the folder it is in, not yet synced."""
         path.parent.mkdir(parents=True, exist_ok=True)
         with path.open("wb") as file:
             file.write(data)
 
     def sync(self, path: Path) -> None:
+        """Put a file's content on disk."""
         with path.open("rb+") as file:
             os.fsync(file.fileno())
 
     def link(self, old: Path, new: Path) -> None:
-        """A second name for a file; what had that name goes. Where the file system has no links: a copy, synced."""
+        """A second name for a file, in place of what had that name; on file systems without links a synced copy."""
         new.unlink(missing_ok=True)
         try:
             os.link(old, new)
@@ -37,9 +42,11 @@
             self.sync(new)
 
     def rename(self, old: Path, new: Path) -> None:
+        """Replace `new` atomically."""
         os.replace(old, new)
 
     def sync_folder(self, path: Path) -> None:
+        """Put changes of names in a folder on disk."""
         folder = os.open(path, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -47,43 +54,44 @@
             os.close(folder)
 
 
-def moment() -> Moment:
-    """Now, by both clocks."""
+def host_time() -> HostTime:
+    """The present time by the wall clock and, where the host tells it, by its uptime."""
     try:
-        boot, up = BOOT_ID.read_text().strip(), time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+        boot_id = BOOT_ID_FILE.read_text().strip()
+        uptime_ns = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
     except (OSError, AttributeError):
-        boot, up = "", 0
-    return Moment(max(0, time.time_ns()), boot, up)
-
-
-class LockError(Exception):
-    """Another process has the folder; the text names it and the remedy."""
+        boot_id, uptime_ns = "", 0
+    return HostTime(max(0, time.time_ns()), boot_id, uptime_ns)
 
 
 class FolderLock:
-    """One pilot on a state folder. The kernel gives the lock up when its process ends, however it ends."""
+    """Held by the one pilot that works on a state folder.
+
+    The kernel drops it when the process ends, however it ends.
+    """
 
     def __init__(self, folder: Path) -> None:
+        """Lock a folder, which is created if it does not exist.
+
+        Raises:
+            FolderUnusableError: it cannot be created or written.
+            FolderLockedError: another process holds the lock.
+        """
         self.path = folder / "lock"
         try:
             folder.mkdir(parents=True, exist_ok=True)
             self.file = os.open(self.path, os.O_RDWR | os.O_CREAT, 0o644)
         except OSError as error:
-            raise LockError(
-                f"{folder}: the state folder cannot be used ({error}); check folder, rights and space, or "
-                "name another in [pilot] state"
-            ) from None
+            raise FolderUnusableError(folder, error) from None
         try:
             fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            other = os.read(self.file, 32).decode(errors="replace").strip()
+            holder = os.read(self.file, MAX_PID_TEXT_BYTES).decode(errors="replace").strip()
             os.close(self.file)
-            raise LockError(
-                f"{self.path}: another pilot (process {other or 'unknown'}) works on this folder; end it, "
-                "or give this one a [pilot] state of its own"
-            ) from None
+            raise FolderLockedError(self.path, holder) from None
         os.ftruncate(self.file, 0)
         os.write(self.file, f"{os.getpid()}\n".encode())
 
     def release(self) -> None:
+        """Let another process lock the folder."""
         os.close(self.file)
--- a/damsonpick/state/learned/restore.py
+++ b/damsonpick/state/learned/restore.py
@@ -1,163 +1,117 @@
-"""From a planner to a snapshot, and from a snapshot to events for another planner. Sans I/O.
+"""Restores learned state: from an aged snapshot to events for a new planner. Sans I/O.
 
-The planner is read, never written. What is handed over is only what the new planner can check against the list: of a
-server whose process started anew nothing is told.
+Only what can be checked against the endpoint list is restored: of an endpoint whose process was restarted nothing is.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator, Mapping
-from typing import Any
-
-import msgspec
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 
 from damsonpick import interface as api
-from damsonpick.decisions.planner import Planner
-from damsonpick.state.learned.list_confidence import Kept
-from damsonpick.state.learned.snapshot import Draft, Fleet, Moment, Piece, Server, Snapshot
+from damsonpick.state.learned.list_confidence import EntryTimes
+from damsonpick.state.learned.snapshot import Snapshot
+from damsonpick.state.store.sqlite import ListedAt
 
-CHUNK = 200  # slices looked at in one go
-LEAST_SPEED, MOST_SPEED = 0.01, 100.0
-LEAST_WARMTH = 0.02
+NEVER_LISTED = ListedAt(0, "")
 
 
-class Capture:
-    """A snapshot made in small steps, so that the loop is never held up for long.
+class RestoredEvents(NamedTuple):
+    """Events for a new planner, and the endpoints of which nothing is restored as their process was restarted."""
 
-    Args:
-        planner: what is read; it may go on between the steps.
-        sequence, pilot, at: of the snapshot.
-        clock, vouched, answered: the pilot's clock, when a source last stood by the list, and when each server last
-            gave a good answer.
-    """
+    events: list[api.Event]
+    restarted_endpoints: list[str]
 
-    def __init__(
-        self,
-        planner: Planner,
-        sequence: int,
-        pilot: str,
-        at: Moment,
-        clock: int = 0,
-        vouched: int = 0,
-        answered: Mapping[str, int] | None = None,
-    ) -> None:
-        self.planner, self.sequence, self.pilot, self.at = planner, sequence, pilot, at
-        self.clock, self.vouched, self.answered = clock, vouched, answered or {}
-        self.servers: list[Server] = []
-        self.pieces: list[Piece] = []
-        self.packed: list[msgspec.Raw] = []
-
-    def steps(self, pack: bool = False) -> Iterator[None]:
-        """Each step looks at some servers or slices. `pack`: for `draft` in place of `snapshot`."""
-        planner = self.planner
-        for name, ep in list(planner.endpoints.items()):
-            when = self.answered.get(name, 0)
-            if ep.last_report_at or ep.restored_share or when:  # the rest is as the ignorant assume
-                self.servers.append(
-                    Server(name, ep.started, min(MOST_SPEED, max(LEAST_SPEED, ep.capacity_factor)), when)
-                )
-        yield
-        for k, piece in enumerate(list(planner.slices.values())):
-            warmth = tuple((n, min(1.0, w)) for n, w in piece.warmth.items() if w > LEAST_WARMTH)
-            made = Piece(piece.number, tuple(max(0.0, r) for r in piece.rates), warmth)
-            if pack:
-                self.packed.append(msgspec.Raw(msgspec.msgpack.encode(made)))
-            else:
-                self.pieces.append(made)
-            if k % CHUNK == CHUNK - 1:
-                yield
-
-    def snapshot(self) -> Snapshot:
-        return self._made(Snapshot, tuple(self.pieces))
-
-    def draft(self) -> Draft:
-        return self._made(Draft, self.packed)
-
-    def _made(self, kind: type, pieces: object) -> Any:
-        planner = self.planner
-        classes = tuple(c.name for c in planner.settings.classes)
-        fleet = Fleet(max(0.0, planner.best_throughput), max(0.0, planner.throughput_per_capacity))
-        return kind(
-            self.sequence,
-            self.pilot,
-            self.at,
-            self.clock,
-            self.vouched,
-            classes,
-            planner.settings.slices,
-            tuple(self.servers),
-            pieces,
-            fleet,
-        )
-
-
-def take(planner: Planner, sequence: int, pilot: str, at: Moment) -> Snapshot:
-    """A snapshot in one go."""
-    made = Capture(planner, sequence, pilot, at)
-    for _ in made.steps():
-        pass
-    return made.snapshot()
-
-
-def fits(snapshot: Snapshot, classes: tuple[str, ...], slices: int) -> str:
-    """Why a snapshot does not belong to these settings; '': it does. Speeds belong to servers, not to settings."""
-    if snapshot.slices != slices:
-        return f"it knows {snapshot.slices} slices, there are {slices}"
+
+def settings_mismatch(snapshot: Snapshot, classes: tuple[str, ...], slice_count: int) -> str:
+    """Why the slices of a snapshot do not fit the present settings; '': they fit."""
+    if snapshot.slice_count != slice_count:
+        return f"it knows {snapshot.slice_count} slices, there are {slice_count}"
     if snapshot.classes != classes:
         return f"it knows the classes {', '.join(snapshot.classes)}, there are {', '.join(classes)}"
     return ""
 
 
-def events(
-    snapshot: Snapshot, listed: Mapping[str, api.EndpointEntry], owned: Iterable[int], whole: bool = True
-) -> tuple[list[api.Event], list[str]]:
-    """What a planner is told of an aged snapshot, and the servers that nothing is told of as they started anew.
+def restored_events(
+    snapshot: Snapshot,
+    entries: Mapping[str, api.EndpointEntry],
+    owned_slices: Iterable[int],
+    include_slices: bool = True,
+) -> RestoredEvents:
+    """The events that hand an aged snapshot to a new planner: endpoints first, then slices, in the snapshot's order.
 
     Args:
-        whole: slices and classes are still the same; else speeds alone are told.
+        snapshot: as it has aged.
+        entries: the endpoint list in force, by endpoint.
+        owned_slices: slices of other pilots are left out.
+        include_slices: slices and classes are still the same. Capacity factors are restored in any case, as they
+            belong to endpoints and not to settings.
     """
-    found: list[api.Event] = []
-    anew: list[str] = []
-    for server in snapshot.servers:
-        entry = listed.get(server.endpoint)
+    events: list[api.Event] = []
+    restarted: list[str] = []
+    for learned in snapshot.endpoints:
+        entry = entries.get(learned.endpoint)
         if entry is None:
             continue
-        if entry.started != server.started:
-            anew.append(server.endpoint)
+        if entry.started != learned.started:
+            restarted.append(learned.endpoint)
             continue
-        found.append(api.EndpointRestored(server.endpoint, server.started, server.speed))
-    if whole:
-        mine = set(owned)
-        found += [api.SliceRestored(p.number, p.rates, p.warmth) for p in snapshot.pieces if p.number in mine]
-    return found, anew
+        events.append(api.EndpointRestored(learned.endpoint, learned.started, learned.capacity_factor))
+    if include_slices:
+        owned = set(owned_slices)
+        for state in snapshot.slices:
+            if state.number in owned:
+                events.append(api.SliceRestored(state.number, state.rates, state.warmth))
+    return RestoredEvents(events, restarted)
 
 
-def kept(
+def entry_times(
     snapshot: Snapshot | None,
     now: int,
-    away: int | None,
-    listed: Mapping[str, api.EndpointEntry],
-    at: Mapping[str, tuple[int, str]],
-) -> dict[str, Kept]:
-    """When each entry of a kept list was last spoken for, on the clock of this life.
+    downtime_ns: int | None,
+    entries: Mapping[str, api.EndpointEntry],
+    listed_at: Mapping[str, ListedAt],
+) -> dict[str, EntryTimes]:
+    """When each entry of a cached endpoint list was last confirmed and last responded, on this incarnation's clock.
+
+    The store knows when each entry was listed. The snapshot may be newer: it knows when a source last confirmed the
+    whole list, which counts for the entries of the newest list, but not for older ones that are only held.
 
     Args:
-        now, away: ns; the clock, and how long ago the snapshot was made.
-        listed, at: the kept list, and when and by which source each entry was listed.
+        snapshot: of the previous incarnation; None: there is none.
+        now: the clock, ns.
+        downtime_ns: since the snapshot was taken; None: not known.
+        entries: the cached list.
+        listed_at: when each of its entries was listed, by the clock.
+
+    Returns:
+        Times by endpoint, none of them later than `now`.
     """
-    newest = max((when for when, _ in at.values()), default=0)
-    vouched, answered = 0, {}
-    if snapshot is not None and away is not None and snapshot.clock:
-        shift = now - away - snapshot.clock  # from the clock of that life, whatever was done to it since, to ours
-        vouched = snapshot.vouched + shift if snapshot.vouched else 0
-        answered = {
-            s.endpoint: s.answered + shift
-            for s in snapshot.servers
-            if s.answered and s.endpoint in listed and listed[s.endpoint].started == s.started
-        }
-    found = {}
-    for name in listed:
-        when = at.get(name, (0, ""))[0]
-        mine = max(when, vouched) if when == newest else when
-        found[name] = Kept(min(now, mine), min(now, answered.get(name, 0)))
-    return found
+    list_confirmed_at = 0
+    last_success_at: dict[str, int] = {}
+    if snapshot is not None and downtime_ns is not None and snapshot.clock_at:
+        # from the previous incarnation's clock to this one's, whatever was done to the clock in between
+        clock_shift_ns = now - downtime_ns - snapshot.clock_at
+        if snapshot.list_confirmed_at:
+            list_confirmed_at = snapshot.list_confirmed_at + clock_shift_ns
+        last_success_at = _last_successes(snapshot, entries, clock_shift_ns)
+    newest_listing = max((listed.time for listed in listed_at.values()), default=0)
+    times: dict[str, EntryTimes] = {}
+    for endpoint in entries:
+        confirmed_at = listed_at.get(endpoint, NEVER_LISTED).time
+        if confirmed_at == newest_listing:
+            confirmed_at = max(confirmed_at, list_confirmed_at)
+        times[endpoint] = EntryTimes(min(now, confirmed_at), min(now, last_success_at.get(endpoint, 0)))
+    return times
+
+
+def _last_successes(
+    snapshot: Snapshot, entries: Mapping[str, api.EndpointEntry], clock_shift_ns: int
+) -> dict[str, int]:
+    """Last successful responses of those listed processes that the snapshot knew."""
+    times: dict[str, int] = {}
+    for learned in snapshot.endpoints:
+        entry = entries.get(learned.endpoint)
+        if learned.last_success_at and entry is not None and entry.started == learned.started:
+            times[learned.endpoint] = learned.last_success_at + clock_shift_ns
+    return times
--- a/damsonpick/state/store/sqlite.py
+++ b/damsonpick/state/store/sqlite.py
@@ -10,6 +10,7 @@
 import sqlite3
 from collections.abc import Iterable, Mapping
 from pathlib import Path
+from typing import NamedTuple
 
 from damsonpick import interface as api
 from damsonpick.state.store.leases import Charge
@@ -32,6 +33,13 @@
     """The store cannot be used; the text names the file and the remedy."""
 
 
+class ListedAt(NamedTuple):
+    """When an entry of the endpoint list was last listed (clock time, ns; 0: not known), and by which source."""
+
+    time: int
+    source: str
+
+
 class Store:
     """Tables, custody, gateway numbers and the list, in one file."""
 
@@ -148,9 +156,10 @@
             for row in self.db.execute("SELECT endpoint, zone, state, weight, started FROM listed")
         ]
 
-    def listed_at(self) -> dict[str, tuple[int, str]]:
-        """When (clock time, ns; 0: not known) and by which source each entry was last listed."""
-        return {name: (at, source) for name, at, source in self.db.execute("SELECT endpoint, at, source FROM listed")}
+    def listed_at(self) -> dict[str, ListedAt]:
+        """When and by which source each entry of the list was last listed, by endpoint."""
+        rows = self.db.execute("SELECT endpoint, at, source FROM listed")
+        return {endpoint: ListedAt(time, source) for endpoint, time, source in rows}
 
     def keep_list(
         self,
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -132,7 +132,7 @@
     world.engine.planner.endpoints["127.0.0.1:9001"].capacity_factor = 0.25
     world.engine.planner.endpoints["127.0.0.1:9001"].last_report_at = 1
     kept = world.engine.learned()
-    assert [s.speed for s in kept.servers] == [0.25]
+    assert [s.capacity_factor for s in kept.endpoints] == [0.25]
     world.engine._failed(world.now, [], ValueError("first"))
     world.engine._begin(world.now, learned=world.engine.salvaged)
     assert world.engine.salvaged is not None
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -14,7 +14,9 @@
 
 from damsonpick import interface as api
 from damsonpick.state.learned import ageing, codec, generations, restore
-from damsonpick.state.learned.snapshot import FORMAT, Fleet, Moment, Piece, Server, Snapshot
+from damsonpick.state.learned.capture import Capture, SnapshotInfo, take_snapshot
+from damsonpick.state.learned.errors import SnapshotCorruptError, SnapshotFormatError
+from damsonpick.state.learned.snapshot import FORMAT, HostTime, LearnedEndpoint, LearnedFleet, LearnedSlice, Snapshot
 from tests.helpers import SECOND, World, entry
 
 FIXTURES = Path(__file__).parent / "fixtures"
@@ -25,14 +27,14 @@
     made = Snapshot(
         sequence,
         "pilot-0",
-        Moment(10**18, "boot", 10**12),
+        HostTime(10**18, "boot", 10**12),
         0,
         0,
         ("cheap", "dear"),
         12,
-        (Server("p", 0, 0.5), Server("q", 7, 1.25)),
-        (Piece(0, (3.0, 4.5), (("p", 1.0), ("q", 0.25))), Piece(11, (0.0, 0.125), ())),
-        Fleet(120.0, 9.5),
+        (LearnedEndpoint("p", 0, 0.5), LearnedEndpoint("q", 7, 1.25)),
+        (LearnedSlice(0, (3.0, 4.5), (("p", 1.0), ("q", 0.25))), LearnedSlice(11, (0.0, 0.125), ())),
+        LearnedFleet(120.0, 9.5),
     )
     return msgspec.structs.replace(made, **more)
 
@@ -43,22 +45,22 @@
     Snapshot,
     st.integers(0, 2**62),
     names,
-    st.builds(Moment, st.integers(0, 2**62), names, st.integers(0, 2**62)),
+    st.builds(HostTime, st.integers(0, 2**62), names, st.integers(0, 2**62)),
     st.integers(0, 2**62),
     st.just(0),
     st.just(("a", "b")),
     st.just(50),
-    st.lists(st.builds(Server, names, st.integers(0, 2**62), st.floats(0.01, 100)), max_size=9).map(tuple),
+    st.lists(st.builds(LearnedEndpoint, names, st.integers(0, 2**62), st.floats(0.01, 100)), max_size=9).map(tuple),
     st.lists(
         st.builds(
-            Piece,
+            LearnedSlice,
             st.integers(0, 49),
             st.tuples(st.floats(0, 1e9), st.floats(0, 1e9)),
             st.lists(st.tuples(names, parts), max_size=3).map(tuple),
         ),
         max_size=9,
     ).map(tuple),
-    st.builds(Fleet, st.floats(0, 1e9), st.floats(0, 1e9)),
+    st.builds(LearnedFleet, st.floats(0, 1e9), st.floats(0, 1e9)),
 )
 
 
@@ -69,7 +71,7 @@
 
 @given(st.binary(max_size=200))
 def test_what_was_never_written_is_refused(data):
-    with pytest.raises(codec.Damaged):
+    with pytest.raises(SnapshotCorruptError):
         codec.decode(data)
 
 
@@ -80,51 +82,53 @@
     for bit in places if len(places) < 1000 else rng.sample(places, max(1000, len(places) // 2)):
         flipped = bytearray(data)
         flipped[bit // 8] ^= 1 << bit % 8
-        with pytest.raises((codec.Damaged, codec.Newer)) as caught:
+        with pytest.raises((SnapshotCorruptError, SnapshotFormatError)) as caught:
             codec.decode(bytes(flipped))
-        assert caught.type is codec.Damaged, f"bit {bit}: a damaged file is not taken for a newer one"
+        assert caught.type is SnapshotCorruptError, f"bit {bit}: a damaged file is not taken for a newer one"
 
 
 @pytest.mark.parametrize(
     "change",
     [
-        {"servers": (Server("p", 0, float("nan")),)},
-        {"servers": (Server("p", 0, 1e9),)},
-        {"servers": (Server("", 0, 1.0),)},
-        {"pieces": (Piece(0, (float("inf"), 0.0), ()),)},
-        {"pieces": (Piece(0, (1.0,), ()),)},
-        {"pieces": (Piece(99, (1.0, 1.0), ()),)},
-        {"pieces": (Piece(0, (1.0, 1.0), (("p", 1.5),)),)},
-        {"fleet": Fleet(-1.0, 0.0)},
+        {"endpoints": (LearnedEndpoint("p", 0, float("nan")),)},
+        {"endpoints": (LearnedEndpoint("p", 0, 1e9),)},
+        {"endpoints": (LearnedEndpoint("", 0, 1.0),)},
+        {"slices": (LearnedSlice(0, (float("inf"), 0.0), ()),)},
+        {"slices": (LearnedSlice(0, (1.0,), ()),)},
+        {"slices": (LearnedSlice(99, (1.0, 1.0), ()),)},
+        {"slices": (LearnedSlice(0, (1.0, 1.0), (("p", 1.5),)),)},
+        {"fleet": LearnedFleet(-1.0, 0.0)},
     ],
 )
 def test_a_whole_file_with_impossible_figures_is_refused(change):
-    with pytest.raises(codec.Damaged):
+    with pytest.raises(SnapshotCorruptError):
         codec.decode(codec.encode(snapshot(**change)))
 
 
 def _as_format(data, form):
-    head = codec.HEAD.pack(codec.MAGIC, form, 0, len(data) - codec.HEAD.size - codec.SUM)
+    head = codec.HEADER.pack(codec.MAGIC, form, 0, len(data) - codec.HEADER.size - codec.CHECKSUM_BYTES)
     import xxhash
 
-    body = data[codec.HEAD.size + codec.SUM :]
+    body = data[codec.HEADER.size + codec.CHECKSUM_BYTES :]
     return head + xxhash.xxh3_128_digest(head + body) + body
 
 
 def test_a_newer_file_is_refused_and_a_format_never_written_too():
     data = codec.encode(snapshot())
-    with pytest.raises(codec.Newer, match=f"format {FORMAT + 1}"):
+    with pytest.raises(SnapshotFormatError, match=f"format {FORMAT + 1}"):
         codec.decode(_as_format(data, FORMAT + 1))
-    with pytest.raises(codec.Damaged, match="never written"):
+    with pytest.raises(SnapshotCorruptError, match="never written"):
         codec.decode(_as_format(data, 0))
 
 
 @pytest.mark.parametrize("form", range(1, FORMAT + 1))
 def test_files_of_every_format_ever_written_are_read(form):
     found = codec.decode((FIXTURES / f"knowledge-{form}").read_bytes())
-    assert [s.endpoint for s in found.servers] == ["127.0.0.1:9001", "127.0.0.1:9002"]
-    assert found.servers[1].answered == (123 if form > 1 else 0) and found.vouched == (10**17 - 5 if form > 1 else 0)
-    assert found.pieces[0].rates == (3.0, 4.5) and found.fleet == Fleet(120.0, 9.5)
+    assert [s.endpoint for s in found.endpoints] == ["127.0.0.1:9001", "127.0.0.1:9002"]
+    assert found.endpoints[1].last_success_at == (123 if form > 1 else 0) and found.list_confirmed_at == (
+        10**17 - 5 if form > 1 else 0
+    )
+    assert found.slices[0].rates == (3.0, 4.5) and found.fleet == LearnedFleet(120.0, 9.5)
 
 
 # -- cuts
@@ -221,7 +225,7 @@
     seen, cases = set(), 0
     for stop, part in [(k, None) for k in range(8)] + [(1, n) for n in range(len(new))]:
         disk = CutDisk(before, stop, part)
-        rotate = generations.load(disk, FOLDER).which == generations.CURRENT
+        rotate = generations.load(disk, FOLDER).generation == generations.CURRENT
         try:
             generations.save(disk, FOLDER, new, rotate)
             done = True
@@ -258,45 +262,57 @@
     files = _generations()
     files[generations.CURRENT] = _as_format(files[generations.CURRENT], FORMAT + 1)
     found = generations.load(CutDisk(files, 99), FOLDER)
-    assert found.newer and found.snapshot.sequence == 4 and "left alone" in found.wrong[0]
+    assert found.newer_format and found.snapshot.sequence == 4 and "left alone" in found.problems[0]
     files[generations.CURRENT] = b"torn"
     found = generations.load(CutDisk(files, 99), FOLDER)
-    assert not found.newer and found.which == generations.PREVIOUS and "fewer than a head" in found.wrong[0]
+    assert (
+        not found.newer_format
+        and found.generation == generations.PREVIOUS
+        and "fewer than a header" in found.problems[0]
+    )
 
 
 # -- ages
 
-NOW = Moment(10**18, "boot", 10**13)
+NOW = HostTime(10**18, "boot", 10**13)
 HOUR = 3600 * SECOND
 
 
 @pytest.mark.parametrize(
     ("then", "ns", "doubt"),
     [
-        (Moment(10**18 - HOUR, "boot", 10**13 - HOUR), HOUR, ""),
-        (Moment(10**18 + 5 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by -18001 s"),
-        (Moment(10**18 - 9 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by +32399 s"),
-        (Moment(10**18 - HOUR, "other", 10**13), HOUR, ""),
-        (Moment(10**18 + HOUR, "other", 5), ageing.UNKNOWN, "in the future"),
-        (Moment(10**18 + SECOND, "other", 5), 0, ""),
-        (Moment(10**18 - HOUR, "", 0), HOUR, ""),
+        (HostTime(10**18 - HOUR, "boot", 10**13 - HOUR), HOUR, ""),
+        (HostTime(10**18 + 5 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by -18001 s"),
+        (HostTime(10**18 - 9 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by +32399 s"),
+        (HostTime(10**18 - HOUR, "other", 10**13), HOUR, ""),
+        (HostTime(10**18 + HOUR, "other", 5), ageing.UNKNOWN_AGE_NS, "in the future"),
+        (HostTime(10**18 + SECOND, "other", 5), 0, ""),
+        (HostTime(10**18 - HOUR, "", 0), HOUR, ""),
     ],
 )
 def test_age_survives_a_clock_that_was_set_and_a_machine_that_was_started_anew(then, ns, doubt):
-    found = ageing.age(then, NOW)
-    assert found.ns == ns and doubt in found.doubt and bool(doubt) == bool(found.doubt)
+    found = ageing.age_of(then, NOW)
+    assert found.ns == ns and doubt in found.clock_warning and bool(doubt) == bool(found.clock_warning)
 
 
 def test_each_figure_fades_by_its_own_half_life_toward_ignorance():
     made = snapshot()
-    assert ageing.fade(made, 0) == made
-    minute = ageing.fade(made, 60 * SECOND)
-    assert minute.pieces[0].rates == (1.5, 2.25) and minute.fleet.best == 60.0
-    assert 0.5 < minute.servers[0].speed < 0.6 and 1.1 < minute.servers[1].speed < 1.25
-    assert minute.pieces[0].warmth == (("p", 0.5**4),)
-    day = ageing.fade(made, 24 * HOUR)
-    assert not day.pieces and day.fleet == Fleet(0.0, 0.0) and all(abs(s.speed - 1) < 1e-9 for s in day.servers)
-    assert ageing.levels_hold(SECOND) and not ageing.levels_hold(HOUR) and not ageing.levels_hold(None)
+    assert ageing.decay(made, 0) == made
+    minute = ageing.decay(made, 60 * SECOND)
+    assert minute.slices[0].rates == (1.5, 2.25) and minute.fleet.best_throughput == 60.0
+    assert 0.5 < minute.endpoints[0].capacity_factor < 0.6 and 1.1 < minute.endpoints[1].capacity_factor < 1.25
+    assert minute.slices[0].warmth == (("p", 0.5**4),)
+    day = ageing.decay(made, 24 * HOUR)
+    assert (
+        not day.slices
+        and day.fleet == LearnedFleet(0.0, 0.0)
+        and all(abs(s.capacity_factor - 1) < 1e-9 for s in day.endpoints)
+    )
+    assert (
+        ageing.admission_levels_valid(SECOND)
+        and not ageing.admission_levels_valid(HOUR)
+        and not ageing.admission_levels_valid(None)
+    )
 
 
 # -- what is told
@@ -311,10 +327,10 @@
 
 def test_a_new_planner_is_told_what_the_old_one_learned():
     old = taught()
-    kept = restore.take(old.planner, 1, "pilot-0", NOW)
-    assert restore.take(old.planner, 1, "pilot-0", NOW) == codec.decode(codec.encode(kept))
+    kept = take_snapshot(old.planner, SnapshotInfo(1, "pilot-0", NOW))
+    assert take_snapshot(old.planner, SnapshotInfo(1, "pilot-0", NOW)) == codec.decode(codec.encode(kept))
     new = World("pqrs", slices=12)
-    told, anew = restore.events(kept, {n: entry(n) for n in "pqrs"}, range(12))
+    told, anew = restore.restored_events(kept, {n: entry(n) for n in "pqrs"}, range(12))
     assert not anew
     new.tell(*told)
     for name in "pqrs":
@@ -324,18 +340,18 @@
 
 
 def test_a_draft_is_written_as_the_snapshot_it_stands_for():
-    made = restore.Capture(taught().planner, 7, "pilot-0", NOW, 5, 4, {"p": 3})
-    for _ in made.steps(pack=True):
+    made = Capture(taught().planner, SnapshotInfo(7, "pilot-0", NOW, 5, 4), {"p": 3})
+    for _ in made.steps(pre_encode=True):
         pass
-    whole = restore.Capture(made.planner, 7, "pilot-0", NOW, 5, 4, {"p": 3})
+    whole = Capture(made.planner, SnapshotInfo(7, "pilot-0", NOW, 5, 4), {"p": 3})
     for _ in whole.steps():
         pass
-    assert codec.encode(made.draft()) == codec.encode(whole.snapshot())
+    assert codec.encode(made.pre_encoded_snapshot()) == codec.encode(whole.snapshot())
 
 
 def test_nothing_is_told_of_a_server_replaced_under_the_same_name():
-    kept = restore.take(taught().planner, 1, "pilot-0", NOW)
-    told, anew = restore.events(kept, {"p": entry("p", started=9), "q": entry("q")}, range(12))
+    kept = take_snapshot(taught().planner, SnapshotInfo(1, "pilot-0", NOW))
+    told, anew = restore.restored_events(kept, {"p": entry("p", started=9), "q": entry("q")}, range(12))
     assert anew == ["p"] and [e.endpoint for e in told if isinstance(e, api.EndpointRestored)] == ["q"]
 
 
@@ -357,9 +373,11 @@
 
 def test_other_slices_or_classes_leave_speeds_alone_to_be_told():
     kept = snapshot()
-    assert "12 slices" in restore.fits(kept, ("cheap", "dear"), 13) and "classes" in restore.fits(kept, ("cheap",), 12)
-    assert not restore.fits(kept, ("cheap", "dear"), 12)
-    told, _ = restore.events(kept, {"p": entry("p")}, range(12), whole=False)
+    assert "12 slices" in restore.settings_mismatch(
+        kept, ("cheap", "dear"), 13
+    ) and "classes" in restore.settings_mismatch(kept, ("cheap",), 12)
+    assert not restore.settings_mismatch(kept, ("cheap", "dear"), 12)
+    told, _ = restore.restored_events(kept, {"p": entry("p")}, range(12), include_slices=False)
     assert told == [api.EndpointRestored("p", 0, 0.5)]
 
 
--- a/tests/test_knowledge_pilot.py
+++ b/tests/test_knowledge_pilot.py
@@ -19,7 +19,7 @@
 from damsonpick.runtime import port_files
 from damsonpick.runtime.clock import Clock
 from damsonpick.state.learned import codec, generations
-from damsonpick.state.learned.snapshot import FORMAT, Moment
+from damsonpick.state.learned.snapshot import FORMAT, HostTime
 from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
 from damsonpick.testing.fakes.record import Recorder
 from damsonpick.testing.fakes.results import Make, ResultsServer
@@ -59,7 +59,11 @@
     for path in kept(folder).glob("*"):
         made = codec.decode(path.read_bytes())
         path.write_bytes(
-            codec.encode(msgspec.structs.replace(made, at=Moment(made.at.wall - seconds * SECOND, "another start", 0)))
+            codec.encode(
+                msgspec.structs.replace(
+                    made, taken_at=HostTime(made.taken_at.wall_ns - seconds * SECOND, "another start", 0)
+                )
+            )
         )
 
 
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -26,7 +26,7 @@
 from damsonpick.state.history.history import Version, content
 from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.learned import codec
-from damsonpick.state.learned.snapshot import Fleet, Moment, Piece, Server, Snapshot
+from damsonpick.state.learned.snapshot import HostTime, LearnedEndpoint, LearnedFleet, LearnedSlice, Snapshot
 from damsonpick.state.published_tables import PublishedTables
 from damsonpick.state.store.leases import Charge
 from damsonpick.state.store.sqlite import Store, StoreError
@@ -295,18 +295,22 @@
 SNAPSHOT = Snapshot(
     41,
     "pilot-0",
-    Moment(TIME, "a1b2", 5000 * SECOND),
+    HostTime(TIME, "a1b2", 5000 * SECOND),
     TIME + 3,
     TIME - 2 * SECOND,
     ("page", "tally"),
     4,
-    (Server(A, 0, 0.5, TIME - SECOND), Server(B, TIME - 5 * SECOND, 1.25), Server(C, 7, 0.01, 123)),
     (
-        Piece(0, (3.0, 4.5), ((A, 1.0), (B, 0.25))),
-        Piece(1, (0.0, 0.125), ()),
-        Piece(3, (1e6, 2.0), ((C, 0.02),)),
+        LearnedEndpoint(A, 0, 0.5, TIME - SECOND),
+        LearnedEndpoint(B, TIME - 5 * SECOND, 1.25),
+        LearnedEndpoint(C, 7, 0.01, 123),
     ),
-    Fleet(120.0, 9.5),
+    (
+        LearnedSlice(0, (3.0, 4.5), ((A, 1.0), (B, 0.25))),
+        LearnedSlice(1, (0.0, 0.125), ()),
+        LearnedSlice(3, (1e6, 2.0), ((C, 0.02),)),
+    ),
+    LearnedFleet(120.0, 9.5),
 )
 
 
