--- a/damsonpick/cli/main.py
+++ b/damsonpick/cli/main.py
@@ -68,7 +68,7 @@
     from damsonpick.runtime import port_files
     from damsonpick.runtime.logs import configure
     from damsonpick.state.learned.errors import LockError
-    from damsonpick.state.store.sqlite import StoreError
+    from damsonpick.state.store.errors import StoreError
 
     log = configure(settings.log.format, settings.log.level)
 
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -65,13 +65,13 @@
         self.lock = FolderLock(s.pilot.state)
         self.remembering = Remembering(s, self.clock, log)
         self.store = Store(s.store_path(), count)
-        self.epoch = self.store.epoch()
+        self.epoch = self.store.next_epoch()
         self.published = PublishedTables(tuple(s.classes), count)
         self.endpoint_list = EndpointList(s.pilot.zones)
         c = s.channel
         self.channel = Channel(c.lines_per_second, c.head, c.limit, c.messages, c.window)
         self.catalogue = Catalogue(self.published, s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
-        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway)
+        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway_number)
         self.session_manager.stop_share = s.versions.stop
         self.history = open_store(s.history_path())
         self.recorder = HistoryRecorder(
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -79,17 +79,17 @@
             away: ns since that life was last seen; None: not known.
         """
         now = self.clock.take(now)
-        for number, lines in self.store.tables().items():
+        for number, lines in self.store.load_tables().items():
             self.published.restore(number, lines)
-        self.published.restore_standing(self.store.standing(), ageing.admission_levels_valid(away))
+        self.published.restore_standing(self.store.load_persistent_actions(), ageing.admission_levels_valid(away))
         self.stood = self.published.standing()
-        self.endpoint_list.restore(self.store.listed())
+        self.endpoint_list.restore(self.store.load_endpoint_list())
         self.session_manager.catalogue.refresh(self.published.units())
         if self.recorder:
             self.recorder.start(now)
             if self.holds(now):
                 self._recall_gone()
-        self.owned = {charge.slice for charge in self.store.claim(self.owner, now, self.lease())}
+        self.owned = {lease.slice for lease in self.store.claim(self.owner, now, self.lease())}
         self._begin(now, learned=learned)
 
     def lease(self) -> int:
@@ -174,11 +174,11 @@
 
     def renew(self, now: int) -> None:
         """Keep custody; a slice lost to another pilot is given up, one won is taken over."""
-        have = {charge.slice for charge in self.store.claim(self.owner, self.clock.take(now), self.lease())}
+        have = {lease.slice for lease in self.store.claim(self.owner, self.clock.take(now), self.lease())}
         for number in sorted(self.owned - have):
             self.tell(api.SliceOwnershipChanged(number, False))
         if have - self.owned:
-            stored = self.store.tables()
+            stored = self.store.load_tables()
             for number in sorted(have - self.owned):
                 self.published.restore(number, stored[number])
                 self.tell(
@@ -354,7 +354,7 @@
         if not both and standing == self.stood:
             return
         try:
-            self.store.write(both, standing if standing != self.stood else None)
+            self.store.save_tables(both, standing if standing != self.stood else None)
             self.stood = standing
             if self.unsaved:
                 self.log.info("store_caught_up", slices=len(both))
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -21,7 +21,7 @@
 from damsonpick.state.learned.list_confidence import ListConfidence
 from damsonpick.state.learned.snapshot import Snapshot
 from damsonpick.state.load_reports import LoadReports
-from damsonpick.state.store.sqlite import Store
+from damsonpick.state.store.sqlite import ListedAt, Store
 
 LOOK = 250_000_000  # ns between looks at what only time changes
 FIRST = "list"  # the name of the source in [list]
@@ -147,7 +147,8 @@
             states[entry.state] = states.get(entry.state, 0) + 1
         self.log.info("listed", **states)
         try:
-            self.store.keep_list(event.entries, self.clock.now(), self.sources.believed, self.endpoint_list.held)
+            listed = ListedAt(self.clock.now(), self.sources.believed)
+            self.store.save_endpoint_list(event.entries, listed, self.endpoint_list.held)
         except Exception as error:
             self.log.error("list_not_kept", error=str(error), remedy="free space or rights on the state folder")
 
--- a/damsonpick/state/learned/restore.py
+++ b/damsonpick/state/learned/restore.py
@@ -11,9 +11,7 @@
 from damsonpick import interface as api
 from damsonpick.state.learned.list_confidence import EntryTimes
 from damsonpick.state.learned.snapshot import Snapshot
-from damsonpick.state.store.sqlite import ListedAt
-
-NEVER_LISTED = ListedAt(0, "")
+from damsonpick.state.store.sqlite import NEVER_LISTED, ListedAt
 
 
 class RestoredEvents(NamedTuple):
--- a/damsonpick/state/store/__init__.py
+++ b/damsonpick/state/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process: tables, standing orders, the endpoint list and slice leases, in SQLite."""
+"""What outlives a process: tables, persistent actions, the endpoint list and slice leases, in SQLite."""
--- a/damsonpick/state/store/sqlite.py
+++ b/damsonpick/state/store/sqlite.py
@@ -1,21 +1,26 @@
-"""The embedded store: SQLite in WAL mode, one writer, one transaction an order.
+"""The embedded store: SQLite in WAL mode, one writer, one transaction for each set of actions.
 
-A process killed at any point leaves the last whole transaction (SQLite's own guarantee in WAL mode). With
-`synchronous = NORMAL` a power cut may lose the newest transactions but never tears one; gateways then hold
-newer tables than the store, which their content hashes show at the next stream, and they are put right.
+After a power cut gateways may hold newer tables than the store (see `connection`). Their content hashes show it at the
+next stream, and the tables are published again.
+
+The names of tables and columns are part of the stored format: `lines` holds table entries, `standing` persistent
+actions, `listed` the endpoint list, `slices` the leases.
 """
 
 from __future__ import annotations
 
 import sqlite3
-from collections.abc import Iterable, Mapping
+from collections.abc import Collection, Iterable, Mapping
+from contextlib import AbstractContextManager
 from pathlib import Path
 from typing import NamedTuple
 
 from damsonpick import interface as api
-from damsonpick.state.store.leases import Charge
+from damsonpick.state.store.connection import connect, has_column, transaction
+from damsonpick.state.store.errors import StoreMismatchError, StoreUnusableError
+from damsonpick.state.store.leases import SliceLease
 
-VERSION = 1
+SCHEMA_VERSION = 1
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS about (key TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS slices (slice INTEGER PRIMARY KEY, owner TEXT NOT NULL DEFAULT '',
@@ -27,10 +32,9 @@
 CREATE TABLE IF NOT EXISTS listed (endpoint TEXT PRIMARY KEY, zone TEXT NOT NULL, state TEXT NOT NULL,
     weight REAL NOT NULL, started INTEGER NOT NULL) WITHOUT ROWID;
 """
-
-
-class StoreError(Exception):
-    """The store cannot be used; the text names the file and the remedy."""
+KEY_EPOCH = "epoch"
+KEY_SCHEMA_VERSION = "version"
+KEY_SLICES = "slices"
 
 
 class ListedAt(NamedTuple):
@@ -40,108 +44,132 @@
     source: str
 
 
+NEVER_LISTED = ListedAt(0, "")
+
+
 class Store:
-    """Tables, custody, gateway numbers and the list, in one file."""
+    """Tables, persistent actions, leases, gateway numbers and the endpoint list, in one file."""
 
     def __init__(self, path: Path, slices: int) -> None:
-        self.path, self.slices = path, slices
+        """Open or create a store.
+
+        Args:
+            path: of the database.
+            slices: number of slices; a store with another number is refused.
+
+        Raises:
+            StoreUnusableError: the database cannot be opened, or it is damaged.
+            StoreMismatchError: it was written with another number of slices or another schema.
+        """
+        self.path = path
+        self.slices = slices
         try:
-            path.parent.mkdir(parents=True, exist_ok=True)
-            self.db = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=2.0)
-            self.db.execute("PRAGMA journal_mode = WAL")
-            self.db.execute("PRAGMA synchronous = NORMAL")
-            if self.db.execute("PRAGMA quick_check").fetchone()[0] != "ok":
-                raise sqlite3.DatabaseError("the check of its pages failed")
+            self.db = connect(path, check_same_thread=False)
+            self._check_pages()
             self.db.executescript(SCHEMA)
-            if "at" not in {row[1] for row in self.db.execute("PRAGMA table_info(listed)")}:
-                self.db.execute("ALTER TABLE listed ADD COLUMN at INTEGER NOT NULL DEFAULT 0")
-                self.db.execute("ALTER TABLE listed ADD COLUMN source TEXT NOT NULL DEFAULT ''")
-            self._settle()
+            self._add_columns()
+            self._initialize()
         except (sqlite3.Error, OSError) as error:
-            raise StoreError(
-                f"{path}: the store cannot be opened ({error}); check folder, rights and space, or "
-                "move the file away to start with empty tables"
-            ) from None
+            raise StoreUnusableError(path, error) from None
 
-    def _settle(self) -> None:
-        """Check version and number of slices; make the slices' rows at the first start."""
+    def _check_pages(self) -> None:
+        if self.db.execute("PRAGMA quick_check").fetchone()[0] != "ok":
+            raise StoreUnusableError(self.path, "the check of its pages failed")
+
+    def _add_columns(self) -> None:
+        """Columns that stores of earlier releases lack."""
+        if not has_column(self.db, "listed", "at"):
+            self.db.execute("ALTER TABLE listed ADD COLUMN at INTEGER NOT NULL DEFAULT 0")
+            self.db.execute("ALTER TABLE listed ADD COLUMN source TEXT NOT NULL DEFAULT ''")
+
+    def _initialize(self) -> None:
+        """Compare schema and number of slices with the settings; create the slices' rows at the first start."""
         about = dict(self.db.execute("SELECT key, value FROM about"))
-        for key, ours in (("version", VERSION), ("slices", self.slices)):
-            if key in about and int(about[key]) != ours:
-                raise StoreError(
-                    f"{self.path}: the store was written with {key} {about[key]}, the settings say "
-                    f"{ours}; keep the setting, or move the file away to start anew"
-                )
+        expected = {KEY_SCHEMA_VERSION: SCHEMA_VERSION, KEY_SLICES: self.slices}
+        for key, value in expected.items():
+            if key in about and int(about[key]) != value:
+                raise StoreMismatchError(self.path, key, about[key], value)
         with self.transaction():
-            self.db.executemany(
-                "INSERT OR IGNORE INTO about VALUES (?, ?)", [("version", str(VERSION)), ("slices", str(self.slices))]
-            )
-            self.db.executemany("INSERT OR IGNORE INTO slices (slice) VALUES (?)", [(n,) for n in range(self.slices)])
+            rows = [(key, str(value)) for key, value in expected.items()]
+            self.db.executemany("INSERT OR IGNORE INTO about VALUES (?, ?)", rows)
+            numbers = [(number,) for number in range(self.slices)]
+            self.db.executemany("INSERT OR IGNORE INTO slices (slice) VALUES (?)", numbers)
 
-    def transaction(self) -> _Transaction:
-        return _Transaction(self.db)
+    def transaction(self) -> AbstractContextManager[None]:
+        """A write transaction: committed at the end of the block, rolled back on an error in it."""
+        return transaction(self.db)
 
-    def epoch(self) -> int:
-        """A number that grows with each start on this store."""
+    def next_epoch(self) -> int:
+        """A number that grows with each call, also over restarts; a pilot takes one at each start."""
         with self.transaction():
-            row = self.db.execute("SELECT value FROM about WHERE key = 'epoch'").fetchone()
+            row = self.db.execute("SELECT value FROM about WHERE key = ?", (KEY_EPOCH,)).fetchone()
             number = int(row[0]) + 1 if row else 1
-            self.db.execute("INSERT OR REPLACE INTO about VALUES ('epoch', ?)", (str(number),))
+            self.db.execute("INSERT OR REPLACE INTO about VALUES (?, ?)", (KEY_EPOCH, str(number)))
         return number
 
-    # -- tables
+    # -- tables and persistent actions
 
-    def tables(self) -> dict[int, dict[str, float]]:
-        result: dict[int, dict[str, float]] = {n: {} for n in range(self.slices)}
+    def load_tables(self) -> dict[int, dict[str, float]]:
+        """The weight of each entry, by slice and endpoint; a slice without entries has an empty table."""
+        tables: dict[int, dict[str, float]] = {number: {} for number in range(self.slices)}
         for number, endpoint, weight in self.db.execute("SELECT slice, endpoint, weight FROM lines"):
-            result[number][endpoint] = weight
-        return result
+            tables[number][endpoint] = weight
+        return tables
 
-    def standing(self) -> dict[str, float]:
-        """Withdrawals, levels and retry modes (see Published.standing)."""
+    def load_persistent_actions(self) -> dict[str, float]:
+        """Withdrawals, admission levels and retry modes by their keys (see `PublishedTables`)."""
         return dict(self.db.execute("SELECT key, value FROM standing"))
 
-    def write(self, tables: Mapping[int, Mapping[str, float]], standing: Mapping[str, float] | None = None) -> None:
-        """Replace the lines of some slices and, if given, all standing orders, in one transaction."""
+    def save_tables(
+        self, tables: Mapping[int, Mapping[str, float]], persistent_actions: Mapping[str, float] | None = None
+    ) -> None:
+        """Replace the tables of some slices and, if given, all persistent actions, in one transaction.
+
+        Raises:
+            sqlite3.Error: nothing is changed.
+        """
         with self.transaction():
-            for number, lines in tables.items():
+            for number, entries in tables.items():
+                rows = [(number, endpoint, weight) for endpoint, weight in entries.items()]
                 self.db.execute("DELETE FROM lines WHERE slice = ?", (number,))
-                self.db.executemany(
-                    "INSERT INTO lines VALUES (?, ?, ?)", [(number, name, weight) for name, weight in lines.items()]
-                )
-            if standing is not None:
+                self.db.executemany("INSERT INTO lines VALUES (?, ?, ?)", rows)
+            if persistent_actions is not None:
                 self.db.execute("DELETE FROM standing")
-                self.db.executemany("INSERT INTO standing VALUES (?, ?)", list(standing.items()))
+                self.db.executemany("INSERT INTO standing VALUES (?, ?)", list(persistent_actions.items()))
 
-    # -- custody (see custody.Custody)
+    # -- leases (see leases.LeaseStore)
 
-    def claim(self, owner: str, now: int, lease: int) -> list[Charge]:
+    def claim(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
+        """Take all slices that are free or whose lease has ended, and renew the owner's; returns all that it has."""
+        lease_end = now + duration_ns
         with self.transaction():
             self.db.execute(
                 "UPDATE slices SET owner = ?, until = ?, term = term + 1 "
                 "WHERE owner != ? AND (owner = '' OR until <= ?)",
-                (owner, now + lease, owner, now),
+                (owner, lease_end, owner, now),
             )
-            self.db.execute("UPDATE slices SET until = ? WHERE owner = ?", (now + lease, owner))
-        return self._charges(owner)
+            self.db.execute("UPDATE slices SET until = ? WHERE owner = ?", (lease_end, owner))
+        return self._leases(owner)
 
-    def renew(self, owner: str, now: int, lease: int) -> list[Charge]:
+    def renew(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
+        """Keep the owner's slices for another `duration_ns`; returns what it still has."""
         with self.transaction():
-            self.db.execute("UPDATE slices SET until = ? WHERE owner = ?", (now + lease, owner))
-        return self._charges(owner)
+            self.db.execute("UPDATE slices SET until = ? WHERE owner = ?", (now + duration_ns, owner))
+        return self._leases(owner)
 
     def release(self, owner: str) -> None:
+        """Give all slices of an owner back, at an orderly end."""
         with self.transaction():
             self.db.execute("UPDATE slices SET owner = '', until = 0 WHERE owner = ?", (owner,))
 
-    def _charges(self, owner: str) -> list[Charge]:
+    def _leases(self, owner: str) -> list[SliceLease]:
         rows = self.db.execute("SELECT slice, owner, term FROM slices WHERE owner = ? ORDER BY slice", (owner,))
-        return [Charge(*row) for row in rows]
+        return [SliceLease(*row) for row in rows]
 
-    # -- gateways and list
+    # -- gateways and endpoint list
 
-    def gateway(self, node: str) -> int:
-        """The number of a node id, the same in every life of the pilot."""
+    def gateway_number(self, node: str) -> int:
+        """The number of a node id; it stays the same over restarts of the pilot."""
         row = self.db.execute("SELECT number FROM gateways WHERE node = ?", (node,)).fetchone()
         if row:
             return row[0]
@@ -150,48 +178,42 @@
             self.db.execute("INSERT INTO gateways VALUES (?, ?)", (last + 1, node))
         return last + 1
 
-    def listed(self) -> list[api.EndpointEntry]:
-        return [
-            api.EndpointEntry(*row)
-            for row in self.db.execute("SELECT endpoint, zone, state, weight, started FROM listed")
-        ]
+    def load_endpoint_list(self) -> list[api.EndpointEntry]:
+        """The endpoint list as last saved."""
+        rows = self.db.execute("SELECT endpoint, zone, state, weight, started FROM listed")
+        return [api.EndpointEntry(*row) for row in rows]
 
     def listed_at(self) -> dict[str, ListedAt]:
         """When and by which source each entry of the list was last listed, by endpoint."""
         rows = self.db.execute("SELECT endpoint, at, source FROM listed")
         return {endpoint: ListedAt(time, source) for endpoint, time, source in rows}
 
-    def keep_list(
+    def save_endpoint_list(
         self,
         entries: Iterable[api.EndpointEntry],
-        at: int = 0,
-        source: str = "",
-        held: Mapping[str, object] | None = None,
+        listed: ListedAt = NEVER_LISTED,
+        held: Collection[str] = (),
     ) -> None:
-        """The list in force. Entries that are `held`, though no source names them, keep their former time."""
+        """Replace the endpoint list.
+
+        Args:
+            entries: the list in force.
+            listed: when and by which source.
+            held: endpoints that this source no longer names; they keep their former time and source.
+
+        Raises:
+            sqlite3.Error: nothing is changed.
+        """
         former = self.listed_at() if held else {}
+        rows = []
+        for entry in entries:
+            is_held = entry.endpoint in held
+            entry_listed = former.get(entry.endpoint, NEVER_LISTED) if is_held else listed
+            rows.append((*entry, *entry_listed))
         with self.transaction():
             self.db.execute("DELETE FROM listed")
-            self.db.executemany(
-                "INSERT INTO listed VALUES (?, ?, ?, ?, ?, ?, ?)",
-                [
-                    (*e, *(former.get(e.endpoint, (0, "")) if held and e.endpoint in held else (at, source)))
-                    for e in entries
-                ],
-            )
+            self.db.executemany("INSERT INTO listed VALUES (?, ?, ?, ?, ?, ?, ?)", rows)
 
     def close(self) -> None:
+        """Close the database."""
         self.db.close()
-
-
-class _Transaction:
-    """BEGIN IMMEDIATE to COMMIT, or ROLLBACK on an error."""
-
-    def __init__(self, db: sqlite3.Connection) -> None:
-        self.db = db
-
-    def __enter__(self) -> None:
-        self.db.execute("BEGIN IMMEDIATE")
-
-    def __exit__(self, kind: object, error: object, trace: object) -> None:
-        self.db.execute("ROLLBACK" if kind else "COMMIT")
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -48,7 +48,9 @@
         self.store = Store(folder / "t.db", 6)
         self.published = PublishedTables(("page", "tally"), 6)
         self.catalogue = Catalogue(self.published, self.settings, lambda n: "a")
-        self.session_manager = SessionManager(self.published, self.catalogue, Channel(0, 8, 1e9), self.store.gateway)
+        self.session_manager = SessionManager(
+            self.published, self.catalogue, Channel(0, 8, 1e9), self.store.gateway_number
+        )
         self.endpoint_list = EndpointList(("a", "b"))
         self.log = structlog.testing.LogCapture()
         log = structlog.wrap_logger(None, processors=[self.log])
@@ -106,7 +108,7 @@
     world = World(tmp_path)
     session = world.join()
     world.run(1)
-    assert world.open() and world.store.tables() == world.published.tables
+    assert world.open() and world.store.load_tables() == world.published.tables
     assert world.session_manager.by[session].session is session and world.engine.planner.flow_control.last_token
     assert not world.engine.planner.flow_control.in_flight, "every mark was answered"
 
@@ -170,12 +172,12 @@
     def full(tables):
         raise sqlite3.OperationalError("database or disk is full")
 
-    monkeypatch.setattr(world.store, "write", full)
+    monkeypatch.setattr(world.store, "save_tables", full)
     world.run(1)
-    assert world.open() and world.events("store_not_written") and not any(world.store.tables().values())
+    assert world.open() and world.events("store_not_written") and not any(world.store.load_tables().values())
     monkeypatch.undo()
     world.run(2)
-    assert world.store.tables() == world.published.tables and world.events("store_caught_up")
+    assert world.store.load_tables() == world.published.tables and world.events("store_caught_up")
 
 
 def test_custody_lost_is_given_up_and_orders_for_it_are_dropped(tmp_path):
--- a/tests/test_roster_evidence_store.py
+++ b/tests/test_roster_evidence_store.py
@@ -16,7 +16,8 @@
 from damsonpick.protocols.xds import endpoint_list_client, load_stats
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.load_reports import EndpointSum, GatewaySums, LoadReports, SliceSum
-from damsonpick.state.store.sqlite import Store, StoreError
+from damsonpick.state.store.errors import StoreError
+from damsonpick.state.store.sqlite import Store
 
 SECOND = 1_000_000_000
 NOW = 100 * SECOND
@@ -179,15 +180,19 @@
 
 def test_store_keeps_tables_custody_numbers_and_list(tmp_path):
     store = Store(tmp_path / "t.db", 4)
-    store.write({1: {"x": 1.0, "y": 2.0}, 2: {"x": 1.0}})
-    store.write({1: {"y": 1.0}})
-    assert [store.gateway(n) for n in ("a", "b", "a")] == [0, 1, 0]
-    store.keep_list([entry("x", started=5)])
-    assert store.epoch() == 1
+    store.save_tables({1: {"x": 1.0, "y": 2.0}, 2: {"x": 1.0}})
+    store.save_tables({1: {"y": 1.0}})
+    assert [store.gateway_number(n) for n in ("a", "b", "a")] == [0, 1, 0]
+    store.save_endpoint_list([entry("x", started=5)])
+    assert store.next_epoch() == 1
     store.close()
     again = Store(tmp_path / "t.db", 4)
-    assert again.tables() == {0: {}, 1: {"y": 1.0}, 2: {"x": 1.0}, 3: {}}
-    assert again.epoch() == 2 and again.gateway("b") == 1 and again.listed() == [entry("x", started=5)]
+    assert again.load_tables() == {0: {}, 1: {"y": 1.0}, 2: {"x": 1.0}, 3: {}}
+    assert (
+        again.next_epoch() == 2
+        and again.gateway_number("b") == 1
+        and again.load_endpoint_list() == [entry("x", started=5)]
+    )
 
 
 def test_custody_is_given_once_until_its_lease_ends(tmp_path):
@@ -210,7 +215,7 @@
 k = 0
 while True:
     k += 1
-    store.write({n: {f"e{k}": float(k)} for n in range(8)})
+    store.save_tables({n: {f"e{k}": float(k)} for n in range(8)})
     print(k, flush=True)
 """
 
@@ -222,7 +227,7 @@
             for _ in range(20 + 17 * k):
                 last = int(process.stdout.readline())
             process.send_signal(signal.SIGKILL)
-        tables = Store(path, 8).tables()
+        tables = Store(path, 8).load_tables()
         assert len({tuple(t.items()) for t in tables.values()}) == 1, "never half of an order"
         assert next(iter(tables[0].values())) >= last
 
@@ -238,7 +243,7 @@
 
 def test_a_write_that_fails_leaves_the_old_tables(tmp_path):
     store = Store(tmp_path / "t.db", 2)
-    store.write({0: {"x": 1.0}})
+    store.save_tables({0: {"x": 1.0}})
     with pytest.raises(sqlite3.Error):
-        store.write({0: {"y": 1.0}, 1: {"z": None}})
-    assert store.tables() == {0: {"x": 1.0}, 1: {}}
+        store.save_tables({0: {"y": 1.0}, 1: {"z": None}})
+    assert store.load_tables() == {0: {"x": 1.0}, 1: {}}
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -28,8 +28,9 @@
 from damsonpick.state.learned import codec
 from damsonpick.state.learned.snapshot import HostTime, LearnedEndpoint, LearnedFleet, LearnedSlice, Snapshot
 from damsonpick.state.published_tables import PublishedTables
-from damsonpick.state.store.leases import Charge
-from damsonpick.state.store.sqlite import Store, StoreError
+from damsonpick.state.store.errors import StoreError
+from damsonpick.state.store.leases import SliceLease
+from damsonpick.state.store.sqlite import ListedAt, Store
 
 FIXTURES = Path(__file__).parent / "fixtures"
 SECOND = 1_000_000_000
@@ -72,19 +73,19 @@
 
 def test_table_store_is_read(fixture_copy):
     store = Store(fixture_copy("store-1.sqlite"), 4)
-    assert store.tables() == TABLES
-    assert store.standing() == STANDING
-    assert store.claim("pilot-2", TIME + 61 * SECOND, 10 * SECOND) == [Charge(n, "pilot-2", 3) for n in range(4)]
+    assert store.load_tables() == TABLES
+    assert store.load_persistent_actions() == STANDING
+    assert store.claim("pilot-2", TIME + 61 * SECOND, 10 * SECOND) == [SliceLease(n, "pilot-2", 3) for n in range(4)]
     assert store.claim("pilot-0", TIME + 62 * SECOND, 10 * SECOND) == [], "the other's ownership has not ended"
-    assert [store.gateway(node) for node in ("gw-c", "gw-a", "gw-b", "gw-new")] == [2, 0, 1, 3]
-    assert store.listed() == [] and store.epoch() == 4
+    assert [store.gateway_number(node) for node in ("gw-c", "gw-a", "gw-b", "gw-new")] == [2, 0, 1, 3]
+    assert store.load_endpoint_list() == [] and store.next_epoch() == 4
     store.close()
 
 
 def test_persistent_actions_of_the_store_are_restored(fixture_copy):
     store = Store(fixture_copy("store-1.sqlite"), 4)
     published = PublishedTables(("page", "tally"), 4)
-    published.restore_standing(store.standing(), levels=True)
+    published.restore_standing(store.load_persistent_actions(), levels=True)
     store.close()
     assert set(published.withdrawn) == {C, D}
     assert published.levels == {(None, 0): 0.75, (3, 1): 0.125}
@@ -110,14 +111,14 @@
         ]
     )
     store = Store(tmp_path / "store", 4)
-    assert [store.epoch() for _ in range(3)] == [1, 2, 3]
-    store.write(published.tables, published.standing())
+    assert [store.next_epoch() for _ in range(3)] == [1, 2, 3]
+    store.save_tables(published.tables, published.standing())
     store.claim("pilot-0", TIME, 10 * SECOND)
     store.release("pilot-0")
     store.claim("pilot-1", TIME + SECOND, 10 * SECOND)
     store.claim("pilot-2", TIME + 60 * SECOND, 10 * SECOND)
     for node in ("gw-a", "gw-b", "gw-c"):
-        store.gateway(node)
+        store.gateway_number(node)
     store.close()
     assert schema_and_rows(tmp_path / "store") == schema_and_rows(FIXTURES / "store-1.sqlite")
 
@@ -131,24 +132,24 @@
     api.EndpointEntry(D, "a", "in_service", 3.25, TIME + 1),
 ]
 LISTED_AT = {
-    A: (TIME + 90 * SECOND, "list spare"),
-    B: (TIME + 90 * SECOND, "list spare"),
-    C: (TIME, "list"),
-    D: (TIME + 90 * SECOND, "list spare"),
+    A: ListedAt(TIME + 90 * SECOND, "list spare"),
+    B: ListedAt(TIME + 90 * SECOND, "list spare"),
+    C: ListedAt(TIME, "list"),
+    D: ListedAt(TIME + 90 * SECOND, "list spare"),
 }
 
 
 def test_endpoint_list_is_read(fixture_copy):
     store = Store(fixture_copy("endpoint-list-1.sqlite"), 2)
-    assert sorted(store.listed()) == sorted(LISTED)
+    assert sorted(store.load_endpoint_list()) == sorted(LISTED)
     assert store.listed_at() == LISTED_AT
     store.close()
 
 
 def test_endpoint_list_is_written_in_the_same_columns(tmp_path):
     store = Store(tmp_path / "store", 2)
-    store.keep_list([LISTED[0], LISTED[1]._replace(weight=6.0), LISTED[2]], TIME, "list")
-    store.keep_list(LISTED, TIME + 90 * SECOND, "list spare", {C: LISTED[2]})
+    store.save_endpoint_list([LISTED[0], LISTED[1]._replace(weight=6.0), LISTED[2]], ListedAt(TIME, "list"))
+    store.save_endpoint_list(LISTED, ListedAt(TIME + 90 * SECOND, "list spare"), {C})
     store.close()
     assert schema_and_rows(tmp_path / "store") == schema_and_rows(FIXTURES / "endpoint-list-1.sqlite")
 
