--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -65,13 +65,13 @@
         self.lock = FolderLock(s.pilot.state)
         self.remembering = Remembering(s, self.clock, log)
         self.store = Store(s.store_path(), count)
-        self.epoch = self.store.epoch()
+        self.epoch = self.store.next_epoch()
         self.published = PublishedTables(tuple(s.classes), count)
         self.endpoint_list = EndpointList(s.pilot.zones)
         c = s.channel
         self.channel = Channel(c.lines_per_second, c.head, c.limit, c.messages, c.window)
         self.catalogue = Catalogue(self.published, s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
-        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway)
+        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway_number)
         self.session_manager.stop_share = s.versions.stop
         self.history = open_store(s.history_path())
         self.recorder = HistoryRecorder(
@@ -113,7 +113,7 @@
         learned, away = self.remembering.read() if self.settings.knowledge.keep else (None, None)
         self.engine.start(self.clock.now(), learned, away)
         self.listing.begin(learned, away)
-        self.remembering.answered = self.listing.trust.answered
+        self.remembering.answered = self.listing.trust.last_success_at
         s = self.settings
         if self.sasp is not None:
             await self.sasp.open()
@@ -204,7 +204,7 @@
         while True:
             await anyio.sleep(self.clock.seconds(self.settings.reports.every))
             events = self.load_reports.flush()
-            self.listing.trust.hear(self.clock.now(), events)
+            self.listing.trust.apply_reports(self.clock.now(), events)
             if events:
                 self.engine.tell(*events)
                 self.stir()
