--- a/damsonpick/load_tool/experiment.py
+++ b/damsonpick/load_tool/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment's INI file, and what is drawn from it. Sans I/O; everything follows from the seed."""
+"""An experiment's INI file, and the arrivals drawn from it. Everything follows from the seed."""
 
 from __future__ import annotations
 
@@ -15,8 +15,12 @@
 from damsonpick.settings.load import Problem, SettingsError
 from damsonpick.settings.units import Address, Duration
 
+SECOND_NS = 1_000_000_000
+
 
 class Section(BaseModel):
+    """A section of the file. Field names are its keys."""
+
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
@@ -33,7 +37,7 @@
     seed: int = 1
 
 
-class Kind(Section):
+class RequestClass(Section):
     """[class NAME]: a share of the requests."""
 
     share: float = Field(gt=0)
@@ -44,40 +48,54 @@
 
 
 class Experiment(Section):
+    """The complete file."""
+
     load: Load
-    classes: dict[str, Kind]
+    classes: dict[str, RequestClass]
 
 
 class Arrival(NamedTuple):
-    """One request: when (ns from the start), of which class, for which key."""
+    """One request.
+
+    Attributes:
+        due_ns: from the start of the run.
+        request_class: name of its class.
+        key: number of the key it asks for.
+        number: of the request in the run.
+    """
 
-    at: int
-    kind: str
+    due_ns: int
+    request_class: str
     key: int
     number: int
 
 
 def read(path: Path) -> Experiment:
-    """An experiment.
+    """Read and check an experiment.
 
     Raises:
         SettingsError: with every problem, each with section, key, value and remedy.
     """
-    made, problems = sections.read(path, Experiment, ("load",), {"class": "classes"})
-    if made.load.warm_up >= made.load.length:
+    experiment, problems = sections.read(path, Experiment, ("load",), {"class": "classes"})
+    if experiment.load.warm_up >= experiment.load.length:
         problems.append(Problem("load", "warm_up", "", "is not shorter than length; nothing would be counted"))
     if problems:
         raise SettingsError(path, problems)
-    return made
+    return experiment
 
 
-def arrivals(made: Experiment) -> Iterator[Arrival]:
+def arrivals(experiment: Experiment) -> Iterator[Arrival]:
     """All requests in order of time: Poisson arrivals, classes by share, keys by Zipf's law."""
-    load, rng = made.load, random.Random(made.load.seed)
-    names, shares = list(made.classes), [k.share for k in made.classes.values()]
-    sums = list(accumulate(1 / (rank + 1) ** load.skew for rank in range(load.keys)))
-    at, number = 0.0, 0
-    while (at := at + rng.expovariate(load.rate) * 1e9) < load.length:
-        key = min(bisect(sums, rng.random() * sums[-1]), load.keys - 1)
-        yield Arrival(int(at), rng.choices(names, shares)[0], key, number)
+    load = experiment.load
+    rng = random.Random(load.seed)
+    names = list(experiment.classes)
+    shares = [spec.share for spec in experiment.classes.values()]
+    cumulative = list(accumulate(1 / (rank + 1) ** load.skew for rank in range(load.keys)))
+    due_ns = rng.expovariate(load.rate) * SECOND_NS
+    number = 0
+    while due_ns < load.length:
+        key = min(bisect(cumulative, rng.random() * cumulative[-1]), load.keys - 1)
+        request_class = rng.choices(names, shares)[0]
+        yield Arrival(int(due_ns), request_class, key, number)
         number += 1
+        due_ns += rng.expovariate(load.rate) * SECOND_NS
--- a/damsonpick/load_tool/player.py
+++ b/damsonpick/load_tool/player.py
@@ -9,88 +9,107 @@
 import httptools
 from anyio.abc import SocketStream
 
-from damsonpick.load_tool.experiment import Arrival, Experiment, Kind, arrivals
-from damsonpick.load_tool.results import Tally, report
+from damsonpick.load_tool.experiment import SECOND_NS, Arrival, Experiment, RequestClass, arrivals
+from damsonpick.load_tool.results import ClassResults, report
 
-READ = 262_144
+READ_BYTES = 262_144
+MICROSECOND_NS = 1_000
 
 
-class Reply:
-    """Reads one answer."""
+class ResponseReader:
+    """Reads one response to its end."""
 
     def __init__(self) -> None:
-        self.parser, self.done = httptools.HttpResponseParser(self), False
+        self.parser = httptools.HttpResponseParser(self)
+        self.done = False
 
     def on_message_complete(self) -> None:
+        """Called by the parser; interim (1xx) responses are passed over."""
         self.done = self.parser.get_status_code() >= 200
 
 
 class Player:
-    """One run of an experiment."""
+    """One run of an experiment.
 
-    def __init__(self, made: Experiment) -> None:
-        self.made = made
-        self.host, _, port = made.load.target.rpartition(":")
+    Args:
+        experiment: checked.
+    """
+
+    def __init__(self, experiment: Experiment) -> None:
+        self.experiment = experiment
+        self.host, _, port = experiment.load.target.rpartition(":")
         self.port = int(port)
-        self.idle: list[SocketStream] = []
-        self.slots = anyio.CapacityLimiter(made.load.connections)
-        self.tallies = {name: Tally() for name in made.classes}
-        self.behind = 0
+        self.idle_connections: list[SocketStream] = []
+        self.slots = anyio.CapacityLimiter(experiment.load.connections)
+        self.results = {name: ClassResults() for name in experiment.classes}
+        self.max_lateness_ns = 0  # of the sender itself
+        self.started_ns = 0
 
     async def run(self) -> dict[str, Any]:
-        """Play it; returns the report."""
-        self.start = time.monotonic_ns()
+        """Send all requests; returns the report."""
+        self.started_ns = time.monotonic_ns()
         async with anyio.create_task_group() as group:
-            for arrival in arrivals(self.made):
-                wait = arrival.at - (time.monotonic_ns() - self.start)
-                if wait > 0:
-                    await anyio.sleep(wait / 1e9)
-                else:
-                    await anyio.lowlevel.checkpoint()
-                self.behind = max(self.behind, time.monotonic_ns() - self.start - arrival.at)
-                group.start_soon(self._one, arrival)
-        for stream in self.idle:
-            await anyio.aclose_forcefully(stream)
-        return report(self.made, self.tallies, self.behind // 1000)
-
-    async def _one(self, arrival: Arrival) -> None:
-        kind, how = self.made.classes[arrival.kind], "timed out"
-        with anyio.move_on_after(kind.timeout / 1e9):
+            for arrival in arrivals(self.experiment):
+                await self._wait_until_due(arrival)
+                self.max_lateness_ns = max(self.max_lateness_ns, self._elapsed_ns() - arrival.due_ns)
+                group.start_soon(self._send, arrival)
+        for connection in self.idle_connections:
+            await anyio.aclose_forcefully(connection)
+        return report(self.experiment, self.results, self.max_lateness_ns // MICROSECOND_NS)
+
+    def _elapsed_ns(self) -> int:
+        return time.monotonic_ns() - self.started_ns
+
+    async def _wait_until_due(self, arrival: Arrival) -> None:
+        left_ns = arrival.due_ns - self._elapsed_ns()
+        if left_ns > 0:
+            await anyio.sleep(left_ns / SECOND_NS)
+        else:
+            await anyio.lowlevel.checkpoint()
+
+    async def _send(self, arrival: Arrival) -> None:
+        """One request; its latency counts from the moment it was due."""
+        spec = self.experiment.classes[arrival.request_class]
+        outcome = "timed out"
+        with anyio.move_on_after(spec.timeout / SECOND_NS):
             async with self.slots:
-                how = await self._exchange(arrival, kind)
-        took = time.monotonic_ns() - self.start - arrival.at
-        if arrival.at >= self.made.load.warm_up:
-            self.tallies[arrival.kind].add(how, took // 1000)
-
-    async def _exchange(self, arrival: Arrival, kind: Kind) -> str:
-        stream = self.idle.pop() if self.idle else None
-        good = False
+                outcome = await self._exchange(arrival, spec)
+        latency_ns = self._elapsed_ns() - arrival.due_ns
+        if arrival.due_ns >= self.experiment.load.warm_up:
+            self.results[arrival.request_class].add(outcome, latency_ns // MICROSECOND_NS)
+
+    async def _exchange(self, arrival: Arrival, spec: RequestClass) -> str:
+        """Send one request and read its response; returns the status, or how it failed."""
+        connection = self.idle_connections.pop() if self.idle_connections else None
+        reusable = False
         try:
-            if stream is None:
-                stream = await anyio.connect_tcp(self.host.strip("[]"), self.port)
-            await stream.send(self._request(arrival, kind))
-            reply = Reply()
-            while not reply.done:
-                reply.parser.feed_data(await stream.receive(READ))
-            good = reply.parser.should_keep_alive()
-            return str(reply.parser.get_status_code())
-        except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, httptools.HttpParserError) as error:
-            return "cut" if not isinstance(error, OSError) else "not connected"
+            if connection is None:
+                connection = await anyio.connect_tcp(self.host.strip("[]"), self.port)
+            await connection.send(self._request_bytes(arrival, spec))
+            response = ResponseReader()
+            while not response.done:
+                response.parser.feed_data(await connection.receive(READ_BYTES))
+            reusable = response.parser.should_keep_alive()
+            return str(response.parser.get_status_code())
+        except OSError:
+            return "not connected"
+        except (anyio.EndOfStream, anyio.BrokenResourceError, httptools.HttpParserError):
+            return "cut"
         finally:
-            if good:
-                self.idle.append(stream)
-            elif stream is not None:
+            if reusable:
+                self.idle_connections.append(connection)
+            elif connection is not None:
                 with anyio.CancelScope(shield=True):
-                    await anyio.aclose_forcefully(stream)
+                    await anyio.aclose_forcefully(connection)
 
-    def _request(self, arrival: Arrival, kind: Kind) -> bytes:
-        length = f"content-length: {kind.body}\r\n" if kind.body else ""
+    def _request_bytes(self, arrival: Arrival, spec: RequestClass) -> bytes:
+        length = f"content-length: {spec.body}\r\n" if spec.body else ""
         lines = (
-            f"{kind.method} {kind.path} HTTP/1.1",
-            f"host: {self.made.load.target}",
-            f"x-damson-class: {arrival.kind}",
+            f"{spec.method} {spec.path} HTTP/1.1",
+            f"host: {self.experiment.load.target}",
+            f"x-damson-class: {arrival.request_class}",
             f"x-key: k{arrival.key}",
             f"x-request-id: l{arrival.number}",
             f"x-client-id: c{arrival.key}",
         )
-        return ("\r\n".join(lines) + f"\r\n{length}\r\n").encode() + b"x" * kind.body
+        return ("\r\n".join(lines) + f"\r\n{length}\r\n").encode() + b"x" * spec.body
--- a/damsonpick/load_tool/results.py
+++ b/damsonpick/load_tool/results.py
@@ -15,40 +15,48 @@
 
 from damsonpick.load_tool.experiment import Experiment
 
-LEAST, MOST, DIGITS = 1, 100_000_000, 3  # microseconds
+MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS = 1, 100_000_000, 3
 PERCENTILES = (50, 90, 99, 99.9, 100)
+SECOND_NS = 1_000_000_000
 
 
-class Tally:
-    """Outcomes of one class."""
+class ClassResults:
+    """Outcomes and latencies of one class."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(LEAST, MOST, DIGITS)
-        self.ends: dict[str, int] = {}
+        self.histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        self.outcomes: dict[str, int] = {}
 
-    def add(self, how: str, microseconds: int) -> None:
-        self.ends[how] = self.ends.get(how, 0) + 1
-        self.histogram.record_value(min(MOST, max(LEAST, microseconds)))
+    def add(self, outcome: str, latency_us: int) -> None:
+        """Count one request.
+
+        Args:
+            outcome: status, or how it failed.
+            latency_us: from the moment it was due.
+        """
+        self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
+        self.histogram.record_value(min(MAX_LATENCY_US, max(MIN_LATENCY_US, latency_us)))
 
     def view(self, seconds: float) -> dict[str, Any]:
-        count = sum(self.ends.values())
+        """The class in the report."""
+        count = sum(self.outcomes.values())
         return {
             "requests": count,
             "per_second": round(count / seconds, 1),
-            "ends": dict(sorted(self.ends.items())),
+            "ends": dict(sorted(self.outcomes.items())),
             "latency_us": {f"p{p:g}": self.histogram.get_value_at_percentile(p) for p in PERCENTILES},
             "histogram": self.histogram.encode().decode(),
         }
 
 
-def report(made: Experiment, tallies: dict[str, Tally], behind_us: int) -> dict[str, Any]:
-    """One JSON object; `behind_us` is how late the tool itself was at its worst, as a check on it."""
-    seconds = (made.load.length - made.load.warm_up) / 1e9
+def report(experiment: Experiment, results: dict[str, ClassResults], sender_late_us: int) -> dict[str, Any]:
+    """One JSON object; `sender_late_us` is how late the tool itself was at its worst, as a check on it."""
+    counted_ns = experiment.load.length - experiment.load.warm_up
     return {
-        "experiment": made.model_dump(mode="json"),
+        "experiment": experiment.model_dump(mode="json"),
         "python": platform.python_version(),
-        "sender_late_us": behind_us,
-        "classes": {n: t.view(seconds) for n, t in sorted(tallies.items())},
+        "sender_late_us": sender_late_us,
+        "classes": {name: result.view(counted_ns / SECOND_NS) for name, result in sorted(results.items())},
     }
 
 
