--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -38,8 +38,9 @@
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings import load
-from damsonpick.state.history.database import VersionStore
+from damsonpick.state.history.database import HistoryDatabase
 from damsonpick.state.history.digest import Digest
+from damsonpick.state.history.history import Retention
 from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.published_tables import PublishedTables
 from tests.pilots import SETTINGS, Pilot
@@ -155,7 +156,9 @@
 def store(folder: Path, count: int, rng: random.Random) -> dict[str, float]:
     """`count` versions of one to ten lines each."""
     published, catalogue = filled(folder)
-    recorder = HistoryRecorder(published, catalogue.versions, VersionStore(folder / "v.db"), count + 10, 10**18, LOG)
+    recorder = HistoryRecorder(
+        published, catalogue.versions, HistoryDatabase(folder / "v.db"), Retention(count + 10, 10**18), LOG
+    )
     recorder.start(0)
     start = time.perf_counter()
     for k in range(count):
@@ -166,16 +169,18 @@
             ]
         )
         catalogue.refresh(change.lines)
-        recorder.note(k, change.lines, "module")
+        recorder.record(k, change.lines, "module")
     took = time.perf_counter() - start
-    recorder.store.close()
+    recorder.database.close()
     size = sum(p.stat().st_size for p in folder.glob("v.db*"))
-    again = HistoryRecorder(published, catalogue.versions, VersionStore(folder / "v.db"), count + 10, 10**18, LOG)
+    again = HistoryRecorder(
+        published, catalogue.versions, HistoryDatabase(folder / "v.db"), Retention(count + 10, 10**18), LOG
+    )
     start = time.perf_counter()
     again.start(count)
     opened = time.perf_counter() - start
     start = time.perf_counter()
-    again.history.at(1)
+    again.history.state_at(1)
     return {
         "versions": count,
         "bytes_a_version": round(size / count),
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -27,7 +27,8 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.solver.advice import Advisor
 from damsonpick.state.endpoint_list.validation import EndpointList
-from damsonpick.state.history.database import open_store
+from damsonpick.state.history.database import open_history
+from damsonpick.state.history.history import Retention
 from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.learned.disk import FolderLock
 from damsonpick.state.load_reports import GatewaySums, LoadReports
@@ -73,9 +74,9 @@
         self.catalogue = Catalogue(self.published, s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
         self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway_number)
         self.session_manager.stop_share = s.versions.stop
-        self.history = open_store(s.history_path())
+        self.history = open_history(s.history_path())
         self.recorder = HistoryRecorder(
-            self.published, self.catalogue.versions, self.history, s.versions.keep, s.versions.age, log
+            self.published, self.catalogue.versions, self.history, Retention(s.versions.keep, s.versions.age), log
         )
         self.engine = Engine(
             s, self.store, self.published, self.session_manager, self.endpoint_list, log, make, self.recorder
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -19,8 +19,8 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.history import rollback
-from damsonpick.state.history.history import number_of
 from damsonpick.state.history.recorder import HistoryRecorder
+from damsonpick.state.history.state_keys import slice_number
 from damsonpick.state.learned import ageing, capture, restore
 from damsonpick.state.learned.snapshot import HostTime, LearnedFleet, Snapshot
 from damsonpick.state.published_tables import Change, PublishedTables
@@ -206,7 +206,7 @@
         if self.unsaved and now >= self.save_at:
             self._save(now, {})
         if self.recorder and self.recorder.pending and now >= self.recorder.retry_at:
-            self.recorder.write(now)
+            self.recorder.flush(now)
         if self.planner is None:
             if now < self.restart_at:
                 return []
@@ -234,7 +234,7 @@
         if not table_orders:
             return []
         if self.pinned:
-            table_orders, self.withheld = self.recorder.pin.sift(
+            table_orders, self.withheld = self.recorder.pin.filter_actions(
                 table_orders, self.published.tables, self.barred, self.published.level
             )
         change = self.published.apply(table_orders)
@@ -248,7 +248,7 @@
     ) -> list[Session]:
         idle = self.session_manager.publish(now, change, stages)
         if self.recorder and change.lines:
-            self.recorder.note(now, change.lines, cause, words)
+            self.recorder.record(now, change.lines, cause, words)
         return idle
 
     # -- the way back
@@ -260,13 +260,13 @@
         for version in history.versions.values():
             if version.cause == "rollback" and version.number > self.recorder.pin.version:
                 for unit, keys in version.difference.items():
-                    number = number_of(unit)
+                    number = slice_number(unit)
                     for key, (before, after) in keys.items():
                         if number is not None and key.startswith("line ") and after is None:
                             self.gone.setdefault(number, {})[key[5:]] = before
 
     def holds(self, now: int) -> bool:
-        return self.recorder is not None and self.recorder.pin.holds(now)
+        return self.recorder is not None and self.recorder.pin.is_active(now)
 
     def _repin(self, now: int) -> None:
         """A pin has begun or ended: the module goes on from the tables as they are, without a jump."""
@@ -311,33 +311,33 @@
             ValueError: no such version, or somebody else acted meanwhile.
         """
         now, recorder = self.clock.take(now), self.recorder
-        recorder.pin.check(expected)
+        recorder.pin.check_generation(expected)
         version = recorder.history.find(name)
         owned = {n: self.published.tables[n] for n in self.owned}
-        target = recorder.history.at(version.number)
-        made = rollback.plan(target, owned, self.barred, self.cold)
-        admit = rollback.admissions(target, recorder.history.state, len(self.published.classes)) if levels else []
+        target = recorder.history.state_at(version.number)
+        made = rollback.plan_rollback(target, owned, self.barred, self.cold)
+        admit = rollback.plan_admission(target, recorder.history.state, len(self.published.classes)) if levels else []
         said = {
             "version": version.number,
             "root": version.root,
-            "lines": len(made.orders),
+            "lines": len(made.actions),
             "levels": len(admit),
-            "slices": len({o.table for o in made.orders}),
+            "slices": len({o.table for o in made.actions}),
             "kept": [k._asdict() for k in made.kept],
         }
         if dry:
             return said | {"done": False, "generation": recorder.pin.generation}
-        for o in made.orders:
+        for o in made.actions:
             if not o.weight:
                 self.gone.setdefault(o.table, {})[o.endpoint] = self.published.tables[o.table][o.endpoint]
-        change = self.published.apply([*made.orders, *admit])
-        self._save(now, {n: self.published.tables[n] for n in {o.table for o in made.orders}})
+        change = self.published.apply([*made.actions, *admit])
+        self._save(now, {n: self.published.tables[n] for n in {o.table for o in made.actions}})
         recorder.set_pin(version.number, until, levels)
         self._publish(now, change, "rollback", f"to {version.number}", stages)
         self._repin(now)
         newest = recorder.history.newest()
         self.log.warning(
-            "rolled_back", to=version.number, now=newest.number, lines=len(made.orders), kept=len(made.kept)
+            "rolled_back", to=version.number, now=newest.number, lines=len(made.actions), kept=len(made.kept)
         )
         return said | {
             "done": True,
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -37,8 +37,8 @@
             "newest": newest.number,
             "root": newest.root,
             "generation": pin.generation,
-            "pinned": pin.version if pin.holds(now) else None,
-            "pin_left_s": round((pin.until - now) / 1e9, 1) if pin.holds(now) else 0.0,
+            "pinned": pin.version if pin.is_active(now) else None,
+            "pin_left_s": round((pin.until - now) / 1e9, 1) if pin.is_active(now) else 0.0,
             "waiting_for_disk": len(self.recorder.pending),
         }
 
@@ -47,12 +47,15 @@
         chosen = list(self.recorder.history.versions.values())[-most:]
         return self._state(now) | {
             "kept": len(self.recorder.history.versions),
-            "versions": [v.brief() for v in reversed(chosen)],
+            "versions": [v.summary() for v in reversed(chosen)],
         }
 
     def _show(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         version = self.recorder.history.find(str(request["version"]))
-        return version.brief() | {"difference": version.difference, "state": self.recorder.history.at(version.number)}
+        return version.summary() | {
+            "difference": version.difference,
+            "state": self.recorder.history.state_at(version.number),
+        }
 
     def _diff(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         history = self.recorder.history
@@ -98,11 +101,11 @@
 
     def _pin(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         """Hold the tables as they are."""
-        self.recorder.pin.check(request.get("expected"))
+        self.recorder.pin.check_generation(request.get("expected"))
         self.recorder.set_pin(self.recorder.history.newest().number, self._until(now, request))
         return self._state(now)
 
     def _release(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        self.recorder.pin.check(request.get("expected"))
-        self.recorder.release()
+        self.recorder.pin.check_generation(request.get("expected"))
+        self.recorder.release_pin()
         return self._state(now)
--- a/damsonpick/protocols/xds/session.py
+++ b/damsonpick/protocols/xds/session.py
@@ -17,7 +17,7 @@
 from damsonpick.protocols.xds.names import CDS, EDS, ORDER, RDS, SHORT
 from damsonpick.protocols.xds.resources import Catalogue, kind_of
 from damsonpick.state.history import root_statement
-from damsonpick.state.history.digest import RANGES, Digest, range_of, within
+from damsonpick.state.history.digest import RANGE_COUNT, Digest, names_in_ranges, range_of
 from damsonpick.state.published_tables import FLEET
 
 MOST_FLIGHTS = 4  # responses not yet answered; beyond, orders wait and are merged
@@ -125,7 +125,7 @@
         self._meter(now)
         if request.HasField("node") and not self.node:
             self.node, self.zone = request.node.id, request.node.locality.zone
-            self.roots = root_statement.FEATURE in request.node.client_features
+            self.roots = root_statement.CLIENT_FEATURE in request.node.client_features
         if not self.node:
             raise ProtocolError("the first request names no node.id; set one for each gateway")
         if request.type_url not in ORDER:
@@ -183,7 +183,7 @@
         for name, version in versions.items():
             if watch.sent.get(name, "") == version:
                 watch.will_hold(name, watch.held.get(name, ""))
-        theirs = root_statement.ranges_of(why)
+        theirs = root_statement.mismatch_range_sums(why)
         if theirs is not None:
             self._mismatch(request.type_url, watch, theirs, why)
             return
@@ -206,11 +206,11 @@
         replaced once no flight is out; if that does not help, or its ranges cannot be read, all of them."""
         target = {n: v for n in self.catalogue.by[kind] if watch.wants(n) and (v := self._version(kind, n))}
         try:
-            ranges = Digest(target).differing(theirs)
+            ranges = Digest(target).differing_ranges(theirs)
         except ValueError:
             ranges = []
         if not ranges or watch.repairs:
-            ranges = list(range(RANGES))
+            ranges = list(range(RANGE_COUNT))
         if watch.repair is None:
             watch.repairs += 1
             self.notes.append(Note("roots_differ", SHORT[kind], {"why": why.partition(";")[0], "ranges": len(ranges)}))
@@ -221,7 +221,7 @@
     def _replace(self, now: int, kind: str, watch: Watch) -> bytes:
         """One response that replaces whole ranges, whatever the gateway holds in them."""
         ranges, watch.repair = watch.repair or [], None
-        names = [n for n in within(self.catalogue.by[kind], ranges) if watch.wants(n)]
+        names = [n for n in names_in_ranges(self.catalogue.by[kind], ranges) if watch.wants(n)]
         dues = [watch.due.pop(n) for n in names if n in watch.due]
         for name in names:
             watch.rejected.pop(name, None)
@@ -362,7 +362,7 @@
         start = watch.digest.root() if self.roots else ""
         for name, version in versions.items():
             watch.will_hold(name, version)
-        said = root_statement.Statement(start, watch.digest.root(), replaces).text() if self.roots else ""
+        said = root_statement.RootStatement(start, watch.digest.root(), replaces).text() if self.roots else ""
         return self._render(kind, nonce, versions, said)
 
     def _whole(self, kind: str, watch: Watch, names: list[str]) -> list[str]:
--- a/damsonpick/proxy/received_state.py
+++ b/damsonpick/proxy/received_state.py
@@ -13,7 +13,7 @@
 
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.state.history import root_statement
-from damsonpick.state.history.digest import Digest, range_of, within
+from damsonpick.state.history.digest import Digest, names_in_ranges, range_of
 
 DENOMINATORS = (100, 10_000, 1_000_000)
 
@@ -75,7 +75,7 @@
         kind: str,
         resources: list[tuple[str, str, bytes]],
         removed: list[str],
-        said: root_statement.Statement | None = None,
+        said: root_statement.RootStatement | None = None,
     ) -> list[str]:
         """Apply a response as a whole; returns names that went because their range was replaced.
 
@@ -88,7 +88,7 @@
         lost: list[str] = []
         if said is not None:
             came = {name for name, *_ in resources}
-            lost = [n for n in within(self.versions[kind], said.replaces) if n not in came]
+            lost = [n for n in names_in_ranges(self.versions[kind], said.replaces) if n not in came]
             self._check(kind, resources, removed, said)
         for name, version, body in resources:
             self._hold(kind, name, version)
@@ -119,7 +119,7 @@
             self.versions[kind].pop(name, None)
 
     def _check(
-        self, kind: str, resources: list[tuple[str, str, bytes]], removed: list[str], said: root_statement.Statement
+        self, kind: str, resources: list[tuple[str, str, bytes]], removed: list[str], said: root_statement.RootStatement
     ) -> None:
         """Whether a delta starts from what is here and ends where it says, and each body is what its version says."""
         for name, version, body in resources:
@@ -127,7 +127,7 @@
                 raise Bad(f"{name}: the body's hash is {found}, its version says {version}")
         own = self.digests[kind]
         if not said.replaces and own.root() != said.start:
-            raise Bad(root_statement.refusal(own.root(), said.start, own.ranges()))
+            raise Bad(root_statement.mismatch_text(own.root(), said.start, own.range_sums()))
         have, after = self.versions[kind], own.copy()
         for place in said.replaces:
             after.sums[place] = 0
@@ -135,7 +135,7 @@
         for name, version in [*((n, v) for n, v, _ in resources), *((n, "") for n in removed)]:
             after.change(name, "" if range_of(name) in replaced else have.get(name, ""), version)
         if after.root() != said.end:
-            raise Bad(root_statement.refusal(after.root(), said.end, own.ranges()))
+            raise Bad(root_statement.mismatch_text(after.root(), said.end, own.range_sums()))
 
     def open_lines(self, cluster: str) -> dict[str, tuple[int, str]]:
         """What may be picked for a cluster now."""
@@ -164,7 +164,7 @@
         self.holdings, self.delta = holdings, delta
         self.node = base_pb2.Node(id=node, user_agent_name="damsonpick stand-in gateway")
         self.node.locality.zone = zone
-        self.node.client_features.append(root_statement.FEATURE)
+        self.node.client_features.append(root_statement.CLIENT_FEATURE)
         self.asked: dict[str, list[str]] = {}
         self.accepted: dict[str, str] = {}
         self.nonces: dict[str, str] = {}  # of the last response of a type
@@ -212,9 +212,9 @@
             found.append((named, xxhash.xxh3_64_hexdigest(body.value), body.value))
         return response.type_url, found, []
 
-    def stated(self, response: object) -> root_statement.Statement | None:
+    def stated(self, response: object) -> root_statement.RootStatement | None:
         """What a response says of its roots."""
-        return root_statement.read(response.control_plane.identifier)
+        return root_statement.parse(response.control_plane.identifier)
 
     def verdict(self, response: object, bad: str) -> object:
         """ACK, or NACK with what was wrong."""
--- a/damsonpick/state/history/__init__.py
+++ b/damsonpick/state/history/__init__.py
@@ -1,1 +1,1 @@
-"""Versions of the published tables: their digests, their history, the way back. The store is the one thing written."""
+"""Versions of the published tables: their digests, their history, rollback and pin. Only the database does I/O."""
--- a/damsonpick/state/history/digest.py
+++ b/damsonpick/state/history/digest.py
@@ -1,4 +1,4 @@
-"""A hash of a set of named resources that a change of one resource moves in constant time. Sans I/O.
+"""A hash of a set of named resources that a change of one resource updates in constant time. Sans I/O.
 
 Names fall into 64 *ranges* by their hash. A range's sum adds up the 64-bit hashes (XXH3) of its `name, version` pairs
 modulo 2^64, so a pair is taken out by subtraction and the order of changes does not matter (an additive multiset hash:
@@ -13,58 +13,74 @@
 
 import xxhash
 
-RANGES = 64
-WORD = (1 << 64) - 1
+from damsonpick.state.history.errors import RangeSumsError
+
+RANGE_COUNT = 64
+UINT64_MASK = (1 << 64) - 1
+SUM_HEX_DIGITS = 16
 
 
 def range_of(name: str) -> int:
-    return xxhash.xxh3_64_intdigest(name.encode()) % RANGES
+    """The range that a name falls into, 0 to `RANGE_COUNT` - 1."""
+    return xxhash.xxh3_64_intdigest(name.encode()) % RANGE_COUNT
 
 
-def _leaf(name: str, version: str) -> int:
+def _pair_hash(name: str, version: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{name}\0{version}".encode())
 
 
 class Digest:
-    """Args: versions: version by name, to start with."""
+    """The digest of a set of names, each with a version."""
 
     def __init__(self, versions: Mapping[str, str] | None = None) -> None:
-        self.sums = [0] * RANGES
+        """Begin with versions by name; None: with the empty set."""
+        self.sums = [0] * RANGE_COUNT
         for name, version in (versions or {}).items():
             self.change(name, "", version)
 
     def change(self, name: str, old: str, new: str) -> None:
         """A name goes from one version to another; '' stands for none."""
-        place = range_of(name)
-        gained = (_leaf(name, new) if new else 0) - (_leaf(name, old) if old else 0)
-        self.sums[place] = (self.sums[place] + gained) & WORD
+        added = _pair_hash(name, new) if new else 0
+        removed = _pair_hash(name, old) if old else 0
+        index = range_of(name)
+        self.sums[index] = (self.sums[index] + added - removed) & UINT64_MASK
 
     def root(self) -> str:
-        """32 hex digits."""
-        return xxhash.xxh3_128_hexdigest(b"".join(s.to_bytes(8, "big") for s in self.sums))
+        """The hash of the whole set: 32 hex digits."""
+        return xxhash.xxh3_128_hexdigest(b"".join(range_sum.to_bytes(8, "big") for range_sum in self.sums))
 
-    def ranges(self) -> str:
+    def range_sums(self) -> str:
         """All sums as text: 16 hex digits each."""
-        return "".join(f"{s:016x}" for s in self.sums)
+        return "".join(f"{range_sum:016x}" for range_sum in self.sums)
 
     def copy(self) -> Digest:
-        made = Digest()
-        made.sums = list(self.sums)
-        return made
+        """An independent digest of the same set."""
+        duplicate = Digest()
+        duplicate.sums = list(self.sums)
+        return duplicate
+
+    def differing_ranges(self, range_sums: str) -> list[int]:
+        """Ranges whose sums differ from those of another digest.
 
-    def differing(self, ranges: str) -> list[int]:
-        """Ranges whose sums are not those of another's `ranges`.
+        Args:
+            range_sums: of the other digest, as `range_sums` gives them.
 
         Raises:
-            ValueError: it is no such text.
+            RangeSumsError: the text has another length.
+            ValueError: it has characters that are no hex digits.
         """
-        if len(ranges) != 16 * RANGES:
-            raise ValueError(f"ranges have {16 * RANGES} hex digits, not {len(ranges)}")
-        theirs = [int(ranges[16 * k : 16 * k + 16], 16) for k in range(RANGES)]
-        return [k for k, (a, b) in enumerate(zip(self.sums, theirs, strict=True)) if a != b]
-
-
-def within(names: Iterable[str], ranges: Iterable[int]) -> list[str]:
-    """Those names that fall into these ranges."""
-    chosen = set(ranges)
-    return [n for n in names if range_of(n) in chosen]
+        expected_digits = SUM_HEX_DIGITS * RANGE_COUNT
+        if len(range_sums) != expected_digits:
+            raise RangeSumsError(expected_digits, len(range_sums))
+        differing = []
+        for index, own_sum in enumerate(self.sums):
+            start = SUM_HEX_DIGITS * index
+            if own_sum != int(range_sums[start : start + SUM_HEX_DIGITS], 16):
+                differing.append(index)
+        return differing
+
+
+def names_in_ranges(names: Iterable[str], ranges: Iterable[int]) -> list[str]:
+    """Those names that fall into these ranges, in their order."""
+    wanted = set(ranges)
+    return [name for name in names if range_of(name) in wanted]
--- a/damsonpick/state/history/recorder.py
+++ b/damsonpick/state/history/recorder.py
@@ -1,113 +1,160 @@
-"""The history of one pilot: digest of what is published, versions, pin, and their store behind an interface.
+"""Records the history of one pilot: digest of what is published, versions, pin, and their database.
 
-A history that cannot be written is said loudly and kept in memory, bounded; service goes on.
+A history that cannot be written is logged once and kept in memory, bounded; service goes on.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any, Protocol
 
+from structlog.typing import FilteringBoundLogger
+
+from damsonpick.state.history.database import StoredPin, VersionDatabase
 from damsonpick.state.history.digest import Digest
-from damsonpick.state.history.history import History, Version
-from damsonpick.state.history.rollback import Pin
+from damsonpick.state.history.history import History, Retention
+from damsonpick.state.history.pin import Pin
+from damsonpick.state.history.version import Cause, Version, VersionOrigin
 from damsonpick.state.published_tables import PublishedTables
 
-SECOND = 1_000_000_000
-MOST_PENDING = 1000  # versions that wait for a store that cannot be written
-
-
-class Store(Protocol):
-    """What keeps versions (see store.VersionStore)."""
-
-    def load(self) -> tuple[list[Version], str]: ...
-    def append(self, versions: list[Version], lowest: int) -> None: ...
-    def pin(self) -> tuple[int, int, int, int]: ...
-    def set_pin(self, version: int, until: int, generation: int, levels: bool) -> None: ...
+RETRY_INTERVAL_NS = 1_000_000_000
+MAX_PENDING_VERSIONS = 1000  # that wait for a database that cannot be written
 
 
 class HistoryRecorder:
-    """Args: published; held: versions by unit, of the units named; store; keep, age: retention; log."""
+    """The one writer of the history.
+
+    Attributes:
+        history: the versions.
+        pin: of the tables.
+        digest: over the versions of all resources, as published.
+        pending: versions that the database does not hold yet.
+        retry_at: clock time, ns, from which `flush` is to be called again while versions are pending.
+    """
 
     def __init__(
         self,
         published: PublishedTables,
-        held: Callable[[Iterable[str]], Mapping[str, str]],
-        store: Store,
-        keep: int,
-        age: int,
-        log: Any,
+        resource_versions: Callable[[Iterable[str]], Mapping[str, str]],
+        database: VersionDatabase,
+        retention: Retention,
+        log: FilteringBoundLogger,
     ) -> None:
-        self.published, self.held, self.store, self.log = published, held, store, log
-        self.history, self.pin = History(keep, age), Pin()
-        self.digest, self.known = Digest(), {}
+        """Begin without versions; `start` loads them.
+
+        Args:
+            published: the published state, read only.
+            resource_versions: versions of resources by unit, of the units named.
+            database: where versions and pin are kept.
+            retention: how many versions are kept, and for how long.
+            log: for what cannot be read or written.
+        """
+        self.published = published
+        self.resource_versions = resource_versions
+        self.database = database
+        self.log = log
+        self.history = History(retention)
+        self.pin = Pin()
+        self.digest = Digest()
         self.pending: list[Version] = []
-        self.failing, self.retry_at = False, 0
+        self.retry_at = 0
+        self._digested: dict[str, str] = {}  # version by unit, as the digest has it
+        self._is_failing = False
 
     def start(self, now: int) -> None:
-        """Take up the history where it was left."""
-        versions, wrong = self.store.load()
-        if wrong:
-            self.log.error("history_damaged", what=wrong, remedy="what is left is used; nothing else depends on it")
-        self.history.start(versions)
-        self.pin.version, self.pin.until, self.pin.generation, levels = self.store.pin()
-        self.pin.levels = bool(levels)
-        self.known = dict(self.held(self.published.units()))
-        self.digest = Digest(self.known)
-        last = self.history.newest()
-        if last is None or last.root != self.digest.root():
-            self._keep(now, self.history.begin(now, self.published, self.digest.root(), "restart"))
+        """Continue the history where it was left, with a version of its own if something has changed since."""
+        loaded = self.database.load()
+        if loaded.problem:
+            self.log.error(
+                "history_damaged", what=loaded.problem, remedy="what is left is used; nothing else depends on it"
+            )
+        self.history.load(loaded.versions)
+        self._restore_pin(self.database.load_pin())
+        self._digested = dict(self.resource_versions(self.published.units()))
+        self.digest = Digest(self._digested)
+        root = self.digest.root()
+        newest = self.history.newest()
+        if newest is None or newest.root != root:
+            self._append(now, self.history.begin(self.published, VersionOrigin(now, root, "restart")))
         else:
             self.history.resume(self.published)
 
-    def note(self, now: int, units: Iterable[str], cause: str, words: str = "") -> Version | None:
-        """A change has been published."""
-        units = list(units)
-        for unit, version in self.held(units).items():
-            self.digest.change(unit, self.known.get(unit, ""), version)
-            self.known[unit] = version
-        made = self.history.add(now, self.published, units, self.digest.root(), cause, words)
-        if made is not None:
-            self._keep(now, made)
-        return made
-
-    def _keep(self, now: int, version: Version) -> None:
+    def _restore_pin(self, stored: StoredPin) -> None:
+        self.pin.version = stored.version
+        self.pin.until = stored.until
+        self.pin.generation = stored.generation
+        self.pin.caps_levels = stored.caps_levels
+
+    def record(self, now: int, units: Iterable[str], cause: Cause, note: str = "") -> Version | None:
+        """Record that a change of some units has been published; returns its version, None if nothing differs."""
+        changed_units = list(units)
+        for unit, resource_version in self.resource_versions(changed_units).items():
+            self.digest.change(unit, self._digested.get(unit, ""), resource_version)
+            self._digested[unit] = resource_version
+        origin = VersionOrigin(now, self.digest.root(), cause, note)
+        version = self.history.add(self.published, changed_units, origin)
+        if version is not None:
+            self._append(now, version)
+        return version
+
+    def _append(self, now: int, version: Version) -> None:
         self.pending.append(version)
-        self.write(now)
+        self.flush(now)
 
-    def write(self, now: int) -> None:
-        """Put what waits on disk; where that fails it is tried again a second later."""
+    def flush(self, now: int) -> None:
+        """Write pending versions; where that fails it is to be tried again at `retry_at`."""
         lowest = self.history.prune(now)
+        error = self._write_pending(lowest)
+        if error is None:
+            if self._is_failing:
+                self.log.info("history_caught_up", versions=len(self.pending))
+            self._is_failing = False
+            self.pending.clear()
+            return
+        self.retry_at = now + RETRY_INTERVAL_NS
+        if not self._is_failing:
+            self.log.error(
+                "history_not_written",
+                error=str(error),
+                waiting=len(self.pending),
+                remedy="free space or rights on the state folder; tables keep flowing meanwhile",
+            )
+        self._is_failing = True
+        del self.pending[:-MAX_PENDING_VERSIONS]
+
+    def _write_pending(self, lowest: int) -> Exception | None:
+        """Any error is returned: the history must not stop service."""
         try:
-            self.store.append(self.pending, lowest)
+            self.database.append(self.pending, lowest)
         except Exception as error:
-            self.retry_at = now + SECOND
-            if not self.failing:
-                self.log.error(
-                    "history_not_written",
-                    error=str(error),
-                    waiting=len(self.pending),
-                    remedy="free space or rights on the state folder; tables keep flowing meanwhile",
-                )
-            self.failing = True
-            del self.pending[:-MOST_PENDING]
-            return
-        if self.failing:
-            self.log.info("history_caught_up", versions=len(self.pending))
-        self.failing = False
-        self.pending.clear()
-
-    def set_pin(self, version: int, until: int, levels: bool = False) -> None:
-        """Hold the tables at a version until a time in ns; `levels`: what is let in may only fall meanwhile."""
-        self.pin.set(version, until, levels)
-        self._write_pin()
-
-    def release(self) -> None:
+            return error
+        return None
+
+    def set_pin(self, version: int, until: int, caps_levels: bool = False) -> None:
+        """Hold the tables at a version until a clock time in ns.
+
+        Args:
+            version: its number.
+            until: clock time, ns.
+            caps_levels: admission levels may only fall meanwhile.
+        """
+        self.pin.set(version, until, caps_levels)
+        self._save_pin()
+
+    def release_pin(self) -> None:
+        """Let all actions flow again."""
         self.pin.release()
-        self._write_pin()
+        self._save_pin()
 
-    def _write_pin(self) -> None:
+    def _save_pin(self) -> None:
+        pin = self.pin
+        error = self._write_pin(StoredPin(pin.version, pin.until, pin.generation, pin.caps_levels))
+        if error is not None:
+            self.log.error("pin_not_written", error=str(error), remedy="it holds until this pilot ends; free space")
+
+    def _write_pin(self, stored: StoredPin) -> Exception | None:
+        """Any error is returned: the pin holds in memory."""
         try:
-            self.store.set_pin(self.pin.version, self.pin.until, self.pin.generation, self.pin.levels)
+            self.database.save_pin(stored)
         except Exception as error:
-            self.log.error("pin_not_written", error=str(error), remedy="it holds until this pilot ends; free space")
+            return error
+        return None
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -22,9 +22,10 @@
 from damsonpick.proxy import table_cache
 from damsonpick.proxy.received_state import Holdings, Table
 from damsonpick.state.history import rollback
-from damsonpick.state.history.database import VersionStore
-from damsonpick.state.history.history import Version, content
+from damsonpick.state.history.database import HistoryDatabase
+from damsonpick.state.history.history import Retention
 from damsonpick.state.history.recorder import HistoryRecorder
+from damsonpick.state.history.version import Version, unit_content
 from damsonpick.state.learned import codec
 from damsonpick.state.learned.snapshot import HostTime, LearnedEndpoint, LearnedFleet, LearnedSlice, Snapshot
 from damsonpick.state.published_tables import PublishedTables
@@ -215,9 +216,9 @@
 
 
 def test_history_is_read(fixture_copy):
-    store = VersionStore(fixture_copy("history-1.sqlite"))
+    store = HistoryDatabase(fixture_copy("history-1.sqlite"))
     assert store.load() == (VERSIONS, "")
-    assert tuple(store.pin()) == (2, TIME + 600 * SECOND, 1, 1)
+    assert tuple(store.load_pin()) == (2, TIME + 600 * SECOND, 1, 1)
     store.close()
 
 
@@ -225,11 +226,11 @@
     """A recorder whose versions of units are hashes of their contents, as the fixture's were."""
 
     def unit_versions(units):
-        contents = {unit: repr(sorted(content(published, unit).items())) for unit in units}
+        contents = {unit: repr(sorted(unit_content(published, unit).items())) for unit in units}
         return {unit: xxhash.xxh3_64_hexdigest(text.encode()) for unit, text in contents.items()}
 
     log = structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()])
-    return HistoryRecorder(published, unit_versions, VersionStore(path), 1000, 10**18, log)
+    return HistoryRecorder(published, unit_versions, HistoryDatabase(path), Retention(1000, 10**18), log)
 
 
 def test_history_is_written_in_the_same_columns_with_the_same_bytes(tmp_path):
@@ -240,16 +241,18 @@
 
     def record(seconds, actions, cause, note=""):
         change = published.apply(actions)
-        assert recorder.note(TIME + seconds * SECOND, change.lines, cause, note) is not None
+        assert recorder.record(TIME + seconds * SECOND, change.lines, cause, note) is not None
 
     record(1, [api.SetEntry(0, B, 0.25), api.SetEntry(1, A, 2.0)], "module")
     record(2, [api.SetWithdrawn(B, True), api.SetAdmission(None, (0,), 0.5, 1)], "module")
     record(3, [api.SetEntry(0, A, 0.0), api.SetEntry(0, C, 3.5)], "solver")
-    plan = rollback.plan(recorder.history.at(2), published.tables, lambda name: name == B, lambda name: False)
-    record(4, plan.orders, "rollback", "back to 2 by gärtner")
+    plan = rollback.plan_rollback(
+        recorder.history.state_at(2), published.tables, lambda name: name == B, lambda name: False
+    )
+    record(4, plan.actions, "rollback", "back to 2 by gärtner")
     recorder.set_pin(2, TIME + 600 * SECOND, True)
     record(5, [api.SetAdmission(1, (1,), 0.25, 2)], "operator", "less tally")
-    recorder.store.close()
+    recorder.database.close()
     assert schema_and_rows(tmp_path / "history") == schema_and_rows(FIXTURES / "history-1.sqlite")
 
 
@@ -267,28 +270,28 @@
     recorder = recorder_of(published, fixture_copy("history-1.sqlite"))
     recorder.start(TIME + 60 * SECOND)
     assert recorder.history.newest() == VERSIONS[-1], "no version is added: the root is still the same"
-    assert (recorder.pin.version, recorder.pin.until, recorder.pin.generation, recorder.pin.levels) == (
+    assert (recorder.pin.version, recorder.pin.until, recorder.pin.generation, recorder.pin.caps_levels) == (
         2,
         TIME + 600 * SECOND,
         1,
         True,
     )
     empty = {"slice/2": {}, "slice/3": {}}
-    assert recorder.history.at(2) == {
+    assert recorder.history.state_at(2) == {
         "fleet": {},
         "routes": {},
         "slice/0": {f"line {A}": 1.0, f"line {B}": 0.25},
         "slice/1": {f"line {A}": 2.0},
         **empty,
     }
-    assert recorder.history.at(4) == {
+    assert recorder.history.state_at(4) == {
         "fleet": {f"out {B}": 1.0, "level 0": 0.5},
         "routes": {"retry - 0": 1.0},
         "slice/0": {f"line {B}": 0.25, f"line {C}": 3.5},
         "slice/1": {f"line {A}": 2.0},
         **empty,
     }
-    recorder.store.close()
+    recorder.database.close()
 
 
 # -- learned state
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -13,11 +13,13 @@
 
 from damsonpick import interface as api
 from damsonpick.state.history import rollback, root_statement
-from damsonpick.state.history.database import VersionStore
-from damsonpick.state.history.digest import RANGES, Digest, range_of, within
-from damsonpick.state.history.history import History, UnknownVersion, content, lines
+from damsonpick.state.history.database import HistoryDatabase
+from damsonpick.state.history.digest import RANGE_COUNT, Digest, names_in_ranges, range_of
+from damsonpick.state.history.errors import UnknownVersionError
+from damsonpick.state.history.history import History, Retention
+from damsonpick.state.history.pin import Pin
 from damsonpick.state.history.recorder import HistoryRecorder
-from damsonpick.state.history.rollback import Pin
+from damsonpick.state.history.version import VersionOrigin, slice_entries, unit_content
 from damsonpick.state.published_tables import PublishedTables
 
 SECOND = 1_000_000_000
@@ -30,12 +32,12 @@
 
 def grown(steps, keep=1000, age=10**18, slices=4):
     """A history of some steps of orders; returns it with every state on the way."""
-    published, history = PublishedTables(("page",), slices), History(keep, age)
-    history.begin(0, published, "r0", "restart")
+    published, history = PublishedTables(("page",), slices), History(Retention(keep, age))
+    history.begin(published, VersionOrigin(0, "r0", "restart"))
     states = {1: {u: dict(k) for u, k in history.state.items()}}
     for k, orders in enumerate(steps, 1):
         change = published.apply(orders)
-        made = history.add(k * SECOND, published, change.lines, f"root{k}", "module")
+        made = history.add(published, change.lines, VersionOrigin(k * SECOND, f"root{k}", "module"))
         if made:
             states[made.number] = {u: dict(x) for u, x in history.state.items()}
     return published, history, states
@@ -51,24 +53,27 @@
         digest.change(name, one.get(name, ""), other.get(name, ""))
     assert digest.root() == Digest(other).root()
     differ = {range_of(n) for n in {**one, **other} if one.get(n) != other.get(n)}
-    assert set(Digest(other).differing(Digest(one).ranges())) == differ
+    assert set(Digest(other).differing_ranges(Digest(one).range_sums())) == differ
     assert (digest.root() == Digest(one).root()) == (one == other)
 
 
 def test_what_is_no_digest_is_refused():
     with pytest.raises(ValueError, match="1024 hex digits"):
-        Digest().differing("abc")
-    assert within(["a", "b"], range(RANGES)) == ["a", "b"] and within(["a"], []) == []
+        Digest().differing_ranges("abc")
+    assert names_in_ranges(["a", "b"], range(RANGE_COUNT)) == ["a", "b"] and names_in_ranges(["a"], []) == []
 
 
 def test_statements_are_read_as_written_and_nothing_else_is_one():
-    for said in (root_statement.Statement("0" * 32, "f" * 32), root_statement.Statement("0" * 32, "f" * 32, (1, 63))):
-        assert root_statement.read(said.text()) == said
+    for said in (
+        root_statement.RootStatement("0" * 32, "f" * 32),
+        root_statement.RootStatement("0" * 32, "f" * 32, (1, 63)),
+    ):
+        assert root_statement.parse(said.text()) == said
     for text in ("", "some control plane", "from=1 to=2", "from=" + "0" * 32):
-        assert root_statement.read(text) is None
-    why = root_statement.refusal("a" * 32, "b" * 32, Digest().ranges())
-    assert root_statement.ranges_of(why) == Digest().ranges() and "a" * 32 in why and "b" * 32 in why
-    assert root_statement.ranges_of("weights over the limit") is None
+        assert root_statement.parse(text) is None
+    why = root_statement.mismatch_text("a" * 32, "b" * 32, Digest().range_sums())
+    assert root_statement.mismatch_range_sums(why) == Digest().range_sums() and "a" * 32 in why and "b" * 32 in why
+    assert root_statement.mismatch_range_sums("weights over the limit") is None
 
 
 orders_ = st.lists(
@@ -91,7 +96,7 @@
 def test_every_kept_state_is_found_again_exactly(steps):
     _, history, states = grown(steps)
     for number, state in states.items():
-        assert {u: k for u, k in history.at(number).items() if k} == {u: k for u, k in state.items() if k}
+        assert {u: k for u, k in history.state_at(number).items() if k} == {u: k for u, k in state.items() if k}
     first, last = min(states), max(states)
     difference = history.difference(first, last)
     assert {(u, k) for u, keys in difference.items() for k in keys} == {
@@ -106,12 +111,14 @@
     _, history, _ = grown([[order(0, "a", float(k + 1))] for k in range(10)], keep=4, age=100 * SECOND)
     assert history.prune(10 * SECOND) == 8 and list(history.versions) == [8, 9, 10, 11]
     assert history.find("9").number == 9 and history.find("root9").number == 10
-    with pytest.raises(UnknownVersion, match="there are 8 to 11"):
+    with pytest.raises(UnknownVersionError, match="there are 8 to 11"):
         history.find("2")
     assert history.prune(10**6 * SECOND) == 11, "the newest is always kept"
     _, back, _ = grown([[order(0, "a", 1.0)]])
-    newer = back.begin(-5, PublishedTables(("page",), 4), "x", "restart")
-    assert newer.at == back.versions[2].at, "a clock set back makes no version older than the one before"
+    newer = back.begin(PublishedTables(("page",), 4), VersionOrigin(-5, "x", "restart"))
+    assert newer.published_at == back.versions[2].published_at, (
+        "a clock set back makes no version older than the one before"
+    )
 
 
 # -- store
@@ -121,7 +128,11 @@
     published = published or PublishedTables(("page",), 4)
     versions = held if held is not None else {}
     made = HistoryRecorder(
-        published, lambda units: {u: versions[u] for u in units if u in versions}, VersionStore(path), keep, 10**18, LOG
+        published,
+        lambda units: {u: versions[u] for u in units if u in versions},
+        HistoryDatabase(path),
+        Retention(keep, 10**18),
+        LOG,
     )
     return made, published, versions
 
@@ -129,7 +140,7 @@
 def step(made, published, versions, k):
     change = published.apply([order(k % 4, f"s{k % 7}", 1.0 + k)])
     versions.update({unit: f"v{k}" for unit in change.lines})
-    return made.note(k * SECOND, change.lines, "module")
+    return made.record(k * SECOND, change.lines, "module")
 
 
 def test_a_history_outlives_its_pilot_and_goes_on(tmp_path):
@@ -138,12 +149,12 @@
     for k in range(20):
         step(made, published, versions, k)
     made.set_pin(5, 10**15, True)
-    root, state = made.digest.root(), made.history.at(7)
-    made.store.close()
+    root, state = made.digest.root(), made.history.state_at(7)
+    made.database.close()
     again, _, _ = recorder(tmp_path / "v.db", published, versions)
     again.start(30 * SECOND)
     assert again.digest.root() == root and again.history.newest().root == root
-    assert again.history.at(7) == state and again.pin.version == 5 and again.pin.holds(0)
+    assert again.history.state_at(7) == state and again.pin.version == 5 and again.pin.is_active(0)
     assert step(again, published, versions, 21).parent == 21
 
 
@@ -162,7 +173,7 @@
         folder.mkdir()
         shutil.copy(tmp_path / "v.db", folder / "v.db")
         (folder / "v.db-wal").write_bytes(whole[:cut])
-        store = VersionStore(folder / "v.db")
+        store = HistoryDatabase(folder / "v.db")
         found, wrong = store.load()
         assert [v.number for v in found] in ([1, 2], [1, 2, 3]) and not wrong
         seen.add(len(found))
@@ -175,23 +186,23 @@
     made.start(0)
     for k in range(6):
         step(made, published, versions, k)
-    made.store.close()
+    made.database.close()
     with sqlite3.connect(tmp_path / "v.db") as db:
         db.execute("UPDATE versions SET note = 'not so' WHERE number = 4")
-    found, wrong = VersionStore(tmp_path / "v.db").load()
+    found, wrong = HistoryDatabase(tmp_path / "v.db").load()
     assert [v.number for v in found] == [5, 6, 7] and "version 4 is damaged" in wrong
 
 
 def test_a_full_disk_is_said_and_made_up_for(tmp_path):
     made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
-    real, made.store.append = made.store.append, lambda *a: (_ for _ in ()).throw(OSError("disk full"))
+    real, made.database.append = made.database.append, lambda *a: (_ for _ in ()).throw(OSError("disk full"))
     for k in range(3):
         assert step(made, published, versions, k) is not None, "service and history go on in memory"
     assert len(made.pending) == 3
-    made.store.append = real
+    made.database.append = real
     step(made, published, versions, 3)
-    assert not made.pending and [v.number for v in made.store.load()[0]] == [1, 2, 3, 4, 5]
+    assert not made.pending and [v.number for v in made.database.load()[0]] == [1, 2, 3, 4, 5]
 
 
 # -- the way back
@@ -205,9 +216,9 @@
         "slice/3": {"line cold": 1.0},
     }
     tables = {0: {"b": 1.0}, 1: {"b": 1.0}, 2: {"cold": 1.0}, 3: {"b": 2.0}}
-    made = rollback.plan(target, tables, lambda n: n == "gone", lambda n: n == "cold")
+    made = rollback.plan_rollback(target, tables, lambda n: n == "gone", lambda n: n == "cold")
     after = {n: dict(t) for n, t in tables.items()}
-    for o in made.orders:
+    for o in made.actions:
         if o.weight:
             after[o.table][o.endpoint] = o.weight
         else:
@@ -227,11 +238,11 @@
 
     tables = {k: table() for k in range(4)}
     target = {f"slice/{k}": {f"line {n}": w for n, w in table().items()} for k in range(4)}
-    made = rollback.plan(target, tables, barred.__contains__, cold.__contains__)
+    made = rollback.plan_rollback(target, tables, barred.__contains__, cold.__contains__)
     published = PublishedTables(("page",), 4)
     for k, have in tables.items():
         published.restore(k, have)
-    published.apply(made.orders)
+    published.apply(made.actions)
     for k in range(4):
         now, had = published.tables[k], tables[k]
         assert not any(n in barred and n not in had for n in now)
@@ -255,7 +266,7 @@
         api.ClearTable(0),
         order(0, "b", 2.0),
     ]
-    flow, held = pin.sift(orders, tables, lambda n: n == "a")
+    flow, held = pin.filter_actions(orders, tables, lambda n: n == "a", lambda table, k: 0.0)
     assert (
         flow
         == [
@@ -267,10 +278,10 @@
         ]
         and held == 4
     )
-    assert pin.holds(99) and not pin.holds(100)
+    assert pin.is_active(99) and not pin.is_active(100)
     with pytest.raises(ValueError, match="somebody else acted"):
-        pin.check(0)
-    assert lines({"slice/1": {"line a": 2.0, "level 0": 0.5}}, 1) == {"a": 2.0}
+        pin.check_generation(0)
+    assert slice_entries({"slice/1": {"line a": 2.0, "level 0": 0.5}}, 1) == {"a": 2.0}
 
 
 def test_random_rollbacks_land_on_the_same_root_where_nothing_had_to_differ():
@@ -278,28 +289,31 @@
     steps = [[order(rng.randrange(4), rng.choice("abcd"), rng.choice((0.0, 1.0, 3.0)))] for _ in range(40)]
     published, history, states = grown(steps)
     for number in rng.sample(sorted(states), 10):
-        made = rollback.plan(history.at(number), published.tables, lambda n: False, lambda n: False)
+        made = rollback.plan_rollback(history.state_at(number), published.tables, lambda n: False, lambda n: False)
         after = {k: dict(t) for k, t in published.tables.items()}
-        for o in made.orders:
+        for o in made.actions:
             after[o.table].pop(o.endpoint, None)
             if o.weight:
                 after[o.table][o.endpoint] = o.weight
         for k in range(4):
-            assert after[k] == (lines(states[number], k) or published.tables[k])
+            assert after[k] == (slice_entries(states[number], k) or published.tables[k])
 
 
 def test_levels_and_retry_modes_set_back_may_fall_and_not_rise_until_the_pin_ends():
     published = PublishedTables(("page", "tally"), 2)
     published.apply([api.SetAdmission(None, (0, 1), 0.5, 1), api.SetAdmission(1, (1,), 0.25, 0)])
-    target = {unit: content(published, unit) for unit in published.units()}
+    target = {unit: unit_content(published, unit) for unit in published.units()}
     published.apply([api.SetAdmission(None, (0, 1), 1.0, 0), api.SetAdmission(1, (1,), 1.0, 2)])
-    present = {unit: content(published, unit) for unit in published.units()}
-    published.apply(rollback.admissions(target, present, 2))
-    assert {unit: content(published, unit) for unit in published.units()} == target
-    assert not rollback.admissions(target, target, 2)
-    pin = rollback.Pin()
-    pin.set(3, 100, levels=True)
+    present = {unit: unit_content(published, unit) for unit in published.units()}
+    published.apply(rollback.plan_admission(target, present, 2))
+    assert {unit: unit_content(published, unit) for unit in published.units()} == target
+    assert not rollback.plan_admission(target, target, 2)
+    pin = Pin()
+    pin.set(3, 100, caps_levels=True)
     lower, higher = api.SetAdmission(None, (0,), 0.3, 1), api.SetAdmission(None, (0,), 0.9, 1)
-    assert pin.sift([lower, higher], published.tables, lambda n: False, published.level) == ([lower], 1)
+    assert pin.filter_actions([lower, higher], published.tables, lambda n: False, published.level) == ([lower], 1)
     pin.set(3, 100)
-    assert pin.sift([lower, higher], published.tables, lambda n: False, published.level) == ([lower, higher], 0)
+    assert pin.filter_actions([lower, higher], published.tables, lambda n: False, published.level) == (
+        [lower, higher],
+        0,
+    )
