--- a/damsonpick/state/history/recorder.py
+++ b/damsonpick/state/history/recorder.py
@@ -65,7 +65,7 @@
         loaded = self.database.load()
         if loaded.problem:
             self.log.error(
-                "history_damaged", what=loaded.problem, remedy="what is left is used; nothing else depends on it"
+                "history_damaged", reason=loaded.problem, remedy="what is left is used; nothing else depends on it"
             )
         self.history.load(loaded.versions)
         self._restore_pin(self.database.load_pin())
@@ -106,7 +106,7 @@
         error = self._write_pending(lowest)
         if error is None:
             if self._is_failing:
-                self.log.info("history_caught_up", versions=len(self.pending))
+                self.log.info("history_write_recovered", versions=len(self.pending))
             self._is_failing = False
             self.pending.clear()
             return
@@ -115,7 +115,7 @@
             self.log.error(
                 "history_not_written",
                 error=str(error),
-                waiting=len(self.pending),
+                pending_versions=len(self.pending),
                 remedy="free space or rights on the state folder; tables keep flowing meanwhile",
             )
         self._is_failing = True
--- a/tests/test_versions_pilot.py
+++ b/tests/test_versions_pilot.py
@@ -254,7 +254,7 @@
         lock.execute("ROLLBACK")
         lock.close()
         pilot.list(s1="in_service", s2="in_service", s3="terminating", s4="in_service")
-        await soon(lambda: _logged(pilot, "history_caught_up"))
+        await soon(lambda: _logged(pilot, "history_write_recovered"))
 
 
 def test_who_names_each_gateway_in_words(tmp_path):
@@ -295,7 +295,7 @@
     before = damaged.read_bytes()
     async with world(tmp_path, gates=2) as (pilot, gates):
         held = await settled(pilot, gates)
-        said = pilot.log("history_damaged")[0]["what"] + pilot.log("history_not_written")[0]["remedy"]
+        said = pilot.log("history_damaged")[0]["reason"] + pilot.log("history_not_written")[0]["remedy"]
         assert "versions.db" in said and "move the file away" in said
         pilot.list(s1="in_service", s2="in_service", s3="terminating")
         await soon(lambda: _off(gates, "127.0.0.1:9003"))
@@ -319,7 +319,7 @@
         await settled(pilot, gates)
         resource.prlimit(pilot.process.pid, resource.RLIMIT_FSIZE, free)
         await soon(lambda: _logged(pilot, "store_caught_up"))
-        await soon(lambda: _logged(pilot, "history_caught_up"))
+        await soon(lambda: _logged(pilot, "history_write_recovered"))
         await settled(pilot, gates)
         kept = weights(gates[0])
         pilot.stop(signal.SIGKILL)
