--- a/tests/test_trust.py
+++ b/tests/test_endpoint_list_sources.py
@@ -1,4 +1,4 @@
-"""Kept lists, doubtful lists and several sources: whom to believe, without sockets."""
+"""Lists from which much vanished, and several list sources, without sockets."""
 
 from __future__ import annotations
 
@@ -6,132 +6,13 @@
 
 import pytest
 
-from damsonpick import interface as api
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.state.endpoint_list import validation
 from damsonpick.state.endpoint_list.sources import HOLD, PATIENCE, STEADY, Budget, Sources
 from damsonpick.state.endpoint_list.validation import EndpointList
-from damsonpick.state.learned import list_confidence, restore
-from damsonpick.state.learned.list_confidence import (
-    FRESH_AGE_NS,
-    MAX_AGE_NS,
-    EntryConfidence,
-    EntryTimes,
-    ListConfidence,
-)
-from damsonpick.state.learned.snapshot import HostTime, LearnedEndpoint, LearnedFleet, Snapshot
-from damsonpick.state.store.sqlite import ListedAt
-from tests.helpers import SECOND, World, entry
+from tests.helpers import SECOND, entry
 
 NOW = 10**18
-WEEK = 7 * 86_400 * SECOND
-
-
-def report(name, tries, good):
-    return api.EndpointReport("a", name, tries, tries - good, 1, SECOND, ())
-
-
-def started(**ages):
-    """Trust in entries that were last spoken for so long ago."""
-    made = ListConfidence()
-    made.restore(NOW, {n: EntryTimes(NOW - age, 0) for n, age in ages.items()})
-    return made
-
-
-# -- trust
-
-
-def test_trust_goes_by_age():
-    made = started(fresh=FRESH_AGE_NS, old=FRESH_AGE_NS + 1, stale=MAX_AGE_NS + 1)
-    assert not made.changes(NOW + list_confidence.SOURCE_GRACE_NS - 1), "a source has a moment to answer"
-    assert made.confidences(NOW) == {"fresh": 1.0, "old": EntryConfidence.REDUCED.value, "stale": 0.0}
-
-
-def test_a_good_answer_ends_doubt_and_failures_alone_refuse():
-    made = started(p=WEEK, q=WEEK, r=WEEK)
-    made.apply_reports(NOW, [report("p", 1, 1), report("q", 9, 0), report("r", 3, 0)])
-    assert made.confidences(NOW)["p"] == 1.0 and made.confidences(NOW)["q"] == 0.0
-    assert made.entries["r"].ejections == 0, "too few tries to judge"
-    made.apply_reports(NOW, [report("p", 9, 0)])
-    assert made.confidences(NOW)["p"] == 0.0, "also one that answered before"
-    made.apply_reports(NOW, [report("p", 9, 1)])
-    assert made.confidences(NOW)["p"] == 1.0
-
-
-def test_stale_entries_are_tried_one_at_a_time_and_refused_ones_twice_and_then_no_more():
-    made = started(good=WEEK, s1=WEEK, s2=WEEK)
-    assert set(made.confidences(NOW).values()) == {0.0}, "no trial before one is known to answer"
-    made.apply_reports(NOW, [report("good", 5, 5)])
-    now, trials = NOW, {"s1": 0, "s2": 0}
-    for _ in range(400):
-        now += SECOND
-        levels = made.confidences(now)
-        on = [n for n, level in levels.items() if level == EntryConfidence.ON_TRIAL.value]
-        assert len(on) <= 1
-        for name in on:
-            trials[name] += 1
-            made.apply_reports(now, [report(name, 5, 0)])
-    assert trials == {"s1": list_confidence.MAX_RETRIALS + 1, "s2": list_confidence.MAX_RETRIALS + 1}
-
-
-def test_a_source_ends_all_doubt_and_silence_under_a_running_pilot_starts_none():
-    made = started(p=WEEK, q=0)
-    assert [e for e in made.changes(NOW + 2 * SECOND)] == [api.EndpointConfidenceChanged("p", 0.0)]
-    made.confirm(NOW, ["p", "q", "new"])
-    assert made.changes(NOW + 3 * SECOND) == [api.EndpointConfidenceChanged("p", 1.0)]
-    assert set(made.confidences(NOW + WEEK).values()) == {1.0}
-
-
-def test_a_planner_started_over_is_told_again():
-    made = started(p=WEEK, q=0)
-    made.changes(NOW + 2 * SECOND)
-    assert made.published_events() == [api.EndpointConfidenceChanged("p", 0.0)]
-
-
-def test_kept_ages_survive_a_clock_that_was_set():
-    """The former life wrote at clock 500 s that it had an answer 20 s before; 30 s passed; the clock now says 9,000."""
-    second = SECOND
-    kept = Snapshot(
-        1,
-        "p",
-        HostTime(0, "", 0),
-        500 * second,
-        490 * second,
-        ("a",),
-        1,
-        (LearnedEndpoint("p", 0, 1.0, 480 * second), LearnedEndpoint("q", 7, 1.0, 480 * second)),
-        (),
-        LearnedFleet(0.0, 0.0),
-    )
-    listed = {"p": entry("p"), "q": entry("q", started=9), "r": entry("r")}
-    at = {"p": ListedAt(100 * second, "list"), "q": ListedAt(100 * second, "list"), "r": ListedAt(50 * second, "list")}
-    found = restore.entry_times(kept, 9000 * second, 30 * second, listed, at)
-    assert found["p"] == EntryTimes(8960 * second, 8950 * second)
-    assert found["q"] == EntryTimes(8960 * second, 0), "its process is another one now"
-    assert found["r"] == EntryTimes(50 * second, 0), "held though no source names it: its own time"
-    assert restore.entry_times(None, 9000 * second, None, listed, at)["p"] == EntryTimes(100 * second, 0)
-    future = restore.entry_times(None, 10 * second, None, listed, at)
-    assert future["p"].confirmed_at == 10 * second, "a clock set back makes nothing younger than now"
-
-
-def test_the_module_leaves_last_resorts_alone_while_others_are_there_and_uses_them_where_none_is():
-    world = World("pqrs", slices=12)
-    world.tell(api.EndpointConfidenceChanged("p", 0.0))
-    world.run(3)
-    assert world.count("p") == 0 and not world.bare()
-    world.tell(*[api.EndpointConfidenceChanged(n, 0.0) for n in "qrs"])
-    world.run(3)
-    assert not world.bare(), "better than none"
-    world.tell(*[api.EndpointConfidenceChanged(n, 1.0) for n in "pqrs"])
-    world.run(30)
-    assert world.count("p") > 0
-
-
-def test_a_smaller_share_for_an_old_entry():
-    world = World("pqrs", slices=40)
-    world.tell(api.EndpointConfidenceChanged("p", EntryConfidence.REDUCED.value))
-    world.run(60)
-    assert world.heat("p") < 0.8 * min(world.heat(n) for n in "qrs")
 
 
 # -- a list from which much vanished
--- a/tests/test_versions.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Versions of the tables: digests, history, store, the way back, and the protocol between pilot and gateway."""
+"""Versions of the tables: the history, its database and its recorder; the states that rollbacks reach."""
 
 from __future__ import annotations
 
@@ -8,18 +8,16 @@
 
 import pytest
 import structlog
-from hypothesis import given, settings
+from hypothesis import given
 from hypothesis import strategies as st
 
 from damsonpick import interface as api
-from damsonpick.state.history import rollback, root_statement
+from damsonpick.state.history import rollback
 from damsonpick.state.history.database import HistoryDatabase
-from damsonpick.state.history.digest import RANGE_COUNT, Digest, names_in_ranges, range_of
 from damsonpick.state.history.errors import UnknownVersionError
 from damsonpick.state.history.history import History, Retention
-from damsonpick.state.history.pin import Pin
 from damsonpick.state.history.recorder import HistoryRecorder
-from damsonpick.state.history.version import VersionOrigin, slice_entries, unit_content
+from damsonpick.state.history.version import VersionOrigin, slice_entries
 from damsonpick.state.published_tables import PublishedTables
 
 SECOND = 1_000_000_000
@@ -43,39 +41,6 @@
     return published, history, states
 
 
-names = st.dictionaries(st.text("abc/", min_size=1, max_size=6), st.text("0123", min_size=1, max_size=4), max_size=30)
-
-
-@given(names, names)
-def test_a_digest_moved_by_changes_is_that_of_the_whole(one, other):
-    digest = Digest(one)
-    for name in {**one, **other}:
-        digest.change(name, one.get(name, ""), other.get(name, ""))
-    assert digest.root() == Digest(other).root()
-    differ = {range_of(n) for n in {**one, **other} if one.get(n) != other.get(n)}
-    assert set(Digest(other).differing_ranges(Digest(one).range_sums())) == differ
-    assert (digest.root() == Digest(one).root()) == (one == other)
-
-
-def test_what_is_no_digest_is_refused():
-    with pytest.raises(ValueError, match="1024 hex digits"):
-        Digest().differing_ranges("abc")
-    assert names_in_ranges(["a", "b"], range(RANGE_COUNT)) == ["a", "b"] and names_in_ranges(["a"], []) == []
-
-
-def test_statements_are_read_as_written_and_nothing_else_is_one():
-    for said in (
-        root_statement.RootStatement("0" * 32, "f" * 32),
-        root_statement.RootStatement("0" * 32, "f" * 32, (1, 63)),
-    ):
-        assert root_statement.parse(said.text()) == said
-    for text in ("", "some control plane", "from=1 to=2", "from=" + "0" * 32):
-        assert root_statement.parse(text) is None
-    why = root_statement.mismatch_text("a" * 32, "b" * 32, Digest().range_sums())
-    assert root_statement.mismatch_range_sums(why) == Digest().range_sums() and "a" * 32 in why and "b" * 32 in why
-    assert root_statement.mismatch_range_sums("weights over the limit") is None
-
-
 orders_ = st.lists(
     st.lists(
         st.one_of(
@@ -93,7 +58,7 @@
 
 
 @given(orders_)
-def test_every_kept_state_is_found_again_exactly(steps):
+def test_every_kept_state_is_found_exactly(steps):
     _, history, states = grown(steps)
     for number, state in states.items():
         assert {u: k for u, k in history.state_at(number).items() if k} == {u: k for u, k in state.items() if k}
@@ -121,7 +86,7 @@
     )
 
 
-# -- store
+# -- database
 
 
 def recorder(path, published=None, held=None, keep=100):
@@ -143,7 +108,7 @@
     return made.record(k * SECOND, change.lines, "module")
 
 
-def test_a_history_outlives_its_pilot_and_goes_on(tmp_path):
+def test_history_continues_after_a_restart(tmp_path):
     made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
     for k in range(20):
@@ -158,7 +123,7 @@
     assert step(again, published, versions, 21).parent == 21
 
 
-def test_a_store_cut_at_every_byte_of_its_last_record_leaves_the_old_or_the_new(tmp_path):
+def test_database_cut_within_its_last_record_holds_the_old_or_the_new(tmp_path):
     made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
     step(made, published, versions, 0)
@@ -181,7 +146,7 @@
     assert 2 in seen
 
 
-def test_a_damaged_row_is_left_out_with_all_that_is_older(tmp_path):
+def test_damaged_row_is_left_out_with_all_older_ones(tmp_path):
     made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
     for k in range(6):
@@ -193,7 +158,7 @@
     assert [v.number for v in found] == [5, 6, 7] and "version 4 is damaged" in wrong
 
 
-def test_a_full_disk_is_said_and_made_up_for(tmp_path):
+def test_versions_wait_for_a_full_disk_and_are_written_later(tmp_path):
     made, published, versions = recorder(tmp_path / "v.db")
     made.start(0)
     real, made.database.append = made.database.append, lambda *a: (_ for _ in ()).throw(OSError("disk full"))
@@ -205,86 +170,10 @@
     assert not made.pending and [v.number for v in made.database.load()[0]] == [1, 2, 3, 4, 5]
 
 
-# -- the way back
+# -- rollback
 
 
-def test_a_rollback_never_revives_barred_never_pushes_cold_never_leaves_bare():
-    target = {
-        "slice/0": {"line a": 1.0, "line gone": 2.0},
-        "slice/1": {"line gone": 1.0},
-        "slice/2": {"line cold": 5.0, "line a": 1.0},
-        "slice/3": {"line cold": 1.0},
-    }
-    tables = {0: {"b": 1.0}, 1: {"b": 1.0}, 2: {"cold": 1.0}, 3: {"b": 2.0}}
-    made = rollback.plan_rollback(target, tables, lambda n: n == "gone", lambda n: n == "cold")
-    after = {n: dict(t) for n, t in tables.items()}
-    for o in made.actions:
-        if o.weight:
-            after[o.table][o.endpoint] = o.weight
-        else:
-            del after[o.table][o.endpoint]
-    assert after == {0: {"a": 1.0}, 1: {"b": 1.0}, 2: {"cold": 1.0, "a": 1.0}, 3: {"b": 2.0}}
-    assert {(k.slice, k.endpoint) for k in made.kept} == {(0, "gone"), (1, ""), (2, "cold"), (3, "")}
-
-
-@given(st.randoms(use_true_random=False))
-@settings(max_examples=60)
-def test_any_rollback_is_safe(rng):
-    servers = [f"s{k}" for k in range(6)]
-    barred, cold = set(rng.sample(servers, 2)), set(rng.sample(servers, 2))
-
-    def table():
-        return {n: rng.choice((1.0, 2.0)) for n in rng.sample(servers, rng.randint(1, 4))}
-
-    tables = {k: table() for k in range(4)}
-    target = {f"slice/{k}": {f"line {n}": w for n, w in table().items()} for k in range(4)}
-    made = rollback.plan_rollback(target, tables, barred.__contains__, cold.__contains__)
-    published = PublishedTables(("page",), 4)
-    for k, have in tables.items():
-        published.restore(k, have)
-    published.apply(made.actions)
-    for k in range(4):
-        now, had = published.tables[k], tables[k]
-        assert not any(n in barred and n not in had for n in now)
-        assert all(w <= had.get(n, 0.0) or n not in cold for n, w in now.items())
-        if any(n not in barred for n in had):
-            assert any(n not in barred for n in now), "never bare"
-
-
-def test_a_pin_lets_the_rules_act_and_holds_back_the_rest():
-    pin = Pin()
-    pin.set(3, 100)
-    tables = {0: {"a": 1.0, "b": 1.0}, 1: {"a": 1.0}}
-    orders = [
-        order(0, "c", 1.0),
-        order(0, "a", 0.0),
-        order(1, "a", 0.0),
-        order(1, "b", 1.0),
-        order(1, "a", 0.0),
-        api.SetWithdrawn("a", True),
-        api.SetAdmission(None, (0,), 0.5, 1),
-        api.ClearTable(0),
-        order(0, "b", 2.0),
-    ]
-    flow, held = pin.filter_actions(orders, tables, lambda n: n == "a", lambda table, k: 0.0)
-    assert (
-        flow
-        == [
-            order(0, "a", 0.0),
-            order(1, "b", 1.0),
-            order(1, "a", 0.0),
-            api.SetWithdrawn("a", True),
-            api.SetAdmission(None, (0,), 0.5, 1),
-        ]
-        and held == 4
-    )
-    assert pin.is_active(99) and not pin.is_active(100)
-    with pytest.raises(ValueError, match="somebody else acted"):
-        pin.check_generation(0)
-    assert slice_entries({"slice/1": {"line a": 2.0, "level 0": 0.5}}, 1) == {"a": 2.0}
-
-
-def test_random_rollbacks_land_on_the_same_root_where_nothing_had_to_differ():
+def test_rollback_reaches_the_state_of_its_version_where_nothing_had_to_differ():
     rng = random.Random(5)
     steps = [[order(rng.randrange(4), rng.choice("abcd"), rng.choice((0.0, 1.0, 3.0)))] for _ in range(40)]
     published, history, states = grown(steps)
@@ -297,23 +186,3 @@
                 after[o.table][o.endpoint] = o.weight
         for k in range(4):
             assert after[k] == (slice_entries(states[number], k) or published.tables[k])
-
-
-def test_levels_and_retry_modes_set_back_may_fall_and_not_rise_until_the_pin_ends():
-    published = PublishedTables(("page", "tally"), 2)
-    published.apply([api.SetAdmission(None, (0, 1), 0.5, 1), api.SetAdmission(1, (1,), 0.25, 0)])
-    target = {unit: unit_content(published, unit) for unit in published.units()}
-    published.apply([api.SetAdmission(None, (0, 1), 1.0, 0), api.SetAdmission(1, (1,), 1.0, 2)])
-    present = {unit: unit_content(published, unit) for unit in published.units()}
-    published.apply(rollback.plan_admission(target, present, 2))
-    assert {unit: unit_content(published, unit) for unit in published.units()} == target
-    assert not rollback.plan_admission(target, target, 2)
-    pin = Pin()
-    pin.set(3, 100, caps_levels=True)
-    lower, higher = api.SetAdmission(None, (0,), 0.3, 1), api.SetAdmission(None, (0,), 0.9, 1)
-    assert pin.filter_actions([lower, higher], published.tables, lambda n: False, published.level) == ([lower], 1)
-    pin.set(3, 100)
-    assert pin.filter_actions([lower, higher], published.tables, lambda n: False, published.level) == (
-        [lower, higher],
-        0,
-    )
--- /dev/null
+++ b/tests/test_history_digest.py
@@ -0,0 +1,42 @@
+"""Digests of named versions, and the roots that a delta states."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from damsonpick.state.history import root_statement
+from damsonpick.state.history.digest import RANGE_COUNT, Digest, names_in_ranges, range_of
+
+names = st.dictionaries(st.text("abc/", min_size=1, max_size=6), st.text("0123", min_size=1, max_size=4), max_size=30)
+
+
+@given(names, names)
+def test_digest_after_changes_equals_that_of_the_whole(one, other):
+    digest = Digest(one)
+    for name in {**one, **other}:
+        digest.change(name, one.get(name, ""), other.get(name, ""))
+    assert digest.root() == Digest(other).root()
+    differ = {range_of(n) for n in {**one, **other} if one.get(n) != other.get(n)}
+    assert set(Digest(other).differing_ranges(Digest(one).range_sums())) == differ
+    assert (digest.root() == Digest(one).root()) == (one == other)
+
+
+def test_text_that_is_no_digest_is_rejected():
+    with pytest.raises(ValueError, match="1024 hex digits"):
+        Digest().differing_ranges("abc")
+    assert names_in_ranges(["a", "b"], range(RANGE_COUNT)) == ["a", "b"] and names_in_ranges(["a"], []) == []
+
+
+def test_root_statements_and_mismatches_are_parsed_as_written():
+    for said in (
+        root_statement.RootStatement("0" * 32, "f" * 32),
+        root_statement.RootStatement("0" * 32, "f" * 32, (1, 63)),
+    ):
+        assert root_statement.parse(said.text()) == said
+    for text in ("", "some control plane", "from=1 to=2", "from=" + "0" * 32):
+        assert root_statement.parse(text) is None
+    why = root_statement.mismatch_text("a" * 32, "b" * 32, Digest().range_sums())
+    assert root_statement.mismatch_range_sums(why) == Digest().range_sums() and "a" * 32 in why and "b" * 32 in why
+    assert root_statement.mismatch_range_sums("weights over the limit") is None
--- /dev/null
+++ b/tests/test_history_rollback.py
@@ -0,0 +1,113 @@
+"""What a rollback sets, and what flows while tables are pinned."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from damsonpick import interface as api
+from damsonpick.state.history import rollback
+from damsonpick.state.history.pin import Pin
+from damsonpick.state.history.version import slice_entries, unit_content
+from damsonpick.state.published_tables import PublishedTables
+
+
+def order(table, endpoint, weight):
+    return api.SetEntry(table, endpoint, weight)
+
+
+def test_rollback_never_routes_to_unroutable_nor_adds_to_warming_up_nor_empties_a_slice():
+    target = {
+        "slice/0": {"line a": 1.0, "line gone": 2.0},
+        "slice/1": {"line gone": 1.0},
+        "slice/2": {"line cold": 5.0, "line a": 1.0},
+        "slice/3": {"line cold": 1.0},
+    }
+    tables = {0: {"b": 1.0}, 1: {"b": 1.0}, 2: {"cold": 1.0}, 3: {"b": 2.0}}
+    made = rollback.plan_rollback(target, tables, lambda n: n == "gone", lambda n: n == "cold")
+    after = {n: dict(t) for n, t in tables.items()}
+    for o in made.actions:
+        if o.weight:
+            after[o.table][o.endpoint] = o.weight
+        else:
+            del after[o.table][o.endpoint]
+    assert after == {0: {"a": 1.0}, 1: {"b": 1.0}, 2: {"cold": 1.0, "a": 1.0}, 3: {"b": 2.0}}
+    assert {(k.slice, k.endpoint) for k in made.kept} == {(0, "gone"), (1, ""), (2, "cold"), (3, "")}
+
+
+@given(st.randoms(use_true_random=False))
+@settings(max_examples=60)
+def test_any_rollback_is_safe(rng):
+    servers = [f"s{k}" for k in range(6)]
+    barred, cold = set(rng.sample(servers, 2)), set(rng.sample(servers, 2))
+
+    def table():
+        return {n: rng.choice((1.0, 2.0)) for n in rng.sample(servers, rng.randint(1, 4))}
+
+    tables = {k: table() for k in range(4)}
+    target = {f"slice/{k}": {f"line {n}": w for n, w in table().items()} for k in range(4)}
+    made = rollback.plan_rollback(target, tables, barred.__contains__, cold.__contains__)
+    published = PublishedTables(("page",), 4)
+    for k, have in tables.items():
+        published.restore(k, have)
+    published.apply(made.actions)
+    for k in range(4):
+        now, had = published.tables[k], tables[k]
+        assert not any(n in barred and n not in had for n in now)
+        assert all(w <= had.get(n, 0.0) or n not in cold for n, w in now.items())
+        if any(n not in barred for n in had):
+            assert any(n not in barred for n in now), "never bare"
+
+
+def test_pin_lets_safety_actions_flow_and_holds_back_the_rest():
+    pin = Pin()
+    pin.set(3, 100)
+    tables = {0: {"a": 1.0, "b": 1.0}, 1: {"a": 1.0}}
+    orders = [
+        order(0, "c", 1.0),
+        order(0, "a", 0.0),
+        order(1, "a", 0.0),
+        order(1, "b", 1.0),
+        order(1, "a", 0.0),
+        api.SetWithdrawn("a", True),
+        api.SetAdmission(None, (0,), 0.5, 1),
+        api.ClearTable(0),
+        order(0, "b", 2.0),
+    ]
+    flow, held = pin.filter_actions(orders, tables, lambda n: n == "a", lambda table, k: 0.0)
+    assert (
+        flow
+        == [
+            order(0, "a", 0.0),
+            order(1, "b", 1.0),
+            order(1, "a", 0.0),
+            api.SetWithdrawn("a", True),
+            api.SetAdmission(None, (0,), 0.5, 1),
+        ]
+        and held == 4
+    )
+    assert pin.is_active(99) and not pin.is_active(100)
+    with pytest.raises(ValueError, match="somebody else acted"):
+        pin.check_generation(0)
+    assert slice_entries({"slice/1": {"line a": 2.0, "level 0": 0.5}}, 1) == {"a": 2.0}
+
+
+def test_rolled_back_levels_may_fall_and_not_rise_until_the_pin_ends():
+    published = PublishedTables(("page", "tally"), 2)
+    published.apply([api.SetAdmission(None, (0, 1), 0.5, 1), api.SetAdmission(1, (1,), 0.25, 0)])
+    target = {unit: unit_content(published, unit) for unit in published.units()}
+    published.apply([api.SetAdmission(None, (0, 1), 1.0, 0), api.SetAdmission(1, (1,), 1.0, 2)])
+    present = {unit: unit_content(published, unit) for unit in published.units()}
+    published.apply(rollback.plan_admission(target, present, 2))
+    assert {unit: unit_content(published, unit) for unit in published.units()} == target
+    assert not rollback.plan_admission(target, target, 2)
+    pin = Pin()
+    pin.set(3, 100, caps_levels=True)
+    lower, higher = api.SetAdmission(None, (0,), 0.3, 1), api.SetAdmission(None, (0,), 0.9, 1)
+    assert pin.filter_actions([lower, higher], published.tables, lambda n: False, published.level) == ([lower], 1)
+    pin.set(3, 100)
+    assert pin.filter_actions([lower, higher], published.tables, lambda n: False, published.level) == (
+        [lower, higher],
+        0,
+    )
--- a/tests/test_knowledge_pilot.py
+++ b/tests/test_knowledge_pilot.py
@@ -24,8 +24,8 @@
 from damsonpick.testing.fakes.record import Recorder
 from damsonpick.testing.fakes.results import Make, ResultsServer
 from tests.gates import not_bare, soon, weights, world
+from tests.learned_state import with_format
 from tests.pilots import Pilot, until
-from tests.test_knowledge import _as_format
 
 pytestmark = pytest.mark.anyio
 SECOND = 1_000_000_000
@@ -271,7 +271,7 @@
 def test_a_newer_programs_file_is_left_alone_byte_for_byte(tmp_path):
     pilot = ended(tmp_path)
     path = kept(tmp_path) / generations.CURRENT
-    path.write_bytes(_as_format(path.read_bytes(), FORMAT + 1))
+    path.write_bytes(with_format(path.read_bytes(), FORMAT + 1))
     before = path.read_bytes()
     pilot.start()
     until(lambda: pilot.log("knowledge_refused"))
