--- a/benchmarks/knowledge_cost.py
+++ b/benchmarks/knowledge_cost.py
@@ -37,7 +37,7 @@
         events += [api.SliceOwnershipChanged(k, True), api.StoredEntry(k, names[k % servers], 1.0)]
     made.handle(NOW, events)
     for name in names:
-        made.endpoints[name].hear(NOW, api.EndpointReport("a", name, 20, 0, 2 * 10**8, SECOND, ()))
+        made.endpoints[name].add_report(NOW, api.EndpointReport("a", name, 20, 0, 2 * 10**8, SECOND, ()))
         made.endpoints[name].capacity_factor = rng.uniform(0.2, 1.8)
     for piece in made.slices.values():
         piece.rates = [rng.uniform(0, 9), rng.uniform(0, 9)]
--- /dev/null
+++ b/damsonpick/decisions/placement.py
@@ -0,0 +1,112 @@
+"""Placement outside the rounds: evacuation of endpoints that must not serve, and where load adds least."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+from dataclasses import dataclass
+
+from damsonpick.decisions import capacity, slice_demand, slow_start
+from damsonpick.decisions.fleet_state import FleetState
+from damsonpick.decisions.slice_state import SliceState
+
+
+@dataclass(slots=True, eq=False)
+class Placement:
+    """Capacity and load of the usable endpoints while slices are being placed.
+
+    Attributes:
+        fleet: state of the fleet.
+        capacities: present capacity by usable endpoint.
+        loads: load by usable endpoint, requests/s; kept up to date by who assigns.
+        warming_limit: most load of a warming endpoint for each unit of capacity, requests/s.
+    """
+
+    fleet: FleetState
+    capacities: dict[str, float]
+    loads: dict[str, float]
+    warming_limit: float
+
+    def candidates(self, slice_state: SliceState) -> dict[str, float]:
+        """Capacity of the endpoints that may take a slice.
+
+        A slice whose demand is not known yet may be hot and goes to no warming endpoint, unless all are.
+        """
+        if not slice_demand.is_newly_owned(self.fleet, slice_state):
+            return self.capacities
+        warm = {n: c for n, c in self.capacities.items() if not slow_start.is_warming_up(self.fleet, n)}
+        return warm or self.capacities
+
+    def least_loaded(self, candidates: dict[str, float], added_load: float) -> str:
+        """Endpoint on which load adds least for its capacity; a warming one above its limit only if all are.
+
+        Args:
+            candidates: capacity by endpoint; at least one.
+            added_load: requests/s to be placed.
+        """
+        ratios = self._ratios(candidates, added_load, ())
+        return min(self._within_limit(ratios) or ratios, key=ratios.__getitem__)
+
+    def least_loaded_within_limit(
+        self, candidates: dict[str, float], added_load: float, excluded: Collection[str]
+    ) -> str | None:
+        """As `least_loaded` without the excluded endpoints; None if only warming ones above their limit are left."""
+        ratios = self._ratios(candidates, added_load, excluded)
+        return min(self._within_limit(ratios), key=ratios.__getitem__, default=None)
+
+    def _ratios(self, candidates: dict[str, float], added_load: float, excluded: Collection[str]) -> dict[str, float]:
+        """Load for each unit of capacity after load was added."""
+        return {n: (self.loads[n] + added_load) / c for n, c in candidates.items() if n not in excluded}
+
+    def _within_limit(self, ratios: dict[str, float]) -> list[str]:
+        return [
+            name
+            for name, ratio in ratios.items()
+            if ratio <= self.warming_limit or not slow_start.is_warming_up(self.fleet, name)
+        ]
+
+
+def evacuate(fleet: FleetState) -> None:
+    """Make all assignments valid at once, past the slop gate and the move cap of the rounds.
+
+    Slices leave endpoints that are not usable, and warming endpoints that hold more than their share; slices without an
+    endpoint get one. The slices whose published table is now out of sync are left in `fleet.unpublished`.
+    """
+    capacities = capacity.usable_capacities(fleet)
+    loads = fleet.endpoint_loads(capacities)
+    limit = slow_start.warming_load_limit(fleet, sum(loads.values()), sum(capacities.values()))
+    placement = Placement(fleet, capacities, loads, limit)
+    for slice_state in fleet.slices_by_load():
+        slice_state.assigned = [name for name in slice_state.assigned if name in capacities]
+        _relieve_warming_endpoints(placement, slice_state)
+        _assign_if_unassigned(placement, slice_state)
+        if slice_state.is_out_of_sync():
+            fleet.unpublished[slice_state.number] = slice_state
+
+
+def _relieve_warming_endpoints(placement: Placement, slice_state: SliceState) -> None:
+    """Remove a slice from warming endpoints that hold more than their share, where others can take its load."""
+    for name in list(slice_state.assigned):
+        if not slow_start.is_warming_up(placement.fleet, name):
+            continue
+        load = slice_state.load_share(name)
+        overloaded = placement.loads[name] > placement.warming_limit * placement.capacities[name]
+        if overloaded and _can_be_relieved(placement, slice_state, load):
+            slice_state.assigned.remove(name)
+            placement.loads[name] -= load
+
+
+def _can_be_relieved(placement: Placement, slice_state: SliceState, load: float) -> bool:
+    if slice_state.externally_assigned:  # the other assigned endpoints take over
+        return len(slice_state.assigned) > 1
+    target = placement.least_loaded_within_limit(placement.capacities, load, slice_state.assigned)
+    return target is not None
+
+
+def _assign_if_unassigned(placement: Placement, slice_state: SliceState) -> None:
+    """Give a slice without an endpoint one, unless its table is meant to be empty."""
+    meant_empty = slice_state.externally_assigned and not slice_state.advised_weights
+    if slice_state.assigned or not placement.capacities or meant_empty:
+        return
+    target = placement.least_loaded(placement.candidates(slice_state), slice_state.load)
+    slice_state.assigned = [target]
+    placement.loads[target] += slice_state.load
--- /dev/null
+++ b/damsonpick/decisions/search.py
@@ -0,0 +1,175 @@
+"""The stochastic search of a round, after HBase's StochasticLoadBalancer.
+
+Slices are its regions, endpoints its region servers. Random candidates are tried on a copy of the assignments. A
+candidate is accepted if the cost falls by the least gain and no more slices are away from their endpoint than the move
+cap admits.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+from collections.abc import Iterable, Iterator
+
+from damsonpick.decisions import capacity, slice_demand
+from damsonpick.decisions.cluster_copy import ClusterCopy, CostTerms, Move
+from damsonpick.decisions.fleet_state import FleetState
+
+SLOP = 0.3  # share by which load or number of replicas may be off the mean without a search
+STEPS_PER_REPLICA_AND_ENDPOINT = 1.0
+MAX_STEPS = 20_000
+STEPS_PER_PART = 1000  # steps between which other events are handled
+MOVE_CAP_SHARE = 0.02  # share of the owned slices that a round may move
+MIN_GAIN = 0.032  # cost that a step must save, divided by the number of endpoints: a step concerns two of them
+
+COUNT_COST_WEIGHT = 0.025
+LOAD_COST_WEIGHT = 1.0  # load is what queues
+WARMTH_COST_WEIGHT = 1.5
+
+SWAP_PROBABILITY = 0.5  # that a move comes with one in the other direction
+
+
+def is_skewed(copy: ClusterCopy) -> bool:
+    """The slop gate: whether some endpoint's load or number of replicas for its capacity is off the mean."""
+    if len(copy.names) < 2 or not copy.replicas:
+        return False
+    counts = [len(replicas) for replicas in copy.replicas_on]
+    return _exceeds_slop(copy.endpoint_loads, copy.capacities, copy.total_load / copy.total_capacity) or _exceeds_slop(
+        counts, copy.capacities, len(copy.replicas) / copy.total_capacity
+    )
+
+
+def _exceeds_slop(values: Iterable[float], capacities: list[float], mean: float) -> bool:
+    return any(abs(v / c - mean) > SLOP * mean for v, c in zip(values, capacities, strict=True))
+
+
+def cost(copy: ClusterCopy, terms: CostTerms) -> float:
+    """The cost function: spread of the number of replicas and of load, and the warmth that moves lose."""
+    return (
+        COUNT_COST_WEIGHT * spread(terms.count_squares, len(copy.replicas), copy.total_capacity)
+        + LOAD_COST_WEIGHT * spread(terms.load_squares, copy.total_load, copy.total_capacity)
+        + WARMTH_COST_WEIGHT * terms.warmth_lost / copy.total_load
+    )
+
+
+def spread(squares: float, total: float, total_capacity: float) -> float:
+    """Standard deviation over the mean of a figure for each unit of capacity; 0 is even.
+
+    The paper scales a spread to 1 where all is on the smallest endpoint. What a move saves would then fall faster with
+    the size of the fleet than the warmth that it costs, and in a large fleet no move would pay.
+
+    Args:
+        squares: sum of squared figures over capacity.
+        total: sum of the figures.
+        total_capacity: sum of the capacities.
+    """
+    return math.sqrt(max(0.0, squares * total_capacity / (total * total) - 1))
+
+
+def random_swap(copy: ClusterCopy, rng: random.Random) -> list[Move]:
+    """Candidate generator: between two random endpoints."""
+    source, target = rng.randrange(len(copy.names)), rng.randrange(len(copy.names))
+    return _move_or_swap(copy, rng, source, target)
+
+
+def most_to_least_loaded(copy: ClusterCopy, rng: random.Random) -> list[Move]:
+    """Candidate generator: from the endpoint with the highest load for its capacity to that with the lowest."""
+    ratios = copy.load_ratios
+    return _move_or_swap(copy, rng, ratios.index(max(ratios)), ratios.index(min(ratios)))
+
+
+def to_warmest_endpoint(copy: ClusterCopy, rng: random.Random) -> list[Move]:
+    """Candidate generator: a random replica to the endpoint warmest to its slice (the paper's locality)."""
+    replica = rng.randrange(len(copy.replicas))
+    present = copy.endpoint_of[replica]
+    for endpoint in copy.warmest_first[replica]:
+        if endpoint != present:
+            return [Move(replica, endpoint)]
+    return []
+
+
+def _move_or_swap(copy: ClusterCopy, rng: random.Random, source: int, target: int) -> list[Move]:
+    if source == target or not copy.replicas_on[source]:
+        return []
+    moves = [Move(rng.choice(copy.replicas_on[source]), target)]
+    if copy.replicas_on[target] and rng.random() < SWAP_PROBABILITY:
+        moves.append(Move(rng.choice(copy.replicas_on[target]), source))
+    return moves
+
+
+CANDIDATE_GENERATORS = (random_swap, most_to_least_loaded, to_warmest_endpoint)
+
+
+class Search:
+    """One search, from the assignments as they are to better ones."""
+
+    __slots__ = ("copy", "fleet")
+
+    def __init__(self, fleet: FleetState) -> None:
+        """Copy the assignments to the usable endpoints."""
+        self.fleet = fleet
+        self.copy = ClusterCopy(fleet, capacity.usable_capacities(fleet))
+
+    def is_needed(self) -> bool:
+        """Whether the assignments are uneven enough for a search."""
+        return is_skewed(self.copy)
+
+    def run(self) -> Iterator[None]:
+        """Search in parts, between which the caller goes on with other work; the moves are made after the last one."""
+        copy = self.copy
+        max_moved = max(1, int(MOVE_CAP_SHARE * len(self.fleet.slices)))
+        min_gain = MIN_GAIN / max(1, len(copy.names))
+        present_cost = cost(copy, copy.terms)
+        for step in range(self._step_count()):
+            if step % STEPS_PER_PART == STEPS_PER_PART - 1:
+                yield
+            moves = self.pick()
+            if not moves or not all(map(self._is_allowed, moves)):
+                continue
+            terms = copy.terms_after(moves)
+            if terms.moved > max_moved:
+                continue
+            new_cost = cost(copy, terms)
+            if new_cost < present_cost - min_gain:
+                present_cost = new_cost
+                copy.apply(moves, terms)
+        self._make_moves()
+
+    def pick(self) -> list[Move]:
+        """A candidate of a random generator: no move, one, or two that swap replicas."""
+        rng = self.fleet.random
+        generate = CANDIDATE_GENERATORS[rng.randrange(len(CANDIDATE_GENERATORS))]
+        return generate(self.copy, rng)
+
+    def _step_count(self) -> int:
+        steps = int(len(self.copy.replicas) * len(self.copy.names) * STEPS_PER_REPLICA_AND_ENDPOINT)
+        return min(MAX_STEPS, steps)
+
+    def _is_allowed(self, move: Move) -> bool:
+        """Whether an endpoint may take a replica.
+
+        Each endpoint takes a slice once. A warming endpoint takes load up to its limit, and no slice whose demand is
+        not known yet.
+        """
+        copy, (replica, target) = self.copy, move
+        slice_state = copy.replicas[replica].slice_state
+        if copy.warming[target]:
+            load = copy.endpoint_loads[target] + copy.replica_loads[replica]
+            if load > copy.warming_limit * copy.capacities[target]:
+                return False
+            if slice_demand.is_newly_owned(self.fleet, slice_state):
+                return False
+        return target == copy.start_of[replica] or copy.names[target] not in slice_state.assigned
+
+    def _make_moves(self) -> None:
+        """Assign slices as in the copy, except where the list, a start or ownership has changed since."""
+        copy, fleet = self.copy, self.fleet
+        usable = capacity.usable_capacities(fleet)
+        for number, (slice_state, position) in enumerate(copy.replicas):
+            start, target = copy.names[copy.start_of[number]], copy.names[copy.endpoint_of[number]]
+            owned = fleet.slices.get(slice_state.number) is slice_state
+            unchanged = slice_state.assigned[position : position + 1] == [start]
+            if not owned or not unchanged or slice_state.externally_assigned:
+                continue
+            if target in usable and target not in slice_state.assigned:
+                slice_state.assigned[position] = target
--- /dev/null
+++ b/damsonpick/decisions/slice_ownership.py
@@ -0,0 +1,38 @@
+"""Slices that this instance gains and loses, and the entries that the store holds for them."""
+
+from __future__ import annotations
+
+from damsonpick import interface as api
+from damsonpick.decisions.admission import AdmissionController
+from damsonpick.decisions.endpoint_state import EndpointState
+from damsonpick.decisions.fleet_state import FleetState
+from damsonpick.decisions.slice_state import SliceState
+
+
+def apply_ownership(fleet: FleetState, admission: AdmissionController, event: api.SliceOwnershipChanged) -> None:
+    """Start a slice anew when it is gained, drop it when it is lost.
+
+    Limits of admission are meant for the owned slices and follow their number. Reports cover a gained slice in part at
+    first, so that no limit is lowered on them.
+    """
+    count_before = len(fleet.slices)
+    fleet.slices.pop(event.slice, None)
+    fleet.unpublished.pop(event.slice, None)
+    if event.owned:
+        fleet.slices[event.slice] = SliceState(event.slice, list(fleet.usual_rates), fleet.now)
+        admission.hold_limit()
+    if count_before and fleet.slices:
+        admission.scale_limit(len(fleet.slices), count_before)
+    fleet.evacuation_due = True
+
+
+def apply_stored_entry(fleet: FleetState, event: api.StoredEntry) -> None:
+    """Take over a table entry of an owned slice as the store holds it: it is published, and its endpoint is warm."""
+    slice_state = fleet.slices.get(event.slice)
+    if slice_state is None or event.weight <= 0:
+        return
+    fleet.endpoints.setdefault(event.endpoint, EndpointState(event.endpoint))
+    slice_state.published[event.endpoint] = event.weight
+    slice_state.assigned.append(event.endpoint)
+    slice_state.warmth[event.endpoint] = 1.0
+    fleet.evacuation_due = True
--- /dev/null
+++ b/damsonpick/decisions/time_units.py
@@ -0,0 +1,5 @@
+"""Times and durations are integer nanoseconds; constants and variables in seconds end in `_S` or `_s`."""
+
+from __future__ import annotations
+
+NS_PER_SECOND = 1_000_000_000
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -6,18 +6,20 @@
 
 from damsonpick import interface as api
 from damsonpick.cli import main as cli
-from damsonpick.decisions.planner import Planner
+from damsonpick.decisions import capacity, slow_start
+from damsonpick.decisions.endpoint_list import EndpointListTracker
 from damsonpick.state.published_tables import PublishedTables
 
 
 def deaf_to_drains() -> None:
-    """Servers that drain or are gone are never heard of."""
+    """Endpoints that drain or are gone are taken to be in service."""
 
-    def listed(self, event):
-        kept = tuple(e._replace(state="in_service") for e in event.entries)
-        return heard(self, api.EndpointListChanged("update" if event.kind == "replace" else event.kind, kept))
+    def apply_change(self, event):
+        entries = tuple(entry._replace(state="in_service") for entry in event.entries)
+        kind = "update" if event.kind == "replace" else event.kind
+        return real(self, api.EndpointListChanged(kind, entries))
 
-    heard, Planner.on_EndpointListChanged = Planner.on_EndpointListChanged, listed
+    real, EndpointListTracker.apply_change = EndpointListTracker.apply_change, apply_change
 
 
 def bare() -> None:
@@ -45,9 +47,9 @@
 
 
 def reckless() -> None:
-    """A cold server is taken for a warm one, and for a huge one."""
-    Planner.warm_up_share = lambda self, ep: 1.0
-    Planner.capacity_of = lambda self, ep: 1000.0 if ep.started else 0.1
+    """A warming endpoint is taken for a warm one, and for a huge one."""
+    slow_start.warm_up_share = lambda fleet, endpoint: 1.0
+    capacity.capacity_of = lambda fleet, endpoint: 1000.0 if endpoint.started else 0.1
 
 
 if __name__ == "__main__":
--- a/tests/test_decision_package.py
+++ b/tests/test_decision_package.py
@@ -13,6 +13,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 MODULES = sorted((ROOT / "damsonpick" / "decisions").glob("*.py"))
 LINE_LENGTH = 120
+MODULE_LINES = 250
+FUNCTION_LINES = 30  # with its docstring
 
 
 def test_deploy_file_names_every_decision_module():
@@ -26,6 +28,14 @@
     assert max(map(len, path.read_text().splitlines())) <= LINE_LENGTH
 
 
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
+def test_modules_and_functions_are_short(path):
+    text = path.read_text()
+    functions = [n for n in ast.walk(ast.parse(text)) if isinstance(n, ast.FunctionDef | ast.AsyncFunctionDef)]
+    too_long = [n.name for n in functions if n.end_lineno - n.lineno + 1 > FUNCTION_LINES]
+    assert len(text.splitlines()) <= MODULE_LINES and not too_long
+
+
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
 def test_decisions_import_the_standard_library_and_the_interface_only(path):
     found = set()
--- a/tests/test_full_size.py
+++ b/tests/test_full_size.py
@@ -5,7 +5,7 @@
 import random
 
 from damsonpick import interface as api
-from damsonpick.decisions import planner as decisions
+from damsonpick.decisions import retention, search
 
 from .helpers import SECOND, World, entry
 
@@ -32,17 +32,17 @@
 def searched(world: World, monkeypatch) -> list[int]:
     """Counts the steps that each call of `handle` searches; the last figure is of the call under way."""
     counts = [0]
-    pick, handle = decisions.Search.pick, world.planner.handle
+    pick, handle = search.Search.pick, world.planner.handle
 
-    def counted(search):
+    def counted(self):
         counts[-1] += 1
-        return pick(search)
+        return pick(self)
 
     def handled(now, events):
         counts.append(0)
         return handle(now, events)
 
-    monkeypatch.setattr(decisions.Search, "pick", counted)
+    monkeypatch.setattr(search.Search, "pick", counted)
     monkeypatch.setattr(world.planner, "handle", handled)
     return counts
 
@@ -69,7 +69,7 @@
         world.tell(api.TimerFired(0))
         calls += 1
         assert calls < 200
-    assert max(counts) <= decisions.PART < sum(counts)
+    assert max(counts) <= search.STEPS_PER_PART < sum(counts)
     assert before != world.tables
 
 
@@ -80,7 +80,7 @@
     assert world.planner.search
     for name in NAMES[:20]:
         world.tell(api.EndpointListChanged("update", (entry(name, "terminating"),)))
-        assert world.shut[name] and counts[-1] <= decisions.PART
+        assert world.shut[name] and counts[-1] <= search.STEPS_PER_PART
     assert world.planner.search  # it was under way all the time
     while world.planner.search:
         world.now += SECOND // 100
@@ -113,7 +113,9 @@
 
 
 def test_slice_taken_away_in_the_middle_of_a_search_gets_no_order(monkeypatch):
-    monkeypatch.setattr(decisions, "MOVE_CAP", 0.2)  # so that it moves some that are taken away and some that are not
+    monkeypatch.setattr(
+        search, "MOVE_CAP_SHARE", 0.2
+    )  # so that it moves some that are taken away and some that are not
     world = fleet()
     until_searching(world)
     world.log.clear()
@@ -159,14 +161,16 @@
             )
         )
         assert not world.bare()
-    assert max(sizes[1000:]) <= max(sizes[:500]) and sizes[-1][0] < 8 + decisions.AWAY / (6 * SECOND) + 8
-    assert len(world.planner.withdrawn) <= decisions.SHUT_MOST + len(world.planner.endpoints)
+    assert (
+        max(sizes[1000:]) <= max(sizes[:500]) and sizes[-1][0] < 8 + retention.MAX_PROXY_ABSENCE_NS / (6 * SECOND) + 8
+    )
+    assert len(world.planner.withdrawn) <= retention.MAX_WITHDRAWALS + len(world.planner.endpoints)
 
 
 def test_an_endpoint_that_was_forgotten_and_is_listed_anew_is_let_in():
     world = World(slices=12)
     world.tell(api.EndpointListChanged("update", (entry("p", "terminated"),)))
-    world.run(decisions.AWAY // SECOND + 4)
+    world.run(retention.MAX_PROXY_ABSENCE_NS // SECOND + 4)
     assert world.shut["p"] and "p" not in world.planner.endpoints
     world.tell(api.ProxyLeft(0), api.ProxyJoined(0, "a", 5.0, False))
     world.run(1)
@@ -213,7 +217,7 @@
 def test_a_slice_hotter_than_several_servers_gets_as_many_lines_as_keep_each_at_its_part():
     """Three lines were enough for fleets of twenty: a key that draws a thirtieth of all traffic is seven servers."""
     world = World(names=NAMES[:60], slices=72, proxies=40, channel_rate=40_000.0, channel_limit=60_000.0)
-    world.planner.settings = world.settings._replace(slices=360)  # the other pilots' are as many for each
+    world.planner.fleet.settings = world.settings._replace(slices=360)  # the other pilots' are as many for each
     for _ in range(30):
         world.now += SECOND
         world.tell(
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,6 +8,7 @@
 import pytest
 
 from damsonpick import interface as api
+from damsonpick.decisions.flow_control import Urgency
 from damsonpick.decisions.planner import Planner
 
 from .helpers import SECOND, START, World, entry, settings
@@ -592,7 +593,7 @@
     """parking-varazdin on sockets, reload: 39 returns filled three messages before 14 withdrawals of a release."""
     world = World([f"s{n:02}" for n in range(30)], slices=30, channel_limit=120.0)
     world.run(4)
-    room = world.planner.flow_control.message_capacity(0, 0.0)
+    room = world.planner.flow_control.message_capacity(Urgency.CRITICAL, 0.0)
     world.tell(api.ProxyLeft(1))
     world.planner.known_proxies.pop(1)  # as after a restart: which withdrawals it holds of an earlier life is not known
     world.acks = False
