--- a/damsonpick/decisions/search.py
+++ b/damsonpick/decisions/search.py
@@ -68,7 +68,9 @@
 
 def random_swap(copy: ClusterCopy, rng: random.Random) -> list[Move]:
     """Candidate generator: between two random endpoints."""
-    source, target = rng.randrange(len(copy.names)), rng.randrange(len(copy.names))
+    endpoint_count = len(copy.names)
+    source = rng.randrange(endpoint_count)
+    target = rng.randrange(endpoint_count)
     return _move_or_swap(copy, rng, source, target)
 
 
@@ -103,11 +105,12 @@
 class Search:
     """One search, from the assignments as they are to better ones."""
 
-    __slots__ = ("copy", "fleet")
+    __slots__ = ("copy", "fleet", "rng")
 
     def __init__(self, fleet: FleetState) -> None:
         """Copy the assignments to the usable endpoints."""
         self.fleet = fleet
+        self.rng = fleet.random
         self.copy = ClusterCopy(fleet, capacity.usable_capacities(fleet))
 
     def is_needed(self) -> bool:
@@ -137,9 +140,8 @@
 
     def pick(self) -> list[Move]:
         """A candidate of a random generator: no move, one, or two that swap replicas."""
-        rng = self.fleet.random
-        generate = CANDIDATE_GENERATORS[rng.randrange(len(CANDIDATE_GENERATORS))]
-        return generate(self.copy, rng)
+        generate = CANDIDATE_GENERATORS[self.rng.randrange(len(CANDIDATE_GENERATORS))]
+        return generate(self.copy, self.rng)
 
     def _step_count(self) -> int:
         steps = int(len(self.copy.replicas) * len(self.copy.names) * STEPS_PER_REPLICA_AND_ENDPOINT)
@@ -151,7 +153,8 @@
         Each endpoint takes a slice once. A warming endpoint takes load up to its limit, and no slice whose demand is
         not known yet.
         """
-        copy, (replica, target) = self.copy, move
+        copy = self.copy
+        replica, target = move
         slice_state = copy.replicas[replica].slice_state
         if copy.warming[target]:
             load = copy.endpoint_loads[target] + copy.replica_loads[replica]
