--- a/damsonpick/protocols/platform/config.py
+++ b/damsonpick/protocols/platform/config.py
@@ -77,7 +77,7 @@
     values = _branch(tree, "settings")
     flat = dict(instance_settings.flatten(values))
     try:
-        settings, zones = instance_settings.read_settings(flat), instance_settings.Fields(flat).words("zones")
+        settings, zones = instance_settings.read_settings(flat), instance_settings.read_zones(flat)
     except instance_settings.SettingError as error:
         raise ConfigError(f"settings: {error}") from None
     return Config(
--- a/damsonpick/protocols/shared/instance_settings.py
+++ b/damsonpick/protocols/shared/instance_settings.py
@@ -1,134 +1,194 @@
-"""What an instance is told at its start, read into `interface.Settings`. Standard library only.
+"""The settings of an instance, read into `interface.Settings`. Standard library only.
 
-Both ways in call it: the simulator's wire hands in text by path, a configuration file hands in nested JSON, which
-`flatten` lays out under the same paths. Unknown settings are passed over.
+The simulator's wire hands in text by path; a configuration file hands in nested JSON, which `flatten` maps to the same
+paths. Settings that are not known are ignored.
 """
 
 from __future__ import annotations
 
+import math
 from collections.abc import Iterator, Mapping
 from typing import Any
 
 from damsonpick import interface as api
 
-MOST = 1 << 62  # a whole number beyond it is no time and no count
+INTEGER_LIMIT = 1 << 62  # a number beyond it is no time and no count
+MAX_LOGGED_VALUE = 60  # characters
 
 
 class SettingError(ValueError):
-    """A setting is absent or of the wrong kind; the text names it."""
+    """A setting is absent or of the wrong kind.
+
+    Attributes:
+        path: of the setting.
+    """
+
+    def __init__(self, path: str, text: str) -> None:
+        """Take the path of the setting and the whole text for the log."""
+        super().__init__(text)
+        self.path = path
+
+    @classmethod
+    def missing(cls, path: str) -> SettingError:
+        """Return the error for a setting that is absent."""
+        return cls(path, f"missing setting '{path}'")
+
+    @classmethod
+    def invalid(cls, path: str, expected: str, value: object) -> SettingError:
+        """Return the error for a setting of the wrong kind."""
+        return cls(path, f"{path}: {expected}: {str(value)[:MAX_LOGGED_VALUE]}")
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
-    """Leaves of nested JSON by path; a list of objects also tells its length, under `.count`."""
+    """Yield the leaves of nested JSON with their paths; a list of objects also yields its length, as `.count`."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", len(value)
-        for place, inner in enumerate(value):
-            yield from flatten(inner, f"{path}.{place}")
+        for index, inner in enumerate(value):
+            yield from flatten(inner, f"{path}.{index}")
     else:
         yield path, value
 
 
-class Fields:
-    """Typed looks at settings by path. Text and plain JSON values are both understood; `-` and null are absent."""
+class SettingsReader:
+    """Typed access to settings by path. Values are text or plain JSON; `-` and null count as absent."""
 
     def __init__(self, values: Mapping[str, Any]) -> None:
-        self.values = values
+        """Take the values by path."""
+        self._values = values
 
-    def _get(self, path: str, default: Any) -> Any:
-        value = self.values.get(path)
-        if value is not None and value != "-":
-            return value
-        if default is None:
-            raise SettingError(f"missing setting '{path}'")
-        return default
+    def integer(self, path: str, default: int | None = None) -> int:
+        """Return a whole number.
 
-    def whole(self, path: str, default: int | None = None) -> int:
-        value = self._get(path, default)
+        Raises:
+            SettingError: it is absent without a default, or no whole number.
+        """
+        value = self._value(path, default)
         try:
             number = int(value)
-            cut = isinstance(value, float) and number != value
-            if not isinstance(value, bool) and not cut and abs(number) < MOST:
-                return number
         except (TypeError, ValueError, OverflowError):
-            pass
-        raise SettingError(f"{path}: not a whole number: {str(value)[:60]}")
+            raise SettingError.invalid(path, "not a whole number", value) from None
+        has_fraction = isinstance(value, float) and number != value
+        if isinstance(value, bool) or has_fraction or abs(number) >= INTEGER_LIMIT:
+            raise SettingError.invalid(path, "not a whole number", value)
+        return number
 
     def number(self, path: str, default: float | None = None) -> float:
-        value = self._get(path, default)
+        """Return a finite number.
+
+        Raises:
+            SettingError: it is absent without a default, or no finite number.
+        """
+        value = self._value(path, default)
         try:
-            if not isinstance(value, bool) and abs(float(value)) < float("inf"):
-                return float(value)
+            number = float(value)
         except (TypeError, ValueError, OverflowError):
-            pass
-        raise SettingError(f"{path}: not a finite number: {str(value)[:60]}")
-
-    def word(self, path: str, default: str | None = None) -> str:
-        value = self._get(path, default)
+            raise SettingError.invalid(path, "not a finite number", value) from None
+        if isinstance(value, bool) or not math.isfinite(number):
+            raise SettingError.invalid(path, "not a finite number", value)
+        return number
+
+    def text(self, path: str, default: str | None = None) -> str:
+        """Return text.
+
+        Raises:
+            SettingError: it is absent without a default, or not text.
+        """
+        value = self._value(path, default)
         if not isinstance(value, str):
-            raise SettingError(f"{path}: not text: {str(value)[:60]}")
+            raise SettingError.invalid(path, "not text", value)
         return value
 
-    def words(self, path: str) -> tuple[str, ...]:
-        value = self._get(path, "")
+    def names(self, path: str) -> tuple[str, ...]:
+        """Return a list of names, given as JSON or as text with commas; empty if it is absent.
+
+        Raises:
+            SettingError: it is neither.
+        """
+        value = self._value(path, "")
         parts = value.split(",") if isinstance(value, str) else value
         if not isinstance(parts, list) or not all(isinstance(part, str) for part in parts):
-            raise SettingError(f"{path}: not a list of words: {str(value)[:60]}")
+            raise SettingError.invalid(path, "not a list of words", value)
         return tuple(part for part in parts if part and part != "-")
 
     def flag(self, path: str) -> bool:
-        value = self._get(path, False)
+        """Return a truth value; false if it is absent.
+
+        Raises:
+            SettingError: it is neither true nor false.
+        """
+        value = self._value(path, False)
         if value in (True, "true"):
             return True
         if value in (False, "false"):
             return False
-        raise SettingError(f"{path}: neither true nor false: {str(value)[:60]}")
+        raise SettingError.invalid(path, "neither true nor false", value)
+
+    def _value(self, path: str, default: Any) -> Any:
+        value = self._values.get(path)
+        if value is not None and value != "-":
+            return value
+        if default is None:
+            raise SettingError.missing(path)
+        return default
 
 
 def read_settings(values: Mapping[str, Any]) -> api.Settings:
-    """The planner's settings.
+    """Return the planner's settings.
+
+    Args:
+        values: by path, as `flatten` yields them.
 
     Raises:
         SettingError: one is absent or of the wrong kind.
     """
-    get = Fields(values)
+    get = SettingsReader(values)
     return api.Settings(
-        instance=get.whole("me"),
-        instances=get.whole("peersTotal"),
-        zone=get.word("zone", ""),
-        classes=tuple(_read_class(get, f"grades.{k}.") for k in range(get.whole("grades.count"))),
-        slices=get.whole("domain.shards"),
-        proxies=get.whole("domain.agents"),
+        instance=get.integer("me"),
+        instances=get.integer("peersTotal"),
+        zone=get.text("zone", ""),
+        classes=tuple(_read_class(get, f"grades.{index}.") for index in range(get.integer("grades.count"))),
+        slices=get.integer("domain.shards"),
+        proxies=get.integer("domain.agents"),
         sole_owner=get.flag("domain.soleOwner"),
-        admission=get.word("domain.admission", "none"),
-        subscribe=get.word("discovery", "automatic") == "subscribe",
-        poll_interval=get.whole("rules.askEveryNs", 0),
+        admission=get.text("domain.admission", "none"),
+        subscribe=get.text("discovery", "automatic") == "subscribe",
+        poll_interval=get.integer("rules.askEveryNs", 0),
         channel_rate=get.number("domain.egressPerS"),
         channel_limit=get.number("domain.mostWaiting"),
         message_overhead=get.number("domain.overhead"),
-        messages_per_window=get.whole("domain.pushesAllowed", 0),
-        message_window=get.whole("domain.updateWindowNs", 0),
-        max_transit=get.whole("domain.transitMaxNs", 0),
-        report_period=get.whole("domain.reportEveryNs"),
-        drain_grace=get.whole("rules.stopSendingWithinNs"),
+        messages_per_window=get.integer("domain.pushesAllowed", 0),
+        message_window=get.integer("domain.updateWindowNs", 0),
+        max_transit=get.integer("domain.transitMaxNs", 0),
+        report_period=get.integer("domain.reportEveryNs"),
+        drain_grace=get.integer("rules.stopSendingWithinNs"),
         cold_capacity_share=get.number("rules.coldShare"),
-        warm_up_time=get.whole("rules.coldNs"),
-        write_linger=get.whole("domain.lingersNs", 0),
-        write_lease=get.whole("domain.leaseNs", 0),
-        load_fields=get.words("report.fields"),
-        balancing_policy=get.word("domain.pick", "lottery"),
+        warm_up_time=get.integer("rules.coldNs"),
+        write_linger=get.integer("domain.lingersNs", 0),
+        write_lease=get.integer("domain.leaseNs", 0),
+        load_fields=get.names("report.fields"),
+        balancing_policy=get.text("domain.pick", "lottery"),
     )
 
 
-def _read_class(get: Fields, prefix: str) -> api.RequestClass:
+def read_zones(values: Mapping[str, Any]) -> tuple[str, ...]:
+    """Return the names of all zones.
+
+    Raises:
+        SettingError: they are no list of names.
+    """
+    return SettingsReader(values).names("zones")
+
+
+def _read_class(get: SettingsReader, prefix: str) -> api.RequestClass:
     return api.RequestClass(
-        name=get.word(prefix + "name"),
-        latency_objective=get.whole(prefix + "aimNs"),
-        deadline=get.whole(prefix + "deadlineNs"),
-        effect=get.word(prefix + "effect"),
-        key_scope=get.word(prefix + "keyScope", "all"),
-        key_window=get.whole(prefix + "windowNs", 0),
+        name=get.text(prefix + "name"),
+        latency_objective=get.integer(prefix + "aimNs"),
+        deadline=get.integer(prefix + "deadlineNs"),
+        effect=get.text(prefix + "effect"),
+        key_scope=get.text(prefix + "keyScope", "all"),
+        key_window=get.integer(prefix + "windowNs", 0),
         priority_weight=get.number(prefix + "worth", 1.0),
     )
