--- a/damsonpick/protocols/platform/connection_limiter.py
+++ b/damsonpick/protocols/platform/connection_limiter.py
@@ -6,7 +6,7 @@
 
 RESERVED_DESCRIPTORS = 64  # for registry, discovery, the event loop and logs
 MIN_CONNECTIONS = 8
-MIN_CONNECTIONS_OF_FEW_DESCRIPTORS = 4
+MIN_CONNECTIONS_OF_SMALL_PROCESS = 4
 MAX_COLLECTORS_PER_ZONE = 2  # a collector may come back before its former connection is seen to be gone
 
 
@@ -14,7 +14,7 @@
     """Return how many connections may be open in a process with so many descriptors."""
     if max_descriptors > 2 * RESERVED_DESCRIPTORS:
         return max(MIN_CONNECTIONS, max_descriptors - RESERVED_DESCRIPTORS)
-    return max(MIN_CONNECTIONS_OF_FEW_DESCRIPTORS, max_descriptors // 2)
+    return max(MIN_CONNECTIONS_OF_SMALL_PROCESS, max_descriptors // 2)
 
 
 class ConnectionLimiter:
--- a/damsonpick/protocols/platform/order_codec.py
+++ b/damsonpick/protocols/platform/order_codec.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
@@ -84,7 +84,7 @@
         """Return the planner's sync token for one on the wire."""
         return (wire_token - self.token_offset) % SYNC_TOKEN_RANGE
 
-    def _to_wire(self, order: Order) -> dict[str, Any]:
+    def _to_wire(self, order: Order) -> dict[str, object]:
         # The order of the keys is part of the wire format.
         if isinstance(order, api.SetEntry):
             return {
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -195,8 +195,8 @@
             order_requests=self._order_client.request_count,
             unconfirmed_requests=self._order_client.unconfirmed_count,
             connections=len(self.limiter.connections),
-            reports_since=self.handler.take_report_count(),
-            steps_since=steps.step_count,
+            new_reports=self.handler.take_report_count(),
+            new_steps=steps.step_count,
             longest_step_ns=steps.longest_step_ns,
         )
 
--- a/damsonpick/protocols/platform/state_log.py
+++ b/damsonpick/protocols/platform/state_log.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PilotStatus:
-    """What the log line contains beside the planner's state. Counts named `since` start at the previous line.
+    """What the log line contains beside the planner's state. Counts named `new` are since the previous line.
 
     Attributes:
         tables: stored entries, by slice.
@@ -31,8 +31,8 @@
         order_requests: requests sent to the registry since the start.
         unconfirmed_requests: of these, those with an unknown outcome.
         connections: open ones at the listening address.
-        reports_since: reports received.
-        steps_since: steps of the planner.
+        new_reports: reports received.
+        new_steps: steps of the planner.
         longest_step_ns: of these steps.
     """
 
@@ -41,8 +41,8 @@
     order_requests: int
     unconfirmed_requests: int
     connections: int
-    reports_since: int
-    steps_since: int
+    new_reports: int
+    new_steps: int
     longest_step_ns: int
 
 
@@ -75,8 +75,8 @@
         messages_in_flight=len(planner.flow_control.in_flight),
         pending_orders=status.pending_orders,
         unpublished_tables=len(planner.unpublished),
-        reports=status.reports_since,
-        steps=status.steps_since,
+        reports=status.new_reports,
+        steps=status.new_steps,
         longest_step_ms=status.longest_step_ns // NS_PER_MS,
         order_requests=status.order_requests,
         unconfirmed_requests=status.unconfirmed_requests,
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -142,7 +142,10 @@
             matching = [entry for entry in entries if reason in entry.get("reason", "")]
             return len(matching) >= count
 
-        await until(is_logged, timeout_s)
+        try:
+            await until(is_logged, timeout_s)
+        except AssertionError as error:
+            raise AssertionError(f"{event}: {error}; the log ends with {self.log.read_text()[-2000:]}") from None
 
     async def latency_logged(self, endpoint: str, latency_ms: int) -> None:
         """Wait until the newest state in the log has this latency of an endpoint."""
