--- a/tests/test_platform_endpoint_list.py
+++ b/tests/test_platform_endpoint_list.py
@@ -94,3 +94,10 @@
 def test_invalid_entries_are_reported(change):
     made = update(1, True, server("p") | change, server("q"))
     assert [e.endpoint for e in made.entries] == ["q"] and len(made.problems) == 1
+
+
+@pytest.mark.parametrize("state", [["Ready"], {"Ready": 1}])
+def test_an_entry_whose_state_is_not_text_is_left_out_alone(state):
+    endpoint_list = EndpointList(update(3, True, server("p"), server("q")))
+    event = endpoint_list.apply(update(4, True, server("p"), server("q", state=state)), 0)
+    assert {entry.endpoint for entry in event.entries} == {"p", "q"}, "the entry known before stays"
