--- a/damsonpick/state/history/digest.py
+++ b/damsonpick/state/history/digest.py
@@ -1,7 +1,7 @@
 """A hash of a set of named resources that a change of one resource updates in constant time. Sans I/O.
 
 Names fall into 64 *ranges* by their hash. A range's sum adds up the 64-bit hashes (XXH3) of its `name, version` pairs
-modulo 2^64, so a pair is taken out by subtraction and the order of changes does not matter (an additive multiset hash:
+modulo 2^64, so a pair is removed by subtraction and the order of changes does not matter (an additive multiset hash:
 M. Bellare, D. Micciancio, "A New Paradigm for Collision-free Hashing", 1997). The *root* is the 128-bit XXH3 of the
 sums: a tree of two levels. Comparing ranges finds what differs with 64 numbers instead of all names. It guards against
 loss, mixing up and corruption, not against somebody who makes collisions on purpose.
--- a/damsonpick/state/history/pin.py
+++ b/damsonpick/state/history/pin.py
@@ -26,7 +26,7 @@
     Attributes:
         version: that they are held at; 0: none.
         until: clock time, ns; 0: not pinned.
-        generation: grows with each pin and release, so that two operators who act at once are told apart.
+        generation: grows with each pin and release, so that of two operators who act at once the second is refused.
         caps_levels: admission levels were rolled back as well; until the pin ends they may fall and not rise.
     """
 
--- a/damsonpick/state/learned/list_confidence.py
+++ b/damsonpick/state/learned/list_confidence.py
@@ -1,7 +1,7 @@
 """Confidence in the entries of a cached endpoint list while no list source has answered. Sans I/O.
 
-Only a pilot that starts from a cached list has doubts: a source that fails under a running pilot makes no endpoint
-draining or gone. The age of an entry counts from when a source last confirmed it, or from its last successful
+Only a pilot that starts from a cached list lowers confidence: a source that fails under a running pilot makes no
+endpoint draining or gone. The age of an entry counts from when a source last confirmed it, or from its last successful
 response, whichever is later.
 
     up to FRESH_AGE_NS       as listed
@@ -24,7 +24,7 @@
 from damsonpick import interface as api
 
 SECOND_NS = 1_000_000_000
-SOURCE_GRACE_NS = SECOND_NS  # a source has so long to answer before entries are doubted: most do
+SOURCE_GRACE_NS = SECOND_NS  # for a source to answer before confidence is lowered: most do
 FRESH_AGE_NS = 120 * SECOND_NS
 MAX_AGE_NS = 86_400 * SECOND_NS
 MIN_FAILED_ATTEMPTS = 4  # without a success, before an endpoint is ejected
@@ -34,7 +34,7 @@
 
 
 class EntryConfidence(Enum):
-    """How far an entry is believed; the value is the share of load that it may have, 0 to 1."""
+    """Confidence in an entry; the value is the share of load that it may have, 0 to 1."""
 
     AS_LISTED = 1.0
     REDUCED = 0.5
@@ -83,7 +83,7 @@
         self.started_at = 0
         self.entries: dict[str, EntryState] = {}
         self.last_success_at: dict[str, int] = {}  # by endpoint
-        self.published: dict[str, float] = {}  # confidence by endpoint as the planner was last told
+        self.published: dict[str, float] = {}  # confidence by endpoint as last given to the planner
         self.next_trial_at = 0
 
     def restore(self, now: int, times: Mapping[str, EntryTimes]) -> None:
@@ -103,7 +103,7 @@
     # -- load reports
 
     def apply_reports(self, now: int, events: Iterable[api.Event]) -> None:
-        """Take the outcomes of attempts from endpoint reports, summed over zones; other events are ignored."""
+        """Apply the outcomes of attempts from endpoint reports, summed over zones; other events are ignored."""
         attempts: dict[str, int] = {}
         successes: dict[str, int] = {}
         for event in events:
@@ -119,7 +119,7 @@
                 _apply_outcomes(now, entry, count, successes[name])
 
     def is_lost(self, now: int, name: str) -> bool:
-        """Whether nothing speaks for keeping an entry that the newest list no longer names.
+        """Whether there is no reason to hold an entry that the newest list no longer names.
 
         It was ejected and has not succeeded since, or no source has answered and it is no longer fresh.
         """
@@ -138,7 +138,7 @@
     # -- confidence
 
     def is_settled(self, now: int) -> bool:
-        """Whether a source has answered, or has had its time to."""
+        """Whether a source has answered, or its time to answer is over."""
         return self.is_confirmed or now - self.started_at >= SOURCE_GRACE_NS
 
     def confidences(self, now: int) -> dict[str, float]:
@@ -207,7 +207,7 @@
 
 
 def _confidence(now: int, entry: EntryState) -> EntryConfidence:
-    """What an entry of a cached list is worth, by what was observed of it, else by its age."""
+    """Confidence in an entry of a cached list, by what was observed of it, otherwise by its age."""
     if entry.has_succeeded:
         return EntryConfidence.AS_LISTED
     if entry.on_trial:
