--- a/damsonpick/decisions/publisher.py
+++ b/damsonpick/decisions/publisher.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import IntEnum
 from typing import NamedTuple
 
 from damsonpick import interface as api
@@ -17,11 +16,9 @@
 
 MIN_LEVEL_ENTRIES = 2  # room that must be left for admission levels to be sent
 
-
-class RetryMode(IntEnum):
-    """Retry modes of a request class that are in use."""
-
-    ON_PROOF_IT_NEVER_RAN = 1  # once, at another endpoint: safe for every class, and no endpoint does the work twice
+# Retry mode of all classes: once, at another endpoint, on proof that the request never ran. It is safe for requests
+# that are not idempotent, and no endpoint does work twice.
+RETRY_ON_PROOF = 1
 
 
 class TableChange(NamedTuple):
@@ -163,7 +160,7 @@
         self.resync_due = False
         fleet.published_levels = fleet.desired_levels
         for class_index, level in enumerate(fleet.desired_levels):
-            message.append(api.SetAdmission(None, (class_index,), level, int(RetryMode.ON_PROOF_IT_NEVER_RAN)))
+            message.append(api.SetAdmission(None, (class_index,), level, RETRY_ON_PROOF))
 
     def _add_returns(self, message: list[api.Action], room: list[int], returning: list[str]) -> None:
         """Let endpoints return that are in service again and that no published table names needlessly.
