--- a/tests/decisions/test_planner.py
+++ b/tests/decisions/test_planner.py
@@ -3,10 +3,18 @@
 from __future__ import annotations
 
 import random
+import typing
 
 from damsonpick import interface as api
 from tests.helpers import SECOND, World, entry
 
+UNUSED_EVENTS = {api.TimerFired, api.ProbeResult, api.PeerMessage, api.ProxyDemand}
+
+
+def test_every_type_of_event_has_a_handler_or_is_known_to_be_unused():
+    handled = set(World().planner._event_handlers())
+    assert handled | UNUSED_EVENTS == set(typing.get_args(api.Event)) and not handled & UNUSED_EVENTS
+
 
 def test_events_about_unknown_names_and_empty_reports_are_ignored():
     world = World()
