--- a/benchmarks/hand_pilot.py
+++ b/benchmarks/hand_pilot.py
@@ -46,5 +46,5 @@
 
 if __name__ == "__main__":
     real = cli.serve
-    cli.serve = lambda settings, port_file: real(settings, port_file, advisor=HandMade)
+    cli.serve = lambda settings, port_file: real(settings, port_file, advisor_factory=HandMade)
     cli.main()
--- a/benchmarks/knowledge_kills.py
+++ b/benchmarks/knowledge_kills.py
@@ -130,7 +130,7 @@
         "generations lost": lost,
         "damaged on purpose": kills // 10,
         "damaged and refused": refused,
-        "said in the log": log.count("knowledge_refused"),
+        "said in the log": log.count("snapshot_rejected"),
         "restarts that were told of it": log.count('"event": "recalled"'),
         "joined_s": {
             "median": round(statistics.median(joined), 3),
--- a/damsonpick/controller/control_socket.py
+++ b/damsonpick/controller/control_socket.py
@@ -11,64 +11,82 @@
 from anyio.abc import SocketStream
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-LONGEST = 65_536  # bytes of a request
+Request = dict[str, Any]  # `ask` names the query, the rest are its parameters
+Reply = dict[str, Any]  # the answer, or `error` alone
+
+MAX_REQUEST_BYTES = 65_536
+MAX_REPLY_BYTES = 64_000_000
+REPLY_TIMEOUT_S = 5.0
+OWNER_ONLY = 0o600
+CLIENT_GONE = (
+    anyio.EndOfStream,
+    anyio.IncompleteRead,
+    anyio.DelimiterNotFound,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)
 
 
 class ControlError(Exception):
     """The pilot cannot be asked; the text says why and what to do."""
 
 
-async def serve(path: Path, answer: Callable[[dict[str, Any]], dict[str, Any]], ready: Callable[[], None]) -> None:
-    """Answer requests until cancelled. A socket left by a killed pilot is taken over."""
+async def serve(path: Path, answer: Callable[[Request], Reply], ready: Callable[[], None]) -> None:
+    """Answer requests until cancelled. A socket left by a killed pilot is replaced.
+
+    Args:
+        path: where to listen.
+        answer: gives the reply to one request; ValueError and KeyError become an `error` reply.
+        ready: called once the socket listens.
+    """
     path.unlink(missing_ok=True)
-    listener = await anyio.create_unix_listener(path, mode=0o600)
+    listener = await anyio.create_unix_listener(path, mode=OWNER_ONLY)
 
-    async def handle(stream: SocketStream) -> None:
+    async def serve_client(stream: SocketStream) -> None:
         async with stream:
-            lines = BufferedByteReceiveStream(stream)
+            requests = BufferedByteReceiveStream(stream)
             try:
                 while True:
-                    text = await lines.receive_until(b"\n", LONGEST)
-                    await stream.send(json.dumps(_safe(answer, text)).encode() + b"\n")
-            except (
-                anyio.EndOfStream,
-                anyio.IncompleteRead,
-                anyio.DelimiterNotFound,
-                anyio.BrokenResourceError,
-                anyio.ClosedResourceError,
-            ):
+                    text = await requests.receive_until(b"\n", MAX_REQUEST_BYTES)
+                    reply = _answer_text(answer, text)
+                    await stream.send(json.dumps(reply).encode() + b"\n")
+            except CLIENT_GONE:
                 return
 
     ready()
     try:
-        await listener.serve(handle)
+        await listener.serve(serve_client)
     finally:
         path.unlink(missing_ok=True)
 
 
-def _safe(answer: Callable[[dict[str, Any]], dict[str, Any]], text: bytes) -> dict[str, Any]:
+def _answer_text(answer: Callable[[Request], Reply], text: bytes) -> Reply:
     try:
-        request = json.loads(text)
-        if not isinstance(request, dict):
-            raise ValueError("a request is a JSON object")
-        return answer(request)
+        return answer(_parse_request(text))
     except (ValueError, KeyError) as error:
         return {"error": f"bad request: {error}"}
 
 
-async def ask(path: Path, request: dict[str, Any], patience: float = 5.0) -> dict[str, Any]:
-    """One answer from the pilot that listens on `path`.
+def _parse_request(text: bytes) -> Request:
+    request = json.loads(text)
+    if not isinstance(request, dict):
+        raise ValueError("a request is a JSON object")
+    return request
+
+
+async def ask(path: Path, request: Request, timeout_s: float = REPLY_TIMEOUT_S) -> Reply:
+    """One reply from the pilot that listens on `path`.
 
     Raises:
-        ControlError: nobody listens, or no answer within `patience` seconds.
+        ControlError: nobody listens, or no reply within `timeout_s` seconds.
     """
     try:
-        with anyio.fail_after(patience):
+        with anyio.fail_after(timeout_s):
             async with await anyio.connect_unix(path) as stream:
                 await stream.send(json.dumps(request).encode() + b"\n")
-                text = await BufferedByteReceiveStream(stream).receive_until(b"\n", 64_000_000)
+                text = await BufferedByteReceiveStream(stream).receive_until(b"\n", MAX_REPLY_BYTES)
     except OSError as error:
         raise ControlError(f"{path}: no pilot answers ({error}); start it with `damsonpick run`") from None
     except (TimeoutError, anyio.EndOfStream, anyio.IncompleteRead, anyio.BrokenResourceError):
-        raise ControlError(f"{path}: the pilot gave no answer in {patience:g} s; see its log") from None
+        raise ControlError(f"{path}: the pilot gave no answer in {timeout_s:g} s; see its log") from None
     return json.loads(text)
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -1,42 +1,57 @@
-"""The daemon: sockets and timers round the engine. Every decision is the module's or a sans-I/O part's."""
+"""One pilot: puts its parts together, opens its sockets, runs its tasks, and ends them in order.
+
+Every decision is the engine's or a sans-I/O part's; the tasks here only carry events to the engine and wake the loop.
+"""
 
 from __future__ import annotations
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
-from typing import Any
+from typing import TYPE_CHECKING
 
 import anyio
-from anyio.abc import TaskGroup
+from anyio.abc import TaskGroup, TaskStatus
 
 from damsonpick import interface as api
 from damsonpick.controller import control_socket
+from damsonpick.controller.control_socket import Reply, Request
+from damsonpick.controller.drive_loop import DriveLoop, StreamServer, Wakeup
 from damsonpick.controller.engine import Engine
-from damsonpick.controller.list_watch import Listing
-from damsonpick.controller.snapshots import Remembering
-from damsonpick.controller.solver_task import Solving
+from damsonpick.controller.lease_task import LeaseTask
+from damsonpick.controller.list_queries import ListQuery
+from damsonpick.controller.list_updates import ListUpdater
+from damsonpick.controller.list_watch import ListWatch
+from damsonpick.controller.load_report_task import LoadReportTask
+from damsonpick.controller.queries import Query, QueryRouter, StatusQuery, TablesQuery, sasp_query, weights_query
+from damsonpick.controller.snapshot_task import NOTHING_LEARNED, SnapshotTask
+from damsonpick.controller.solver_task import SolverTask
 from damsonpick.controller.version_queries import Questions
 from damsonpick.decisions.planner import Planner
 from damsonpick.protocols.sasp.server import SaspServer
 from damsonpick.protocols.shared.send_queue import Channel
 from damsonpick.protocols.shared.session_manager import SessionManager
-from damsonpick.protocols.xds.names import EDS
 from damsonpick.protocols.xds.resources import Catalogue
 from damsonpick.protocols.xds.server import XdsServer
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
+from damsonpick.solver import work
 from damsonpick.solver.advice import Advisor
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.history.database import open_store
 from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.learned.disk import FolderLock
-from damsonpick.state.load_reports import GatewaySums, LoadReports
+from damsonpick.state.learned.list_confidence import Trust
+from damsonpick.state.load_reports import LoadReports
 from damsonpick.state.published_tables import PublishedTables
 from damsonpick.state.store.sqlite import Store
 
-SECOND = 1_000_000_000
-GATHER = 0.001  # real s: what happens within it is handed over in one step; a thousand joins are not a thousand steps
-RENEW = 2 * SECOND  # ns between looks at custody
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+XDS_STOP_GRACE_S = 0.2  # wall time that open streams have to end
+
+PlannerFactory = Callable[[api.Settings, int], Planner]
+AdvisorFactory = Callable[[PilotSettings, Callable[[str], str]], Advisor]
 
 
 class Pilot:
@@ -44,251 +59,272 @@
 
     Args:
         settings: checked settings.
-        log: a structlog logger.
-        make: how a planner is made; tests hand in ones that fail.
-        advisor: how an advisor is made; benchmarks hand in a hand-made weighting.
-        solve: replaces the solver's work; tests hand in slow and failing ones.
+        log: the program's logger.
+        planner_factory: makes a planner from its settings and a seed; tests hand in planners that fail.
+        advisor_factory: makes the solver's advisor; benchmarks hand in hand-made weights.
+        solve: what the solver's worker runs; tests hand in slow and failing functions.
+
+    Raises:
+        LockError: another process works on the state folder.
+        StoreError: the store cannot be used.
     """
 
     def __init__(
         self,
         settings: PilotSettings,
-        log: Any,
-        make: Callable[[api.Settings, int], Planner] = Planner,
-        advisor: Callable = Advisor,
-        solve: Callable | None = None,
+        log: FilteringBoundLogger,
+        planner_factory: PlannerFactory = Planner,
+        advisor_factory: AdvisorFactory = Advisor,
+        solve: Callable = work.solve,
     ) -> None:
-        s = self.settings = settings
+        self.settings = settings
         self.log = log
-        self.clock = Clock(s.pilot.clock_rate)
-        count = s.table_count()
-        self.lock = FolderLock(s.pilot.state)
-        self.remembering = Remembering(s, self.clock, log)
-        self.store = Store(s.store_path(), count)
+        self.clock = Clock(settings.pilot.clock_rate)
+        self.wakeup = Wakeup()
+        self.port = 0
+        self._open_state()
+        self._make_publication()
+        self._make_engine(planner_factory)
+        self._make_list_watch()
+        self._make_servers()
+        self._make_solver(advisor_factory, solve)
+        self._make_tasks()
+        self.queries = self._make_queries()
+
+    @property
+    def sasp_port(self) -> int:
+        """The port of the SASP server; 0: there is none, or it is not open yet."""
+        return self.sasp.port if self.sasp is not None else 0
+
+    # -- composition, each step on what those before it made
+
+    def _open_state(self) -> None:
+        """The state folder's lock before anything that is kept in the folder."""
+        settings = self.settings
+        self.lock = FolderLock(settings.pilot.state)
+        self.store = Store(settings.store_path(), settings.table_count())
         self.epoch = self.store.epoch()
-        self.published = PublishedTables(tuple(s.classes), count)
-        self.endpoint_list = EndpointList(s.pilot.zones)
-        c = s.channel
-        self.channel = Channel(c.lines_per_second, c.head, c.limit, c.messages, c.window)
-        self.catalogue = Catalogue(self.published, s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
+        self.history = open_store(settings.history_path())
+
+    def _make_publication(self) -> None:
+        """What is published, and the way to the sessions that read it."""
+        settings = self.settings
+        budget = settings.channel
+        self.published = PublishedTables(tuple(settings.classes), settings.table_count())
+        self.endpoint_list = EndpointList(settings.pilot.zones)
+        self.channel = Channel(budget.lines_per_second, budget.head, budget.limit, budget.messages, budget.window)
+        self.catalogue = Catalogue(self.published, settings, self._zone_of)
         self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway)
-        self.session_manager.stop_share = s.versions.stop
-        self.history = open_store(s.history_path())
+        self.session_manager.stop_share = settings.versions.stop
+
+    def _make_engine(self, planner_factory: PlannerFactory) -> None:
+        versions = self.settings.versions
         self.recorder = HistoryRecorder(
-            self.published, self.catalogue.versions, self.history, s.versions.keep, s.versions.age, log
+            self.published, self.catalogue.versions, self.history, versions.keep, versions.age, self.log
         )
         self.engine = Engine(
-            s, self.store, self.published, self.session_manager, self.endpoint_list, log, make, self.recorder
+            self.settings,
+            self.store,
+            self.published,
+            self.session_manager,
+            self.endpoint_list,
+            self.log,
+            planner_factory,
+            self.recorder,
         )
-        self.questions = Questions(self.engine, self.recorder, self.session_manager, s)
-        self.load_reports = LoadReports(tuple(s.classes), count, s.reports.every, s.reports.oldest)
-        self.bell = anyio.Event()
+
+    def _make_list_watch(self) -> None:
+        """The endpoint list, how far it is believed, and what gateways report of its endpoints."""
+        settings, reports = self.settings, self.settings.reports
+        self.load_reports = LoadReports(tuple(settings.classes), settings.table_count(), reports.every, reports.oldest)
+        self.confidence = Trust()
+        self.engine.doubted = self.confidence.again
+        self.list_updater = ListUpdater(
+            clock=self.clock,
+            endpoint_list=self.endpoint_list,
+            confidence=self.confidence,
+            engine=self.engine,
+            load_reports=self.load_reports,
+            store=self.store,
+            on_change=self._list_changed,
+            notify=self.wakeup.notify,
+            log=self.log,
+        )
+        self.list_watch = ListWatch(settings, self.clock, self.list_updater, self.wakeup.notify, self.log)
+        self.load_report_task = LoadReportTask(
+            load_reports=self.load_reports,
+            confidence=self.confidence,
+            engine=self.engine,
+            clock=self.clock,
+            period=reports.every,
+            notify=self.wakeup.notify,
+            log=self.log,
+        )
+
+    def _make_servers(self) -> None:
         self.xds = XdsServer(
-            self.session_manager, self.epoch, self.clock.now, self.stir, self._hear, s.reports.every, log
+            self.session_manager,
+            self.epoch,
+            self.clock.now,
+            self.wakeup.notify,
+            self.load_report_task.receive,
+            self.settings.reports.every,
+            self.log,
         )
         self.sasp: SaspServer | None = None
-        self.advisor = advisor(s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
-        more = {"solve": solve} if solve else {}
-        self.solving = Solving(self.advisor, self.engine, self.clock, self.stir, log, **more)
-        self.port = 0
-        self.listing = Listing(
-            s, self.clock, self.endpoint_list, self.engine, self.load_reports, self.store, self.stir, log
-        )
-        if s.sasp.listen is not None:
+        if self.settings.sasp.listen is not None:
             self.sasp = SaspServer(
-                s, self.session_manager, self.engine, self.clock, self.stir, self.listing.members, log
+                self.settings,
+                self.session_manager,
+                self.engine,
+                self.clock,
+                self.wakeup.notify,
+                self.list_watch.receive_members,
+                self.log,
             )
-        self.remembering.vouched = self.listing.vouched
-        self.listing.changed = self._replan
 
-    def stir(self) -> None:
-        """Something happened that the engine should look at."""
-        self.bell.set()
+    def _make_solver(self, advisor_factory: AdvisorFactory, solve: Callable) -> None:
+        self.advisor = advisor_factory(self.settings, self._zone_of)
+        self.solver_task = SolverTask(
+            advisor=self.advisor,
+            engine=self.engine,
+            clock=self.clock,
+            notify=self.wakeup.notify,
+            log=self.log,
+            solve=solve,
+        )
 
-    # -- life
+    def _make_tasks(self) -> None:
+        self.snapshot_task = SnapshotTask(
+            settings=self.settings,
+            clock=self.clock,
+            engine=self.engine,
+            list_confirmed_at=self.list_watch.confirmed_at,
+            last_answers=lambda: self.confidence.answered,
+            log=self.log,
+        )
+        self.lease_task = LeaseTask(engine=self.engine, clock=self.clock, notify=self.wakeup.notify, log=self.log)
+        servers: list[StreamServer] = [self.xds]
+        if self.sasp is not None:
+            servers.append(self.sasp)
+        self.drive_loop = DriveLoop(
+            engine=self.engine,
+            session_manager=self.session_manager,
+            servers=servers,
+            clock=self.clock,
+            wakeup=self.wakeup,
+            log=self.log,
+        )
+
+    def _make_queries(self) -> QueryRouter:
+        self.version_queries = Questions(self.engine, self.recorder, self.session_manager, self.settings)
+        status = StatusQuery(
+            name=self.settings.pilot.name,
+            epoch=self.epoch,
+            ports=self,
+            clock=self.clock,
+            engine=self.engine,
+            published=self.published,
+            session_manager=self.session_manager,
+            channel=self.channel,
+            list_watch=self.list_watch,
+            snapshot_task=self.snapshot_task,
+        )
+        return QueryRouter(
+            {
+                Query.STATUS: status.answer,
+                Query.TABLES: TablesQuery(self.published, self.catalogue).answer,
+                Query.WEIGHTS: weights_query(self.advisor, self.settings.solved),
+                Query.VERSIONS: self._answer_versions,
+                Query.LIST: ListQuery(self.list_watch, self.list_updater, self.clock).answer,
+                Query.SASP: sasp_query(self.sasp),
+                Query.FORGET: self._forget,
+            }
+        )
+
+    def _zone_of(self, endpoint: str) -> str:
+        """The zone that an endpoint was last listed in; '': it never was."""
+        return self.endpoint_list.places.get(endpoint, "")
+
+    # -- life cycle
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[TaskGroup]:
-        """The pilot serves while the block runs, and ends in order after it."""
-        learned, away = self.remembering.read() if self.settings.knowledge.keep else (None, None)
-        self.engine.start(self.clock.now(), learned, away)
-        self.listing.begin(learned, away)
-        self.remembering.answered = self.listing.trust.answered
-        s = self.settings
+        """Serve while the block runs, and end in order after it.
+
+        Raises:
+            FrontError: the SASP address cannot be opened.
+            RuntimeError: the xDS address cannot be opened.
+        """
+        self._restore()
         if self.sasp is not None:
             await self.sasp.open()
-        server, self.port = await self.xds.start(self.settings.listen.xds, self.settings.listen.largest_request)
+        listen = self.settings.listen
+        xds_server, self.port = await self.xds.start(listen.xds, listen.largest_request)
         self.log.info(
             "pilot_started",
             name=self.settings.pilot.name,
             port=self.port,
             epoch=self.epoch,
             slices=len(self.engine.owned),
-            listed=len(self.endpoint_list.entries),
+            endpoints=len(self.endpoint_list.entries),
         )
         try:
             async with anyio.create_task_group() as group:
-                await group.start(self._control)
-                group.start_soon(self.listing.run)
-                group.start_soon(self._reports)
-                group.start_soon(self._custody)
-                if self.sasp is not None:
-                    group.start_soon(self.sasp.run)
-                group.start_soon(self._drive)
-                if s.knowledge.keep:
-                    group.start_soon(self.remembering.run, self.engine)
-                if s.solved:
-                    group.start_soon(self.solving.run)
+                await group.start(self._serve_control_socket)
+                self._start_tasks(group)
                 yield group
                 group.cancel_scope.cancel()
         finally:
             with anyio.CancelScope(shield=True):
-                await server.stop(0.2)
-                if s.knowledge.keep:
-                    await self.remembering.once(self.engine)
+                await xds_server.stop(XDS_STOP_GRACE_S)
+                if self.settings.knowledge.keep:
+                    await self.snapshot_task.write()
             self.store.close()
             self.history.close()
             self.lock.release()
             self.log.info("pilot_ended", name=self.settings.pilot.name)
 
-    async def _control(self, *, task_status: Any) -> None:
-        await control_socket.serve(self.settings.control_path(), self.answer, task_status.started)
-
-    async def _drive(self) -> None:
-        """The one loop that steps the engine and lets the channel flow."""
-        while True:
-            now = self.clock.now()
-            self.bell = anyio.Event()
-            touched = self.engine.step(now)
-            stirred, pause = self.session_manager.pump(now)
-            for session in touched:
-                self.session_manager.settle(now, session)
-            self._held_back()
-            self.xds.ring(stirred)
-            if self.sasp is not None:
-                self.sasp.ring(stirred)
-            await anyio.sleep(GATHER)
-            if self.session_manager.events or self.engine.inbox:
-                continue
-            due = self.engine.due()
-            waits = [w for w in (pause, None if due is None else due - now) if w is not None]
-            with anyio.move_on_after(max(0.001, self.clock.seconds(min(waits))) if waits else None):
-                await self.bell.wait()
-
-    def _held_back(self) -> None:
-        for name, version, count in self.session_manager.stopped:
-            self.log.error(
-                "rollout_stopped",
-                resource=name,
-                version=version,
-                refused_by=count,
-                remedy="others keep the former one; see `versions who`, then go back or change the table",
-            )
-        self.session_manager.stopped.clear()
+    def _restore(self) -> None:
+        """Start the engine on what an earlier incarnation stored and learned."""
+        learned = self.snapshot_task.read() if self.settings.knowledge.keep else NOTHING_LEARNED
+        self.engine.start(self.clock.now(), learned.snapshot, learned.away)
+        self.list_updater.start(learned.snapshot, learned.away)
 
-    def _replan(self) -> None:
-        """The list has changed: tables that the solver lays follow at once, and advice on members does."""
+    def _start_tasks(self, group: TaskGroup) -> None:
+        group.start_soon(self.list_watch.run)
+        group.start_soon(self.load_report_task.run)
+        group.start_soon(self.lease_task.run)
+        if self.sasp is not None:
+            group.start_soon(self.sasp.run)
+        group.start_soon(self.drive_loop.run)
+        if self.settings.knowledge.keep:
+            group.start_soon(self.snapshot_task.run)
+        if self.settings.solved:
+            group.start_soon(self.solver_task.run)
+
+    async def _serve_control_socket(self, *, task_status: TaskStatus[None]) -> None:
+        await control_socket.serve(self.settings.control_path(), self.queries.answer, task_status.started)
+
+    # -- what concerns several parts
+
+    def _list_changed(self) -> None:
+        """Tables that the solver assigns follow a change of the endpoint list at once, and so does SASP advice."""
         if self.sasp is not None:
             self.sasp.learn()
         if self.settings.solved:
             self.engine.step(self.clock.now())
-            self.solving.first()
-
-    def _hear(self, sums: GatewaySums) -> None:
-        now = self.clock.now()
-        self.load_reports.join(now, sums.gateway)
-        for doubt in self.load_reports.hear(now, sums)[:3]:
-            self.log.info("sum_doubted", gateway=sums.gateway, what=doubt)
-
-    async def _reports(self) -> None:
-        while True:
-            await anyio.sleep(self.clock.seconds(self.settings.reports.every))
-            events = self.load_reports.flush()
-            self.listing.trust.hear(self.clock.now(), events)
-            if events:
-                self.engine.tell(*events)
-                self.stir()
-
-    async def _custody(self) -> None:
-        while True:
-            await anyio.sleep(self.clock.seconds(RENEW))
-            try:
-                self.engine.renew(self.clock.now())
-            except Exception as error:
-                self.log.error(
-                    "custody_not_renewed", error=str(error), remedy="see space and rights of the state folder"
-                )
-            self.stir()
-
-    # -- questions
-
-    def answer(self, request: dict[str, Any]) -> dict[str, Any]:
-        """What `status` and `tables` ask."""
-        what = request.get("ask")
-        if what == "status":
-            return self._status()
-        if what == "tables":
-            return self._tables(request.get("slices"))
-        if what == "weights":
-            return (
-                self.advisor.explain()
-                if self.settings.solved
-                else {"error": "the solver has nothing to do here; see [solver] in docs/operators/weights.md"}
-            )
-        if what == "versions":
-            reply = self.questions.answer(self.clock.now(), request)
-            self.stir()
-            return reply
-        if what == "sasp":
-            return (
-                self.sasp.view()
-                if self.sasp is not None
-                else {"error": "there is no SASP front; give [sasp] listen an address"}
-            )
-        if what == "list":
-            return self.listing.answer(request)
-        if what == "forget":
-            self.remembering.forget()
-            self.engine.forget(self.clock.now())
-            self.stir()
-            return {"forgotten": True}
-        return {"error": f"unknown question {what!r}; ask status, tables, weights, versions, list, sasp or forget"}
-
-    def _status(self) -> dict[str, Any]:
-        now = self.clock.now()
-        classes = self.published.classes
-        return {
-            "pilot": self.settings.pilot.name,
-            "epoch": self.epoch,
-            "port": self.port,
-            "sasp_port": self.sasp.port if self.sasp else 0,
-            "published": self.published.seq,
-            "module": "running" if self.engine.planner else "being started over",
-            "list": self.listing.said,
-            "failures": self.engine.failures,
-            "slices": len(self.engine.owned),
-            "unsaved": len(self.engine.unsaved),
-            "levels": {name: self.published.level(None, k) for k, name in enumerate(classes)},
-            "knowledge": self.remembering.written,
-            "channel": {"waiting": self.channel.waiting(), "most": self.channel.most, "limit": self.channel.limit},
-            "gateways": list(self.session_manager.view(now)),
-            "endpoints": self.engine.view(),
-        }
-
-    def _tables(self, numbers: list[int] | None) -> dict[str, Any]:
-        chosen = range(self.published.slices) if numbers is None else numbers
-        rows = []
-        for n in chosen:
-            if n not in self.published.tables:
-                raise ValueError(f"slice {n}: there are {self.published.slices}, from 0")
-            resource = self.catalogue.get(EDS, f"slice/{n}")
-            rows.append(
-                {
-                    "slice": n,
-                    "version": resource.version,
-                    "changed": self.published.changed[f"slice/{n}"],
-                    "lines": self.published.tables[n],
-                    "open": self.published.open_lines(n),
-                }
-            )
-        return {"tables": rows, "withdrawn": sorted(self.published.withdrawn)}
+            self.solver_task.advise_at_once()
+
+    def _answer_versions(self, request: Request) -> Reply:
+        reply = self.version_queries.answer(self.clock.now(), request)
+        self.wakeup.notify()  # a rollback or pin gives the engine work
+        return reply
+
+    def _forget(self, request: Request) -> Reply:
+        """Drop what was learned, on disk and in the planner."""
+        del request  # it has no parameters
+        self.snapshot_task.forget()
+        self.engine.forget(self.clock.now())
+        self.wakeup.notify()
+        return {"forgotten": True}
--- /dev/null
+++ b/damsonpick/controller/list_queries.py
@@ -0,0 +1,82 @@
+"""Answers `damsonpick list`: which source is believed, how far each endpoint is, and what is held."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from damsonpick import interface as api
+from damsonpick.controller.control_socket import Reply, Request
+from damsonpick.controller.list_updates import ListUpdater
+from damsonpick.controller.list_watch import ListWatch
+from damsonpick.runtime.clock import Clock
+
+NS_PER_SECOND = 1e9
+
+
+@dataclass(slots=True, eq=False)
+class ListQuery:
+    """Answers `list`.
+
+    Args:
+        watch: the sources.
+        updater: the list in force.
+        clock: the pilot's clock.
+    """
+
+    watch: ListWatch
+    updater: ListUpdater
+    clock: Clock
+
+    def answer(self, request: Request) -> Reply:
+        """Show the list, or accept that missing endpoints are gone.
+
+        Raises:
+            ValueError: `do` names neither.
+        """
+        command = request.get("do", "show")
+        if command == "accept":
+            return {"accepted": self.updater.accept()}
+        if command != "show":
+            raise ValueError(f"unknown order {command!r}; use show or accept")
+        return self._show()
+
+    def _show(self) -> Reply:
+        now = self.clock.now()
+        confidence, endpoint_list = self.updater.confidence, self.updater.endpoint_list
+        levels = confidence.levels(now) if confidence.due(now) else {}
+        entries = sorted(endpoint_list.entries.values())
+        held_for_s = _seconds_since(now, endpoint_list.held_since) if endpoint_list.held else None
+        return {
+            "live": confidence.live,
+            "sources": self.watch.sources.view(now),
+            "disputes": self.watch.disagreements,
+            "servers": [self._row(now, entry, levels.get(entry.endpoint, 1.0)) for entry in entries],
+            "held_for_s": held_for_s,
+        }
+
+    def _row(self, now: int, entry: api.EndpointEntry, level: float) -> dict[str, Any]:
+        return {
+            "endpoint": entry.endpoint,
+            "zone": entry.zone,
+            "state": entry.state,
+            "weight": entry.weight,
+            "started": entry.started,
+            "trust": level,
+            "held": entry.endpoint in self.updater.endpoint_list.held,
+            "spoken_for_s": self._confirmed_s_ago(now, entry.endpoint),
+        }
+
+    def _confirmed_s_ago(self, now: int, endpoint: str) -> float | None:
+        """Seconds since a source named an endpoint or it last gave a good answer; None: not known."""
+        confidence = self.updater.confidence
+        known_times = [confidence.answered.get(endpoint, 0)]
+        doubt = confidence.doubts.get(endpoint)
+        if doubt is not None:
+            known_times += doubt.kept
+        latest = max(known_times)
+        return _seconds_since(now, latest) if latest > 0 else None
+
+
+def _seconds_since(now: int, then: int) -> float:
+    return round((now - then) / NS_PER_SECOND, 1)
--- /dev/null
+++ b/damsonpick/controller/list_updates.py
@@ -0,0 +1,120 @@
+"""Applies endpoint lists: validates them, stores them, and tells the engine, with the confidence in each entry."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from damsonpick import interface as api
+from damsonpick.controller.engine import Engine
+from damsonpick.runtime.clock import Clock
+from damsonpick.state.endpoint_list.validation import EndpointList, ListValidation
+from damsonpick.state.learned import restore
+from damsonpick.state.learned.list_confidence import Trust
+from damsonpick.state.learned.snapshot import Snapshot
+from damsonpick.state.load_reports import LoadReports
+from damsonpick.state.store.sqlite import Store
+
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+MOST_LOGGED_ENDPOINTS = 20  # of one change of confidence
+
+
+@dataclass(slots=True, eq=False)
+class ListUpdater:
+    """The way of a list from its source to the engine.
+
+    Args:
+        clock: the pilot's clock.
+        endpoint_list: the list as the engine has been told it.
+        confidence: how far each entry is believed.
+        engine: receives list events.
+        load_reports: accepts reports on endpoints that were ever listed.
+        store: keeps the list over a restart.
+        on_change: called after the engine was told of a change.
+        notify: wakes the drive loop.
+        log: names what is wrong with a list.
+    """
+
+    clock: Clock
+    endpoint_list: EndpointList
+    confidence: Trust
+    engine: Engine
+    load_reports: LoadReports
+    store: Store
+    on_change: Callable[[], None]
+    notify: Callable[[], None]
+    log: FilteringBoundLogger
+    source: str = field(default="", init=False)  # whose list was applied last
+
+    def start(self, learned: Snapshot | None, away: int | None) -> None:
+        """The stored list is in force until a source answers.
+
+        Args:
+            learned: what an earlier incarnation learned, aged; None: nothing is kept.
+            away: ns since that incarnation was last seen; None: not known.
+        """
+        now = self.clock.now()
+        entries = self.endpoint_list.entries
+        self.load_reports.known = set(entries)
+        self.confidence.start(now, restore.kept(learned, now, away, entries, self.store.listed_at()))
+
+    def apply(self, source: str, entries: list[api.EndpointEntry]) -> None:
+        """Apply a list of `source`."""
+        now = self.clock.now()
+        self.source = source
+        self._apply(self.endpoint_list.take(now, entries, lambda name: self.confidence.lost(now, name)))
+
+    def list_unavailable(self) -> None:
+        """No source answers: the list stays in force, and the engine knows that it may be out of date."""
+        self.engine.tell(self.endpoint_list.failed())
+
+    def accept(self) -> list[str]:
+        """An operator confirms that endpoints missing from the list are gone; returns those held until now."""
+        held = sorted(self.endpoint_list.held)
+        validation = self.endpoint_list.accept(self.clock.now(), lambda name: False)
+        if validation is not None:
+            self._apply(validation)
+            self.log.warning("list_accepted", removed=held)
+        return held
+
+    def recheck(self) -> None:
+        """Apply what only time changes: how long missing endpoints are held, how far entries are believed."""
+        now = self.clock.now()
+        validation = self.endpoint_list.recheck(now, lambda name: self.confidence.lost(now, name))
+        if validation is not None:
+            self._apply(validation)
+        changes = self.confidence.say(now)
+        if changes:
+            confidences = {change.endpoint: change.confidence for change in changes[:MOST_LOGGED_ENDPOINTS]}
+            self.log.info("list_confidence_changed", confidences=confidences, changes=len(changes))
+            self.engine.tell(*changes)
+            self.notify()
+
+    def _apply(self, validation: ListValidation) -> None:
+        for problem in validation.doubts:
+            self.log.warning("list_validation_failed", reason=problem)
+        event = validation.event
+        if event is None:
+            return
+        now = self.clock.now()
+        names = [entry.endpoint for entry in event.entries]
+        self.load_reports.known.update(names)
+        if event.kind == "replace":
+            self.confidence.vouch(now, names)
+            self._store(event)
+        self.engine.relocate(now, self.endpoint_list.moved(event.entries))
+        self.engine.tell(event, *self.confidence.say(now))
+        self.on_change()
+        self.notify()
+
+    def _store(self, event: api.EndpointListChanged) -> None:
+        states: Counter[str] = Counter(entry.state for entry in event.entries)
+        self.log.info("list_applied", **states)
+        try:
+            self.store.keep_list(event.entries, self.clock.now(), self.source, self.endpoint_list.held)
+        except Exception as error:
+            self.log.error("list_not_stored", error=str(error), remedy="free space or rights on the state folder")
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -1,208 +1,145 @@
-"""The list sources' shell: asks all of them, hands on what is believed, and how far."""
+"""Watches the endpoint list's sources and hands on what the believed one says, as merged with the others."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
+from collections.abc import AsyncIterator, Callable
+from typing import TYPE_CHECKING, Protocol
 
 import anyio
 
 from damsonpick import interface as api
-from damsonpick.controller.engine import Engine
+from damsonpick.controller.list_updates import ListUpdater
 from damsonpick.protocols.list_file import FileSource
 from damsonpick.protocols.xds.endpoint_list_client import UpstreamSource
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import ListSource, PilotSettings
 from damsonpick.state.endpoint_list.sources import ListError, Sources
-from damsonpick.state.endpoint_list.validation import EndpointList, ListValidation
-from damsonpick.state.learned import restore
-from damsonpick.state.learned.list_confidence import Trust
-from damsonpick.state.learned.snapshot import Snapshot
-from damsonpick.state.load_reports import LoadReports
-from damsonpick.state.store.sqlite import Store
 
-LOOK = 250_000_000  # ns between looks at what only time changes
-FIRST = "list"  # the name of the source in [list]
-MEMBERS = "sasp members"  # the last source: what trusted members and balancers say over SASP
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
 
+RECHECK_PERIOD_NS = 250_000_000  # between looks at what only time changes
+FIRST_SOURCE = "list"  # the source of the section [list]
+SASP_SOURCE = "sasp members"  # the last source: what trusted members and balancers say over SASP
 
-class Listing:
-    """Args: settings, clock, roster, engine, evidence, store of one pilot; stir: wakes its loop; log: structlog."""
+ListResult = list[api.EndpointEntry] | ListError
+
+
+class ListClient(Protocol):
+    """A connection to one source."""
+
+    def lists(self) -> AsyncIterator[ListResult]:
+        """Each list that the source gives, or why there is none."""
+
+
+class ListWatch:
+    """Follows every source and decides with `Sources` which list is in force.
+
+    Args:
+        settings: the pilot's settings.
+        clock: the pilot's clock.
+        updater: applies a list that has changed.
+        notify: wakes the drive loop.
+        log: names the source and the reason.
+    """
 
     def __init__(
         self,
         settings: PilotSettings,
         clock: Clock,
-        endpoint_list: EndpointList,
-        engine: Engine,
-        load_reports: LoadReports,
-        store: Store,
-        stir: Callable[[], None],
-        log: Any,
+        updater: ListUpdater,
+        notify: Callable[[], None],
+        log: FilteringBoundLogger,
     ) -> None:
-        self.settings, self.clock, self.endpoint_list, self.engine = settings, clock, endpoint_list, engine
-        self.load_reports, self.store, self.stir, self.log = load_reports, store, stir, log
-        self.named: dict[str, ListSource] = {FIRST: settings.list, **settings.lists}
-        names = [*self.named, MEMBERS] if settings.sasp.feed else list(self.named)
+        self.settings = settings
+        self.clock = clock
+        self.updater = updater
+        self.notify = notify
+        self.log = log
+        self.source_settings: dict[str, ListSource] = {FIRST_SOURCE: settings.list, **settings.lists}
+        names = list(self.source_settings)
+        if settings.sasp.feed:
+            names.append(SASP_SOURCE)
         self.sources = Sources(tuple(names), clock.now())
-        self.trust = Trust()
-        self.changed: Callable[[], None] = lambda: None
-        self.said = "nothing yet"
-        self.taken: tuple[str, list[api.EndpointEntry]] | None = None  # believed source and list, as last handed on
-        self.disputes: list[str] = []
-        engine.doubted = lambda: self.trust.again()
-
-    def begin(self, learned: Snapshot | None, away: int | None) -> None:
-        """The kept list is in force."""
-        now = self.clock.now()
-        self.load_reports.known = set(self.endpoint_list.entries)
-        self.trust.start(now, restore.kept(learned, now, away, self.endpoint_list.entries, self.store.listed_at()))
+        self.summary = "nothing yet"  # for `status`
+        self.applied_source = ""  # the source of the list that was applied last
+        self.applied_entries: list[api.EndpointEntry] | None = None  # None: none was applied yet
+        self.disagreements: list[str] = []
 
-    def vouched(self) -> int:
-        """Clock time when the believed source last stood by the list; 0: it does not."""
+    def confirmed_at(self) -> int:
+        """Clock time when the believed source last confirmed the list; 0: it does not at present."""
         believed = self.sources.believed
-        return self.clock.now() if believed and self.sources.all[believed].up else 0
-
-    # -- what sources say
+        is_up = bool(believed) and self.sources.all[believed].up
+        return self.clock.now() if is_up else 0
 
     async def run(self) -> None:
+        """Watch all sources until cancelled."""
         async with anyio.create_task_group() as group:
-            for name, source in self.named.items():
-                group.start_soon(self._follow, name, source)
+            for name, source_settings in self.source_settings.items():
+                group.start_soon(self._watch, name, source_settings)
             while True:
-                await anyio.sleep(self.clock.seconds(LOOK))
-                self._look()
+                await anyio.sleep(self.clock.seconds(RECHECK_PERIOD_NS))
+                self._merge(self.clock.now())
+                self.updater.recheck()
 
-    async def _follow(self, name: str, s: ListSource) -> None:
-        if s.source == "file":
-            source = FileSource(s.file, self.clock.seconds(s.poll))
-        else:
-            backoff = Backoff(random.Random(f"{self.settings.pilot.seed} {name}"))
-            source = UpstreamSource(s.upstream, s.cluster, self.settings.pilot.name, backoff)
-        async for said in source.lists():
-            self.heard(name, said)
+    async def _watch(self, name: str, source_settings: ListSource) -> None:
+        client = self._client(name, source_settings)
+        async for result in client.lists():
+            self.receive(name, result)
+
+    def _client(self, name: str, source_settings: ListSource) -> ListClient:
+        if source_settings.source == "file":
+            return FileSource(source_settings.file, self.clock.seconds(source_settings.poll))
+        backoff = Backoff(random.Random(f"{self.settings.pilot.seed} {name}"))
+        return UpstreamSource(source_settings.upstream, source_settings.cluster, self.settings.pilot.name, backoff)
+
+    def receive_members(self, entries: list[api.EndpointEntry]) -> None:
+        """Take members registered over SASP as a list of the last source.
 
-    def members(self, entries: list[api.EndpointEntry]) -> None:
-        """What is said over SASP: a quiesced member drains by the rule that a drain of any live source binds."""
+        A quiesced member drains by the rule that a drain of any live source binds.
+        """
         if entries:
-            self.heard(MEMBERS, entries)
-        elif self.sources.all[MEMBERS].up:
-            self.heard(MEMBERS, ListError("no members are registered"))
+            self.receive(SASP_SOURCE, entries)
+        elif self.sources.all[SASP_SOURCE].up:
+            self.receive(SASP_SOURCE, ListError("no members are registered"))
 
-    def heard(self, name: str, said: list[api.EndpointEntry] | ListError) -> None:
-        """One source has given a list, or why there is none; the module hears of both."""
+    def receive(self, name: str, result: ListResult) -> None:
+        """Take a list of one source, or the reason why it gave none."""
         now = self.clock.now()
-        if not isinstance(said, ListError) and not said and self.endpoint_list.entries:
-            said = ListError(f"{name}: the list is empty: taken as a failed source, the kept list stays in force")
-            self.log.warning("list_doubted", what=str(said))
-        if isinstance(said, ListError):
-            if self.sources.all[name].why != str(said):
-                self.log.warning("list_failed", source=name, why=str(said), kept=len(self.endpoint_list.entries))
-            self.sources.take(now, name, None, str(said))
-            if not any(s.up for s in self.sources.all.values()):
-                self.said = str(said)
-                self.engine.tell(self.endpoint_list.failed())
+        if not isinstance(result, ListError) and not result and self.updater.endpoint_list.entries:
+            result = ListError(f"{name}: the list is empty: taken as a failed source, the kept list stays in force")
+            self.log.warning("list_validation_failed", reason=str(result))
+        if isinstance(result, ListError):
+            self._source_failed(now, name, str(result))
         else:
-            self.sources.take(now, name, said)
+            self.sources.take(now, name, result)
         self._merge(now)
-        self.stir()
+        self.notify()
+
+    def _source_failed(self, now: int, name: str, reason: str) -> None:
+        if self.sources.all[name].why != reason:
+            kept = len(self.updater.endpoint_list.entries)
+            self.log.warning("list_source_failed", source=name, reason=reason, kept_endpoints=kept)
+        self.sources.take(now, name, None, reason)
+        if not any(source.up for source in self.sources.all.values()):
+            self.summary = reason
+            self.updater.list_unavailable()
 
     def _merge(self, now: int) -> None:
-        entries, disputes = self.sources.merged(now)
-        for dispute in disputes:
-            if dispute not in self.disputes:
-                self.log.warning("list_disputed", what=dispute)
-        self.disputes = disputes
-        if entries is None or self.taken == (self.sources.believed, entries):
-            return
-        if self.taken is not None and self.taken[0] != self.sources.believed:
-            self.log.warning("list_source", now=self.sources.believed, before=self.taken[0])
-        self.taken = (self.sources.believed, entries)
-        self._use(self.endpoint_list.take(now, entries, lambda name: self.trust.lost(now, name)))
-        self.said = f"{len(entries)} servers"
-
-    def _use(self, verdict: ListValidation) -> None:
-        """Hand on a list."""
-        for doubt in verdict.doubts:
-            self.log.warning("list_doubted", what=doubt)
-        event, now = verdict.event, self.clock.now()
-        if event is None:
+        """Apply the list in force, if it differs from the one applied last."""
+        entries, disagreements = self.sources.merged(now)
+        for disagreement in disagreements:
+            if disagreement not in self.disagreements:
+                self.log.warning("list_sources_disagreed", reason=disagreement)
+        self.disagreements = disagreements
+        believed = self.sources.believed
+        if entries is None or (believed == self.applied_source and entries == self.applied_entries):
             return
-        self.load_reports.known.update(e.endpoint for e in event.entries)
-        if event.kind == "replace":
-            self.trust.vouch(now, (e.endpoint for e in event.entries))
-            self._keep(event)
-        self.engine.relocate(now, self.endpoint_list.moved(event.entries))
-        self.engine.tell(event, *self.trust.say(now))
-        self.changed()
-        self.stir()
-
-    def _keep(self, event: api.EndpointListChanged) -> None:
-        states: dict[str, int] = {}
-        for entry in event.entries:
-            states[entry.state] = states.get(entry.state, 0) + 1
-        self.log.info("listed", **states)
-        try:
-            self.store.keep_list(event.entries, self.clock.now(), self.sources.believed, self.endpoint_list.held)
-        except Exception as error:
-            self.log.error("list_not_kept", error=str(error), remedy="free space or rights on the state folder")
-
-    def _look(self) -> None:
-        """What only time changes: which source is believed, what is held, how far entries are trusted."""
-        now = self.clock.now()
-        self._merge(now)
-        verdict = self.endpoint_list.recheck(now, lambda name: self.trust.lost(now, name))
-        if verdict is not None:
-            self._use(verdict)
-        if said := self.trust.say(now):
-            self.log.info("list_trust", **{e.endpoint: e.confidence for e in said[:20]}, of=len(said))
-            self.engine.tell(*said)
-            self.stir()
-
-    # -- questions
-
-    def answer(self, request: dict[str, Any]) -> dict[str, Any]:
-        """What `damsonpick list` asks.
-
-        Raises:
-            ValueError: an order that there is not.
-        """
-        now, what = self.clock.now(), request.get("do", "show")
-        if what == "accept":
-            held = sorted(self.endpoint_list.held)
-            verdict = self.endpoint_list.accept(now, lambda name: False)
-            if verdict is not None:
-                self._use(verdict)
-                self.log.warning("list_accepted", gone=held)
-            return {"accepted": held}
-        if what != "show":
-            raise ValueError(f"unknown order {what!r}; use show or accept")
-        levels = self.trust.levels(now) if self.trust.due(now) else {}
-        rows = [
-            {
-                "endpoint": e.endpoint,
-                "zone": e.zone,
-                "state": e.state,
-                "weight": e.weight,
-                "started": e.started,
-                "trust": levels.get(e.endpoint, 1.0),
-                "held": e.endpoint in self.endpoint_list.held,
-                "spoken_for_s": self._spoken(now, e.endpoint),
-            }
-            for e in sorted(self.endpoint_list.entries.values())
-        ]
-        return {
-            "live": self.trust.live,
-            "sources": self.sources.view(now),
-            "disputes": self.disputes,
-            "servers": rows,
-            "held_for_s": round((now - self.endpoint_list.held_since) / 1e9, 1) if self.endpoint_list.held else None,
-        }
-
-    def _spoken(self, now: int, name: str) -> float | None:
-        """Seconds since a source or a good answer spoke for an entry; None: not known."""
-        doubt = self.trust.doubts.get(name)
-        last = max([*(doubt.kept if doubt else ()), self.trust.answered.get(name, 0), 0])
-        return round((now - last) / 1e9, 1) if last else None
+        if self.applied_entries is not None and self.applied_source != believed:
+            self.log.warning("list_source_changed", source=believed, previous=self.applied_source)
+        self.applied_source = believed
+        self.applied_entries = entries
+        self.updater.apply(believed, entries)
+        self.summary = f"{len(entries)} servers"
--- /dev/null
+++ b/damsonpick/controller/queries.py
@@ -0,0 +1,177 @@
+"""Answers what the command line asks a running pilot over the control socket."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any, Protocol
+
+from damsonpick.controller.control_socket import Reply, Request
+from damsonpick.controller.engine import Engine
+from damsonpick.controller.list_watch import ListWatch
+from damsonpick.controller.snapshot_task import SnapshotTask
+from damsonpick.protocols.shared.send_queue import Channel
+from damsonpick.protocols.shared.session_manager import SessionManager
+from damsonpick.protocols.xds.names import EDS
+from damsonpick.protocols.xds.resources import Catalogue
+from damsonpick.runtime.clock import Clock
+from damsonpick.solver.advice import Advisor
+from damsonpick.state.published_tables import PublishedTables
+
+
+class Query(StrEnum):
+    """What can be asked, as the request's `ask` names it."""
+
+    STATUS = "status"
+    TABLES = "tables"
+    WEIGHTS = "weights"
+    VERSIONS = "versions"
+    LIST = "list"
+    SASP = "sasp"
+    FORGET = "forget"
+
+
+QueryAnswerer = Callable[[Request], Reply]
+
+
+@dataclass(slots=True, eq=False)
+class QueryRouter:
+    """Hands each request to what answers its kind.
+
+    Args:
+        answerers: one for each query that this pilot supports.
+    """
+
+    answerers: dict[Query, QueryAnswerer]
+
+    def answer(self, request: Request) -> Reply:
+        """The reply to one request; a request that is not understood is answered with `error`.
+
+        Raises:
+            ValueError, KeyError: the request cannot be carried out; the text says why.
+        """
+        kind = request.get("ask")
+        if not isinstance(kind, str) or kind not in self.answerers:
+            return {"error": f"unknown question {kind!r}; ask status, tables, weights, versions, list, sasp or forget"}
+        return self.answerers[Query(kind)](request)
+
+
+class Ports(Protocol):
+    """The ports that are open; 0: none."""
+
+    @property
+    def port(self) -> int:
+        """Of the xDS server."""
+
+    @property
+    def sasp_port(self) -> int:
+        """Of the SASP server."""
+
+
+@dataclass(slots=True, eq=False)
+class StatusQuery:
+    """Answers `status`: the pilot, its sessions and its endpoints.
+
+    Args:
+        name: the pilot's name.
+        epoch: number of this start.
+        ports: read when asked: they are known once the servers listen.
+        clock: the pilot's clock.
+        engine, published, session_manager, channel, list_watch, snapshot_task: what is shown.
+    """
+
+    name: str
+    epoch: int
+    ports: Ports
+    clock: Clock
+    engine: Engine
+    published: PublishedTables
+    session_manager: SessionManager
+    channel: Channel
+    list_watch: ListWatch
+    snapshot_task: SnapshotTask
+
+    def answer(self, request: Request) -> Reply:
+        """The whole status."""
+        del request  # it has no parameters
+        classes = self.published.classes
+        return {
+            "pilot": self.name,
+            "epoch": self.epoch,
+            "port": self.ports.port,
+            "sasp_port": self.ports.sasp_port,
+            "published": self.published.seq,
+            "module": "running" if self.engine.planner else "being started over",
+            "list": self.list_watch.summary,
+            "failures": self.engine.failures,
+            "slices": len(self.engine.owned),
+            "unsaved": len(self.engine.unsaved),
+            "levels": {name: self.published.level(None, index) for index, name in enumerate(classes)},
+            "knowledge": self.snapshot_task.last_write._asdict(),
+            "channel": {"waiting": self.channel.waiting(), "most": self.channel.most, "limit": self.channel.limit},
+            "gateways": list(self.session_manager.view(self.clock.now())),
+            "endpoints": self.engine.view(),
+        }
+
+
+@dataclass(slots=True, eq=False)
+class TablesQuery:
+    """Answers `tables`: the published tables, all or those of the `slices` asked for."""
+
+    published: PublishedTables
+    catalogue: Catalogue
+
+    def answer(self, request: Request) -> Reply:
+        """The tables.
+
+        Raises:
+            ValueError: a slice is asked for that there is not.
+        """
+        asked = request.get("slices")
+        slices = range(self.published.slices) if asked is None else asked
+        rows = [self._row(number) for number in slices]
+        return {"tables": rows, "withdrawn": sorted(self.published.withdrawn)}
+
+    def _row(self, number: int) -> dict[str, Any]:
+        if number not in self.published.tables:
+            raise ValueError(f"slice {number}: there are {self.published.slices}, from 0")
+        name = f"slice/{number}"
+        return {
+            "slice": number,
+            "version": self.catalogue.get(EDS, name).version,
+            "changed": self.published.changed[name],
+            "lines": self.published.tables[number],
+            "open": self.published.open_lines(number),
+        }
+
+
+def weights_query(advisor: Advisor, solver_enabled: bool) -> QueryAnswerer:
+    """Answers `weights`: the solver's last plan."""
+
+    def answer(request: Request) -> Reply:
+        del request  # it has no parameters
+        if not solver_enabled:
+            return {"error": "the solver has nothing to do here; see [solver] in docs/operators/weights.md"}
+        return advisor.explain()
+
+    return answer
+
+
+class BalancerView(Protocol):
+    """The SASP server, as an operator sees it."""
+
+    def view(self) -> Reply:
+        """Registered balancers, their groups and members."""
+
+
+def sasp_query(server: BalancerView | None) -> QueryAnswerer:
+    """Answers `sasp`: who is registered; `server` None: this pilot does not speak SASP."""
+
+    def answer(request: Request) -> Reply:
+        del request  # it has no parameters
+        if server is None:
+            return {"error": "there is no SASP front; give [sasp] listen an address"}
+        return server.view()
+
+    return answer
--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -1,108 +1,130 @@
-"""The solver beside the loop: a worker process, so that orders never wait for a solve."""
+"""Runs the solver beside the loop, in a worker process, so that changes never wait for a solve."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any
 
 import anyio
 
+from damsonpick import interface as api
 from damsonpick.controller.engine import Engine
-from damsonpick.controller.worker import Worker
+from damsonpick.controller.solver_worker import SolverWorker
+from damsonpick.decisions.planner import Planner
 from damsonpick.runtime.clock import Clock
 from damsonpick.solver import work
 from damsonpick.solver.advice import Advisor
+from damsonpick.solver.model import Plan
 
-LOOK = 100_000_000  # ns between looks at whether a solve is due
-START = 5.0  # real s that the worker process may take to start, beside the limit of the solve
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
 
+DUE_CHECK_PERIOD_NS = 100_000_000
+WORKER_START_S = 5.0  # wall time that the worker may take to start, beside the solve's own limit
+NS_PER_SECOND = 1e9
 
-class Solving:
-    """Runs solves while the engine goes on.
+LineWeights = dict[int, tuple[tuple[str, float], ...]]
+
+
+class SolveError(Exception):
+    """The solver ended without an optimal plan; the text is its status."""
+
+
+@dataclass(slots=True, eq=False)
+class SolverTask:
+    """Solves when the advisor says so and hands its advice to the engine.
 
     Args:
-        advisor: what to ask and tell.
-        solve, solve_lines: run in the worker; tests hand in slow or failing ones.
+        advisor: poses the problem and turns a plan into advice.
+        engine: receives the advice.
+        clock: the pilot's clock.
+        notify: wakes the drive loop.
+        log: says what a plan changed, or why there is none.
+        solve: solves whole tables in the worker; tests hand in slow or failing ones.
     """
 
-    def __init__(
-        self,
-        advisor: Advisor,
-        engine: Engine,
-        clock: Clock,
-        stir: Callable[[], None],
-        log: Any,
-        solve: Callable = work.solve,
-        solve_lines: Callable = work.solve_lines,
-    ) -> None:
-        self.advisor, self.engine, self.clock, self.stir, self.log = advisor, engine, clock, stir, log
-        self.solve, self.solve_lines = solve, solve_lines
-        self.planner: object = None
-        self.worker = Worker()
-
-    def first(self) -> None:
-        """Tables at once, before any solve; and all advice again to a planner that was started over."""
+    advisor: Advisor
+    engine: Engine
+    clock: Clock
+    notify: Callable[[], None]
+    log: FilteringBoundLogger
+    solve: Callable
+    planner: Planner | None = field(default=None, init=False)  # the one that has all advice
+    worker: SolverWorker = field(default_factory=SolverWorker, init=False)
+
+    def advise_at_once(self) -> None:
+        """Advice that needs no solve: tables before the first plan, and all advice again to a restarted planner."""
         planner = self.engine.planner
         if planner is None:
             return
         if planner is not self.planner:
             self.planner = planner
             self.engine.tell(*self.advisor.again())
-        events = self.advisor.stopgap(planner) or self.advisor.repair(planner)
-        if events:
-            self.engine.tell(*events)
-            self.stir()
+        self._send(self.advisor.stopgap(planner) or self.advisor.repair(planner))
 
     async def run(self) -> None:
+        """Solve whenever it is due until cancelled."""
         try:
             while True:
-                await anyio.sleep(self.clock.seconds(LOOK))
-                self.first()
+                await anyio.sleep(self.clock.seconds(DUE_CHECK_PERIOD_NS))
+                self.advise_at_once()
                 planner, now = self.engine.planner, self.clock.now()
                 if planner is not None and planner.endpoints and self.advisor.due(now, planner):
                     self.advisor.begin(now, planner)
-                    await self._once()
+                    await self._solve_once()
         finally:
-            await self.worker.end()
+            await self.worker.stop()
 
-    async def _once(self) -> None:
+    async def _solve_once(self) -> None:
         """One solve; the last good weights stay if it does not end well, whatever went wrong."""
-        lines = self.advisor.settings.tables.slices > 0
+        has_slices = self.advisor.settings.tables.slices > 0
         try:
-            result = await self._ask(lines)
-            if self.engine.planner is None:
-                return  # it is being started over: the next plan is for the new one
-            if not lines and result.status != "optimal":
-                raise ArithmeticError(result.status)
-            events = self.advisor.accept_lines(result) if lines else self.advisor.accept(result, self.engine.planner)
+            result = await self._solve(has_slices)
+            planner = self.engine.planner
+            if planner is None:
+                return  # it is being restarted: the next plan is for the new one
+            events = self._advice(result, planner)
+        except TimeoutError:
+            self._failed("took too long")
         except Exception as error:
-            self._failed("took too long" if isinstance(error, TimeoutError) else f"{error}" or repr(error))
-            return
+            self._failed(str(error) or repr(error))
+        else:
+            if events:
+                self._log_advice(result, events)
+                self._send(events)
+
+    async def _solve(self, has_slices: bool) -> Plan | LineWeights:
+        """What the worker answers to the problem of this moment."""
+        planner = self.engine.planner
+        if has_slices:
+            task, problem = work.solve_lines, self.advisor.lines_problem(planner)
+        else:
+            task, problem = self.solve, self.advisor.problem(planner)
+        limit_s = self.advisor.settings.solver.time_limit / NS_PER_SECOND
+        start_s = 0.0 if self.worker.is_running else WORKER_START_S
+        return await self.worker.call(task, problem, limit_s, timeout_s=limit_s + start_s)
+
+    def _advice(self, result: Plan | LineWeights, planner: Planner) -> list[api.Event]:
+        if not isinstance(result, Plan):
+            return self.advisor.accept_lines(result)
+        if result.status != "optimal":
+            raise SolveError(result.status)
+        return self.advisor.accept(result, planner)
+
+    def _log_advice(self, result: Plan | LineWeights, events: list[api.Event]) -> None:
+        fields: dict[str, Any] = {}
+        if isinstance(result, Plan):
+            fields["objective"] = round(result.value, 2)
+            fields["solve_ms"] = round(result.seconds * 1e3, 1)
+            fields["admitted"] = {name: round(share, 3) for name, share in result.let_in.items()}
+        self.log.info("weights_solved", tables=len(events), **fields)
+
+    def _send(self, events: list[api.Event]) -> None:
         if events:
-            self.log.info(
-                "weights",
-                tables=len(events),
-                **(
-                    {}
-                    if lines
-                    else {
-                        "value": round(result.value, 2),
-                        "ms": round(result.seconds * 1e3, 1),
-                        "let_in": {k: round(v, 3) for k, v in result.let_in.items()},
-                    }
-                ),
-            )
             self.engine.tell(*events)
-            self.stir()
+            self.notify()
 
-    async def _ask(self, lines: bool) -> Any:
-        """What the worker answers to the problem of this moment."""
-        planner, limit = self.engine.planner, self.advisor.settings.solver.time_limit / 1e9
-        spare = START if self.worker.process is None else 0.0
-        task = self.solve_lines if lines else self.solve
-        problem = self.advisor.lines_problem(planner) if lines else self.advisor.problem(planner)
-        return await self.worker.call(task, problem, limit, limit=limit + spare)
-
-    def _failed(self, why: str) -> None:
-        self.advisor.failed(self.clock.now(), why)
-        self.log.warning("solver_failed", why=why, weights="the last good ones stay", failures=self.advisor.fails)
+    def _failed(self, reason: str) -> None:
+        self.advisor.failed(self.clock.now(), reason)
+        self.log.warning("solver_failed", reason=reason, weights="the last good ones stay", failures=self.advisor.fails)
--- a/tests/faulty_pilot.py
+++ b/tests/faulty_pilot.py
@@ -18,5 +18,5 @@
 
 if __name__ == "__main__":
     real = cli.serve
-    cli.serve = lambda settings, port_file: real(settings, port_file, make=Faulty)
+    cli.serve = lambda settings, port_file: real(settings, port_file, planner_factory=Faulty)
     cli.main()
--- a/tests/test_knowledge_pilot.py
+++ b/tests/test_knowledge_pilot.py
@@ -244,7 +244,7 @@
     pilot = Pilot(tmp_path)
     pilot.list(s1="in_service", s2="in_service")
     pilot.start()
-    until(lambda: pilot.log("listed"))
+    until(lambda: pilot.log("list_applied"))
     assert pilot.stop() == 0
     return pilot
 
@@ -257,7 +257,7 @@
     path.write_bytes(path.read_bytes()[:-3])
     assert command(pilot, "knowledge", "verify").returncode == 1
     pilot.start()
-    assert pilot.log("knowledge_refused")[-1]["what"].startswith(str(path))
+    assert pilot.log("snapshot_rejected")[-1]["reason"].startswith(str(path))
     assert pilot.log("recalled")
     pilot.stop()
     again = [codec.decode((kept(tmp_path) / w).read_bytes()).sequence for w in ("current", "previous")]
@@ -270,7 +270,7 @@
     path.write_bytes(_as_format(path.read_bytes(), FORMAT + 1))
     before = path.read_bytes()
     pilot.start()
-    until(lambda: pilot.log("knowledge_refused"))
+    until(lambda: pilot.log("snapshot_rejected"))
     assert pilot.stop() == 0 and path.read_bytes() == before
     done = command(pilot, "knowledge", "verify")
     assert done.returncode == 1 and f"format {FORMAT + 1}" in done.stdout
@@ -283,11 +283,11 @@
     kept(tmp_path).write_text("not a folder")
     pilot.file.write_text(pilot.file.read_text() + "[knowledge]\nevery = 50 ms\n")
     pilot.start()
-    until(lambda: pilot.log("knowledge_not_written"))
+    until(lambda: pilot.log("snapshot_not_written"))
     assert pilot.ask("status")["knowledge"]["error"]
     kept(tmp_path).unlink()
-    until(lambda: pilot.log("knowledge_written_again"))
-    assert len(pilot.log("knowledge_not_written")) == 1 and pilot.stop() == 0
+    until(lambda: pilot.log("snapshot_write_recovered"))
+    assert len(pilot.log("snapshot_not_written")) == 1 and pilot.stop() == 0
 
 
 def test_what_operators_ask_of_knowledge(tmp_path):
@@ -344,7 +344,7 @@
         assert trickle <= 0.05 * sum(made.ends.values()), (trickle, made.ends)
         last = json.loads(made.pilot.versions("list").stdout)["newest"]
         made.list({s.address: "in_service" for s in made.servers})
-        await true(lambda: made.pilot.log("listed"))
+        await true(lambda: made.pilot.log("list_applied"))
         await true(lambda: json.loads(command(made.pilot, "list", "show", "--json").stdout)["live"])
         moved = [
             key
@@ -377,7 +377,7 @@
         victim = made.servers[1].address
         states = {s.address: "in_service" for s in made.servers} | {victim: "terminating"}
         made.list(states)
-        await true(lambda: made.pilot.log("listed"))
+        await true(lambda: made.pilot.log("list_applied"))
         with anyio.fail_after(2.2):
             while made.reach(victim):
                 await anyio.sleep(0.02)
@@ -434,7 +434,7 @@
         await started(made)
         await true(made.usable)
         made.list({s.address: "in_service" for s in made.servers[:2]})
-        await true(lambda: any("missing at once" in e["what"] for e in made.pilot.log("list_doubted")))
+        await true(lambda: any("missing at once" in e["reason"] for e in made.pilot.log("list_validation_failed")))
         shown = json.loads(command(made.pilot, "list", "show", "--json").stdout)
         assert sum(s["held"] for s in shown["servers"]) == 4 and shown["held_for_s"] is not None
         assert "held" in command(made.pilot, "list", "show").stdout
@@ -462,7 +462,7 @@
             if s["believed"]
         ] == ["spare"]
         made.list({s.address: "in_service" for s in made.servers})
-        await true(lambda: [e["now"] for e in made.pilot.log("list_source")] == ["list"])
+        await true(lambda: [e["source"] for e in made.pilot.log("list_source_changed")] == ["list"])
         victim = made.servers[2].address
         spare = (tmp_path / "spare.ini").read_text()
         at = spare.index(victim)
@@ -470,7 +470,7 @@
         (tmp_path / "spare.part").replace(tmp_path / "spare.ini")
         await true(lambda: not made.reach(victim))
         await not_bare(made.usable)
-        assert made.pilot.log("list_disputed")
+        assert made.pilot.log("list_sources_disagreed")
 
 
 def test_settings_name_what_is_wrong_with_a_further_source(tmp_path):
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -443,7 +443,7 @@
 
     try:
         address = Front(pilot).address
-        until(lambda: pilot.log("listed"))
+        until(lambda: pilot.log("list_applied"))
         done = run("get", address, name(1), name(2), "--json")
         assert done.returncode == 0 and {r["endpoint"] for r in json.loads(done.stdout)} == {name(1), name(2)}
         assert run("get", address, name(1), "--lb", "stranger").returncode == 1
--- a/tests/test_solver_pilot.py
+++ b/tests/test_solver_pilot.py
@@ -115,7 +115,7 @@
     assert max(waits) < 2.5, waits
     failed = until(lambda: pilot.log("solver_failed"))
     why = {"slow": "took too long", "failing": "told to fail", "dying": "died"}[which]
-    assert why in failed[0]["why"] and all(client.tables[t] for t in TABLES)
+    assert why in failed[0]["reason"] and all(client.tables[t] for t in TABLES)
     client.close()
 
 
--- a/tests/test_versions_pilot.py
+++ b/tests/test_versions_pilot.py
@@ -355,7 +355,7 @@
         pilot.stop(signal.SIGKILL)
         await anyio.to_thread.run_sync(pilot.start)
         pilot.list(**{f"s{k}": "terminating" if moved.endswith(str(k)) else "in_service" for k in (1, 2, 3)})
-        await soon(lambda: _logged(pilot, "listed"))
+        await soon(lambda: _logged(pilot, "list_applied"))
         for gate in gates:
             gate.follower.may_dial = lambda: True
         with anyio.fail_after(2.2):  # the grace of a drain
--- a/tests/test_xds_hard_cases.py
+++ b/tests/test_xds_hard_cases.py
@@ -285,9 +285,9 @@
 @pytest.mark.parametrize(
     ("text", "what"),
     [
-        ("", "list_doubted"),
-        ("[server 127.0.0.1:9001]\nzone = a\n[server 127.0.0.1:9001]\nzone = b\n", "list_failed"),
-        ("[server 127.0.0.1:9001]\nstate = asleep\nzone = a\n", "list_failed"),
+        ("", "list_validation_failed"),
+        ("[server 127.0.0.1:9001]\nzone = a\n[server 127.0.0.1:9001]\nzone = b\n", "list_source_failed"),
+        ("[server 127.0.0.1:9001]\nstate = asleep\nzone = a\n", "list_source_failed"),
     ],
     ids=["empty", "contradictory", "unknown state"],
 )
