--- a/benchmarks/hand_pilot.py
+++ b/benchmarks/hand_pilot.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from damsonpick import interface as api
-from damsonpick.cli import main as cli
+from damsonpick.cli import pilot as pilot_commands
+from damsonpick.cli.main import main
 from damsonpick.decisions.planner import Planner
 from damsonpick.solver import plan as plans
 from damsonpick.solver.advice import Advisor
@@ -45,6 +46,6 @@
 
 
 if __name__ == "__main__":
-    real = cli.serve
-    cli.serve = lambda settings, port_file: real(settings, port_file, advisor_factory=HandMade)
-    cli.main()
+    run_pilot = pilot_commands.run_pilot
+    pilot_commands.run_pilot = lambda settings, port_file: run_pilot(settings, port_file, advisor_factory=HandMade)
+    main()
--- /dev/null
+++ b/damsonpick/cli/endpoint_list.py
@@ -0,0 +1,84 @@
+"""`damsonpick list`: which endpoint list is believed, and how far."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import click
+
+from damsonpick.cli.shared import EXIT_NO, as_json, ask_pilot, fail, print_json, print_table, settings_file
+
+if TYPE_CHECKING:
+    from damsonpick.controller.control_socket import Reply
+
+
+@click.group("list")
+def endpoint_list() -> None:
+    """Which server list is believed, and how far."""
+
+
+@endpoint_list.command("show")
+@settings_file
+@as_json
+def show(file: Path, as_json: bool) -> None:
+    """Sources, and each server with its trust: 1 as listed, 0 only if no other is left."""
+    reply = ask_pilot(file, {"ask": "list", "do": "show"})
+    if print_json(reply, as_json):
+        return
+    _print_sources(reply)
+    if not reply["live"]:
+        click.echo("no source has answered yet: the list is the one kept on disk")
+    for disagreement in reply["disputes"]:
+        click.echo(disagreement)
+    if reply["held_for_s"] is not None:
+        click.echo(
+            f"servers are held that the list no longer names, for {reply['held_for_s']} s; "
+            "`damsonpick list accept` lets them go"
+        )
+    click.echo()
+    _print_servers(reply)
+
+
+def _print_sources(reply: Reply) -> None:
+    rows = []
+    for source in reply["sources"]:
+        rows.append(
+            [
+                source["source"],
+                "yes" if source["up"] else "no",
+                "yes" if source["believed"] else "",
+                source["servers"],
+                f"{source['since_s']} s" if source["since_s"] is not None else "-",
+                source["why"],
+            ]
+        )
+    print_table(["source", "answers", "believed", "servers", "for", "why"], rows)
+
+
+def _print_servers(reply: Reply) -> None:
+    rows = []
+    for server in reply["servers"]:
+        confirmed_s = server["spoken_for_s"]
+        rows.append(
+            [
+                server["endpoint"],
+                server["zone"],
+                server["state"],
+                f"{server['trust']:g}",
+                f"{confirmed_s} s ago" if confirmed_s is not None else "not known",
+                "yes" if server["held"] else "",
+            ]
+        )
+    print_table(["server", "zone", "state", "trust", "spoken for", "held"], rows)
+
+
+@endpoint_list.command("accept")
+@settings_file
+def accept(file: Path) -> None:
+    """Believe a list from which many servers vanished at once: what was held goes now. Exit code 1: none was held."""
+    removed = ask_pilot(file, {"ask": "list", "do": "accept"})["accepted"]
+    for name in removed:
+        click.echo(f"{name}: let go")
+    if not removed:
+        fail("nothing is held", EXIT_NO)
--- /dev/null
+++ b/damsonpick/cli/learned.py
@@ -0,0 +1,165 @@
+"""`damsonpick learned`: the snapshots of what the pilot has learned."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import anyio
+import click
+import msgspec
+
+from damsonpick.cli.shared import (
+    EXIT_NO,
+    EXIT_WRONG_INPUT,
+    as_json,
+    fail,
+    load_settings,
+    print_json,
+    print_table,
+    settings_file,
+)
+
+if TYPE_CHECKING:
+    from damsonpick.state.learned.generations import Found
+    from damsonpick.state.learned.snapshot import Server, Snapshot
+
+NS_PER_SECOND = 1e9
+
+
+@click.group()
+def learned() -> None:
+    """What the pilot has learned and keeps on disk. All but `forget` work while it runs and while it does not."""
+
+
+def _find_newest(folder: Path) -> Found:
+    """The newest whole snapshot, and the files that were rejected."""
+    from damsonpick.state.learned import generations
+    from damsonpick.state.learned.disk import OsDisk
+
+    return generations.load(OsDisk(), folder)
+
+
+@learned.command()
+@settings_file
+@as_json
+def show(file: Path, as_json: bool) -> None:
+    """What a pilot that starts now would be told: figures as written and as they have aged.
+
+    Exit code 1: nothing is kept, or it cannot be read.
+    """
+    from damsonpick.state.learned import ageing
+    from damsonpick.state.learned.disk import moment
+
+    folder = load_settings(file).knowledge_path()
+    found = _find_newest(folder)
+    for problem in found.wrong:
+        click.echo(problem, err=True)
+    written = found.snapshot
+    if written is None:
+        fail(f"{folder}: nothing is kept", EXIT_NO)
+    age = ageing.age(written.at, moment())
+    aged = ageing.fade(written, age.ns)
+    age_s = age.ns / NS_PER_SECOND
+    report = {
+        "which": found.which,
+        "sequence": written.sequence,
+        "age_s": age_s,
+        "doubt": age.doubt,
+        "written": msgspec.to_builtins(written),
+        "aged": msgspec.to_builtins(aged),
+    }
+    if print_json(report, as_json):
+        return
+    uncertainty = f"; {age.doubt}" if age.doubt else ""
+    click.echo(f"snapshot {written.sequence} of {written.pilot} ({found.which}), {age_s:.1f} s old{uncertainty}")
+    _print_fleet(written, aged)
+    _print_servers(written, aged)
+
+
+def _request_rate(snapshot: Snapshot) -> float:
+    """Requests a second of all slices and classes."""
+    return sum(sum(piece.rates) for piece in snapshot.pieces)
+
+
+def _print_fleet(written: Snapshot, aged: Snapshot) -> None:
+    click.echo(
+        f"best {written.fleet.best:.1f} answers/s, now {aged.fleet.best:.1f}; "
+        f"{len(written.pieces)} slices with {_request_rate(written):.1f} requests/s, now {_request_rate(aged):.1f}"
+    )
+
+
+def _print_servers(written: Snapshot, aged: Snapshot) -> None:
+    rows = []
+    for server, aged_server in zip(written.servers, aged.servers, strict=True):
+        rows.append(
+            [
+                server.endpoint,
+                server.started or "long ago",
+                f"{server.speed:.3f}",
+                f"{aged_server.speed:.3f}",
+                _last_answer(written, server),
+            ]
+        )
+    print_table(["server", "process started", "speed", "aged", "last good answer"], rows)
+
+
+def _last_answer(written: Snapshot, server: Server) -> str:
+    if not server.answered:
+        return "not known"
+    return f"{(written.clock - server.answered) / NS_PER_SECOND:.1f} s before it was written"
+
+
+@learned.command()
+@settings_file
+def verify(file: Path) -> None:
+    """Read every generation and say which are whole. Exit code 1: one is not."""
+    from damsonpick.state.learned import codec, generations
+
+    folder = load_settings(file).knowledge_path()
+    all_whole = True
+    for generation in (generations.CURRENT, generations.PREVIOUS):
+        path = folder / generation
+        try:
+            data = path.read_bytes()
+            snapshot = codec.decode(data)
+            click.echo(f"{path}: whole, snapshot {snapshot.sequence}, {len(data)} bytes")
+        except FileNotFoundError:
+            click.echo(f"{path}: there is none")
+        except (codec.Damaged, codec.Newer, OSError) as error:
+            click.echo(f"{path}: {error}")
+            all_whole = False
+    sys.exit(0 if all_whole else EXIT_NO)
+
+
+@learned.command()
+@settings_file
+@click.argument("out", type=click.Path(path_type=Path))
+def export(file: Path, out: Path) -> None:
+    """Write what is kept to OUT as JSON, as it was written. Exit code 1: nothing is kept."""
+    folder = load_settings(file).knowledge_path()
+    snapshot = _find_newest(folder).snapshot
+    if snapshot is None:
+        fail(f"{folder}: nothing is kept", EXIT_NO)
+    try:
+        out.write_bytes(msgspec.json.format(msgspec.json.encode(snapshot), indent=1) + b"\n")
+    except OSError as error:
+        fail(f"{out}: cannot be written ({error}); name another file", EXIT_WRONG_INPUT)
+
+
+@learned.command()
+@settings_file
+def forget(file: Path) -> None:
+    """Forget what was learned. Tables, list and withdrawals stay; a running pilot starts to learn anew."""
+    from damsonpick.controller import control_socket
+    from damsonpick.state.learned import generations
+
+    settings = load_settings(file)
+    try:
+        anyio.run(control_socket.ask, settings.control_path(), {"ask": "forget"})
+        click.echo("forgotten; the running pilot learns anew")
+    except control_socket.ControlError:
+        folder = settings.knowledge_path()
+        count = generations.remove(folder)
+        click.echo(f"forgotten: {count} files of {folder}")
--- /dev/null
+++ b/damsonpick/cli/pilot.py
@@ -0,0 +1,164 @@
+"""`damsonpick check`, `run`, `status` and `tables`: one pilot, from its settings to what it publishes."""
+
+from __future__ import annotations
+
+import signal
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import anyio
+import click
+
+from damsonpick.cli.shared import (
+    EXIT_WRONG_INPUT,
+    as_json,
+    ask_pilot,
+    fail,
+    load_settings,
+    print_json,
+    print_table,
+    settings_file,
+)
+
+if TYPE_CHECKING:
+    from damsonpick.controller.control_socket import Reply
+    from damsonpick.settings import PilotSettings
+
+
+@click.command()
+@settings_file
+@as_json
+def check(file: Path, as_json: bool) -> None:
+    """Read FILE whole and list everything that is wrong with it.
+
+    Each line names file, section, key, value and remedy. Exit code 0: the pilot would start on it; 2: not.
+    """
+    from damsonpick.settings import read
+
+    _, problems = read(file)
+    report = {"file": str(file), "problems": [problem._asdict() for problem in problems]}
+    if not print_json(report, as_json):
+        for problem in problems:
+            click.echo(f"{file}: {problem}")
+        if not problems:
+            click.echo(f"{file}: in order")
+    sys.exit(EXIT_WRONG_INPUT if problems else 0)
+
+
+@click.command()
+@settings_file
+@click.option("--port-file", type=click.Path(path_type=Path), help="Write the xDS port here once it is open.")
+def run(file: Path, port_file: Path | None) -> None:
+    """Run the pilot that FILE describes until SIGTERM or SIGINT.
+
+    Logs go to standard error. Exit code 0: ended in order; 2: settings, store or address cannot be used.
+    """
+    run_pilot(load_settings(file), port_file)
+
+
+def run_pilot(settings: PilotSettings, port_file: Path | None, **parts: Any) -> None:
+    """Run a pilot in the foreground until a signal ends it.
+
+    Args:
+        settings: checked settings.
+        port_file: where the xDS port is written; the SASP port goes beside it, with the suffix `.sasp`.
+        parts: factories handed to `Pilot` as they are.
+    """
+    from damsonpick.controller.daemon import Pilot
+    from damsonpick.protocols.sasp.server import FrontError
+    from damsonpick.runtime import port_files
+    from damsonpick.runtime.logs import configure
+    from damsonpick.state.learned.disk import LockError
+    from damsonpick.state.store.sqlite import StoreError
+
+    log = configure(settings.log.format, settings.log.level)
+
+    async def serve_until_signal() -> None:
+        pilot = Pilot(settings, log, **parts)
+        with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
+            async with pilot.running():
+                port_files.write(port_file, pilot.port)
+                if port_file is not None and pilot.sasp is not None:
+                    port_files.write(port_file.with_suffix(".sasp"), pilot.sasp_port)
+                async for _ in signals:
+                    break
+
+    try:
+        anyio.run(serve_until_signal)
+    except (StoreError, LockError, FrontError) as error:
+        fail(str(error), EXIT_WRONG_INPUT)
+    except (RuntimeError, OSError) as error:
+        fail(
+            f"[listen] xds = {settings.listen.xds}: cannot be opened ({error}); free the port or choose another",
+            EXIT_WRONG_INPUT,
+        )
+
+
+@click.command()
+@settings_file
+@as_json
+def status(file: Path, as_json: bool) -> None:
+    """What each gateway holds, what waits, and how each server is judged and why.
+
+    `behind` is how many changes a gateway has not acknowledged. Exit code 3: no pilot answers.
+    """
+    reply = ask_pilot(file, {"ask": "status"})
+    if print_json(reply, as_json):
+        return
+    _print_summary(reply)
+    click.echo()
+    _print_gateways(reply)
+    click.echo()
+    print_table(
+        ["server", "state", "lines", "weight", "speed", "why"],
+        [[e["endpoint"], e["state"], e["lines"], f"{e['weight']:g}", e["speed"], e["why"]] for e in reply["endpoints"]],
+    )
+
+
+def _print_summary(reply: Reply) -> None:
+    channel = reply["channel"]
+    click.echo(
+        f"{reply['pilot']}: start {reply['epoch']}, port {reply['port']}, change {reply['published']}, "
+        f"{reply['slices']} slices, module {reply['module']}, list: {reply['list']}"
+    )
+    levels = ", ".join(f"{name} {level:.0%}" for name, level in reply["levels"].items())
+    click.echo(
+        f"let in: {levels}; waiting lines {channel['waiting']:g} of {channel['limit']:g} "
+        f"(most so far {channel['most']:g})"
+    )
+
+
+def _print_gateways(reply: Reply) -> None:
+    rows = []
+    for gateway in reply["gateways"]:
+        rejections = "; ".join(f"{resource}: {reason}" for resource, reason in gateway["rejected"].items())
+        rows.append(
+            [
+                gateway["gateway"],
+                gateway["zone"],
+                gateway["variant"],
+                gateway["acknowledged"],
+                gateway["published"] - gateway["acknowledged"],
+                f"{gateway['waiting_lines']} lines, {gateway['waiting_s']} s",
+                rejections or "-",
+            ]
+        )
+    print_table(["gateway", "zone", "variant", "acknowledged", "behind", "waiting", "rejected"], rows)
+
+
+@click.command()
+@settings_file
+@click.argument("slices", nargs=-1, type=int)
+@as_json
+def tables(file: Path, slices: tuple[int, ...], as_json: bool) -> None:
+    """The published tables, all or those of the SLICES named; `*` marks a withdrawn server."""
+    reply = ask_pilot(file, {"ask": "tables", "slices": list(slices) or None})
+    if print_json(reply, as_json):
+        return
+    withdrawn = set(reply["withdrawn"])
+    rows = []
+    for table in reply["tables"]:
+        entries = [f"{n} {weight:g}{'*' if n in withdrawn else ''}" for n, weight in sorted(table["lines"].items())]
+        rows.append([table["slice"], table["version"], table["changed"], ", ".join(entries) or "none"])
+    print_table(["slice", "version", "change", "servers"], rows)
--- /dev/null
+++ b/damsonpick/cli/proxy.py
@@ -0,0 +1,34 @@
+"""`damsonpick proxy`: a data plane that follows the pilots' tables."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import anyio
+import click
+
+from damsonpick.cli.shared import EXIT_WRONG_INPUT, fail, settings_file
+
+
+@click.command()
+@settings_file
+@click.option("--port-file", type=click.Path(path_type=Path), help="Write the port here once it is open.")
+@click.option("--log-format", type=click.Choice(["console", "json"]), default="console", show_default=True)
+def proxy(file: Path, port_file: Path | None, log_format: str) -> None:
+    """Run a proxy that obeys the pilots' tables, until SIGTERM; requests under way may then end.
+
+    Exit code 0: ended in order; 2: settings or address cannot be used.
+    """
+    from damsonpick.proxy import program
+    from damsonpick.proxy.settings import load
+    from damsonpick.runtime.logs import configure
+    from damsonpick.settings.load import SettingsError
+
+    try:
+        settings = load(file)
+        log = configure(log_format, "info")
+        anyio.run(program.serve, settings, log, port_file, backend_options={"use_uvloop": True})
+    except SettingsError as error:
+        fail(str(error), EXIT_WRONG_INPUT)
+    except OSError as error:
+        fail(f"[proxy] listen: cannot be opened ({error}); free the port or choose another", EXIT_WRONG_INPUT)
--- a/damsonpick/cli/sasp.py
+++ b/damsonpick/cli/sasp.py
@@ -2,26 +2,37 @@
 
 from __future__ import annotations
 
-import json
 import sys
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
 import anyio
 import click
 
-from damsonpick.cli.asking import NO_PILOT, WRONG, as_json, ask, rows, settings_file
-from damsonpick.protocols.sasp import client as wire
-from damsonpick.protocols.sasp.layout import LbFlag, SendWeights, WeightFlag, WeightsOf, member
-
-MARKS = {
+from damsonpick.cli.shared import (
+    EXIT_NO,
+    EXIT_NO_PILOT,
+    EXIT_WRONG_INPUT,
+    as_json,
+    ask_pilot,
+    fail,
+    print_json,
+    print_table,
+    settings_file,
+)
+from damsonpick.protocols.sasp import client as sasp_client
+from damsonpick.protocols.sasp.layout import LbFlag, Member, SendWeights, WeightFlag, WeightsOf, member
+
+PUSH_BUFFER = 100  # pushes that may wait to be printed
+FLAG_NAMES = {
     WeightFlag.CONTACT: "contact",
     WeightFlag.QUIESCE: "quiesced",
     WeightFlag.REGISTERED: "by itself",
     WeightFlag.CONFIDENT: "confident",
 }
 
-NONE: dict[str, dict[str, Any]] = {"-": {"covers": "-", "members": 0, "quiesced": []}}  # of one without groups
+NO_GROUPS: dict[str, dict[str, Any]] = {"-": {"covers": "-", "members": 0, "quiesced": []}}
 
 
 @click.group()
@@ -29,33 +40,52 @@
     """Weight advice over SASP (RFC 4678), as a balancer meets it."""
 
 
-def _shown(groups: tuple[WeightsOf, ...], machine: bool) -> None:
-    found = [
-        {
-            "group": g.group.name.decode("utf-8", "backslashreplace"),
-            "endpoint": w.member.endpoint,
-            "weight": w.weight,
-            "flags": [t for f, t in MARKS.items() if w.flags & f],
-            "state": w.state,
-        }
-        for g in groups
-        for w in g.weights
-    ]
-    if machine:
-        click.echo(json.dumps(found))
-    else:
-        rows(
+class RefusedError(Exception):
+    """The manager refused a request; the text is its answer in words."""
+
+
+def _print_weights(groups: tuple[WeightsOf, ...], as_json: bool) -> None:
+    rows = []
+    for group in groups:
+        name = group.group.name.decode("utf-8", "backslashreplace")
+        rows += [_weight_row(name, weight) for weight in group.weights]
+    if not print_json(rows, as_json):
+        print_table(
             ["group", "member", "weight", "flags"],
-            [[r["group"], r["endpoint"], r["weight"], ", ".join(r["flags"]) or "-"] for r in found],
+            [[row["group"], row["endpoint"], row["weight"], ", ".join(row["flags"]) or "-"] for row in rows],
         )
 
 
-def _members(texts: tuple[str, ...]) -> list[Any]:
+def _weight_row(group: str, weight: Any) -> dict[str, Any]:
+    return {
+        "group": group,
+        "endpoint": weight.member.endpoint,
+        "weight": weight.weight,
+        "flags": [name for flag, name in FLAG_NAMES.items() if weight.flags & flag],
+        "state": weight.state,
+    }
+
+
+def _parse_members(texts: tuple[str, ...]) -> list[Member]:
     try:
         return [member(text) for text in texts]
     except ValueError as error:
-        click.echo(f"{' '.join(texts)}: {error}; write members such as 127.0.0.1:9001 or [::1]:9001", err=True)
-        sys.exit(WRONG)
+        fail(f"{' '.join(texts)}: {error}; write members such as 127.0.0.1:9001 or [::1]:9001", EXIT_WRONG_INPUT)
+
+
+async def _register(client: sasp_client.Client, group: bytes, members: list[Member], flags: int = 0) -> None:
+    """Greet the manager and register members.
+
+    Raises:
+        RefusedError: the manager refuses either.
+    """
+    _require_success(await client.hello(flags))
+    _require_success(await client.register(group, members))
+
+
+def _require_success(code: int) -> None:
+    if code:
+        raise RefusedError(sasp_client.words(code))
 
 
 address = click.argument("address")
@@ -75,22 +105,19 @@
 
     Exit code 1: the manager refuses; 2: wrong input; 3: nobody listens.
     """
-    listed = _members(members)
-
-    async def once() -> int:
-        async with wire.connect(address, lb.encode()) as client:
-            for code in (await client.hello(), await client.register(name.encode(), listed)):
-                if code:
-                    click.echo(f"refused: {wire.words(code)}", err=True)
-                    return 1
+    parsed = _parse_members(members)
+
+    async def get_once() -> int:
+        async with sasp_client.connect(address, lb.encode()) as client:
+            await _register(client, name.encode(), parsed)
             reply = await client.weights(name.encode())
-            _shown(reply.groups, as_json)
+            _print_weights(reply.groups, as_json)
             if not as_json:
-                click.echo(f"{wire.words(reply.code)}; ask again in {reply.interval} s")
+                click.echo(f"{sasp_client.words(reply.code)}; ask again in {reply.interval} s")
             await client.deregister(name.encode())
-            return 1 if reply.code else 0
+            return EXIT_NO if reply.code else 0
 
-    sys.exit(_run(once))
+    sys.exit(_run_client(get_once))
 
 
 @sasp.command()
@@ -102,38 +129,43 @@
 @as_json
 def watch(address: str, members: tuple[str, ...], name: str, lb: str, count: int | None, as_json: bool) -> None:
     """Register MEMBERS and print what the manager at ADDRESS pushes, until interrupted."""
-    listed = _members(members)
-
-    async def follow() -> int:
-        send, receive = anyio.create_memory_object_stream[SendWeights](100)
-        async with wire.connect(address, lb.encode(), send.send_nowait) as client:
-            for code in (await client.hello(LbFlag.PUSH), await client.register(name.encode(), listed)):
-                if code:
-                    click.echo(f"refused: {wire.words(code)}", err=True)
-                    return 1
-            left = count
+    parsed = _parse_members(members)
+
+    async def print_pushes() -> int:
+        send, receive = anyio.create_memory_object_stream[SendWeights](PUSH_BUFFER)
+        async with sasp_client.connect(address, lb.encode(), send.send_nowait) as client:
+            await _register(client, name.encode(), parsed, LbFlag.PUSH)
+            printed = 0
             async for push in receive:
-                _shown(push.groups, as_json)
-                left = left - 1 if left else None
-                if left == 0:
+                _print_weights(push.groups, as_json)
+                printed += 1
+                if printed == count:
                     break
             await client.deregister(name.encode())
         return 0
 
-    sys.exit(_run(follow))
+    sys.exit(_run_client(print_pushes))
 
 
-def _run(what: Any) -> int:
+def _run_client(conversation: Callable[[], Awaitable[int]]) -> int:
+    """The exit code of a conversation with a manager; what goes wrong is printed."""
     try:
-        return anyio.run(what)
+        return anyio.run(conversation)
     except BaseExceptionGroup as group:
-        errors = group.subgroup(wire.SaspError)
+        errors = group.subgroup((sasp_client.SaspError, RefusedError))
         if errors is None:
             raise
-        click.echo(str(errors.exceptions[0]), err=True)
-    except wire.SaspError as error:
-        click.echo(str(error), err=True)
-    return NO_PILOT
+        return _print_error(errors.exceptions[0])
+    except (sasp_client.SaspError, RefusedError) as error:
+        return _print_error(error)
+
+
+def _print_error(error: BaseException) -> int:
+    if isinstance(error, RefusedError):
+        click.echo(f"refused: {error}", err=True)
+        return EXIT_NO
+    click.echo(str(error), err=True)
+    return EXIT_NO_PILOT
 
 
 @sasp.command()
@@ -141,11 +173,14 @@
 @as_json
 def balancers(file: Path, as_json: bool) -> None:
     """Who is registered with the pilot that runs on FILE: balancers, groups, when each was last told."""
-    reply = ask(file, {"ask": "sasp"})
-    if as_json:
-        click.echo(json.dumps(reply))
+    reply = ask_pilot(file, {"ask": "sasp"})
+    if print_json(reply, as_json):
         return
-    rows(
+    rows = []
+    for balancer in reply["balancers"]:
+        groups = balancer["groups"] or NO_GROUPS
+        rows += [_balancer_row(balancer, name, group) for name, group in groups.items()]
+    print_table(
         [
             "balancer",
             "sessions",
@@ -158,20 +193,21 @@
             "members",
             "quiesced",
         ],
-        [
-            [
-                b["balancer"],
-                b["sessions"],
-                "yes" if b["pushes"] else "no",
-                "yes" if b["trusted"] else "no",
-                b["seen"],
-                f"{b['last_told_s']} s ago" if b["last_told_s"] is not None else "never",
-                name,
-                g["covers"],
-                g["members"],
-                ", ".join(g["quiesced"]) or "-",
-            ]
-            for b in reply["balancers"]
-            for name, g in (b["groups"] or NONE).items()
-        ],
+        rows,
     )
+
+
+def _balancer_row(balancer: dict[str, Any], group_name: str, group: dict[str, Any]) -> list[object]:
+    last_told_s = balancer["last_told_s"]
+    return [
+        balancer["balancer"],
+        balancer["sessions"],
+        "yes" if balancer["pushes"] else "no",
+        "yes" if balancer["trusted"] else "no",
+        balancer["seen"],
+        f"{last_told_s} s ago" if last_told_s is not None else "never",
+        group_name,
+        group["covers"],
+        group["members"],
+        ", ".join(group["quiesced"]) or "-",
+    ]
--- /dev/null
+++ b/damsonpick/cli/shared.py
@@ -0,0 +1,74 @@
+"""What the commands share: exit codes, options, settings, questions to a running pilot, printed tables."""
+
+from __future__ import annotations
+
+import json
+import sys
+from collections.abc import Sequence
+from pathlib import Path
+from typing import TYPE_CHECKING, Any, NoReturn
+
+import anyio
+import click
+
+from damsonpick.controller import control_socket
+from damsonpick.controller.control_socket import Reply, Request
+
+if TYPE_CHECKING:
+    from damsonpick.settings import PilotSettings
+
+EXIT_NO = 1  # the answer is no, or a rule was broken
+EXIT_WRONG_INPUT = 2
+EXIT_NO_PILOT = 3
+
+settings_file = click.argument("file", type=click.Path(path_type=Path))
+as_json = click.option("--json", "as_json", is_flag=True, help="Print one JSON object for scripts.")
+
+
+def fail(message: str, exit_code: int) -> NoReturn:
+    """Print `message` on standard error and end the program."""
+    click.echo(message, err=True)
+    sys.exit(exit_code)
+
+
+def load_settings(file: Path) -> PilotSettings:
+    """Settings of a pilot; ends the program with code 2 where they are wrong."""
+    from damsonpick.settings import SettingsError, load
+
+    try:
+        return load(file)
+    except SettingsError as error:
+        fail(str(error), EXIT_WRONG_INPUT)
+
+
+def ask_pilot(file: Path, request: Request) -> Reply:
+    """The reply of the pilot that runs on these settings.
+
+    Ends the program with code 3 where none answers, with code 2 where it refuses.
+    """
+    settings = load_settings(file)
+    try:
+        reply = anyio.run(control_socket.ask, settings.control_path(), request)
+    except control_socket.ControlError as error:
+        fail(str(error), EXIT_NO_PILOT)
+    if "error" in reply:
+        fail(reply["error"], EXIT_WRONG_INPUT)
+    return reply
+
+
+def print_json(value: Any, enabled: bool) -> bool:
+    """Print `value` as JSON if that is `enabled`; returns whether it was."""
+    if enabled:
+        click.echo(json.dumps(value))
+    return enabled
+
+
+def print_table(titles: Sequence[str], lines: Sequence[Sequence[object]]) -> None:
+    """Print left-aligned columns."""
+    cells = [list(titles)]
+    for line in lines:
+        cells.append([str(value) for value in line])
+    widths = [max(len(row[column]) for row in cells) for column in range(len(titles))]
+    for row in cells:
+        padded = [text.ljust(width) for text, width in zip(row, widths, strict=True)]
+        click.echo("  ".join(padded).rstrip())
--- a/damsonpick/cli/versions.py
+++ b/damsonpick/cli/versions.py
@@ -2,17 +2,31 @@
 
 from __future__ import annotations
 
-import json
 import sys
 from datetime import UTC, datetime
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
-from damsonpick.cli.asking import WRONG, as_json, ask, rows, settings_file
+from damsonpick.cli.shared import (
+    EXIT_NO,
+    EXIT_WRONG_INPUT,
+    as_json,
+    ask_pilot,
+    fail,
+    print_json,
+    print_table,
+    settings_file,
+)
 from damsonpick.settings.units import duration
 
+if TYPE_CHECKING:
+    from damsonpick.controller.control_socket import Reply
+
+NS_PER_SECOND = 1e9
+SHORT_ROOT = 12  # characters of a root that are shown
+
 expect = click.option("--expect", type=int, help="Act only if this is still the act number that `list` shows.")
 span = click.option("--for", "span", help="How long the tables stay pinned, such as 10 min; else as in the settings.")
 
@@ -25,30 +39,28 @@
     """
 
 
-def _ns(text: str | None) -> int | None:
+def _parse_duration(text: str | None) -> int | None:
+    """ns of an option such as `10 min`; ends the program with code 2 where it is no duration."""
+    if text is None:
+        return None
     try:
-        return duration(text) if text is not None else None
+        return duration(text)
     except ValueError as error:
-        click.echo(f"{text}: {error}", err=True)
-        sys.exit(WRONG)
-
+        fail(f"{text}: {error}", EXIT_WRONG_INPUT)
 
-def _ask(file: Path, what: str, **more: Any) -> dict[str, Any]:
-    return ask(file, {"ask": "versions", "do": what, **more})
 
+def _ask_versions(file: Path, command: str, **parameters: Any) -> Reply:
+    return ask_pilot(file, {"ask": "versions", "do": command, **parameters})
 
-def _out(reply: dict[str, Any], machine: bool) -> bool:
-    if machine:
-        click.echo(json.dumps(reply))
-    return machine
 
+def _format_time(ns: int) -> str:
+    return datetime.fromtimestamp(ns / NS_PER_SECOND, UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
 
-def _when(ns: int) -> str:
-    return datetime.fromtimestamp(ns / 1e9, UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
 
-
-def _state(reply: dict[str, Any]) -> None:
-    pinned = f"pinned at {reply['pinned']} for {reply['pin_left_s']} s" if reply["pinned"] is not None else "not pinned"
+def _print_state(reply: Reply) -> None:
+    pinned = "not pinned"
+    if reply["pinned"] is not None:
+        pinned = f"pinned at {reply['pinned']} for {reply['pin_left_s']} s"
     click.echo(f"version {reply['newest']}, root {reply['root']}; {pinned}; act {reply['generation']}")
     if reply["waiting_for_disk"]:
         click.echo(f"{reply['waiting_for_disk']} versions are not on disk yet; see the log")
@@ -58,30 +70,39 @@
 @settings_file
 @click.option("--most", default=20, show_default=True, type=click.IntRange(1, 1000))
 @as_json
-def list_(file: Path, most: int, as_json: bool) -> None:
+def list_versions(file: Path, most: int, as_json: bool) -> None:
     """The newest versions: when, why and how much each changed."""
-    reply = _ask(file, "list", most=most)
-    if _out(reply, as_json):
+    reply = _ask_versions(file, "list", most=most)
+    if print_json(reply, as_json):
         return
-    _state(reply)
-    rows(
-        ["version", "root", "parent", "time (UTC)", "cause", "units", "lines", "note"],
-        [
-            [v["version"], v["root"][:12], v["parent"], _when(v["at"]), v["cause"], v["units"], v["lines"], v["note"]]
-            for v in reply["versions"]
-        ],
-    )
+    _print_state(reply)
+    rows = []
+    for version in reply["versions"]:
+        rows.append(
+            [
+                version["version"],
+                version["root"][:SHORT_ROOT],
+                version["parent"],
+                _format_time(version["at"]),
+                version["cause"],
+                version["units"],
+                version["lines"],
+                version["note"],
+            ]
+        )
+    print_table(["version", "root", "parent", "time (UTC)", "cause", "units", "lines", "note"], rows)
 
 
-def _difference(found: dict[str, Any]) -> None:
-    rows(
-        ["unit", "what", "before", "after"],
-        [
-            [unit, key, "-" if a is None else f"{a:g}", "-" if b is None else f"{b:g}"]
-            for unit, keys in sorted(found.items())
-            for key, (a, b) in sorted(keys.items())
-        ],
-    )
+def _format_value(value: float | None) -> str:
+    return "-" if value is None else f"{value:g}"
+
+
+def _print_difference(difference: dict[str, dict[str, tuple[float | None, float | None]]]) -> None:
+    rows = []
+    for unit, keys in sorted(difference.items()):
+        for key, (before, after) in sorted(keys.items()):
+            rows.append([unit, key, _format_value(before), _format_value(after)])
+    print_table(["unit", "what", "before", "after"], rows)
 
 
 @versions.command()
@@ -90,13 +111,14 @@
 @as_json
 def show(file: Path, version: str, as_json: bool) -> None:
     """One version: where it came from and what it changed."""
-    reply = _ask(file, "show", version=version)
-    if not _out(reply, as_json):
-        click.echo(
-            f"version {reply['version']}, root {reply['root']}, after {reply['parent']}, {_when(reply['at'])}, "
-            f"{reply['cause']} {reply['note']}"
-        )
-        _difference(reply["difference"])
+    reply = _ask_versions(file, "show", version=version)
+    if print_json(reply, as_json):
+        return
+    click.echo(
+        f"version {reply['version']}, root {reply['root']}, after {reply['parent']}, {_format_time(reply['at'])}, "
+        f"{reply['cause']} {reply['note']}"
+    )
+    _print_difference(reply["difference"])
 
 
 @versions.command()
@@ -106,11 +128,11 @@
 @as_json
 def diff(file: Path, one: str, other: str, as_json: bool) -> None:
     """What changes from version ONE to OTHER."""
-    reply = _ask(file, "diff", one=one, other=other)
-    if _out(reply, as_json):
+    reply = _ask_versions(file, "diff", one=one, other=other)
+    if print_json(reply, as_json):
         return
     click.echo("the same" if reply["same"] else f"{reply['one']} to {reply['other']}:")
-    _difference(reply["difference"])
+    _print_difference(reply["difference"])
 
 
 @versions.command()
@@ -119,28 +141,33 @@
 @as_json
 def who(file: Path, version: str | None, as_json: bool) -> None:
     """Which gateways hold VERSION, the newest if none is named; exit code 1: not all of them."""
-    reply = _ask(file, "who", version=version)
-    if not _out(reply, as_json):
+    reply = _ask_versions(file, "who", version=version)
+    if not print_json(reply, as_json):
         click.echo(f"version {reply['version']}, root {reply['root']}")
-        rows(
-            ["gateway", "zone", "holds it", "holds", "pending", "since", "checked by", "rejected"],
+        _print_holders(reply)
+        for resource, stopped_version in reply["stopped"].items():
+            click.echo(f"{resource}: version {stopped_version} is held back: too many gateways refused it")
+    all_hold_it = all(gateway["holds"] for gateway in reply["gateways"])
+    sys.exit(0 if all_hold_it else EXIT_NO)
+
+
+def _print_holders(reply: Reply) -> None:
+    rows = []
+    for gateway in reply["gateways"]:
+        held_version = gateway["version"]
+        rows.append(
             [
-                [
-                    g["gateway"],
-                    g["zone"],
-                    "yes" if g["holds"] else "no",
-                    g["root"][:12] if g["version"] is None else g["version"],
-                    g["pending"],
-                    "-" if g["since_s"] is None else f"{g['since_s']} s",
-                    "itself" if g["verified"] else "its word",
-                    ", ".join(g["rejected"]) or "-",
-                ]
-                for g in reply["gateways"]
-            ],
+                gateway["gateway"],
+                gateway["zone"],
+                "yes" if gateway["holds"] else "no",
+                gateway["root"][:SHORT_ROOT] if held_version is None else held_version,
+                gateway["pending"],
+                "-" if gateway["since_s"] is None else f"{gateway['since_s']} s",
+                "itself" if gateway["verified"] else "its word",
+                ", ".join(gateway["rejected"]) or "-",
+            ]
         )
-        for name, text in reply["stopped"].items():
-            click.echo(f"{name}: version {text} is held back: too many gateways refused it")
-    sys.exit(0 if all(g["holds"] for g in reply["gateways"]) else 1)
+    print_table(["gateway", "zone", "holds it", "holds", "pending", "since", "checked by", "rejected"], rows)
 
 
 @versions.command()
@@ -170,28 +197,35 @@
     that would be left without a server keeps what it has. Withdrawals go on; levels go on unless --levels sets them
     back: then they may fall until the pin ends, and not rise.
     """
-    zones = [z.strip() for z in stages.split(",") if z.strip()] if stages else []
+    zones = _parse_zones(stages)
     if zones and hold is None:
-        click.echo("--stages needs --hold, the time between two stages, such as 5 s", err=True)
-        sys.exit(WRONG)
+        fail("--stages needs --hold, the time between two stages, such as 5 s", EXIT_WRONG_INPUT)
     if expect is None:
-        expect = _ask(file, "list", most=1)["generation"]
-    reply = _ask(
+        expect = _ask_versions(file, "list", most=1)["generation"]
+    reply = _ask_versions(
         file,
         "rollback",
         version=version,
         dry=dry_run,
-        pin_ns=_ns(span),
+        pin_ns=_parse_duration(span),
         expected=expect,
         stages=zones,
-        hold_ns=_ns(hold),
+        hold_ns=_parse_duration(hold),
         levels=levels,
     )
-    if _out(reply, as_json):
-        return
-    verb = f"now version {reply['now']}" if reply["done"] else "would be done"
+    if not print_json(reply, as_json):
+        _print_rollback(reply)
+
+
+def _parse_zones(stages: str | None) -> list[str]:
+    names = [name.strip() for name in (stages or "").split(",")]
+    return [name for name in names if name]
+
+
+def _print_rollback(reply: Reply) -> None:
+    outcome = f"now version {reply['now']}" if reply["done"] else "would be done"
     same = ", the same as then" if reply.get("same") else ""
-    click.echo(f"back to {reply['version']}: {reply['lines']} lines of {reply['slices']} slices, {verb}{same}")
+    click.echo(f"back to {reply['version']}: {reply['lines']} lines of {reply['slices']} slices, {outcome}{same}")
     for kept in reply["kept"]:
         click.echo(f"slice {kept['slice']} {kept['endpoint']}: {kept['why']}")
 
@@ -203,9 +237,9 @@
 @as_json
 def pin(file: Path, span: str | None, expect: int | None, as_json: bool) -> None:
     """Hold the tables as they are; withdrawals, levels and what the rules need still flow."""
-    reply = _ask(file, "pin", pin_ns=_ns(span), expected=expect)
-    if not _out(reply, as_json):
-        _state(reply)
+    reply = _ask_versions(file, "pin", pin_ns=_parse_duration(span), expected=expect)
+    if not print_json(reply, as_json):
+        _print_state(reply)
 
 
 @versions.command()
@@ -214,6 +248,6 @@
 @as_json
 def release(file: Path, expect: int | None, as_json: bool) -> None:
     """Let the pilot move tables again, from where they are."""
-    reply = _ask(file, "release", expected=expect)
-    if not _out(reply, as_json):
-        _state(reply)
+    reply = _ask_versions(file, "release", expected=expect)
+    if not print_json(reply, as_json):
+        _print_state(reply)
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -5,7 +5,7 @@
 import sys
 
 from damsonpick import interface as api
-from damsonpick.cli import main as cli
+from damsonpick.cli.main import main
 from damsonpick.decisions.planner import Planner
 from damsonpick.state.published_tables import PublishedTables
 
@@ -52,4 +52,4 @@
 
 if __name__ == "__main__":
     globals()[sys.argv.pop(1)]()
-    cli.main()
+    main()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -30,3 +30,9 @@
     yield make
     for client in made:
         client.close()
+
+
+@pytest.fixture
+def pilot_settings(tmp_path):
+    """The settings file of a pilot that does not run and has no state yet."""
+    return Pilot(tmp_path).file
--- a/tests/faulty_pilot.py
+++ b/tests/faulty_pilot.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from damsonpick.cli import main as cli
+from damsonpick.cli import pilot as pilot_commands
+from damsonpick.cli.main import main
 from damsonpick.decisions.planner import Planner
 
 
@@ -17,6 +18,6 @@
 
 
 if __name__ == "__main__":
-    real = cli.serve
-    cli.serve = lambda settings, port_file: real(settings, port_file, planner_factory=Faulty)
-    cli.main()
+    run_pilot = pilot_commands.run_pilot
+    pilot_commands.run_pilot = lambda settings, port_file: run_pilot(settings, port_file, planner_factory=Faulty)
+    main()
--- a/tests/slow_solver_pilot.py
+++ b/tests/slow_solver_pilot.py
@@ -5,7 +5,8 @@
 import sys
 import time
 
-from damsonpick.cli import main as cli
+from damsonpick.cli import pilot as pilot_commands
+from damsonpick.cli.main import main
 
 
 def slow(problem, limit):
@@ -29,6 +30,6 @@
     from tests import slow_solver_pilot as here  # functions that the worker process can load
 
     work = getattr(here, sys.argv.pop(1))
-    real = cli.serve
-    cli.serve = lambda settings, port_file: real(settings, port_file, solve=work)
-    cli.main()
+    run_pilot = pilot_commands.run_pilot
+    pilot_commands.run_pilot = lambda settings, port_file: run_pilot(settings, port_file, solve=work)
+    main()
--- a/tests/test_badday.py
+++ b/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""Bad days through the real command line: rules kept by the pilot, and each rule broken by a broken one."""
+"""Scenarios through the real command line: rules kept by the pilot, and each rule broken by a broken one."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     path.write_text(
         DAY.format(length=length, load=load, multiple=multiple, cold_share=cold_share, cold_time=cold_time) + troubles
     )
-    command = [sys.executable, "-m", "damsonpick", "badday", str(path), "--json", "--keep", str(tmp_path / "kept")]
+    command = [sys.executable, "-m", "damsonpick", "scenario", str(path), "--json", "--keep", str(tmp_path / "kept")]
     if pilot:
         command += ["--pilot", f"{sys.executable} -m tests.broken_pilot {pilot}"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120)
@@ -92,10 +92,11 @@
     assert code == 1 and rule in broken(outcome), outcome
 
 
-def test_a_script_that_cannot_be_read_is_refused_before_anything_starts(tmp_path):
+@pytest.mark.parametrize("command", ["scenario", "badday"])
+def test_a_script_that_cannot_be_read_is_refused_before_anything_starts(tmp_path, command):
     path = tmp_path / "day.ini"
     path.write_text("[day]\nlength = soon\n")
     done = subprocess.run(
-        [sys.executable, "-m", "damsonpick", "badday", str(path)], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-m", "damsonpick", command, str(path)], cwd=ROOT, capture_output=True, text=True
     )
     assert done.returncode == 2 and "[day] length" in done.stderr
