--- a/damsonpick/cli/learned.py
+++ b/damsonpick/cli/learned.py
@@ -52,7 +52,7 @@
     from damsonpick.state.learned import ageing
     from damsonpick.state.learned.disk import moment
 
-    folder = load_settings(file).knowledge_path()
+    folder = load_settings(file).learned_path()
     found = _find_newest(folder)
     for problem in found.wrong:
         click.echo(problem, err=True)
@@ -117,7 +117,7 @@
     """Read every generation and say which are whole. Exit code 1: one is not."""
     from damsonpick.state.learned import codec, generations
 
-    folder = load_settings(file).knowledge_path()
+    folder = load_settings(file).learned_path()
     all_whole = True
     for generation in (generations.CURRENT, generations.PREVIOUS):
         path = folder / generation
@@ -138,7 +138,7 @@
 @click.argument("out", type=click.Path(path_type=Path))
 def export(file: Path, out: Path) -> None:
     """Write what is kept to OUT as JSON, as it was written. Exit code 1: nothing is kept."""
-    folder = load_settings(file).knowledge_path()
+    folder = load_settings(file).learned_path()
     snapshot = _find_newest(folder).snapshot
     if snapshot is None:
         fail(f"{folder}: nothing is kept", EXIT_NO)
@@ -160,6 +160,6 @@
         anyio.run(control_socket.ask, settings.control_path(), {"ask": "forget"})
         click.echo("forgotten; the running pilot learns anew")
     except control_socket.ControlError:
-        folder = settings.knowledge_path()
+        folder = settings.learned_path()
         count = generations.remove(folder)
         click.echo(f"forgotten: {count} files of {folder}")
--- a/damsonpick/cli/versions.py
+++ b/damsonpick/cli/versions.py
@@ -19,7 +19,7 @@
     print_table,
     settings_file,
 )
-from damsonpick.settings.units import duration
+from damsonpick.settings.units import parse_duration
 
 if TYPE_CHECKING:
     from damsonpick.controller.control_socket import Reply
@@ -39,12 +39,12 @@
     """
 
 
-def _parse_duration(text: str | None) -> int | None:
+def _duration_option(text: str | None) -> int | None:
     """ns of an option such as `10 min`; ends the program with code 2 where it is no duration."""
     if text is None:
         return None
     try:
-        return duration(text)
+        return parse_duration(text)
     except ValueError as error:
         fail(f"{text}: {error}", EXIT_WRONG_INPUT)
 
@@ -207,10 +207,10 @@
         "rollback",
         version=version,
         dry=dry_run,
-        pin_ns=_parse_duration(span),
+        pin_ns=_duration_option(span),
         expected=expect,
         stages=zones,
-        hold_ns=_parse_duration(hold),
+        hold_ns=_duration_option(hold),
         levels=levels,
     )
     if not print_json(reply, as_json):
@@ -237,7 +237,7 @@
 @as_json
 def pin(file: Path, span: str | None, expect: int | None, as_json: bool) -> None:
     """Hold the tables as they are; withdrawals, levels and what the rules need still flow."""
-    reply = _ask_versions(file, "pin", pin_ns=_parse_duration(span), expected=expect)
+    reply = _ask_versions(file, "pin", pin_ns=_duration_option(span), expected=expect)
     if not print_json(reply, as_json):
         _print_state(reply)
 
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -112,15 +112,21 @@
         budget = settings.channel
         self.published = PublishedTables(tuple(settings.classes), settings.table_count())
         self.endpoint_list = EndpointList(settings.pilot.zones)
-        self.channel = Channel(budget.lines_per_second, budget.head, budget.limit, budget.messages, budget.window)
+        self.channel = Channel(
+            budget.lines_per_second,
+            budget.message_overhead,
+            budget.limit,
+            budget.messages_per_window,
+            budget.message_window,
+        )
         self.catalogue = Catalogue(self.published, settings, self._zone_of)
         self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway)
-        self.session_manager.stop_share = settings.versions.stop
+        self.session_manager.stop_share = settings.versions.stop_share
 
     def _make_engine(self, planner_factory: PlannerFactory) -> None:
         versions = self.settings.versions
         self.recorder = HistoryRecorder(
-            self.published, self.catalogue.versions, self.history, versions.keep, versions.age, self.log
+            self.published, self.catalogue.versions, self.history, versions.max_count, versions.max_age, self.log
         )
         self.engine = Engine(
             self.settings,
@@ -136,7 +142,9 @@
     def _make_list_watch(self) -> None:
         """The endpoint list, how far it is believed, and what gateways report of its endpoints."""
         settings, reports = self.settings, self.settings.reports
-        self.load_reports = LoadReports(tuple(settings.classes), settings.table_count(), reports.every, reports.oldest)
+        self.load_reports = LoadReports(
+            tuple(settings.classes), settings.table_count(), reports.period, reports.max_age
+        )
         self.confidence = Trust()
         self.engine.doubted = self.confidence.again
         self.list_updater = ListUpdater(
@@ -156,7 +164,7 @@
             confidence=self.confidence,
             engine=self.engine,
             clock=self.clock,
-            period=reports.every,
+            period=reports.period,
             notify=self.wakeup.notify,
             log=self.log,
         )
@@ -168,7 +176,7 @@
             self.clock.now,
             self.wakeup.notify,
             self.load_report_task.receive,
-            self.settings.reports.every,
+            self.settings.reports.period,
             self.log,
         )
         self.sasp: SaspServer | None = None
@@ -278,7 +286,7 @@
         finally:
             with anyio.CancelScope(shield=True):
                 await xds_server.stop(XDS_STOP_GRACE_S)
-                if self.settings.knowledge.keep:
+                if self.settings.learned_state.enabled:
                     await self.snapshot_task.write()
             self.store.close()
             self.history.close()
@@ -287,7 +295,7 @@
 
     def _restore(self) -> None:
         """Start the engine on what an earlier incarnation stored and learned."""
-        learned = self.snapshot_task.read() if self.settings.knowledge.keep else NOTHING_LEARNED
+        learned = self.snapshot_task.read() if self.settings.learned_state.enabled else NOTHING_LEARNED
         self.engine.start(self.clock.now(), learned.snapshot, learned.away)
         self.list_updater.start(learned.snapshot, learned.away)
 
@@ -298,7 +306,7 @@
         if self.sasp is not None:
             group.start_soon(self.sasp.run)
         group.start_soon(self.drive_loop.run)
-        if self.settings.knowledge.keep:
+        if self.settings.learned_state.enabled:
             group.start_soon(self.snapshot_task.run)
         if self.settings.solved:
             group.start_soon(self.solver_task.run)
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -58,9 +58,9 @@
         self.updater = updater
         self.notify = notify
         self.log = log
-        self.source_settings: dict[str, ListSource] = {FIRST_SOURCE: settings.list, **settings.lists}
+        self.source_settings: dict[str, ListSource] = {FIRST_SOURCE: settings.list_source, **settings.fallback_sources}
         names = list(self.source_settings)
-        if settings.sasp.feed:
+        if settings.sasp.members_as_list:
             names.append(SASP_SOURCE)
         self.sources = Sources(tuple(names), clock.now())
         self.summary = "nothing yet"  # for `status`
@@ -91,7 +91,7 @@
 
     def _client(self, name: str, source_settings: ListSource) -> ListClient:
         if source_settings.source == "file":
-            return FileSource(source_settings.file, self.clock.seconds(source_settings.poll))
+            return FileSource(source_settings.file, self.clock.seconds(source_settings.poll_period))
         backoff = Backoff(random.Random(f"{self.settings.pilot.seed} {name}"))
         return UpstreamSource(source_settings.upstream, source_settings.cluster, self.settings.pilot.name, backoff)
 
--- a/damsonpick/controller/snapshot_task.py
+++ b/damsonpick/controller/snapshot_task.py
@@ -75,7 +75,7 @@
     @property
     def folder(self) -> Path:
         """Where the generations are."""
-        return self.settings.knowledge_path()
+        return self.settings.learned_path()
 
     def read(self) -> LearnedState:
         """The newest snapshot, faded by its age."""
@@ -102,7 +102,7 @@
         if self.found.newer:
             return
         while True:
-            await anyio.sleep(self.clock.seconds(self.settings.knowledge.every))
+            await anyio.sleep(self.clock.seconds(self.settings.learned_state.period))
             try:
                 await self.write()
             except Exception as error:  # what learns must not stop what serves
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -78,7 +78,7 @@
     def _until(self, now: int, request: dict[str, Any]) -> int:
         """When a pin ends, ns."""
         span = request.get("pin_ns")
-        return now + (self.settings.versions.pin if span is None else int(span))
+        return now + (self.settings.versions.pin_time if span is None else int(span))
 
     def _rollback(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
         zones, hold = request.get("stages") or [], int(request.get("hold_ns") or 0)
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -18,7 +18,7 @@
 import anyio
 
 from damsonpick import interface as api
-from damsonpick.settings.units import address
+from damsonpick.settings.units import parse_address
 from damsonpick.state.endpoint_list.sources import ListError
 from damsonpick.state.endpoint_list.validation import STATES
 
@@ -43,7 +43,7 @@
         if key not in KEYS:
             raise ListError(f"{name}: [{section}] {key}: no such key; a server has {', '.join(KEYS)}")
     try:
-        endpoint = address(endpoint)
+        endpoint = parse_address(endpoint)
     except ValueError as error:
         raise ListError(f"{name}: [{section}] {error}") from None
     state = values.get("state", "in_service")
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -90,11 +90,11 @@
         kind, _, number = text.partition("/")
         if kind == "slice" and number.isdigit() and int(number) < self.settings.table_count():
             return f"slices {int(number)}"
-        return "fleet" if self.settings.sasp.unmapped == "fleet" else None
+        return "fleet" if self.settings.sasp.default_coverage == "fleet" else None
 
     def _rights(self, lb: bytes) -> str:
         named = self.settings.sasp_balancers.get(lb.decode("utf-8", "replace"))
-        return named.may if named is not None else self.settings.sasp.unknown
+        return named.rights if named is not None else self.settings.sasp.default_rights
 
     def _zone(self, lb: bytes) -> str:
         named = self.settings.sasp_balancers.get(lb.decode("utf-8", "replace"))
@@ -177,7 +177,7 @@
             self.stir()
 
     def _feed(self) -> None:
-        if not self.settings.sasp.feed or self.registry.stamp == self.stamp:
+        if not self.settings.sasp.members_as_list or self.registry.stamp == self.stamp:
             return
         self.stamp = self.registry.stamp
         said = self.registry.endpoints()
@@ -219,7 +219,7 @@
                 )
                 return
             self.addresses[address] = self.addresses.get(address, 0) + 1
-            session = SaspSession(self.desk, self._zone, Meter(self.settings.sasp.messages))
+            session = SaspSession(self.desk, self._zone, Meter(self.settings.sasp.messages_per_second))
             lock = anyio.Lock()  # replies and pushes share the stream
             self.streams[session] = anyio.Event()
             why = "the peer left"
@@ -274,7 +274,7 @@
                 return str(error)
 
     async def _send(self, stream: SocketStream, lock: anyio.Lock, data: bytes) -> None:
-        with anyio.fail_after(self.clock.seconds(self.settings.sasp.patience)):
+        with anyio.fail_after(self.clock.seconds(self.settings.sasp.send_timeout)):
             async with lock:
                 await stream.send(data)
 
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -16,7 +16,7 @@
 from damsonpick.protocols.sasp.registry import GroupOf, Registry
 from damsonpick.protocols.sasp.weights import Advice, Known
 from damsonpick.protocols.shared.session import Due
-from damsonpick.settings.units import numbers
+from damsonpick.settings.units import slice_numbers
 from damsonpick.state.published_tables import FLEET, PublishedTables, slice_unit
 
 SECOND = 1_000_000_000
@@ -68,7 +68,7 @@
         """Tables that a group covers."""
         kind, _, rest = covers.partition(" ")
         if kind == "slices":
-            return numbers(covers)
+            return slice_numbers(covers)
         if kind == "class":
             count = len(self.published.classes)
             return list(range(self.published.classes.index(rest), self.published.slices, count))
--- a/damsonpick/protocols/xds/resources.py
+++ b/damsonpick/protocols/xds/resources.py
@@ -105,14 +105,16 @@
 
     def _cluster(self, name: str) -> cluster_pb2.Cluster:
         tables = self.settings.tables
-        cluster = cluster_pb2.Cluster(name=name, type=cluster_pb2.Cluster.EDS, lb_policy=POLICIES[tables.pick])
+        cluster = cluster_pb2.Cluster(
+            name=name, type=cluster_pb2.Cluster.EDS, lb_policy=POLICIES[tables.balancing_policy]
+        )
         cluster.eds_cluster_config.service_name = name
         cluster.eds_cluster_config.eds_config.ads.SetInParent()
         cluster.lrs_server.self.SetInParent()
-        if tables.pick == "pair":
+        if tables.balancing_policy == "pair":
             cluster.least_request_lb_config.choice_count.value = 2
-        if tables.strikes:
-            cluster.outlier_detection.consecutive_5xx.value = tables.strikes
+        if tables.ejection_failures:
+            cluster.outlier_detection.consecutive_5xx.value = tables.ejection_failures
         return cluster
 
     def _drops(self, assignment: endpoint_pb2.ClusterLoadAssignment, table: int | None) -> None:
@@ -188,5 +190,6 @@
         policy.retry_on = conditions
         policy.num_retries.value = times
         if mode >= 2:
-            policy.per_try_timeout.FromNanoseconds(int(self.settings.tables.try_aims * kind.aim))
+            attempt_timeout = self.settings.tables.attempt_timeout_objectives * kind.latency_objective
+            policy.per_try_timeout.FromNanoseconds(int(attempt_timeout))
         return route
--- a/damsonpick/proxy/settings.py
+++ b/damsonpick/proxy/settings.py
@@ -9,14 +9,17 @@
 
 from damsonpick.settings import sections
 from damsonpick.settings.load import Problem, SettingsError
-from damsonpick.settings.units import Address, Duration, Names, address
-
-Pilots = Annotated[
-    tuple[str, ...],
-    BeforeValidator(
-        lambda text: text if isinstance(text, tuple) else tuple(address(p) for p in str(text).split(",") if p.strip())
-    ),
-]
+from damsonpick.settings.units import Address, Duration, Names, parse_address
+
+
+def _parse_pilots(text: object) -> tuple[str, ...]:
+    """Addresses separated by commas."""
+    if isinstance(text, tuple):
+        return text
+    return tuple(parse_address(part) for part in str(text).split(",") if part.strip())
+
+
+Pilots = Annotated[tuple[str, ...], BeforeValidator(_parse_pilots)]
 
 
 class Section(BaseModel):
--- /dev/null
+++ b/damsonpick/settings/consistency.py
@@ -0,0 +1,87 @@
+"""Problems that only show when sections of a pilot's settings are read together."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from damsonpick.settings.model import PilotSettings, RequestClass, SaspGroup
+from damsonpick.settings.problems import Problem
+from damsonpick.settings.units import slice_numbers
+
+LEAST_COLD_LOAD = 0.05  # of a server's capacity: with less, a cold server could never be given work
+
+
+def check(settings: PilotSettings) -> list[Problem]:
+    """Every problem, in the order of the sections."""
+    checks = (_zone, _list_sources, _classes, _sasp_groups, _sasp_balancers, _zone_pairs, _cold_load)
+    return [problem for find in checks for problem in find(settings)]
+
+
+def _zone(settings: PilotSettings) -> Iterator[Problem]:
+    pilot = settings.pilot
+    if pilot.zone not in pilot.zones:
+        yield Problem("pilot", "zone", pilot.zone, "is not among zones; add it there or correct it")
+
+
+def _list_sources(settings: PilotSettings) -> Iterator[Problem]:
+    sources = {"list": settings.list_source}
+    sources |= {f"list {name}": source for name, source in settings.fallback_sources.items()}
+    for section, source in sources.items():
+        if source.source == "file" and source.file is None:
+            yield Problem(section, "file", "", "is missing; name the file that lists the servers")
+        if source.source == "eds" and source.upstream is None:
+            yield Problem(section, "upstream", "", "is missing; give the address of the upstream EDS server")
+
+
+def _classes(settings: PilotSettings) -> Iterator[Problem]:
+    for name, request_class in settings.classes.items():
+        yield from _class(f"class {name}", request_class, settings.solved)
+
+
+def _class(section: str, request_class: RequestClass, solved: bool) -> Iterator[Problem]:
+    if request_class.deadline < request_class.latency_objective:
+        remedy = "is before the aim; give a deadline no earlier than the aim"
+        yield Problem(section, "deadline", f"{request_class.deadline} ns", remedy)
+    if request_class.effect == "idempotency_key" and not request_class.key_window:
+        remedy = "is missing; a keyed class needs the time for which servers remember a key"
+        yield Problem(section, "key_window", "", remedy)
+    if solved and not request_class.mean_work:
+        remedy = "is missing; the solver needs the mean core time of a request, such as 300 ms"
+        yield Problem(section, "work", "", remedy)
+
+
+def _sasp_groups(settings: PilotSettings) -> Iterator[Problem]:
+    for name, group in settings.sasp_groups.items():
+        yield from _sasp_group(f"sasp group {name}", group, settings)
+
+
+def _sasp_group(section: str, group: SaspGroup, settings: PilotSettings) -> Iterator[Problem]:
+    kind, _, rest = group.covers.partition(" ")
+    if kind == "slices":
+        count = settings.table_count()
+        highest = max(slice_numbers(group.covers))
+        if highest >= count:
+            yield Problem(section, "covers", group.covers, f"names slice {highest}, there are {count} from 0")
+    if kind == "class" and (settings.tables.slices or rest not in settings.classes):
+        remedy = "is a class that there is not, or there are slices, which all classes share; use fleet or slices"
+        yield Problem(section, "covers", group.covers, remedy)
+
+
+def _sasp_balancers(settings: PilotSettings) -> Iterator[Problem]:
+    for name, balancer in settings.sasp_balancers.items():
+        if balancer.zone and balancer.zone not in settings.pilot.zones:
+            yield Problem(f"sasp balancer {name}", "zone", balancer.zone, "is not among the zones")
+
+
+def _zone_pairs(settings: PilotSettings) -> Iterator[Problem]:
+    for source, target, _ in settings.solver.zone_pair_costs:
+        for zone in (source, target):
+            if zone not in settings.pilot.zones:
+                yield Problem("solver", "pairs", zone, "is not among the zones; correct the name")
+
+
+def _cold_load(settings: PilotSettings) -> Iterator[Problem]:
+    rules = settings.rules
+    if rules.overload_multiple * rules.cold_capacity_share < LEAST_COLD_LOAD:
+        remedy = "times fall_multiple is under a twentieth of a server: no cold server could be given work; check both"
+        yield Problem("rules", "cold_share", str(rules.cold_capacity_share), remedy)
--- /dev/null
+++ b/damsonpick/settings/ini.py
@@ -0,0 +1,28 @@
+"""Reads INI files."""
+
+from __future__ import annotations
+
+import configparser
+from pathlib import Path
+
+from damsonpick.settings.problems import Problem, SettingsError
+
+
+def parse(path: Path) -> configparser.ConfigParser:
+    """The sections of an INI file. Keys are case-sensitive; `#` and `;` begin comments.
+
+    Raises:
+        SettingsError: the file cannot be read, or is no INI file; the problem names the line.
+    """
+    parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
+    parser.optionxform = str
+    try:
+        parser.read_string(path.read_text(encoding="utf-8"), source=str(path))
+    except (OSError, UnicodeDecodeError) as error:
+        remedy = f"cannot be read ({error}); give a text file in UTF-8 that this user may read"
+        raise SettingsError(path, [Problem("file", "", "", remedy)]) from None
+    except configparser.Error as error:
+        text = " ".join(str(error).split())
+        remedy = f"{text}; write [section] lines and key = value lines, each name once"
+        raise SettingsError(path, [Problem("file", "", "", remedy)]) from None
+    return parser
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -1,4 +1,8 @@
-"""What the pilot is told at its start, section by section. Facts of a deployment only: no tuned value."""
+"""What a pilot is told at its start, section by section. Facts of a deployment only.
+
+Fields are named in the terms of the code; an alias is the key in the file, where it differs. Durations are integer
+nanoseconds of the pilot's clock, whatever unit the file uses.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +12,28 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from damsonpick import interface as api
-from damsonpick.settings.units import Address, Covers, Duration, Names, Pairs
+from damsonpick.settings.units import Address, Coverage, Duration, Names, ZonePairCosts
+
+MS = 1_000_000
+SECOND = 1_000 * MS
+MINUTE = 60 * SECOND
+DAY = 24 * 60 * MINUTE
+NEVER_FULL = 1e12  # table entries: rate and limit of an unlimited channel
+
+SaspRights = Literal["refuse", "read", "register", "state"]  # each includes those before it
 
 
 class Section(BaseModel):
+    """One section of the file; unknown keys are refused."""
+
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
+def keys_of(section: type[BaseModel]) -> list[str]:
+    """The keys of a section as the file has them."""
+    return [field.alias or name for name, field in section.model_fields.items()]
+
+
 class Pilot(Section):
     """[pilot]: who this pilot is and where it keeps its state."""
 
@@ -34,113 +53,113 @@
 
 
 class Tables(Section):
-    """[tables]: how keys are cut and how gateways pick."""
+    """[tables]: how keys are cut into slices and how gateways choose from a table."""
 
     slices: int = Field(ge=0, le=65_000)  # 0: no slices, a table for each zone of gateways and class
-    pick: Literal["pair", "wheel", "lottery"] = "pair"
+    balancing_policy: Literal["pair", "wheel", "lottery"] = Field("pair", alias="pick")
     sole_owner: bool = False
     admission: Literal["ratio", "none"] = "ratio"
-    try_aims: float = Field(1.2, gt=0)  # where another try may follow, a try waits this many times the aim
-    strikes: int = Field(5, ge=0)  # own failures in a row after which a gateway shuns a server; 0: never
+    attempt_timeout_objectives: float = Field(1.2, gt=0, alias="try_aims")  # of a retryable attempt, in objectives
+    ejection_failures: int = Field(5, ge=0, alias="strikes")  # in a row, seen by one gateway; 0: it never ejects
 
 
 class Rules(Section):
     """[rules]: the figures behind the five rules."""
 
     drain_grace: Duration
-    bare_limit: Duration
-    cold_share: float = Field(gt=0, le=1)
-    cold_time: Duration
-    fall_multiple: float = Field(gt=1)
-    fall_time: Duration
-    write_linger: Duration = 20_000_000
-    write_lease: Duration = 800_000_000
+    empty_table_limit: Duration = Field(alias="bare_limit")  # that a slice may be without an endpoint
+    cold_capacity_share: float = Field(gt=0, le=1, alias="cold_share")
+    warm_up_time: Duration = Field(alias="cold_time")
+    overload_multiple: float = Field(gt=1, alias="fall_multiple")  # of its capacity; a server under more fails
+    overload_time: Duration = Field(alias="fall_time")  # after which it fails
+    write_linger: Duration = 20 * MS
+    write_lease: Duration = 800 * MS
 
 
-class Channel(Section):
-    """[channel]: what the way to the gateways carries. lines_per_second = 0: unbudgeted."""
+class ChannelBudget(Section):
+    """[channel]: what the way to the gateways carries, in table entries ("lines"). 0 a second: unlimited."""
 
     lines_per_second: float = Field(ge=0)
-    limit: float = Field(gt=0)
-    head: float = Field(8, ge=0)
-    messages: int = Field(0, ge=0)  # to one gateway within `window`; 0: unlimited
-    window: Duration = 10_000_000_000
-    transit_most: Duration = 500_000_000
+    limit: float = Field(gt=0)  # entries that may wait
+    message_overhead: float = Field(8, ge=0, alias="head")  # entries added to each message
+    messages_per_window: int = Field(0, ge=0, alias="messages")  # to one gateway; 0: unlimited
+    message_window: Duration = Field(10 * SECOND, alias="window")
+    max_transit: Duration = Field(500 * MS, alias="transit_most")
 
 
 class Reports(Section):
-    """[reports]: sums from the gateways."""
+    """[reports]: load reports of the gateways."""
 
-    every: Duration = 1_000_000_000
-    oldest: Duration = 15_000_000_000  # a sum that covers more, or comes later, is dropped
+    period: Duration = Field(1 * SECOND, alias="every")
+    max_age: Duration = Field(15 * SECOND, alias="oldest")  # a report that covers more, or comes later, is dropped
 
 
 class ListSource(Section):
-    """[list]: where the server list comes from."""
+    """[list] and [list NAME]: where the endpoint list comes from."""
 
     source: Literal["file", "eds"]
     file: Path | None = None
     upstream: Address | None = None
     cluster: str = "servers"
-    poll: Duration = 200_000_000
+    poll_period: Duration = Field(200 * MS, alias="poll")
 
 
 class Solver(Section):
-    """[solver]: weights solved under capacity and cost. Costs are worth for each core-second of work."""
+    """[solver]: weights solved under capacity and cost. Costs are priority weight for each core-second of work."""
 
-    every: Duration = 2_000_000_000
-    time_limit: Duration = 1_000_000_000
-    lines: bool = False  # also weigh the lines of slices with several homes
-    levels: bool = False  # also tell the module what load the fleet bears
-    cross: float = Field(0.02, ge=0)  # between buildings
-    pairs: Pairs = ()  # between named ones: from>to price, ...
-    move: float = Field(0.05, ge=0)
-    least: float = Field(0.1, ge=0, le=0.5)  # of an even share, kept by every server
-    bound: float = Field(0.2, gt=0, le=1)  # share of all work that may move in one plan
-    margin: float = Field(0.1, ge=0, le=1)  # part of demand for which room is kept free
-    spread: float = Field(0.35, ge=0, lt=1)  # how far a zone's demand may be from its estimate
+    period: Duration = Field(2 * SECOND, alias="every")
+    time_limit: Duration = 1 * SECOND
+    solve_entries: bool = Field(False, alias="lines")  # also weigh the entries of slices with several endpoints
+    advise_capacity: bool = Field(False, alias="levels")  # also tell the planner what load the fleet bears
+    cross_zone_cost: float = Field(0.02, ge=0, alias="cross")
+    zone_pair_costs: ZonePairCosts = Field((), alias="pairs")  # in place of it: from>to cost, ...
+    move_cost: float = Field(0.05, ge=0, alias="move")
+    min_share: float = Field(0.1, ge=0, le=0.5, alias="least")  # of an even share, kept by every server
+    max_move_share: float = Field(0.2, gt=0, le=1, alias="bound")  # of all work, in one plan
+    headroom: float = Field(0.1, ge=0, le=1, alias="margin")  # part of demand for which capacity is kept free
+    demand_spread: float = Field(0.35, ge=0, lt=1, alias="spread")  # how far a zone's demand may be from its estimate
 
 
 class Versions(Section):
-    """[versions]: the history of the tables and the way back."""
+    """[versions]: the history of the tables and rollback."""
 
-    keep: int = Field(10_000, ge=2)
-    age: Duration = 7 * 86_400_000_000_000
-    pin: Duration = 600_000_000_000  # that tables stay as a rollback set them, if the operator names no time
-    stop: float = Field(0.5, gt=0, le=1)  # share of gateways that refuse a resource, from which it goes to no other
+    max_count: int = Field(10_000, ge=2, alias="keep")
+    max_age: Duration = Field(7 * DAY, alias="age")
+    pin_time: Duration = Field(10 * MINUTE, alias="pin")  # that a rollback pins tables, if the operator names no time
+    stop_share: float = Field(0.5, gt=0, le=1, alias="stop")  # of gateways that reject a resource: it goes no further
 
 
-class Knowledge(Section):
-    """[knowledge]: what is kept of what the pilot learns."""
+class LearnedState(Section):
+    """[knowledge]: what is kept over a restart of what the pilot learns."""
 
-    keep: bool = True
-    every: Duration = 2_000_000_000  # between snapshots
+    enabled: bool = Field(True, alias="keep")
+    period: Duration = Field(2 * SECOND, alias="every")  # between snapshots
 
 
-class SaspFront(Section):
-    """[sasp]: the front for balancers that speak RFC 4678."""
+class SaspServer(Section):
+    """[sasp]: the server for balancers that speak RFC 4678."""
 
-    listen: Address | None = None  # no address: no such front
-    unknown: Literal["refuse", "read", "register", "state"] = "register"  # rights of balancers that are not named
-    unmapped: Literal["fleet", "refuse"] = "fleet"  # what a group covers that is neither named nor called slice/N
+    listen: Address | None = None  # no address: no such server
+    default_rights: SaspRights = Field("register", alias="unknown")  # of balancers that are not named
+    default_coverage: Literal["fleet", "refuse"] = Field("fleet", alias="unmapped")  # of groups that are not named
     sessions: int = Field(100, ge=1)  # from one address
     groups: int = Field(2000, ge=1)  # of one balancer
     members: int = Field(1000, ge=1)  # of one group
-    messages: float = Field(50, gt=0)  # a second, of one session
-    patience: Duration = 10_000_000_000  # that a reply or push may wait for a peer's socket; then its session is ended
-    feed: bool = False  # quiesced members drain for all fronts, and the members serve as the last list source
+    messages_per_second: float = Field(50, gt=0, alias="messages")  # of one session
+    send_timeout: Duration = Field(10 * SECOND, alias="patience")  # after which the session is ended
+    members_as_list: bool = Field(False, alias="feed")  # quiesced members drain; members are the last list source
 
 
 class SaspGroup(Section):
     """[sasp group NAME]: what a group stands for."""
 
-    covers: Covers = "fleet"
+    covers: Coverage = "fleet"
 
 
 class SaspBalancer(Section):
-    """[sasp balancer UID]: what one balancer may do; each right includes those before it."""
+    """[sasp balancer UID]: what one balancer may do."""
 
-    may: Literal["refuse", "read", "register", "state"] = "register"
+    rights: SaspRights = Field("register", alias="may")
     zone: str = ""  # where it stands; empty: the pilot's
 
 
@@ -154,31 +173,33 @@
 class RequestClass(Section):
     """[class NAME]: one kind of request and what it is worth."""
 
-    aim: Duration
+    latency_objective: Duration = Field(alias="aim")
     deadline: Duration
-    worth: float = Field(1.0, gt=0)
-    effect: Literal["read_like", "idempotency_key", "non_idempotent"] = "read_like"
-    key_scope: Literal["all", "zone", "cell"] = "all"
+    priority_weight: float = Field(1.0, gt=0, alias="worth")
+    effect: api.Effect = "read_like"
+    key_scope: api.KeyScope = "all"
     key_window: Duration = 0
     writes: bool = False
-    work: Duration = 0  # mean core time at speed 1; the solver needs it
-    late_worth: float = Field(0.1, ge=0)  # of an answer after the aim
-    own_zone: bool = False  # may go only to servers in the gateway's zone
+    mean_work: Duration = Field(0, alias="work")  # core time at speed 1; the solver needs it
+    late_weight: float = Field(0.1, ge=0, alias="late_worth")  # of an answer after the objective
+    own_zone_only: bool = Field(False, alias="own_zone")  # may go only to servers in the gateway's zone
 
 
 class PilotSettings(Section):
+    """All settings of a pilot. The aliases are sections of the file, or collect those that carry a name."""
+
     pilot: Pilot
     listen: Listen = Listen()
     tables: Tables
     rules: Rules
-    channel: Channel
+    channel: ChannelBudget
     reports: Reports = Reports()
-    list: ListSource
-    lists: dict[str, ListSource] = {}  # [list NAME]: asked after [list], in this order
+    list_source: ListSource = Field(alias="list")
+    fallback_sources: dict[str, ListSource] = Field({}, alias="lists")  # asked after `list_source`, in this order
     solver: Solver = Solver()
     versions: Versions = Versions()
-    knowledge: Knowledge = Knowledge()
-    sasp: SaspFront = SaspFront()
+    learned_state: LearnedState = Field(LearnedState(), alias="knowledge")
+    sasp: SaspServer = SaspServer()
     sasp_groups: dict[str, SaspGroup] = {}
     sasp_balancers: dict[str, SaspBalancer] = {}
     log: Logs = Logs()
@@ -187,54 +208,67 @@
     @property
     def solved(self) -> bool:
         """Whether the solver has anything to do."""
-        return not self.tables.slices or self.solver.lines or self.solver.levels
+        return not self.tables.slices or self.solver.solve_entries or self.solver.advise_capacity
 
     def table_count(self) -> int:
         """Tables published: slices, or one for each zone and class."""
         return self.tables.slices or len(self.pilot.zones) * len(self.classes)
 
     def store_path(self) -> Path:
+        """The database of tables and the endpoint list."""
         return self.pilot.state / "tables.db"
 
     def history_path(self) -> Path:
+        """The database of former versions."""
         return self.pilot.state / "versions.db"
 
-    def knowledge_path(self) -> Path:
+    def learned_path(self) -> Path:
+        """The folder of snapshots of learned state."""
         return self.pilot.state / "knowledge"
 
     def control_path(self) -> Path:
+        """The socket for the command line."""
         return self.pilot.state / "control.sock"
 
     def planner(self, instances: int = 1, instance: int = 0, proxies: int = 0) -> api.Settings:
-        """The module's own settings. An unbudgeted channel is handed over as one that never fills."""
-        c, r = self.channel, self.rules
-        wide = c.lines_per_second == 0
+        """The planner's own settings. An unlimited channel is handed over as one that never fills."""
+        channel, rules = self.channel, self.rules
+        unlimited = channel.lines_per_second == 0
         return api.Settings(
             instance=instance,
             instances=instances,
             zone=self.pilot.zone,
-            classes=tuple(
-                api.RequestClass(n, k.aim, k.deadline, k.effect, k.key_scope, k.key_window, k.worth)
-                for n, k in self.classes.items()
-            ),
+            classes=tuple(_planner_class(name, settings) for name, settings in self.classes.items()),
             slices=self.table_count(),
             proxies=proxies,
             sole_owner=self.tables.sole_owner,
             admission=self.tables.admission,
             subscribe=False,
             poll_interval=0,
-            channel_rate=1e12 if wide else c.lines_per_second,
-            channel_limit=1e12 if wide else c.limit,
-            message_overhead=c.head,
-            messages_per_window=c.messages,
-            message_window=c.window,
-            max_transit=c.transit_most,
-            report_period=self.reports.every,
-            drain_grace=r.drain_grace,
-            cold_capacity_share=r.cold_share,
-            warm_up_time=r.cold_time,
-            write_linger=r.write_linger,
-            write_lease=r.write_lease,
+            channel_rate=NEVER_FULL if unlimited else channel.lines_per_second,
+            channel_limit=NEVER_FULL if unlimited else channel.limit,
+            message_overhead=channel.message_overhead,
+            messages_per_window=channel.messages_per_window,
+            message_window=channel.message_window,
+            max_transit=channel.max_transit,
+            report_period=self.reports.period,
+            drain_grace=rules.drain_grace,
+            cold_capacity_share=rules.cold_capacity_share,
+            warm_up_time=rules.warm_up_time,
+            write_linger=rules.write_linger,
+            write_lease=rules.write_lease,
             load_fields=(),
-            balancing_policy=self.tables.pick,
+            balancing_policy=self.tables.balancing_policy,
         )
+
+
+def _planner_class(name: str, settings: RequestClass) -> api.RequestClass:
+    return api.RequestClass(
+        name=name,
+        latency_objective=settings.latency_objective,
+        deadline=settings.deadline,
+        effect=settings.effect,
+        key_scope=settings.key_scope,
+        key_window=settings.key_window,
+        priority_weight=settings.priority_weight,
+    )
--- a/damsonpick/settings/units.py
+++ b/damsonpick/settings/units.py
@@ -1,4 +1,8 @@
-"""Values as operators write them: durations with a unit, addresses, lists."""
+"""Values as operators write them: durations with a unit, addresses, lists.
+
+Each parser takes the text of a value, or a value that was parsed before, and raises ValueError with what is wrong with
+it and what to write instead.
+"""
 
 from __future__ import annotations
 
@@ -8,89 +12,94 @@
 
 from pydantic import BeforeValidator
 
-NS = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "min": 60_000_000_000, "h": 3_600_000_000_000}
+NS_PER_UNIT = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "min": 60_000_000_000, "h": 3_600_000_000_000}
 _DURATION = re.compile(r"^([0-9]+(?:\.[0-9]+)?)\s*(ns|us|ms|s|min|h)$")
+_ZONE_PAIR_COST = re.compile(r"(\S+?)\s*>\s*(\S+)\s+([0-9.]+)")
+HIGHEST_PORT = 65_535
+
+ZonePairCost = tuple[str, str, float]  # from, to, cost
 
 
-def duration(text: object) -> int:
+def parse_duration(text: object) -> int:
     """Nanoseconds from '2.2 s', '250 ms', '15 min'. A bare number is refused: its unit would be a guess."""
     if isinstance(text, int) and not isinstance(text, bool):
         return text
     match = _DURATION.match(str(text).strip())
     if not match:
         raise ValueError("is not a duration; write a number and a unit, such as 2.2 s or 250 ms")
-    return round(float(match[1]) * NS[match[2]])
+    return round(float(match[1]) * NS_PER_UNIT[match[2]])
 
 
-def address(text: object) -> str:
+def parse_address(text: object) -> str:
     """'127.0.0.1:18000' or '[::1]:18000'; port 0 lets the system choose. Loopback only."""
-    host, _, port = str(text).strip().rpartition(":")
+    stripped = str(text).strip()
+    host, _, port = stripped.rpartition(":")
     try:
-        loopback = ipaddress.ip_address(host.strip("[]")).is_loopback
+        is_loopback = ipaddress.ip_address(host.strip("[]")).is_loopback
     except ValueError:
         raise ValueError("is not an address; write IP:PORT, such as 127.0.0.1:18000") from None
-    if not port.isdigit() or int(port) > 65535:
+    if not port.isdigit() or int(port) > HIGHEST_PORT:
         raise ValueError("has no port from 0 to 65535; write IP:PORT, such as 127.0.0.1:18000")
-    if not loopback:
+    if not is_loopback:
         raise ValueError("is not a loopback address; streams are plain text so far, so only loopback is served")
-    return str(text).strip()
+    return stripped
 
 
-def names(text: object) -> tuple[str, ...]:
+def parse_names(text: object) -> tuple[str, ...]:
     """A comma-separated list without repeats."""
-    items = (
-        tuple(text)
-        if isinstance(text, (tuple, list))
-        else tuple(part.strip() for part in str(text).split(",") if part.strip())
-    )
-    if len(dict.fromkeys(items)) != len(items):
+    names = tuple(text) if isinstance(text, tuple | list) else _split(text)
+    if len(set(names)) != len(names):
         raise ValueError("names one thing twice; list each once")
-    if not items:
+    if not names:
         raise ValueError("is empty; list at least one name")
-    return items
+    return names
 
 
-def pairs(text: object) -> tuple[tuple[str, str, float], ...]:
-    """'north>south 0.05, south>north 0.02': a price for each ordered pair."""
+def parse_zone_pair_costs(text: object) -> tuple[ZonePairCost, ...]:
+    """'north>south 0.05, south>north 0.02': a cost for each ordered pair of zones."""
     if isinstance(text, tuple):
         return text
-    found = []
-    for part in filter(None, (p.strip() for p in str(text).split(","))):
-        match = re.fullmatch(r"(\S+?)\s*>\s*(\S+)\s+([0-9.]+)", part)
+    costs = []
+    for part in _split(text):
+        match = _ZONE_PAIR_COST.fullmatch(part)
         if not match:
             raise ValueError("is no list of pairs; write from>to price, such as north>south 0.05")
-        found.append((match[1], match[2], float(match[3])))
-    return tuple(found)
-
-
-Duration = Annotated[int, BeforeValidator(duration)]
-Address = Annotated[str, BeforeValidator(address)]
-Names = Annotated[tuple[str, ...], BeforeValidator(names)]
-Pairs = Annotated[tuple[tuple[str, str, float], ...], BeforeValidator(pairs)]
-
-
-def covers(text: object) -> str:
-    """'fleet', 'class NAME' or 'slices 0-9, 12'."""
-    said = " ".join(str(text).split())
-    kind, _, rest = said.partition(" ")
-    if said == "fleet" or (kind == "class" and rest):
-        return said
-    if kind == "slices":
-        for part in rest.split(","):
-            low, _, high = part.strip().partition("-")
-            if not low.isdigit() or (high and (not high.isdigit() or int(high) < int(low))):
-                raise ValueError(f"names {part.strip()!r}; write slices such as 0-9, 12")
-        return said
-    raise ValueError("is none of: fleet, class NAME, slices 0-9, 12")
-
-
-def numbers(said: str) -> list[int]:
-    """The slices of a text that `covers` has checked, such as 'slices 0-9, 12'."""
-    found: list[int] = []
-    for part in said.partition(" ")[2].split(","):
+        costs.append((match[1], match[2], float(match[3])))
+    return tuple(costs)
+
+
+def parse_coverage(text: object) -> str:
+    """'fleet', 'class NAME' or 'slices 0-9, 12', with single spaces."""
+    coverage = " ".join(str(text).split())
+    kind, _, rest = coverage.partition(" ")
+    if coverage == "fleet" or (kind == "class" and rest):
+        return coverage
+    if kind != "slices":
+        raise ValueError("is none of: fleet, class NAME, slices 0-9, 12")
+    for part in rest.split(","):
         low, _, high = part.strip().partition("-")
-        found += range(int(low), int(high or low) + 1)
-    return found
+        is_range = low.isdigit() and (not high or (high.isdigit() and int(high) >= int(low)))
+        if not is_range:
+            raise ValueError(f"names {part.strip()!r}; write slices such as 0-9, 12")
+    return coverage
+
+
+def slice_numbers(coverage: str) -> list[int]:
+    """The slices of a checked coverage such as 'slices 0-9, 12'."""
+    numbers: list[int] = []
+    for part in coverage.partition(" ")[2].split(","):
+        low, _, high = part.strip().partition("-")
+        numbers += range(int(low), int(high or low) + 1)
+    return numbers
+
+
+def _split(text: object) -> tuple[str, ...]:
+    parts = [part.strip() for part in str(text).split(",")]
+    return tuple(part for part in parts if part)
 
 
-Covers = Annotated[str, BeforeValidator(covers)]
+Duration = Annotated[int, BeforeValidator(parse_duration)]  # ns
+Address = Annotated[str, BeforeValidator(parse_address)]
+Names = Annotated[tuple[str, ...], BeforeValidator(parse_names)]
+ZonePairCosts = Annotated[tuple[ZonePairCost, ...], BeforeValidator(parse_zone_pair_costs)]
+Coverage = Annotated[str, BeforeValidator(parse_coverage)]
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -37,10 +37,25 @@
         self.settings, self.zone_of = settings, zone_of
         s = settings.solver
         self.kinds = tuple(
-            Kind(n, k.worth, min(k.late_worth, k.worth), max(k.work, 1) / SECOND, k.aim / SECOND, k.own_zone)
-            for n, k in settings.classes.items()
+            Kind(
+                name,
+                kind.priority_weight,
+                min(kind.late_weight, kind.priority_weight),
+                max(kind.mean_work, 1) / SECOND,
+                kind.latency_objective / SECOND,
+                kind.own_zone_only,
+            )
+            for name, kind in settings.classes.items()
+        )
+        self.costs = Costs(
+            s.cross_zone_cost,
+            s.zone_pair_costs,
+            s.move_cost,
+            s.min_share,
+            s.max_move_share,
+            s.headroom,
+            s.demand_spread,
         )
-        self.costs = Costs(s.cross, s.pairs, s.move, s.least, s.bound, s.margin, s.spread)
         self.due_at = 0
         self.seen: tuple = ()
         self.mended: tuple = ()
@@ -61,13 +76,13 @@
 
     def begin(self, now: int, planner: Planner) -> None:
         """A solve starts now."""
-        self.seen, self.due_at = self._fleet(planner), now + self.settings.solver.every
+        self.seen, self.due_at = self._fleet(planner), now + self.settings.solver.period
 
     def failed(self, now: int, why: str) -> None:
         """The last good weights stay; tries grow rarer."""
         self.fails += 1
         self.trouble = why
-        self.due_at = now + min(SLOWEST, self.settings.solver.every * 2 ** min(self.fails, 10))
+        self.due_at = now + min(SLOWEST, self.settings.solver.period * 2 ** min(self.fails, 10))
 
     # -- what is asked
 
@@ -139,7 +154,7 @@
         self.fails, self.trouble = 0, ""
         self.before, self.last = self.last, plan
         events = self._tables(plan.weights, planner)
-        if self.settings.solver.levels:
+        if self.settings.solver.advise_capacity:
             events.append(api.CapacityAdvised(self._bearable(plan)))
         return events
 
--- a/damsonpick/testing/scenarios/environment.py
+++ b/damsonpick/testing/scenarios/environment.py
@@ -76,7 +76,7 @@
         """The figures behind the rules, as the pilot's settings read them."""
         from damsonpick.settings.model import Rules
 
-        return Rules.model_validate(self.script.pilot["rules"]).model_dump()
+        return Rules.model_validate(self.script.pilot["rules"]).model_dump(by_alias=True)
 
     def settings(self, upstream: str) -> str:
         """The pilot's settings file for this day."""
--- a/damsonpick/testing/scenarios/player.py
+++ b/damsonpick/testing/scenarios/player.py
@@ -94,15 +94,15 @@
     r, c = settings.rules, settings.channel
     return Limits(
         slices=settings.table_count(),
-        bare=r.bare_limit,
+        bare=r.empty_table_limit,
         grace=r.drain_grace,
-        cold_time=r.cold_time,
-        fall_multiple=r.fall_multiple,
-        fall_time=r.fall_time,
+        cold_time=r.warm_up_time,
+        fall_multiple=r.overload_multiple,
+        fall_time=r.overload_time,
         waiting=c.limit if c.lines_per_second else float("inf"),
-        head=c.head,
-        messages=c.messages,
-        window=c.window,
+        head=c.message_overhead,
+        messages=c.messages_per_window,
+        window=c.message_window,
         effects={n: (k.effect, k.key_scope, k.key_window) for n, k in settings.classes.items()},
     )
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,8 +7,10 @@
 
 import pytest
 
-from damsonpick.settings import SettingsError, load, read
-from damsonpick.settings.units import duration
+from damsonpick.settings import PilotSettings, SettingsError, load, read
+from damsonpick.settings.load import NAMED_SECTIONS, SINGLE_SECTIONS
+from damsonpick.settings.model import keys_of
+from damsonpick.settings.units import parse_duration
 from damsonpick.testing.scenarios import script
 from tests.pilots import SETTINGS
 
@@ -77,10 +79,10 @@
 
 
 def test_durations_need_a_unit():
-    assert duration("2.5 s") == 2_500_000_000 and duration("250ms") == 250_000_000
+    assert parse_duration("2.5 s") == 2_500_000_000 and parse_duration("250ms") == 250_000_000
     for text in ("5", "5 apples", "-1 s", "", "1e3 s"):
         with pytest.raises(ValueError, match="duration"):
-            duration(text)
+            parse_duration(text)
 
 
 def test_check_command_prints_all_and_says_so_by_its_exit_code(tmp_path):
@@ -100,3 +102,36 @@
         script.load(path)
     for part in ("[day] length", "[class page] deadline", "[trouble x] kind", "[odd]: is no section"):
         assert part in str(error.value)
+
+
+KEYS = {
+    "pilot": "name zone zones state seed clock_rate",
+    "listen": "xds largest_request",
+    "tables": "slices pick sole_owner admission try_aims strikes",
+    "rules": "drain_grace bare_limit cold_share cold_time fall_multiple fall_time write_linger write_lease",
+    "channel": "lines_per_second limit head messages window transit_most",
+    "reports": "every oldest",
+    "list": "source file upstream cluster poll",
+    "solver": "every time_limit lines levels cross pairs move least bound margin spread",
+    "versions": "keep age pin stop",
+    "knowledge": "keep every",
+    "sasp": "listen unknown unmapped sessions groups members messages patience feed",
+    "sasp group": "covers",
+    "sasp balancer": "may zone",
+    "log": "format level",
+    "class": "aim deadline worth effect key_scope key_window writes work late_worth own_zone",
+}
+
+
+def test_keys_of_the_file_are_those_that_operators_know():
+    """Fields have names of their own inside; a file written for an earlier version must go on working."""
+    fields = {field.alias or name: field.annotation for name, field in PilotSettings.model_fields.items()}
+    sections = {name: fields[name] for name in SINGLE_SECTIONS}
+    sections |= {prefix: section for prefix, (_, section) in NAMED_SECTIONS.items()}
+    assert {name: " ".join(keys_of(section)) for name, section in sections.items()} == KEYS
+
+
+@pytest.mark.parametrize("key", ["latency_objective = 1 s", "priority_weight = 2"])
+def test_names_of_fields_are_no_keys_of_the_file(tmp_path, key):
+    found = problems(tmp_path, GOOD.replace("aim = 1.5 s", f"aim = 1.5 s\n{key}", 1))
+    assert len(found) == 1 and "is no key of this section; it has aim, deadline, worth" in found[0]
