--- a/damsonpick/__main__.py
+++ b/damsonpick/__main__.py
@@ -2,5 +2,5 @@
 
 from damsonpick.cli.main import main
 
-if __name__ == "__main__":  # the solver's worker process loads this file too
+if __name__ == "__main__":
     main()
--- a/damsonpick/cli/load.py
+++ b/damsonpick/cli/load.py
@@ -24,7 +24,7 @@
     """
     from damsonpick.load_tool import player, results
     from damsonpick.load_tool.experiment import read
-    from damsonpick.settings.load import SettingsError
+    from damsonpick.settings.problems import SettingsError
 
     try:
         result = anyio.run(player.Player(read(experiment)).run)
--- a/damsonpick/cli/pilot.py
+++ b/damsonpick/cli/pilot.py
@@ -78,9 +78,9 @@
         pilot = Pilot(settings, log, **parts)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async with pilot.running():
-                port_files.write(port_file, pilot.port)
-                if port_file is not None and pilot.sasp is not None:
-                    port_files.write(port_file.with_suffix(".sasp"), pilot.sasp_port)
+                port_files.write(port_file, pilot.ports.xds)
+                if port_file is not None and settings.sasp.listen is not None:
+                    port_files.write(port_file.with_suffix(".sasp"), pilot.ports.sasp)
                 async for _ in signals:
                     break
 
--- a/damsonpick/cli/proxy.py
+++ b/damsonpick/cli/proxy.py
@@ -22,7 +22,7 @@
     from damsonpick.proxy import program
     from damsonpick.proxy.settings import load
     from damsonpick.runtime.logs import configure
-    from damsonpick.settings.load import SettingsError
+    from damsonpick.settings.problems import SettingsError
 
     try:
         settings = load(file)
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -1,7 +1,4 @@
-"""One pilot: puts its parts together, opens its sockets, runs its tasks, and ends them in order.
-
-Every decision is the engine's or a sans-I/O part's; the tasks here only carry events to the engine and wake the loop.
-"""
+"""The life cycle of one pilot: opens its sockets, runs its tasks, and ends them in order."""
 
 from __future__ import annotations
 
@@ -12,47 +9,20 @@
 import anyio
 from anyio.abc import TaskGroup, TaskStatus
 
-from damsonpick import interface as api
 from damsonpick.controller import control_socket
-from damsonpick.controller.control_socket import Reply, Request
-from damsonpick.controller.drive_loop import DriveLoop, StreamServer, Wakeup
-from damsonpick.controller.engine import Engine
-from damsonpick.controller.lease_task import LeaseTask
-from damsonpick.controller.list_queries import ListQuery
-from damsonpick.controller.list_updates import ListUpdater
-from damsonpick.controller.list_watch import ListWatch
-from damsonpick.controller.load_report_task import LoadReportTask
-from damsonpick.controller.queries import Query, QueryRouter, StatusQuery, TablesQuery, sasp_query, weights_query
-from damsonpick.controller.snapshot_task import NOTHING_LEARNED, SnapshotTask
-from damsonpick.controller.solver_task import SolverTask
-from damsonpick.controller.version_queries import Questions
+from damsonpick.controller.components import AdvisorFactory, Components, PlannerFactory
+from damsonpick.controller.queries import Ports
+from damsonpick.controller.snapshot_task import NOTHING_LEARNED
 from damsonpick.decisions.planner import Planner
-from damsonpick.protocols.sasp.server import SaspServer
-from damsonpick.protocols.shared.send_queue import Channel
-from damsonpick.protocols.shared.session_manager import SessionManager
-from damsonpick.protocols.xds.resources import Catalogue
-from damsonpick.protocols.xds.server import XdsServer
-from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
 from damsonpick.solver import work
 from damsonpick.solver.advice import Advisor
-from damsonpick.state.endpoint_list.validation import EndpointList
-from damsonpick.state.history.database import open_store
-from damsonpick.state.history.recorder import HistoryRecorder
-from damsonpick.state.learned.disk import FolderLock
-from damsonpick.state.learned.list_confidence import Trust
-from damsonpick.state.load_reports import LoadReports
-from damsonpick.state.published_tables import PublishedTables
-from damsonpick.state.store.sqlite import Store
 
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
 XDS_STOP_GRACE_S = 0.2  # wall time that open streams have to end
 
-PlannerFactory = Callable[[api.Settings, int], Planner]
-AdvisorFactory = Callable[[PilotSettings, Callable[[str], str]], Advisor]
-
 
 class Pilot:
     """One pilot, from settings to open sockets.
@@ -79,182 +49,12 @@
     ) -> None:
         self.settings = settings
         self.log = log
-        self.clock = Clock(settings.pilot.clock_rate)
-        self.wakeup = Wakeup()
-        self.port = 0
-        self._open_state()
-        self._make_publication()
-        self._make_engine(planner_factory)
-        self._make_list_watch()
-        self._make_servers()
-        self._make_solver(advisor_factory, solve)
-        self._make_tasks()
-        self.queries = self._make_queries()
+        self.components = Components(settings, log, planner_factory, advisor_factory, solve)
 
     @property
-    def sasp_port(self) -> int:
-        """The port of the SASP server; 0: there is none, or it is not open yet."""
-        return self.sasp.port if self.sasp is not None else 0
-
-    # -- composition, each step on what those before it made
-
-    def _open_state(self) -> None:
-        """The state folder's lock before anything that is kept in the folder."""
-        settings = self.settings
-        self.lock = FolderLock(settings.pilot.state)
-        self.store = Store(settings.store_path(), settings.table_count())
-        self.epoch = self.store.epoch()
-        self.history = open_store(settings.history_path())
-
-    def _make_publication(self) -> None:
-        """What is published, and the way to the sessions that read it."""
-        settings = self.settings
-        budget = settings.channel
-        self.published = PublishedTables(tuple(settings.classes), settings.table_count())
-        self.endpoint_list = EndpointList(settings.pilot.zones)
-        self.channel = Channel(
-            budget.lines_per_second,
-            budget.message_overhead,
-            budget.limit,
-            budget.messages_per_window,
-            budget.message_window,
-        )
-        self.catalogue = Catalogue(self.published, settings, self._zone_of)
-        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway)
-        self.session_manager.stop_share = settings.versions.stop_share
-
-    def _make_engine(self, planner_factory: PlannerFactory) -> None:
-        versions = self.settings.versions
-        self.recorder = HistoryRecorder(
-            self.published, self.catalogue.versions, self.history, versions.max_count, versions.max_age, self.log
-        )
-        self.engine = Engine(
-            self.settings,
-            self.store,
-            self.published,
-            self.session_manager,
-            self.endpoint_list,
-            self.log,
-            planner_factory,
-            self.recorder,
-        )
-
-    def _make_list_watch(self) -> None:
-        """The endpoint list, how far it is believed, and what gateways report of its endpoints."""
-        settings, reports = self.settings, self.settings.reports
-        self.load_reports = LoadReports(
-            tuple(settings.classes), settings.table_count(), reports.period, reports.max_age
-        )
-        self.confidence = Trust()
-        self.engine.doubted = self.confidence.again
-        self.list_updater = ListUpdater(
-            clock=self.clock,
-            endpoint_list=self.endpoint_list,
-            confidence=self.confidence,
-            engine=self.engine,
-            load_reports=self.load_reports,
-            store=self.store,
-            on_change=self._list_changed,
-            notify=self.wakeup.notify,
-            log=self.log,
-        )
-        self.list_watch = ListWatch(settings, self.clock, self.list_updater, self.wakeup.notify, self.log)
-        self.load_report_task = LoadReportTask(
-            load_reports=self.load_reports,
-            confidence=self.confidence,
-            engine=self.engine,
-            clock=self.clock,
-            period=reports.period,
-            notify=self.wakeup.notify,
-            log=self.log,
-        )
-
-    def _make_servers(self) -> None:
-        self.xds = XdsServer(
-            self.session_manager,
-            self.epoch,
-            self.clock.now,
-            self.wakeup.notify,
-            self.load_report_task.receive,
-            self.settings.reports.period,
-            self.log,
-        )
-        self.sasp: SaspServer | None = None
-        if self.settings.sasp.listen is not None:
-            self.sasp = SaspServer(
-                self.settings,
-                self.session_manager,
-                self.engine,
-                self.clock,
-                self.wakeup.notify,
-                self.list_watch.receive_members,
-                self.log,
-            )
-
-    def _make_solver(self, advisor_factory: AdvisorFactory, solve: Callable) -> None:
-        self.advisor = advisor_factory(self.settings, self._zone_of)
-        self.solver_task = SolverTask(
-            advisor=self.advisor,
-            engine=self.engine,
-            clock=self.clock,
-            notify=self.wakeup.notify,
-            log=self.log,
-            solve=solve,
-        )
-
-    def _make_tasks(self) -> None:
-        self.snapshot_task = SnapshotTask(
-            settings=self.settings,
-            clock=self.clock,
-            engine=self.engine,
-            list_confirmed_at=self.list_watch.confirmed_at,
-            last_answers=lambda: self.confidence.answered,
-            log=self.log,
-        )
-        self.lease_task = LeaseTask(engine=self.engine, clock=self.clock, notify=self.wakeup.notify, log=self.log)
-        servers: list[StreamServer] = [self.xds]
-        if self.sasp is not None:
-            servers.append(self.sasp)
-        self.drive_loop = DriveLoop(
-            engine=self.engine,
-            session_manager=self.session_manager,
-            servers=servers,
-            clock=self.clock,
-            wakeup=self.wakeup,
-            log=self.log,
-        )
-
-    def _make_queries(self) -> QueryRouter:
-        self.version_queries = Questions(self.engine, self.recorder, self.session_manager, self.settings)
-        status = StatusQuery(
-            name=self.settings.pilot.name,
-            epoch=self.epoch,
-            ports=self,
-            clock=self.clock,
-            engine=self.engine,
-            published=self.published,
-            session_manager=self.session_manager,
-            channel=self.channel,
-            list_watch=self.list_watch,
-            snapshot_task=self.snapshot_task,
-        )
-        return QueryRouter(
-            {
-                Query.STATUS: status.answer,
-                Query.TABLES: TablesQuery(self.published, self.catalogue).answer,
-                Query.WEIGHTS: weights_query(self.advisor, self.settings.solved),
-                Query.VERSIONS: self._answer_versions,
-                Query.LIST: ListQuery(self.list_watch, self.list_updater, self.clock).answer,
-                Query.SASP: sasp_query(self.sasp),
-                Query.FORGET: self._forget,
-            }
-        )
-
-    def _zone_of(self, endpoint: str) -> str:
-        """The zone that an endpoint was last listed in; '': it never was."""
-        return self.endpoint_list.places.get(endpoint, "")
-
-    # -- life cycle
+    def ports(self) -> Ports:
+        """The ports that are open."""
+        return self.components.ports
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[TaskGroup]:
@@ -264,18 +64,20 @@
             FrontError: the SASP address cannot be opened.
             RuntimeError: the xDS address cannot be opened.
         """
+        components = self.components
         self._restore()
-        if self.sasp is not None:
-            await self.sasp.open()
+        if components.sasp is not None:
+            await components.sasp.open()
+            self.ports.sasp = components.sasp.port
         listen = self.settings.listen
-        xds_server, self.port = await self.xds.start(listen.xds, listen.largest_request)
+        xds_server, self.ports.xds = await components.xds.start(listen.xds, listen.largest_request)
         self.log.info(
             "pilot_started",
             name=self.settings.pilot.name,
-            port=self.port,
-            epoch=self.epoch,
-            slices=len(self.engine.owned),
-            endpoints=len(self.endpoint_list.entries),
+            port=self.ports.xds,
+            epoch=components.epoch,
+            slices=len(components.engine.owned),
+            endpoints=len(components.endpoint_list.entries),
         )
         try:
             async with anyio.create_task_group() as group:
@@ -287,52 +89,30 @@
             with anyio.CancelScope(shield=True):
                 await xds_server.stop(XDS_STOP_GRACE_S)
                 if self.settings.learned_state.enabled:
-                    await self.snapshot_task.write()
-            self.store.close()
-            self.history.close()
-            self.lock.release()
+                    await components.snapshot_task.write()
+            components.close()
             self.log.info("pilot_ended", name=self.settings.pilot.name)
 
     def _restore(self) -> None:
         """Start the engine on what an earlier incarnation stored and learned."""
-        learned = self.snapshot_task.read() if self.settings.learned_state.enabled else NOTHING_LEARNED
-        self.engine.start(self.clock.now(), learned.snapshot, learned.away)
-        self.list_updater.start(learned.snapshot, learned.away)
+        components = self.components
+        learned = components.snapshot_task.read() if self.settings.learned_state.enabled else NOTHING_LEARNED
+        components.engine.start(components.clock.now(), learned.snapshot, learned.away)
+        components.list_updater.start(learned.snapshot, learned.away)
 
     def _start_tasks(self, group: TaskGroup) -> None:
-        group.start_soon(self.list_watch.run)
-        group.start_soon(self.load_report_task.run)
-        group.start_soon(self.lease_task.run)
-        if self.sasp is not None:
-            group.start_soon(self.sasp.run)
-        group.start_soon(self.drive_loop.run)
+        components = self.components
+        group.start_soon(components.list_watch.run)
+        group.start_soon(components.load_report_task.run)
+        group.start_soon(components.lease_task.run)
+        if components.sasp is not None:
+            group.start_soon(components.sasp.run)
+        group.start_soon(components.drive_loop.run)
         if self.settings.learned_state.enabled:
-            group.start_soon(self.snapshot_task.run)
+            group.start_soon(components.snapshot_task.run)
         if self.settings.solved:
-            group.start_soon(self.solver_task.run)
+            group.start_soon(components.solver_task.run)
 
     async def _serve_control_socket(self, *, task_status: TaskStatus[None]) -> None:
-        await control_socket.serve(self.settings.control_path(), self.queries.answer, task_status.started)
-
-    # -- what concerns several parts
-
-    def _list_changed(self) -> None:
-        """Tables that the solver assigns follow a change of the endpoint list at once, and so does SASP advice."""
-        if self.sasp is not None:
-            self.sasp.learn()
-        if self.settings.solved:
-            self.engine.step(self.clock.now())
-            self.solver_task.advise_at_once()
-
-    def _answer_versions(self, request: Request) -> Reply:
-        reply = self.version_queries.answer(self.clock.now(), request)
-        self.wakeup.notify()  # a rollback or pin gives the engine work
-        return reply
-
-    def _forget(self, request: Request) -> Reply:
-        """Drop what was learned, on disk and in the planner."""
-        del request  # it has no parameters
-        self.snapshot_task.forget()
-        self.engine.forget(self.clock.now())
-        self.wakeup.notify()
-        return {"forgotten": True}
+        answer = self.components.queries.answer
+        await control_socket.serve(self.settings.control_path(), answer, task_status.started)
--- a/damsonpick/controller/queries.py
+++ b/damsonpick/controller/queries.py
@@ -57,16 +57,12 @@
         return self.answerers[Query(kind)](request)
 
 
-class Ports(Protocol):
-    """The ports that are open; 0: none."""
+@dataclass(slots=True)
+class Ports:
+    """The ports that are open; 0: not open."""
 
-    @property
-    def port(self) -> int:
-        """Of the xDS server."""
-
-    @property
-    def sasp_port(self) -> int:
-        """Of the SASP server."""
+    xds: int = 0
+    sasp: int = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -99,8 +95,8 @@
         return {
             "pilot": self.name,
             "epoch": self.epoch,
-            "port": self.ports.port,
-            "sasp_port": self.ports.sasp_port,
+            "port": self.ports.xds,
+            "sasp_port": self.ports.sasp,
             "published": self.published.seq,
             "module": "running" if self.engine.planner else "being started over",
             "list": self.list_watch.summary,
--- a/damsonpick/load_tool/experiment.py
+++ b/damsonpick/load_tool/experiment.py
@@ -12,7 +12,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from damsonpick.settings import sections
-from damsonpick.settings.load import Problem, SettingsError
+from damsonpick.settings.problems import Problem, SettingsError
 from damsonpick.settings.units import Address, Duration
 
 
--- a/damsonpick/proxy/settings.py
+++ b/damsonpick/proxy/settings.py
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field
 
 from damsonpick.settings import sections
-from damsonpick.settings.load import Problem, SettingsError
+from damsonpick.settings.problems import Problem, SettingsError
 from damsonpick.settings.units import Address, Duration, Names, parse_address
 
 
--- a/damsonpick/runtime/logs.py
+++ b/damsonpick/runtime/logs.py
@@ -4,19 +4,28 @@
 
 import logging
 import sys
-from typing import Any
+from typing import Literal
 
 import structlog
+from structlog.typing import FilteringBoundLogger
 
+LogFormat = Literal["console", "json"]
 
-def configure(form: str, level: str) -> Any:
-    """Set up structlog; returns the root logger of the program."""
-    last = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
-    chain = [structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True)]
-    if form == "json":
-        chain.append(structlog.processors.format_exc_info)
+
+def configure(log_format: LogFormat, level: str) -> FilteringBoundLogger:
+    """Set up structlog; returns the root logger of the program.
+
+    Args:
+        log_format: how an event is written.
+        level: the least severe level that is written, such as "info".
+    """
+    processors = [structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True)]
+    if log_format == "json":
+        processors += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
+    else:
+        processors.append(structlog.dev.ConsoleRenderer(colors=False))
     structlog.configure(
-        processors=[*chain, last],
+        processors=processors,
         cache_logger_on_first_use=True,
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
--- a/damsonpick/runtime/port_files.py
+++ b/damsonpick/runtime/port_files.py
@@ -1,21 +1,24 @@
-"""A file that tells which port a program has opened, for those that start it or dial it on this machine."""
+"""A file that names the port a program has opened, for those on this machine that connect to it."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
+LOOPBACK = "127.0.0.1"
+
 
 def write(path: Path | None, port: int) -> None:
-    """Tell the port, whole or not at all; `path` None: nobody wants to know."""
-    if path is not None:
-        part = path.with_suffix(".part")
-        part.write_text(f"{port}\n")
-        part.replace(path)
+    """Write the port; a reader sees the whole file or none. Nothing is written where `path` is None."""
+    if path is None:
+        return
+    partial = path.with_suffix(".part")
+    partial.write_text(f"{port}\n")
+    partial.replace(path)
 
 
 def address(path: Path) -> str:
-    """Where to dial, or '' while nothing is told."""
+    """The address to connect to; '' while there is no such file."""
     try:
-        return "127.0.0.1:" + path.read_text().strip()
+        return f"{LOOPBACK}:{path.read_text().strip()}"
     except OSError:
         return ""
--- a/damsonpick/testing/scenarios/report.py
+++ b/damsonpick/testing/scenarios/report.py
@@ -9,7 +9,7 @@
 import anyio
 import click
 
-from damsonpick.settings.load import SettingsError
+from damsonpick.settings.problems import SettingsError
 from damsonpick.testing.scenarios.player import Outcome, play
 from damsonpick.testing.scenarios.script import Script, load
 
--- a/damsonpick/testing/scenarios/script.py
+++ b/damsonpick/testing/scenarios/script.py
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from damsonpick.settings import sections
-from damsonpick.settings.load import Problem, SettingsError
+from damsonpick.settings.problems import Problem, SettingsError
 from damsonpick.settings.units import Duration, Names
 
 Share = Annotated[float, Field(gt=0, le=1)]
