--- a/damsonpick/cli/learned.py
+++ b/damsonpick/cli/learned.py
@@ -22,8 +22,8 @@
 )
 
 if TYPE_CHECKING:
-    from damsonpick.state.learned.generations import Found
-    from damsonpick.state.learned.snapshot import Server, Snapshot
+    from damsonpick.state.learned.generations import LoadedSnapshot
+    from damsonpick.state.learned.snapshot import LearnedEndpoint, Snapshot
 
 NS_PER_SECOND = 1e9
 
@@ -33,7 +33,7 @@
     """What the pilot has learned and keeps on disk. All but `forget` work while it runs and while it does not."""
 
 
-def _find_newest(folder: Path) -> Found:
+def _find_newest(folder: Path) -> LoadedSnapshot:
     """The newest whole snapshot, and the files that were rejected."""
     from damsonpick.state.learned import generations
     from damsonpick.state.learned.disk import OsDisk
@@ -50,65 +50,65 @@
     Exit code 1: nothing is kept, or it cannot be read.
     """
     from damsonpick.state.learned import ageing
-    from damsonpick.state.learned.disk import moment
+    from damsonpick.state.learned.disk import host_time
 
     folder = load_settings(file).learned_path()
     found = _find_newest(folder)
-    for problem in found.wrong:
+    for problem in found.problems:
         click.echo(problem, err=True)
     written = found.snapshot
     if written is None:
         fail(f"{folder}: nothing is kept", EXIT_NO)
-    age = ageing.age(written.at, moment())
-    aged = ageing.fade(written, age.ns)
+    age = ageing.age_of(written.taken_at, host_time())
+    aged = ageing.decay(written, age.ns)
     age_s = age.ns / NS_PER_SECOND
     report = {
-        "which": found.which,
+        "which": found.generation,
         "sequence": written.sequence,
         "age_s": age_s,
-        "doubt": age.doubt,
+        "doubt": age.clock_warning,
         "written": msgspec.to_builtins(written),
         "aged": msgspec.to_builtins(aged),
     }
     if print_json(report, as_json):
         return
-    uncertainty = f"; {age.doubt}" if age.doubt else ""
-    click.echo(f"snapshot {written.sequence} of {written.pilot} ({found.which}), {age_s:.1f} s old{uncertainty}")
+    uncertainty = f"; {age.clock_warning}" if age.clock_warning else ""
+    click.echo(f"snapshot {written.sequence} of {written.pilot} ({found.generation}), {age_s:.1f} s old{uncertainty}")
     _print_fleet(written, aged)
     _print_servers(written, aged)
 
 
 def _request_rate(snapshot: Snapshot) -> float:
     """Requests a second of all slices and classes."""
-    return sum(sum(piece.rates) for piece in snapshot.pieces)
+    return sum(sum(learned_slice.rates) for learned_slice in snapshot.slices)
 
 
 def _print_fleet(written: Snapshot, aged: Snapshot) -> None:
     click.echo(
-        f"best {written.fleet.best:.1f} answers/s, now {aged.fleet.best:.1f}; "
-        f"{len(written.pieces)} slices with {_request_rate(written):.1f} requests/s, now {_request_rate(aged):.1f}"
+        f"best {written.fleet.best_throughput:.1f} answers/s, now {aged.fleet.best_throughput:.1f}; "
+        f"{len(written.slices)} slices with {_request_rate(written):.1f} requests/s, now {_request_rate(aged):.1f}"
     )
 
 
 def _print_servers(written: Snapshot, aged: Snapshot) -> None:
     rows = []
-    for server, aged_server in zip(written.servers, aged.servers, strict=True):
+    for server, aged_server in zip(written.endpoints, aged.endpoints, strict=True):
         rows.append(
             [
                 server.endpoint,
                 server.started or "long ago",
-                f"{server.speed:.3f}",
-                f"{aged_server.speed:.3f}",
+                f"{server.capacity_factor:.3f}",
+                f"{aged_server.capacity_factor:.3f}",
                 _last_answer(written, server),
             ]
         )
     print_table(["server", "process started", "speed", "aged", "last good answer"], rows)
 
 
-def _last_answer(written: Snapshot, server: Server) -> str:
-    if not server.answered:
+def _last_answer(written: Snapshot, server: LearnedEndpoint) -> str:
+    if not server.last_success_at:
         return "not known"
-    return f"{(written.clock - server.answered) / NS_PER_SECOND:.1f} s before it was written"
+    return f"{(written.clock_at - server.last_success_at) / NS_PER_SECOND:.1f} s before it was written"
 
 
 @learned.command()
@@ -116,6 +116,7 @@
 def verify(file: Path) -> None:
     """Read every generation and say which are whole. Exit code 1: one is not."""
     from damsonpick.state.learned import codec, generations
+    from damsonpick.state.learned.errors import SnapshotError
 
     folder = load_settings(file).learned_path()
     all_whole = True
@@ -127,7 +128,7 @@
             click.echo(f"{path}: whole, snapshot {snapshot.sequence}, {len(data)} bytes")
         except FileNotFoundError:
             click.echo(f"{path}: there is none")
-        except (codec.Damaged, codec.Newer, OSError) as error:
+        except (SnapshotError, OSError) as error:
             click.echo(f"{path}: {error}")
             all_whole = False
     sys.exit(0 if all_whole else EXIT_NO)
--- a/damsonpick/cli/pilot.py
+++ b/damsonpick/cli/pilot.py
@@ -69,8 +69,8 @@
     from damsonpick.protocols.sasp.server import FrontError
     from damsonpick.runtime import port_files
     from damsonpick.runtime.logs import configure
-    from damsonpick.state.learned.disk import LockError
-    from damsonpick.state.store.sqlite import StoreError
+    from damsonpick.state.learned.errors import LockError
+    from damsonpick.state.store.errors import StoreError
 
     log = configure(settings.log.format, settings.log.level)
 
--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -28,10 +28,11 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.solver.advice import Advisor
 from damsonpick.state.endpoint_list.validation import EndpointList
-from damsonpick.state.history.database import open_store
+from damsonpick.state.history.database import open_history
+from damsonpick.state.history.history import Retention
 from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.learned.disk import FolderLock
-from damsonpick.state.learned.list_confidence import Trust
+from damsonpick.state.learned.list_confidence import ListConfidence
 from damsonpick.state.load_reports import LoadReports
 from damsonpick.state.published_tables import PublishedTables
 from damsonpick.state.store.sqlite import Store
@@ -92,8 +93,8 @@
         settings = self.settings
         self.lock = FolderLock(settings.pilot.state)
         self.store = Store(settings.store_path(), settings.table_count())
-        self.epoch = self.store.epoch()
-        self.history = open_store(settings.history_path())
+        self.epoch = self.store.next_epoch()
+        self.history = open_history(settings.history_path())
 
     def _make_publication(self) -> None:
         """What is published, and the way to the sessions that read it."""
@@ -109,13 +110,17 @@
             budget.message_window,
         )
         self.catalogue = Catalogue(self.published, settings, self._zone_of)
-        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway)
+        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway_number)
         self.session_manager.stop_share = settings.versions.stop_share
 
     def _make_engine(self, planner_factory: PlannerFactory) -> None:
         versions = self.settings.versions
         self.recorder = HistoryRecorder(
-            self.published, self.catalogue.versions, self.history, versions.max_count, versions.max_age, self.log
+            self.published,
+            self.catalogue.versions,
+            self.history,
+            Retention(versions.max_count, versions.max_age),
+            self.log,
         )
         self.engine = Engine(
             self.settings,
@@ -134,8 +139,8 @@
         self.load_reports = LoadReports(
             tuple(settings.classes), settings.table_count(), reports.period, reports.max_age
         )
-        self.confidence = Trust()
-        self.engine.doubted = self.confidence.again
+        self.confidence = ListConfidence()
+        self.engine.doubted = self.confidence.published_events
         self.list_updater = ListUpdater(
             clock=self.clock,
             endpoint_list=self.endpoint_list,
@@ -197,7 +202,7 @@
             clock=self.clock,
             engine=self.engine,
             list_confirmed_at=self.list_watch.confirmed_at,
-            last_answers=lambda: self.confidence.answered,
+            last_success_at=lambda: self.confidence.last_success_at,
             log=self.log,
         )
         self.lease_task = LeaseTask(engine=self.engine, clock=self.clock, notify=self.wakeup.notify, log=self.log)
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -19,14 +19,14 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.history import rollback
-from damsonpick.state.history.history import number_of
 from damsonpick.state.history.recorder import HistoryRecorder
-from damsonpick.state.learned import ageing, restore
-from damsonpick.state.learned.snapshot import Fleet, Moment, Snapshot
+from damsonpick.state.history.state_keys import slice_number
+from damsonpick.state.learned import ageing, capture, restore
+from damsonpick.state.learned.snapshot import HostTime, LearnedFleet, Snapshot
 from damsonpick.state.published_tables import Change, PublishedTables
 from damsonpick.state.store.sqlite import Store
 
-NOTHING_LEARNED = Fleet(0.0, 0.0)
+NOTHING_LEARNED = LearnedFleet(0.0, 0.0)
 
 
 class Engine(DecisionLoop):
@@ -79,17 +79,17 @@
             away: ns since that life was last seen; None: not known.
         """
         now = self.clock.take(now)
-        for number, lines in self.store.tables().items():
+        for number, lines in self.store.load_tables().items():
             self.published.restore(number, lines)
-        self.published.restore_standing(self.store.standing(), ageing.levels_hold(away))
+        self.published.restore_standing(self.store.load_persistent_actions(), ageing.admission_levels_valid(away))
         self.stood = self.published.standing()
-        self.endpoint_list.restore(self.store.listed())
+        self.endpoint_list.restore(self.store.load_endpoint_list())
         self.session_manager.catalogue.refresh(self.published.units())
         if self.recorder:
             self.recorder.start(now)
             if self.holds(now):
                 self._recall_gone()
-        self.owned = {charge.slice for charge in self.store.claim(self.owner, now, self.lease())}
+        self.owned = {lease.slice for lease in self.store.claim(self.owner, now, self.lease())}
         self._begin(now, learned=learned)
 
     def lease(self) -> int:
@@ -124,8 +124,8 @@
         classes = self.published.classes
         events: list[api.Event] = []
         if learned is not None:
-            wrong = restore.fits(learned, classes, self.published.slices)
-            events, anew = restore.events(learned, self.endpoint_list.entries, self.owned, not wrong)
+            wrong = restore.settings_mismatch(learned, classes, self.published.slices)
+            events, anew = restore.restored_events(learned, self.endpoint_list.entries, self.owned, not wrong)
             self.log.info(
                 "recalled",
                 servers=sum(isinstance(e, api.EndpointRestored) for e in events),
@@ -135,14 +135,18 @@
         levels = tuple(self.published.level(None, k) for k in range(len(classes)))
         fleet = learned.fleet if learned is not None else NOTHING_LEARNED
         if learned is not None or self.published.withdrawn or min(levels) < 1:
-            events.append(api.FleetRestored(levels, tuple(self.published.withdrawn), fleet.best, fleet.pace))
+            events.append(
+                api.FleetRestored(
+                    levels, tuple(self.published.withdrawn), fleet.best_throughput, fleet.throughput_per_capacity
+                )
+            )
         return events
 
     def learned(self) -> Snapshot | None:
         """What the planner at work has learned, to hand it to the next one."""
         if not isinstance(self.planner, Planner):
             return None
-        return restore.take(self.planner, 0, self.owner, Moment(0, "", 0))
+        return capture.take_snapshot(self.planner, capture.SnapshotInfo(0, self.owner, HostTime(0, "", 0)))
 
     def forget(self, now: int) -> None:
         """A planner that has learned nothing, in place of the one at work; tables and orders stay."""
@@ -170,11 +174,11 @@
 
     def renew(self, now: int) -> None:
         """Keep custody; a slice lost to another pilot is given up, one won is taken over."""
-        have = {charge.slice for charge in self.store.claim(self.owner, self.clock.take(now), self.lease())}
+        have = {lease.slice for lease in self.store.claim(self.owner, self.clock.take(now), self.lease())}
         for number in sorted(self.owned - have):
             self.tell(api.SliceOwnershipChanged(number, False))
         if have - self.owned:
-            stored = self.store.tables()
+            stored = self.store.load_tables()
             for number in sorted(have - self.owned):
                 self.published.restore(number, stored[number])
                 self.tell(
@@ -202,7 +206,7 @@
         if self.unsaved and now >= self.save_at:
             self._save(now, {})
         if self.recorder and self.recorder.pending and now >= self.recorder.retry_at:
-            self.recorder.write(now)
+            self.recorder.flush(now)
         if self.planner is None:
             if now < self.restart_at:
                 return []
@@ -230,7 +234,7 @@
         if not table_orders:
             return []
         if self.pinned:
-            table_orders, self.withheld = self.recorder.pin.sift(
+            table_orders, self.withheld = self.recorder.pin.filter_actions(
                 table_orders, self.published.tables, self.barred, self.published.level
             )
         change = self.published.apply(table_orders)
@@ -244,7 +248,7 @@
     ) -> list[Session]:
         idle = self.session_manager.publish(now, change, stages)
         if self.recorder and change.lines:
-            self.recorder.note(now, change.lines, cause, words)
+            self.recorder.record(now, change.lines, cause, words)
         return idle
 
     # -- the way back
@@ -256,13 +260,13 @@
         for version in history.versions.values():
             if version.cause == "rollback" and version.number > self.recorder.pin.version:
                 for unit, keys in version.difference.items():
-                    number = number_of(unit)
+                    number = slice_number(unit)
                     for key, (before, after) in keys.items():
                         if number is not None and key.startswith("line ") and after is None:
                             self.gone.setdefault(number, {})[key[5:]] = before
 
     def holds(self, now: int) -> bool:
-        return self.recorder is not None and self.recorder.pin.holds(now)
+        return self.recorder is not None and self.recorder.pin.is_active(now)
 
     def _repin(self, now: int) -> None:
         """A pin has begun or ended: the module goes on from the tables as they are, without a jump."""
@@ -307,33 +311,33 @@
             ValueError: no such version, or somebody else acted meanwhile.
         """
         now, recorder = self.clock.take(now), self.recorder
-        recorder.pin.check(expected)
+        recorder.pin.check_generation(expected)
         version = recorder.history.find(name)
         owned = {n: self.published.tables[n] for n in self.owned}
-        target = recorder.history.at(version.number)
-        made = rollback.plan(target, owned, self.barred, self.cold)
-        admit = rollback.admissions(target, recorder.history.state, len(self.published.classes)) if levels else []
+        target = recorder.history.state_at(version.number)
+        made = rollback.plan_rollback(target, owned, self.barred, self.cold)
+        admit = rollback.plan_admission(target, recorder.history.state, len(self.published.classes)) if levels else []
         said = {
             "version": version.number,
             "root": version.root,
-            "lines": len(made.orders),
+            "lines": len(made.actions),
             "levels": len(admit),
-            "slices": len({o.table for o in made.orders}),
+            "slices": len({o.table for o in made.actions}),
             "kept": [k._asdict() for k in made.kept],
         }
         if dry:
             return said | {"done": False, "generation": recorder.pin.generation}
-        for o in made.orders:
+        for o in made.actions:
             if not o.weight:
                 self.gone.setdefault(o.table, {})[o.endpoint] = self.published.tables[o.table][o.endpoint]
-        change = self.published.apply([*made.orders, *admit])
-        self._save(now, {n: self.published.tables[n] for n in {o.table for o in made.orders}})
+        change = self.published.apply([*made.actions, *admit])
+        self._save(now, {n: self.published.tables[n] for n in {o.table for o in made.actions}})
         recorder.set_pin(version.number, until, levels)
         self._publish(now, change, "rollback", f"to {version.number}", stages)
         self._repin(now)
         newest = recorder.history.newest()
         self.log.warning(
-            "rolled_back", to=version.number, now=newest.number, lines=len(made.orders), kept=len(made.kept)
+            "rolled_back", to=version.number, now=newest.number, lines=len(made.actions), kept=len(made.kept)
         )
         return said | {
             "done": True,
@@ -350,7 +354,7 @@
         if not both and standing == self.stood:
             return
         try:
-            self.store.write(both, standing if standing != self.stood else None)
+            self.store.save_tables(both, standing if standing != self.stood else None)
             self.stood = standing
             if self.unsaved:
                 self.log.info("store_caught_up", slices=len(both))
--- a/damsonpick/controller/list_queries.py
+++ b/damsonpick/controller/list_queries.py
@@ -44,11 +44,11 @@
     def _show(self) -> Reply:
         now = self.clock.now()
         confidence, endpoint_list = self.updater.confidence, self.updater.endpoint_list
-        levels = confidence.levels(now) if confidence.due(now) else {}
+        levels = confidence.confidences(now) if confidence.is_settled(now) else {}
         entries = sorted(endpoint_list.entries.values())
         held_for_s = _seconds_since(now, endpoint_list.held_since) if endpoint_list.held else None
         return {
-            "live": confidence.live,
+            "live": confidence.is_confirmed,
             "sources": self.watch.sources.view(now),
             "disputes": self.watch.disagreements,
             "servers": [self._row(now, entry, levels.get(entry.endpoint, 1.0)) for entry in entries],
@@ -69,12 +69,7 @@
 
     def _confirmed_s_ago(self, now: int, endpoint: str) -> float | None:
         """Seconds since a source named an endpoint or it last gave a good answer; None: not known."""
-        confidence = self.updater.confidence
-        known_times = [confidence.answered.get(endpoint, 0)]
-        doubt = confidence.doubts.get(endpoint)
-        if doubt is not None:
-            known_times += doubt.kept
-        latest = max(known_times)
+        latest = self.updater.confidence.last_evidence_at(endpoint)
         return _seconds_since(now, latest) if latest > 0 else None
 
 
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -12,10 +12,10 @@
 from damsonpick.runtime.clock import Clock
 from damsonpick.state.endpoint_list.validation import EndpointList, ListValidation
 from damsonpick.state.learned import restore
-from damsonpick.state.learned.list_confidence import Trust
+from damsonpick.state.learned.list_confidence import ListConfidence
 from damsonpick.state.learned.snapshot import Snapshot
 from damsonpick.state.load_reports import LoadReports
-from damsonpick.state.store.sqlite import Store
+from damsonpick.state.store.sqlite import ListedAt, Store
 
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
@@ -41,7 +41,7 @@
 
     clock: Clock
     endpoint_list: EndpointList
-    confidence: Trust
+    confidence: ListConfidence
     engine: Engine
     load_reports: LoadReports
     store: Store
@@ -60,13 +60,14 @@
         now = self.clock.now()
         entries = self.endpoint_list.entries
         self.load_reports.known = set(entries)
-        self.confidence.start(now, restore.kept(learned, now, away, entries, self.store.listed_at()))
+        times = restore.entry_times(learned, now, away, entries, self.store.listed_at())
+        self.confidence.restore(now, times)
 
     def apply(self, source: str, entries: list[api.EndpointEntry]) -> None:
         """Apply a list of `source`."""
         now = self.clock.now()
         self.source = source
-        self._apply(self.endpoint_list.take(now, entries, lambda name: self.confidence.lost(now, name)))
+        self._apply(self.endpoint_list.take(now, entries, lambda name: self.confidence.is_lost(now, name)))
 
     def list_unavailable(self) -> None:
         """No source answers: the list stays in force, and the engine knows that it may be out of date."""
@@ -84,10 +85,10 @@
     def recheck(self) -> None:
         """Apply what only time changes: how long missing endpoints are held, how far entries are believed."""
         now = self.clock.now()
-        validation = self.endpoint_list.recheck(now, lambda name: self.confidence.lost(now, name))
+        validation = self.endpoint_list.recheck(now, lambda name: self.confidence.is_lost(now, name))
         if validation is not None:
             self._apply(validation)
-        changes = self.confidence.say(now)
+        changes = self.confidence.changes(now)
         if changes:
             confidences = {change.endpoint: change.confidence for change in changes[:MOST_LOGGED_ENDPOINTS]}
             self.log.info("list_confidence_changed", confidences=confidences, changes=len(changes))
@@ -104,10 +105,10 @@
         names = [entry.endpoint for entry in event.entries]
         self.load_reports.known.update(names)
         if event.kind == "replace":
-            self.confidence.vouch(now, names)
+            self.confidence.confirm(now, names)
             self._store(event)
         self.engine.relocate(now, self.endpoint_list.moved(event.entries))
-        self.engine.tell(event, *self.confidence.say(now))
+        self.engine.tell(event, *self.confidence.changes(now))
         self.on_change()
         self.notify()
 
@@ -115,6 +116,7 @@
         states: Counter[str] = Counter(entry.state for entry in event.entries)
         self.log.info("list_applied", **states)
         try:
-            self.store.keep_list(event.entries, self.clock.now(), self.source, self.endpoint_list.held)
+            listed_at = ListedAt(self.clock.now(), self.source)
+            self.store.save_endpoint_list(event.entries, listed_at, self.endpoint_list.held)
         except Exception as error:
             self.log.error("list_not_stored", error=str(error), remedy="free space or rights on the state folder")
--- a/damsonpick/controller/load_report_task.py
+++ b/damsonpick/controller/load_report_task.py
@@ -10,7 +10,7 @@
 
 from damsonpick.controller.engine import Engine
 from damsonpick.runtime.clock import Clock
-from damsonpick.state.learned.list_confidence import Trust
+from damsonpick.state.learned.list_confidence import ListConfidence
 from damsonpick.state.load_reports import GatewaySums, LoadReports
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     """
 
     load_reports: LoadReports
-    confidence: Trust
+    confidence: ListConfidence
     engine: Engine
     clock: Clock
     period: int
@@ -57,7 +57,7 @@
 
     def _flush(self) -> None:
         events = self.load_reports.flush()
-        self.confidence.hear(self.clock.now(), events)
+        self.confidence.apply_reports(self.clock.now(), events)
         if events:
             self.engine.tell(*events)
             self.notify()
--- a/tests/test_knowledge_pilot.py
+++ b/tests/test_knowledge_pilot.py
@@ -19,13 +19,13 @@
 from damsonpick.runtime import port_files
 from damsonpick.runtime.clock import Clock
 from damsonpick.state.learned import codec, generations
-from damsonpick.state.learned.snapshot import FORMAT, Moment
+from damsonpick.state.learned.snapshot import FORMAT, HostTime
 from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
 from damsonpick.testing.fakes.record import Recorder
 from damsonpick.testing.fakes.results import Make, ResultsServer
 from tests.gates import not_bare, soon, weights, world
+from tests.learned_state import with_format
 from tests.pilots import Pilot, until
-from tests.test_knowledge import _as_format
 
 pytestmark = pytest.mark.anyio
 SECOND = 1_000_000_000
@@ -59,7 +59,11 @@
     for path in kept(folder).glob("*"):
         made = codec.decode(path.read_bytes())
         path.write_bytes(
-            codec.encode(msgspec.structs.replace(made, at=Moment(made.at.wall - seconds * SECOND, "another start", 0)))
+            codec.encode(
+                msgspec.structs.replace(
+                    made, taken_at=HostTime(made.taken_at.wall_ns - seconds * SECOND, "another start", 0)
+                )
+            )
         )
 
 
@@ -267,7 +271,7 @@
 def test_a_newer_programs_file_is_left_alone_byte_for_byte(tmp_path):
     pilot = ended(tmp_path)
     path = kept(tmp_path) / generations.CURRENT
-    path.write_bytes(_as_format(path.read_bytes(), FORMAT + 1))
+    path.write_bytes(with_format(path.read_bytes(), FORMAT + 1))
     before = path.read_bytes()
     pilot.start()
     until(lambda: pilot.log("snapshot_rejected"))
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -13,6 +13,7 @@
 from scipy.stats import chisquare
 
 from damsonpick.protocols.xds.names import EDS
+from damsonpick.proxy.load_balancer import Policy
 from damsonpick.proxy.program import Proxy
 from damsonpick.proxy.received_state import Table
 from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
@@ -83,7 +84,7 @@
         holdings.tables[name] = Table({n: (w, "a") for n, w in lines.items()}, levels or {})
         holdings.tables["fleet"] = Table({n: (1000, "a") for n in fleet}, {})
         holdings.clusters = {("page", "a"): "slice/0", ("write", "a"): "slice/0"}
-        self.proxy._took(EDS, [(name, "1", b""), ("fleet", "1", b"")], [])
+        self.proxy.apply_resources(EDS, [(name, "1", b""), ("fleet", "1", b"")], [])
 
     def retry(self, conditions, most=1):
         for kind in ("page", "write"):
@@ -159,7 +160,7 @@
         servers = [await Server().start(w.group) for _ in range(3)]
         weights = (1000, 2000, 5000)
         w.table({s.name: x for s, x in zip(servers, weights, strict=True)})
-        w.proxy.router.chooser.pick = "lottery"
+        w.proxy.router.load_balancer.policy = Policy.RANDOM
         stream = await w.client()
         for _ in range(3000):
             await w.ask(stream=stream)
@@ -266,7 +267,7 @@
     async with world() as w:
         old, new = await Server().start(w.group), await Server().start(w.group)
         w.table({old.name: 1000})
-        real = w.proxy.relay._dial
+        real = w.proxy.requests.connector._dial
 
         async def slow_dial(server, zone):
             wire = await real(server, zone)
@@ -274,7 +275,7 @@
                 w.table({new.name: 1000})
             return wire
 
-        w.proxy.relay._dial = slow_dial
+        w.proxy.requests.connector._dial = slow_dial
         w.retry(PROOF)
         assert (await w.ask("write"))[0] == 200
         assert len(old.heads) == 0 and len(new.heads) == 1, "nothing went to a server that left the table"
@@ -286,7 +287,7 @@
         new.script = [changed]
         w.table({new.name: 1000})
         assert (await w.ask("write"))[2] == b"late", "a request under way ends where it runs"
-        w.proxy.relay._dial = real
+        w.proxy.requests.connector._dial = real
         assert (await w.ask("write"))[0] == 200 and len(old.heads) == 1
 
 
@@ -302,7 +303,10 @@
         for _ in range(40):
             assert (await w.ask())[0] == 200
         assert len(one.heads) == before
-        assert one.name not in w.proxy.relay.pool.counts() or w.proxy.relay.pool.counts()[one.name][1] == 0
+        assert (
+            one.name not in w.proxy.requests.connector.pool.counts()
+            or w.proxy.requests.connector.pool.counts()[one.name].idle == 0
+        )
 
 
 async def test_no_line_waits_the_stated_time_and_a_new_table_ends_the_wait():
@@ -324,7 +328,7 @@
 
 
 async def test_levels_refuse_at_once_and_the_same_client_again(monkeypatch):
-    monkeypatch.setattr("damsonpick.proxy.admission.EPOCH", 10**17)  # the draw holds for the whole test
+    monkeypatch.setattr("damsonpick.proxy.admission.DRAW_PERIOD_NS", 10**17)  # the draw holds for the whole test
     async with world() as w:
         server = await Server().start(w.group)
         w.table({server.name: 1000}, levels={"page": 0.5})
@@ -429,7 +433,7 @@
             assert (await w.ask("page"))[0] == 200
         assert anyio.current_time() - start < 2.0
         with anyio.fail_after(6):
-            while w.proxy.relay.clients > 1:
+            while w.proxy.requests.clients > 1:
                 await anyio.sleep(0.05)
         for stream in (*idle, half, lazy):
             await anyio.aclose_forcefully(stream)
@@ -468,10 +472,10 @@
             await anyio.aclose_forcefully(stream)
             await ended.wait()
         with anyio.fail_after(1):
-            while w.proxy.relay.clients:
+            while w.proxy.requests.clients:
                 await anyio.sleep(0.01)
-        assert w.proxy.router.chooser.out == {} and len(server.heads) == 1
-        assert not w.proxy.router.chooser.failed, "a client's leaving is no fault of the server"
+        assert w.proxy.router.load_balancer.active_requests == {} and len(server.heads) == 1
+        assert not w.proxy.router.load_balancer.consecutive_failures, "a client's leaving is no fault of the server"
 
 
 async def test_an_answer_that_no_parser_agrees_on_never_holds_the_proxy():
@@ -496,11 +500,11 @@
     async with world() as w:
         server = await Server().start(w.group)
         w.table({server.name: 1000})
-        real = w.proxy.router.choose
-        monkeypatch.setattr(w.proxy.router, "choose", lambda *a: 1 / 0)
+        real = w.proxy.router.pick
+        monkeypatch.setattr(w.proxy.router, "pick", lambda *a: 1 / 0)
         with pytest.raises(anyio.EndOfStream):
             await w.ask()
-        monkeypatch.setattr(w.proxy.router, "choose", real)
+        monkeypatch.setattr(w.proxy.router, "pick", real)
         assert (await w.ask())[0] == 200
 
 
