--- a/damsonpick/runtime/backoff.py
+++ b/damsonpick/runtime/backoff.py
@@ -1,23 +1,37 @@
-"""When to try a source or peer again: exponential with full jitter, reset by success. Sans I/O."""
+"""When to try a source or peer again: exponential with jitter, reset by success. Sans I/O."""
 
 from __future__ import annotations
 
 import random
 
-LEAST, MOST = 0.05, 5.0  # s
+MIN_DELAY_S = 0.05
+MAX_DELAY_S = 5.0
+MAX_DOUBLINGS = 30
 
 
 class Backoff:
-    """Waits before tries; a crowd that lost one source does not come back at once."""
+    """Delays between attempts, drawn from the upper half of a doubling range.
 
-    def __init__(self, rng: random.Random, least: float = LEAST, most: float = MOST) -> None:
-        self.rng, self.least, self.most, self.fails = rng, least, most, 0
+    The jitter spreads the attempts of many clients that lost one source at once.
+
+    Args:
+        rng: draws the jitter.
+        least: seconds; upper bound of the first delay.
+        most: seconds; upper bound of any delay.
+    """
+
+    def __init__(self, rng: random.Random, least: float = MIN_DELAY_S, most: float = MAX_DELAY_S) -> None:
+        self.rng = rng
+        self.least = least
+        self.most = most
+        self.failures = 0  # in a row
 
     def failed(self) -> float:
-        """Seconds until the next try."""
-        top = min(self.most, self.least * 2**self.fails)
-        self.fails = min(self.fails + 1, 30)
-        return self.rng.uniform(top / 2, top)
+        """Note a failed attempt; returns seconds until the next one."""
+        longest = min(self.most, self.least * 2**self.failures)
+        self.failures = min(self.failures + 1, MAX_DOUBLINGS)
+        return self.rng.uniform(longest / 2, longest)
 
     def succeeded(self) -> None:
-        self.fails = 0
+        """Note a successful attempt: the next delay starts from the least again."""
+        self.failures = 0
