--- a/benchmarks/knowledge_kills.py
+++ b/benchmarks/knowledge_kills.py
@@ -131,7 +131,7 @@
         "damaged on purpose": kills // 10,
         "damaged and refused": refused,
         "said in the log": log.count("knowledge_refused"),
-        "restarts that were told of it": log.count('"event": "recalled"'),
+        "restarts that were told of it": log.count('"event": "learned_state_restored"'),
         "joined_s": {
             "median": round(statistics.median(joined), 3),
             "p99": round(sorted(joined)[int(0.99 * len(joined))], 3),
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -27,7 +27,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from damsonpick import interface as api
-from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.shared.session import CoveredChanges
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.protocols.xds.resources import Catalogue
 from damsonpick.protocols.xds.session import DeltaSession
@@ -108,11 +108,11 @@
         orders = [api.SetEntry(n, server(k), rng.uniform(1, 9)) for n, k in rng.sample(places, number)]
         change = published.apply(orders)
         start = time.process_time()
-        catalogue.refresh(change.lines)
+        catalogue.refresh(change.entries)
         refresh = time.process_time() - start
         for checks, fleet in fleets.items():
             for g in fleet:
-                g.session.change(change.lines, Due(change.seq, 1, change.cost()))
+                g.session.enqueue(change.entries, CoveredChanges(change.seq, 1, change.entry_count()))
             row = _row([g.take(2) for g in fleet])
             whole = found[f"whole, roots {'checked' if checks else 'not stated'}"]
             row |= {
@@ -165,8 +165,8 @@
                 for _ in range(rng.randint(1, 10))
             ]
         )
-        catalogue.refresh(change.lines)
-        recorder.note(k, change.lines, "module")
+        catalogue.refresh(change.entries)
+        recorder.note(k, change.entries, "module")
     took = time.perf_counter() - start
     recorder.store.close()
     size = sum(p.stat().st_size for p in folder.glob("v.db*"))
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -15,10 +15,10 @@
 from damsonpick.controller.list_watch import Listing
 from damsonpick.controller.snapshots import Remembering
 from damsonpick.controller.solver_task import Solving
-from damsonpick.controller.version_queries import Questions
+from damsonpick.controller.version_queries import VersionQueries
 from damsonpick.decisions.planner import Planner
 from damsonpick.protocols.sasp.server import SaspServer
-from damsonpick.protocols.shared.send_queue import Channel
+from damsonpick.protocols.shared.send_queue import SendQueue
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.protocols.xds.resources import Catalogue
@@ -30,7 +30,7 @@
 from damsonpick.state.history.database import open_store
 from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.learned.disk import FolderLock
-from damsonpick.state.load_reports import GatewaySums, LoadReports
+from damsonpick.state.load_reports import ClientReport, LoadReports
 from damsonpick.state.published_tables import PublishedTables
 from damsonpick.state.store.sqlite import Store
 
@@ -69,9 +69,9 @@
         self.published = PublishedTables(tuple(s.classes), count)
         self.endpoint_list = EndpointList(s.pilot.zones)
         c = s.channel
-        self.channel = Channel(c.lines_per_second, c.head, c.limit, c.messages, c.window)
-        self.catalogue = Catalogue(self.published, s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
-        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway)
+        self.send_queue = SendQueue(c.lines_per_second, c.head, c.limit, c.messages, c.window)
+        self.catalogue = Catalogue(self.published, s, lambda endpoint: self.endpoint_list.known_zones.get(endpoint, ""))
+        self.session_manager = SessionManager(self.published, self.catalogue, self.send_queue, self.store.gateway)
         self.session_manager.stop_share = s.versions.stop
         self.history = open_store(s.history_path())
         self.recorder = HistoryRecorder(
@@ -80,14 +80,14 @@
         self.engine = Engine(
             s, self.store, self.published, self.session_manager, self.endpoint_list, log, make, self.recorder
         )
-        self.questions = Questions(self.engine, self.recorder, self.session_manager, s)
+        self.questions = VersionQueries(self.engine, self.recorder, self.session_manager, s)
         self.load_reports = LoadReports(tuple(s.classes), count, s.reports.every, s.reports.oldest)
         self.bell = anyio.Event()
         self.xds = XdsServer(
             self.session_manager, self.epoch, self.clock.now, self.stir, self._hear, s.reports.every, log
         )
         self.sasp: SaspServer | None = None
-        self.advisor = advisor(s, lambda endpoint: self.endpoint_list.places.get(endpoint, ""))
+        self.advisor = advisor(s, lambda endpoint: self.endpoint_list.known_zones.get(endpoint, ""))
         more = {"solve": solve} if solve else {}
         self.solving = Solving(self.advisor, self.engine, self.clock, self.stir, log, **more)
         self.port = 0
@@ -160,9 +160,9 @@
             now = self.clock.now()
             self.bell = anyio.Event()
             touched = self.engine.step(now)
-            stirred, pause = self.session_manager.pump(now)
+            stirred, pause = self.session_manager.dispatch(now)
             for session in touched:
-                self.session_manager.settle(now, session)
+                self.session_manager.acknowledge(now, session)
             self._held_back()
             self.xds.ring(stirred)
             if self.sasp is not None:
@@ -176,7 +176,7 @@
                 await self.bell.wait()
 
     def _held_back(self) -> None:
-        for name, version, count in self.session_manager.stopped:
+        for name, version, count in self.session_manager.stopped_rollouts:
             self.log.error(
                 "rollout_stopped",
                 resource=name,
@@ -184,7 +184,7 @@
                 refused_by=count,
                 remedy="others keep the former one; see `versions who`, then go back or change the table",
             )
-        self.session_manager.stopped.clear()
+        self.session_manager.stopped_rollouts.clear()
 
     def _replan(self) -> None:
         """The list has changed: tables that the solver lays follow at once, and advice on members does."""
@@ -194,11 +194,11 @@
             self.engine.step(self.clock.now())
             self.solving.first()
 
-    def _hear(self, sums: GatewaySums) -> None:
+    def _hear(self, sums: ClientReport) -> None:
         now = self.clock.now()
-        self.load_reports.join(now, sums.gateway)
-        for doubt in self.load_reports.hear(now, sums)[:3]:
-            self.log.info("sum_doubted", gateway=sums.gateway, what=doubt)
+        self.load_reports.join(now, sums.client)
+        for doubt in self.load_reports.add(now, sums)[:3]:
+            self.log.info("sum_doubted", gateway=sums.client, what=doubt)
 
     async def _reports(self) -> None:
         while True:
@@ -270,7 +270,11 @@
             "unsaved": len(self.engine.unsaved),
             "levels": {name: self.published.level(None, k) for k, name in enumerate(classes)},
             "knowledge": self.remembering.written,
-            "channel": {"waiting": self.channel.waiting(), "most": self.channel.most, "limit": self.channel.limit},
+            "channel": {
+                "waiting": self.send_queue.waiting(),
+                "most": self.send_queue.most_waiting,
+                "limit": self.send_queue.limit,
+            },
             "gateways": list(self.session_manager.view(now)),
             "endpoints": self.engine.view(),
         }
@@ -288,7 +292,7 @@
                     "version": resource.version,
                     "changed": self.published.changed[f"slice/{n}"],
                     "lines": self.published.tables[n],
-                    "open": self.published.open_lines(n),
+                    "open": self.published.routable_endpoints(n),
                 }
             )
         return {"tables": rows, "withdrawn": sorted(self.published.withdrawn)}
--- a/damsonpick/controller/explain.py
+++ b/damsonpick/controller/explain.py
@@ -1,50 +1,59 @@
-"""Why an endpoint is treated as it is, in words, from what the module believes. Read only."""
+"""Why an endpoint is treated as it is, in words, from what the planner knows. Read only."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections import Counter
+from collections.abc import Iterator
 
 from damsonpick.decisions.planner import Planner
 from damsonpick.state.published_tables import PublishedTables
 
-SLOW = 0.75  # learned speed below which an operator is told; a word for people, no decision
-
-
-def endpoints(planner: Planner, published: PublishedTables) -> Iterable[dict[str, object]]:
-    """One row an endpoint: state, what holds it back, and the evidence."""
-    lines: dict[str, int] = {}
-    for table in published.tables.values():
-        for name in table:
-            lines[name] = lines.get(name, 0) + 1
-    for name, ep in sorted(planner.endpoints.items()):
-        why = []
-        if planner.is_unroutable(name):
-            why.append(f"barred: the list says {ep.state}")
-        elif published.withdrawn.get(name):
-            why.append("withdrawn: old lines have not left all tables")
-        ramp = planner.warm_up_share(ep)
-        if ramp < 1:
-            why.append(f"cold: started {(planner.now - ep.started) / 1e9:.1f} s ago, counted at {ramp:.0%}")
-        if ep.capacity_factor < SLOW:
-            why.append(f"slow: answers in {ep.latency / 1e6:.0f} ms, {ep.success_ratio:.0%} answered")
+SLOW_CAPACITY_FACTOR = 0.75  # below it an operator is told that the endpoint is slow; no decision depends on it
+
+
+def endpoint_rows(planner: Planner, published: PublishedTables) -> Iterator[dict[str, object]]:
+    """One row an endpoint, as `damsonpick status` answers it; the keys are part of the command's interface.
+
+    Args:
+        planner: the planner at work.
+        published: tables and withdrawals in force.
+    """
+    entry_counts = Counter(name for table in published.tables.values() for name in table)
+    for name, endpoint in sorted(planner.endpoints.items()):
         yield {
             "endpoint": name,
-            "state": ep.state,
+            "state": endpoint.state,
             "withdrawn": name in published.withdrawn,
-            "lines": lines.get(name, 0),
-            "weight": ep.weight,
-            "speed": round(ep.capacity_factor, 3),
-            "ramp": round(ramp, 3),
-            "tries": round(ep.attempts, 1),
-            "why": "; ".join(why) or "in full service",
+            "lines": entry_counts[name],
+            "weight": endpoint.weight,
+            "speed": round(endpoint.capacity_factor, 3),
+            "ramp": round(planner.warm_up_share(endpoint), 3),
+            "tries": round(endpoint.attempts, 1),
+            "why": "; ".join(_limitations(planner, published, name)) or "in full service",
         }
 
 
-def reason(planner: Planner, name: str) -> str:
-    """Why an endpoint was withdrawn or let in again."""
-    ep = planner.endpoints.get(name)
-    if ep is None:
-        return "unknown to the module"
+def _limitations(planner: Planner, published: PublishedTables, name: str) -> Iterator[str]:
+    """What keeps an endpoint from its full share of requests."""
+    endpoint = planner.endpoints[name]
+    if planner.is_unroutable(name):
+        yield f"unroutable: the endpoint list says {endpoint.state}"
+    elif published.withdrawn.get(name):
+        yield "withdrawn: not all tables have dropped it yet"
+    warm_up_share = planner.warm_up_share(endpoint)
+    if warm_up_share < 1:
+        age_s = (planner.now - endpoint.started) / 1e9
+        yield f"warming up: started {age_s:.1f} s ago, counted at {warm_up_share:.0%}"
+    if endpoint.capacity_factor < SLOW_CAPACITY_FACTOR:
+        latency_ms = endpoint.latency / 1e6
+        yield f"slow: responds in {latency_ms:.0f} ms, {endpoint.success_ratio:.0%} succeed"
+
+
+def withdrawal_reason(planner: Planner, name: str) -> str:
+    """Why an endpoint was withdrawn or readmitted."""
+    endpoint = planner.endpoints.get(name)
+    if endpoint is None:
+        return "not in the endpoint list"
     if planner.is_unroutable(name):
-        return f"the list says {ep.state}"
-    return "listed as ready and no old line is left"
+        return f"the endpoint list says {endpoint.state}"
+    return "listed as in service, and no table holds an entry from before"
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -52,12 +52,12 @@
         self.said = "nothing yet"
         self.taken: tuple[str, list[api.EndpointEntry]] | None = None  # believed source and list, as last handed on
         self.disputes: list[str] = []
-        engine.doubted = lambda: self.trust.again()
+        engine.set_confidence_source(lambda: self.trust.again())
 
     def begin(self, learned: Snapshot | None, away: int | None) -> None:
         """The kept list is in force."""
         now = self.clock.now()
-        self.load_reports.known = set(self.endpoint_list.entries)
+        self.load_reports.known_endpoints = set(self.endpoint_list.entries)
         self.trust.start(now, restore.kept(learned, now, away, self.endpoint_list.entries, self.store.listed_at()))
 
     def vouched(self) -> int:
@@ -100,12 +100,12 @@
         if isinstance(said, ListError):
             if self.sources.all[name].why != str(said):
                 self.log.warning("list_failed", source=name, why=str(said), kept=len(self.endpoint_list.entries))
-            self.sources.take(now, name, None, str(said))
+            self.sources.failed(now, name, str(said))
             if not any(s.up for s in self.sources.all.values()):
                 self.said = str(said)
                 self.engine.tell(self.endpoint_list.failed())
         else:
-            self.sources.take(now, name, said)
+            self.sources.received(now, name, said)
         self._merge(now)
         self.stir()
 
@@ -120,21 +120,21 @@
         if self.taken is not None and self.taken[0] != self.sources.believed:
             self.log.warning("list_source", now=self.sources.believed, before=self.taken[0])
         self.taken = (self.sources.believed, entries)
-        self._use(self.endpoint_list.take(now, entries, lambda name: self.trust.lost(now, name)))
+        self._use(self.endpoint_list.apply(now, entries, lambda name: self.trust.lost(now, name)))
         self.said = f"{len(entries)} servers"
 
     def _use(self, verdict: ListValidation) -> None:
         """Hand on a list."""
-        for doubt in verdict.doubts:
+        for doubt in verdict.problems:
             self.log.warning("list_doubted", what=doubt)
         event, now = verdict.event, self.clock.now()
         if event is None:
             return
-        self.load_reports.known.update(e.endpoint for e in event.entries)
+        self.load_reports.known_endpoints.update(e.endpoint for e in event.entries)
         if event.kind == "replace":
             self.trust.vouch(now, (e.endpoint for e in event.entries))
             self._keep(event)
-        self.engine.relocate(now, self.endpoint_list.moved(event.entries))
+        self.engine.relocate(now, self.endpoint_list.update_zones(event.entries))
         self.engine.tell(event, *self.trust.say(now))
         self.changed()
         self.stir()
--- /dev/null
+++ b/damsonpick/controller/planner_start.py
@@ -0,0 +1,111 @@
+"""What a new planner is told of the state that already stands. Sans I/O.
+
+A planner starts empty: after a restart of the process, after an exception, when a pin begins or ends, and when an
+operator has learned state forgotten. In each case it first receives the endpoint list, the tables of the slices owned
+and whatever an earlier planner learned.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from structlog.typing import FilteringBoundLogger
+
+from damsonpick import interface as api
+from damsonpick.controller.slice_ownership import SliceOwnership
+from damsonpick.protocols.shared.session_manager import SessionManager
+from damsonpick.state.endpoint_list.validation import EndpointList
+from damsonpick.state.learned import restore
+from damsonpick.state.learned.snapshot import Fleet, Snapshot
+from damsonpick.state.published_tables import PublishedTables
+
+NO_FLEET_KNOWLEDGE = Fleet(0.0, 0.0)
+
+
+class PlannerStart:
+    """Builds the first events of a planner.
+
+    Args:
+        endpoint_list: the list in force.
+        published: tables and standing orders in force.
+        session_manager: connected clients.
+        ownership: which slices are owned.
+        removed_entries: by slice, entries that a rollback removed; clients may hold them still.
+        log: a structlog logger.
+    """
+
+    def __init__(
+        self,
+        endpoint_list: EndpointList,
+        published: PublishedTables,
+        session_manager: SessionManager,
+        ownership: SliceOwnership,
+        removed_entries: Mapping[int, Mapping[str, float]],
+        log: FilteringBoundLogger,
+    ) -> None:
+        self.endpoint_list = endpoint_list
+        self.published = published
+        self.session_manager = session_manager
+        self.ownership = ownership
+        self.removed_entries = removed_entries
+        self.log = log
+        self.confidence_events: Callable[[], list[api.Event]] = list  # confidence in list entries, as last told
+
+    def events(self, learned: Snapshot | None, replaces_planner: bool) -> list[api.Event]:
+        """The events, in the order the planner must receive them.
+
+        Args:
+            learned: what an earlier planner learned, aged; None: nothing is known.
+            replaces_planner: an earlier planner of this process was at work: clients joined under it.
+        """
+        events = [
+            *self._list_events(),
+            *self._table_events(),
+            *self._learned_events(learned),
+            *self.confidence_events(),
+        ]
+        if replaces_planner:  # clients may hold withdrawals of the planner that is replaced
+            events += self._client_events()
+        return events
+
+    def _list_events(self) -> list[api.Event]:
+        entries = tuple(self.endpoint_list.entries.values())
+        events: list[api.Event] = [api.EndpointListChanged("restored", entries)]
+        if self.endpoint_list.confirmed:
+            events.append(api.EndpointListChanged("replace", entries))
+        return events
+
+    def _table_events(self) -> list[api.Event]:
+        """Entries that a rollback removed count as present: if their endpoint drains now, it must be withdrawn."""
+        events: list[api.Event] = []
+        for number in sorted(self.ownership.owned):
+            events.append(api.SliceOwnershipChanged(number, True))
+            entries = {**self.removed_entries.get(number, {}), **self.published.tables[number]}
+            events += [api.StoredEntry(number, endpoint, weight) for endpoint, weight in entries.items()]
+        return events
+
+    def _learned_events(self, learned: Snapshot | None) -> list[api.Event]:
+        """What an earlier planner learned, and its orders that are still in force."""
+        events = self._snapshot_events(learned) if learned is not None else []
+        classes = range(len(self.published.classes))
+        levels = tuple(self.published.level(None, class_index) for class_index in classes)
+        withdrawn = tuple(self.published.withdrawn)
+        if learned is not None or withdrawn or min(levels) < 1:
+            fleet = learned.fleet if learned is not None else NO_FLEET_KNOWLEDGE
+            events.append(api.FleetRestored(levels, withdrawn, fleet.best, fleet.pace))
+        return events
+
+    def _snapshot_events(self, learned: Snapshot) -> list[api.Event]:
+        mismatch = restore.fits(learned, self.published.classes, self.published.slices)
+        events, restarted = restore.events(learned, self.endpoint_list.entries, self.ownership.owned, not mismatch)
+        self.log.info(
+            "learned_state_restored",
+            endpoints=sum(isinstance(event, api.EndpointRestored) for event in events),
+            endpoints_restarted=len(restarted),
+            slices_left_out=mismatch,
+        )
+        return events
+
+    def _client_events(self) -> list[api.Event]:
+        clients = self.session_manager.clients.values()
+        return [api.ProxyJoined(client.number, client.session.zone, 0.0, False) for client in clients]
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -1,60 +1,91 @@
-"""What `damsonpick versions` asks of a running pilot, answered from engine, history and hub."""
+"""What `damsonpick versions` asks of a running controller. Keys of requests and replies are the command's interface."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 from damsonpick.controller.engine import Engine
+from damsonpick.controller.table_pin import RollbackRequest
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.settings.model import PilotSettings
 from damsonpick.state.history.recorder import HistoryRecorder
 
-MOST = 1000  # versions in one answer
+MAX_VERSIONS = 1000  # in one reply
+DEFAULT_VERSIONS = 20
 
+Request = dict[str, Any]
+Reply = dict[str, Any]
 
-class Questions:
-    """Args: engine, keeper, hub, settings of one pilot."""
+
+class VersionQueries:
+    """Answers questions about the versions of the tables, and carries out orders on them.
+
+    Args:
+        engine: the decision loop.
+        recorder: the history of the tables.
+        session_manager: the connected clients.
+        settings: of the controller.
+    """
 
     def __init__(
         self, engine: Engine, recorder: HistoryRecorder, session_manager: SessionManager, settings: PilotSettings
     ) -> None:
-        self.engine, self.recorder, self.session_manager, self.settings = engine, recorder, session_manager, settings
+        self.engine = engine
+        self.recorder = recorder
+        self.session_manager = session_manager
+        self.settings = settings
+        self.handlers: dict[str, Callable[[int, Request], Reply]] = {
+            "list": self._list,
+            "show": self._show,
+            "diff": self._diff,
+            "who": self._who,
+            "rollback": self._rollback,
+            "pin": self._pin,
+            "release": self._release,
+        }
 
-    def answer(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        """One answer.
+    def answer(self, now: int, request: Request) -> Reply:
+        """Answer one request.
 
         Raises:
             ValueError, KeyError: the request cannot be carried out; the text says why.
         """
-        what = request.get("do", "list")
-        if what not in ("list", "show", "diff", "who", "rollback", "pin", "release"):
-            raise ValueError(f"unknown order {what!r}; use list, show, diff, who, rollback, pin or release")
-        return getattr(self, f"_{what}")(now, request)
-
-    def _state(self, now: int) -> dict[str, Any]:
+        name = request.get("do", "list")
+        handler = self.handlers.get(name)
+        if handler is None:
+            *names, last = self.handlers
+            raise ValueError(f"unknown order {name!r}; use {', '.join(names)} or {last}")
+        return handler(now, request)
+
+    def _state(self, now: int) -> Reply:
+        """The newest version and the pin."""
         pin, newest = self.recorder.pin, self.recorder.history.newest()
+        pinned = pin.holds(now)
         return {
             "newest": newest.number,
             "root": newest.root,
             "generation": pin.generation,
-            "pinned": pin.version if pin.holds(now) else None,
-            "pin_left_s": round((pin.until - now) / 1e9, 1) if pin.holds(now) else 0.0,
+            "pinned": pin.version if pinned else None,
+            "pin_left_s": round((pin.until - now) / 1e9, 1) if pinned else 0.0,
             "waiting_for_disk": len(self.recorder.pending),
         }
 
-    def _list(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        most = min(MOST, max(1, int(request.get("most", 20))))
-        chosen = list(self.recorder.history.versions.values())[-most:]
-        return self._state(now) | {
-            "kept": len(self.recorder.history.versions),
-            "versions": [v.brief() for v in reversed(chosen)],
-        }
+    # -- questions
+
+    def _list(self, now: int, request: Request) -> Reply:
+        most = int(request.get("most", DEFAULT_VERSIONS))
+        most = min(MAX_VERSIONS, max(1, most))
+        kept = list(self.recorder.history.versions.values())
+        newest_first = reversed(kept[-most:])
+        return self._state(now) | {"kept": len(kept), "versions": [version.brief() for version in newest_first]}
 
-    def _show(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        version = self.recorder.history.find(str(request["version"]))
-        return version.brief() | {"difference": version.difference, "state": self.recorder.history.at(version.number)}
+    def _show(self, _now: int, request: Request) -> Reply:
+        history = self.recorder.history
+        version = history.find(str(request["version"]))
+        return version.brief() | {"difference": version.difference, "state": history.at(version.number)}
 
-    def _diff(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
+    def _diff(self, _now: int, request: Request) -> Reply:
         history = self.recorder.history
         one, other = history.find(str(request["one"])), history.find(str(request["other"]))
         return {
@@ -64,45 +95,59 @@
             "difference": history.difference(one.number, other.number),
         }
 
-    def _who(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
+    def _who(self, now: int, request: Request) -> Reply:
         history = self.recorder.history
         asked = history.find(str(request["version"])) if request.get("version") else history.newest()
-        rows = [row | {"holds": row["root"] == asked.root} for row in self.session_manager.holders(now, history.roots)]
+        rows = self.session_manager.held_versions(now, history.roots)
         return {
             "version": asked.number,
             "root": asked.root,
-            "gateways": rows,
+            "gateways": [row | {"holds": row["root"] == asked.root} for row in rows],
             "stopped": dict(self.session_manager.catalogue.stopped),
         }
 
-    def _until(self, now: int, request: dict[str, Any]) -> int:
-        """When a pin ends, ns."""
-        span = request.get("pin_ns")
-        return now + (self.settings.versions.pin if span is None else int(span))
+    # -- orders
 
-    def _rollback(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        zones, hold = request.get("stages") or [], int(request.get("hold_ns") or 0)
-        known = self.settings.pilot.zones
-        if unknown := [z for z in zones if z not in known]:
-            raise ValueError(f"zone {unknown[0]}: there are {', '.join(known)}")
-        order = [*zones, *(z for z in known if z not in zones)] if zones else []
-        return self.engine.roll_back(
-            now,
-            str(request["version"]),
-            self._until(now, request),
-            request.get("expected"),
-            bool(request.get("dry")),
-            {z: k * hold for k, z in enumerate(order)},
-            bool(request.get("levels")),
+    def _rollback(self, now: int, request: Request) -> Reply:
+        rollback = RollbackRequest(
+            version=str(request["version"]),
+            pinned_until=self._pin_end(now, request),
+            expected_generation=request.get("expected"),
+            dry_run=bool(request.get("dry")),
+            delay_by_zone=self._delay_by_zone(request),
+            restore_admission=bool(request.get("levels")),
         )
+        return self.engine.roll_back(now, rollback)
 
-    def _pin(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
-        """Hold the tables as they are."""
+    def _pin(self, now: int, request: Request) -> Reply:
+        """Pin the tables as they are."""
         self.recorder.pin.check(request.get("expected"))
-        self.recorder.set_pin(self.recorder.history.newest().number, self._until(now, request))
+        self.recorder.set_pin(self.recorder.history.newest().number, self._pin_end(now, request))
         return self._state(now)
 
-    def _release(self, now: int, request: dict[str, Any]) -> dict[str, Any]:
+    def _release(self, now: int, request: Request) -> Reply:
         self.recorder.pin.check(request.get("expected"))
         self.recorder.release()
         return self._state(now)
+
+    def _pin_end(self, now: int, request: Request) -> int:
+        """When a pin that is asked for ends, ns."""
+        duration = request.get("pin_ns")
+        return now + (self.settings.versions.pin if duration is None else int(duration))
+
+    def _delay_by_zone(self, request: Request) -> dict[str, int]:
+        """ns that clients of a zone wait: the zones named in their order, then all others.
+
+        Raises:
+            ValueError: there is no such zone.
+        """
+        first_zones = request.get("stages") or []
+        hold = int(request.get("hold_ns") or 0)
+        known = self.settings.pilot.zones
+        for zone in first_zones:
+            if zone not in known:
+                raise ValueError(f"zone {zone}: there are {', '.join(known)}")
+        if not first_zones:
+            return {}
+        zones = [*first_zones, *(zone for zone in known if zone not in first_zones)]
+        return {zone: position * hold for position, zone in enumerate(zones)}
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -1,4 +1,4 @@
-"""The server list as a watched INI file: the embedded default source.
+"""The endpoint list as a watched INI file: the default list source.
 
     [server 127.0.0.1:9001]
     zone = north
@@ -12,80 +12,118 @@
 from __future__ import annotations
 
 import configparser
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from pathlib import Path
+from typing import TypeVar
 
 import anyio
 
 from damsonpick import interface as api
 from damsonpick.settings.units import address
 from damsonpick.state.endpoint_list.sources import ListError
-from damsonpick.state.endpoint_list.validation import STATES
+from damsonpick.state.endpoint_list.validation import STATES_BY_SAFETY
 
+SECTION_KIND = "server"  # first word of a section's name; the endpoint follows
 KEYS = ("zone", "state", "weight", "started")
+DEFAULT_STATE, DEFAULT_WEIGHT, DEFAULT_STARTED = "in_service", "1", "0"
+
+Number = TypeVar("Number", int, float)
 
 
 def parse(text: str, name: str = "list") -> list[api.EndpointEntry]:
-    """All entries, or ListError naming the first thing wrong: half a list would be a smaller fleet."""
+    """All entries of a list file.
+
+    Args:
+        text: contents of the file.
+        name: of the file, for errors.
+
+    Raises:
+        ListError: the first thing wrong. No entry is used then, as half a list would be a smaller fleet.
+    """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     try:
         parser.read_string(text, source=name)
     except configparser.Error as error:
-        raise ListError(f"{name}: {' '.join(str(error).split())}; write [server IP:PORT] sections, each once") from None
-    return [_entry(name, section, parser[section]) for section in parser.sections()]
+        problem = " ".join(str(error).split())
+        raise ListError(f"{name}: {problem}; write [server IP:PORT] sections, each once") from None
+    return [_entry(f"{name}: [{section}]", section, parser[section]) for section in parser.sections()]
 
 
-def _entry(name: str, section: str, values: configparser.SectionProxy) -> api.EndpointEntry:
+def _entry(place: str, section: str, values: configparser.SectionProxy) -> api.EndpointEntry:
+    """The entry of one section; `place` names file and section in errors."""
     kind, _, endpoint = section.partition(" ")
-    if kind != "server":
-        raise ListError(f"{name}: [{section}] is no section of a list; write [server IP:PORT]")
+    if kind != SECTION_KIND:
+        raise ListError(f"{place} is no section of a list; write [server IP:PORT]")
     for key in values:
         if key not in KEYS:
-            raise ListError(f"{name}: [{section}] {key}: no such key; a server has {', '.join(KEYS)}")
+            raise ListError(f"{place} {key}: no such key; a server has {', '.join(KEYS)}")
     try:
         endpoint = address(endpoint)
     except ValueError as error:
-        raise ListError(f"{name}: [{section}] {error}") from None
-    state = values.get("state", "in_service")
-    if state not in STATES:
-        raise ListError(f"{name}: [{section}] state = {state!r}: write one of {', '.join(STATES)}")
+        raise ListError(f"{place} {error}") from None
+    state = values.get("state", DEFAULT_STATE)
+    if state not in STATES_BY_SAFETY:
+        raise ListError(f"{place} state = {state!r}: write one of {', '.join(STATES_BY_SAFETY)}")
     if "zone" not in values:
-        raise ListError(f"{name}: [{section}] zone is missing; name the building the server stands in")
-    numbers = {}
-    for key, usual in (("weight", "1"), ("started", "0")):
-        try:
-            numbers[key] = float(values.get(key, usual)) if key == "weight" else int(values.get(key, usual))
-        except ValueError:
-            raise ListError(f"{name}: [{section}] {key} = {values[key]!r}: write a number") from None
-    return api.EndpointEntry(endpoint, values["zone"], state, numbers["weight"], numbers["started"])
+        raise ListError(f"{place} zone is missing; name the building the server stands in")
+    weight = _number(place, values, "weight", DEFAULT_WEIGHT, float)
+    started = _number(place, values, "started", DEFAULT_STARTED, int)
+    return api.EndpointEntry(endpoint, values["zone"], state, weight, started)
+
+
+def _number(
+    place: str, values: configparser.SectionProxy, key: str, default: str, convert: Callable[[str], Number]
+) -> Number:
+    try:
+        return convert(values.get(key, default))
+    except ValueError:
+        raise ListError(f"{place} {key} = {values[key]!r}: write a number") from None
 
 
 def render(entries: list[api.EndpointEntry]) -> str:
-    return "".join(
-        f"[server {e.endpoint}]\nzone = {e.zone}\nstate = {e.state}\nweight = {e.weight:g}\nstarted = {e.started}\n\n"
-        for e in entries
+    """The text of a list file; `parse` gives the entries again."""
+    return "".join(_render_entry(entry) for entry in entries)
+
+
+def _render_entry(entry: api.EndpointEntry) -> str:
+    return (
+        f"[{SECTION_KIND} {entry.endpoint}]\n"
+        f"zone = {entry.zone}\n"
+        f"state = {entry.state}\n"
+        f"weight = {entry.weight:g}\n"
+        f"started = {entry.started}\n\n"
     )
 
 
 class FileSource:
-    """Yields whole lists as the file changes; a file that cannot be used is said once and skipped."""
+    """Gives whole lists as the file changes; a file that cannot be used is reported once and skipped.
+
+    Args:
+        path: of the file.
+        poll_s: seconds between reads.
+    """
 
     def __init__(self, path: Path, poll_s: float) -> None:
-        self.path, self.poll_s = path, poll_s
+        self.path = path
+        self.poll_s = poll_s
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        """Endless; an error stands in the place of a list, and the next good text follows it."""
-        last: object = None
+        """Endless; an error stands in the place of a list, and the next text that can be used follows it."""
+        last: str | None = None
         while True:
-            try:
-                text = await anyio.Path(self.path).read_text(encoding="utf-8")
-                said: list[api.EndpointEntry] | ListError = parse(text, str(self.path))
-            except (OSError, UnicodeDecodeError) as error:
-                text = f"error {error}"
-                said = ListError(f"{self.path}: cannot be read ({error}); restore the file")
-            except ListError as error:
-                said = error
+            text, content = await self._read()
             if text != last:
                 last = text
-                yield said
+                yield content
             await anyio.sleep(self.poll_s)
+
+    async def _read(self) -> tuple[str, list[api.EndpointEntry] | ListError]:
+        """The text, by which a change is noticed, and what it says; an error in reading stands for a text."""
+        try:
+            text = await anyio.Path(self.path).read_text(encoding="utf-8")
+        except (OSError, UnicodeDecodeError) as error:
+            return f"error {error}", ListError(f"{self.path}: cannot be read ({error}); restore the file")
+        try:
+            return text, parse(text, str(self.path))
+        except ListError as error:
+            return text, error
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -16,7 +16,7 @@
 from damsonpick.protocols.sasp.pacing import Meter, Pace
 from damsonpick.protocols.sasp.registry import Limits, Registry
 from damsonpick.protocols.sasp.session import Desk, SaspSession
-from damsonpick.protocols.shared.send_queue import Waiting
+from damsonpick.protocols.shared.send_queue import PendingChanges
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
@@ -27,7 +27,7 @@
 AT_ONCE = 4  # messages worked on between two turns of the loop: a crowd of polls holds up no push
 LOOK = 1.0  # s between looks at what only time changes
 SHARE = 0.05  # of the channel's limit that advice without a change of the tables may take in one look, all sessions
-IDLE = Waiting()
+IDLE = PendingChanges()
 SILENT = 60_000_000_000  # ns without any report after which advice goes by capacity
 HEARD = 10_000_000_000  # ns within which evidence counts as lately
 
@@ -68,7 +68,7 @@
             Pace(random.Random(settings.pilot.seed)),
             self._heat,
             self._known,
-            lambda: session_manager.channel.waiting() / session_manager.channel.limit,
+            lambda: session_manager.send_queue.waiting() / session_manager.send_queue.limit,
             self._blind,
         )
         self.streams: dict[SaspSession, anyio.Event] = {}
@@ -166,14 +166,14 @@
 
     def _offer(self, session: SaspSession) -> None:
         now = self.clock.now()
-        channel = self.session_manager.channel
-        if channel.waits.get(
-            self.session_manager.by[session].number if session in self.session_manager.by else -1, IDLE
+        send_queue = self.session_manager.send_queue
+        if send_queue.pending.get(
+            self.session_manager.by_session[session].number if session in self.session_manager.by_session else -1, IDLE
         ).units:
             return  # what waits for it is looked at when its turn comes
-        lines, urgent = session.news(now, max(1, int(SHARE * channel.limit / max(1, len(self.streams)))))
+        lines, urgent = session.news(now, max(1, int(SHARE * send_queue.limit / max(1, len(self.streams)))))
         if lines:
-            self.session_manager.offer(now, session, lines, urgent)
+            self.session_manager.enqueue(now, session, lines, urgent)
             self.stir()
 
     def _feed(self) -> None:
@@ -189,7 +189,7 @@
             [
                 api.EndpointEntry(
                     n,
-                    known.places.get(n, self.settings.pilot.zone),
+                    known.known_zones.get(n, self.settings.pilot.zone),
                     "terminating" if quiesced else "in_service",
                     known.entries[n].weight if n in known.entries else 1.0,
                     known.entries[n].started if n in known.entries else 0,
@@ -248,7 +248,7 @@
         if not self.addresses[address]:
             del self.addresses[address]
         self.registry.leave(self.clock.now(), session)
-        if session in self.session_manager.by:
+        if session in self.session_manager.by_session:
             self.log.info("balancer_left", balancer=session.node, why=why)
         self.session_manager.leave(session)
         self.stir()
@@ -292,11 +292,11 @@
         return reply
 
     def _joined(self, session: SaspSession) -> None:
-        member = self.session_manager.join(self.clock.now(), session)
+        client = self.session_manager.join(self.clock.now(), session)
         self.log.info(
             "balancer_joined",
             balancer=session.node,
-            number=member.number,
+            number=client.number,
             zone=session.zone,
             pushes=bool(session.flags & LbFlag.PUSH),
             trusts=bool(session.flags & LbFlag.TRUST),
@@ -309,11 +309,11 @@
             await self.streams[session].wait()
             self.streams[session] = anyio.Event()
             while (push := session.compose(self.clock.now())) is not None:
-                self.session_manager.channel.charge(session.rows)
+                self.session_manager.send_queue.charge(session.rows)
                 await self._send(stream, lock, push)
                 session.written()
-            self.session_manager.settle(self.clock.now(), session)
-            if self.session_manager.review(session) or self.session_manager.events:
+            self.session_manager.acknowledge(self.clock.now(), session)
+            if self.session_manager.update_ready(session) or self.session_manager.events:
                 self.stir()
 
     # -- questions
@@ -339,8 +339,8 @@
                         for g in b.groups.values()
                     },
                     "seen": max((s.seen for s in b.sessions), default=None),
-                    "last_told_s": round((now - max(s.since() for s in b.sessions)) / 1e9, 1)
-                    if any(s.since() for s in b.sessions)
+                    "last_told_s": round((now - max(s.acknowledged_at() for s in b.sessions)) / 1e9, 1)
+                    if any(s.acknowledged_at() for s in b.sessions)
                     else None,
                 }
                 for lb, b in self.registry.balancers.items()
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -15,7 +15,7 @@
 from damsonpick.protocols.sasp.pacing import Meter, Pace
 from damsonpick.protocols.sasp.registry import GroupOf, Registry
 from damsonpick.protocols.sasp.weights import Advice, Known
-from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.shared.session import CoveredChanges, RejectedVersion, SeqRange
 from damsonpick.settings.units import numbers
 from damsonpick.state.published_tables import FLEET, PublishedTables, slice_unit
 
@@ -143,20 +143,20 @@
 class SaspSession:
     """One connection. Implements `fronts.session.Session` once its balancer has made itself known."""
 
-    variant, roots = "sasp", False
+    variant, verifies_roots = "sasp", False
 
     def __init__(self, desk: Desk, zone_of: Callable[[bytes], str], meter: Meter) -> None:
         self.desk, self.zone_of, self.meter = desk, zone_of, meter
         self.lb = b""
         self.node, self.zone, self.fresh = "", "", True
         self.flags = LbFlag(0)
-        self.void: list[tuple[int, int]] = []
+        self.rejected_ranges: list[SeqRange] = []
         self.rejections: dict[str, str] = {}
-        self.refused: list[tuple[str, str]] = []
+        self.newly_rejected: list[RejectedVersion] = []
         self.told: dict[bytes, dict[str, Advice]] = {}  # by group: what its peer was last told
         self.polled = self.pushed = self.seen = 0  # ns, ns, change number
         self.interval = 0  # s that it was last asked to wait
-        self.pending: Due | None = None  # a change that is to be pushed
+        self.pending: CoveredChanges | None = None  # a change that is to be pushed
         self.stale: set[str] = set()  # units whose groups are to be looked at; FLEET: all
         self.wanted: tuple[int, set[str]] = (-1, set())  # units of all its groups, at a stamp of the registry
         self.writing = 0  # lowest change number of a push that the socket has not taken; 0: none
@@ -259,7 +259,7 @@
         self.seen = self.desk.published.seq
         if not texts:
             return None
-        self.pushed, self.writing = now, due.first or 1
+        self.pushed, self.writing = now, due.first_seq or 1
         self.number += 1
         body = len(texts).to_bytes(2, "big") + b"".join(texts)
         return codec.frame(self.number, Kind.SEND_WEIGHTS, body)
@@ -308,7 +308,7 @@
     def joined(self) -> bool:
         return bool(self.lb)
 
-    def wants(self, unit: str) -> bool:
+    def subscribes_to(self, unit: str) -> bool:
         """Pushes alone go through the channel; a poll costs no line, as the balancer pays for it by asking."""
         if not self.flags & LbFlag.PUSH or self.lb not in self.desk.registry.balancers:
             return False
@@ -319,26 +319,28 @@
             self.wanted = self.desk.registry.stamp, {u for g in groups for u in self.desk.covered(g.covers)}
         return unit in self.wanted[1]
 
-    def change(self, units: Iterable[str], due: Due) -> None:
-        first = min(due.first, self.pending.first) if self.pending and self.pending.first else due.first
-        self.pending = Due(first, due.ordered, due.lines)
+    def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
+        first_seq = covered.first_seq
+        if self.pending is not None and self.pending.first_seq:
+            first_seq = min(first_seq, self.pending.first_seq)
+        self.pending = CoveredChanges(first_seq, covered.ordered_at, covered.entries)
         self.stale.update(units)
 
     def ready(self) -> bool:
         return not self.writing
 
-    def oldest(self) -> int:
-        firsts = [n for n in (self.writing, self.pending.first if self.pending else 0) if n]
+    def oldest_unacknowledged(self) -> int:
+        firsts = [n for n in (self.writing, self.pending.first_seq if self.pending else 0) if n]
         return min(firsts, default=NEVER)
 
-    def unanswered(self) -> int:
+    def unacknowledged_messages(self) -> int:
         return int(bool(self.writing))
 
-    def held(self) -> dict[str, str]:
+    def acknowledged_versions(self) -> dict[str, str]:
         return {}
 
-    def since(self) -> int:
+    def acknowledged_at(self) -> int:
         return max(self.polled, self.pushed)
 
-    def holds(self) -> dict[str, int]:
+    def held_counts(self) -> dict[str, int]:
         return {"groups": len(self.told)}
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -37,7 +37,7 @@
     """Share of each endpoint, adding up to 1 (or nothing, if no slice has an open line)."""
     found: dict[str, float] = {}
     for number in slices:
-        lines = {n: published.tables[number][n] for n in published.open_lines(number)}
+        lines = {n: published.tables[number][n] for n in published.routable_endpoints(number)}
         whole, warm = sum(lines.values()), max(0.0, heat(number))
         for name, weight in lines.items():
             found[name] = found.get(name, 0.0) + warm * weight / whole
--- a/damsonpick/protocols/shared/grpc_stream.py
+++ b/damsonpick/protocols/shared/grpc_stream.py
@@ -1,48 +1,52 @@
 """Reads and writes of a client's gRPC stream that end in one kind of error.
 
-grpc.aio raises `asyncio.CancelledError` in a reader when the *peer* ended the call with CANCELLED, as a killed
-process may, and `InvalidStateError` in a writer whose call is over. The first would cancel the reader's whole task
-group without a word. Here both are `StreamEnded`; a true cancellation of the task stays what it is.
+grpc.aio raises `asyncio.CancelledError` in a reader when the *peer* ended the call with CANCELLED, as a killed process
+may, and `InvalidStateError` in a writer whose call is over. The first would cancel the reader's whole task group
+silently. Here both are `StreamEndedError`; a true cancellation of the task stays what it is.
 """
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any
+from collections.abc import Awaitable
+from typing import TypeVar
 
 import grpc
+from google.protobuf.message import Message
 
+Result = TypeVar("Result")
 
-class StreamEnded(Exception):
+
+class StreamEndedError(Exception):
     """The stream is over; the text says how."""
 
 
-async def read(call: Any) -> Any:
+async def read(call: grpc.aio.StreamStreamCall) -> Message:
     """The next message.
 
     Raises:
-        StreamEnded: there is none.
+        StreamEndedError: there is none.
     """
-    got = await guarded(call.read())
-    if got is grpc.aio.EOF:
-        raise StreamEnded("the peer ended the stream")
-    return got
+    message = await guarded(call.read())
+    if message is grpc.aio.EOF:
+        raise StreamEndedError("the peer ended the stream")
+    return message
 
 
-async def write(call: Any, message: Any) -> None:
+async def write(call: grpc.aio.StreamStreamCall, message: Message) -> None:
     """Send a message.
 
     Raises:
-        StreamEnded: the call is over.
+        StreamEndedError: the call is over.
     """
     await guarded(call.write(message))
 
 
-async def guarded(awaitable: Any) -> Any:
-    """What it brings. Also for a whole session: a call cut off on this side may end with a cancellation of its own.
+async def guarded(awaitable: Awaitable[Result]) -> Result:
+    """Await one operation of a call, or a whole session: a call cut off on this side may end with a cancellation too.
 
     Raises:
-        StreamEnded: the call is over.
+        StreamEndedError: the call is over.
     """
     try:
         return await awaitable
@@ -50,8 +54,8 @@
         task = asyncio.current_task()
         if task is not None and task.cancelling():
             raise
-        raise StreamEnded("the peer cancelled the call") from None
+        raise StreamEndedError("the peer cancelled the call") from None
     except asyncio.InvalidStateError:
-        raise StreamEnded("the call is over") from None
+        raise StreamEndedError("the call is over") from None
     except grpc.aio.AioRpcError as error:
-        raise StreamEnded(f"{error.code().name}: {error.details()}") from None
+        raise StreamEndedError(f"{error.code().name}: {error.details()}") from None
--- a/damsonpick/protocols/shared/send_queue.py
+++ b/damsonpick/protocols/shared/send_queue.py
@@ -1,150 +1,192 @@
-"""Per-gateway queues under one budget of lines. Sans I/O: time comes in as nanoseconds.
+"""Changes that wait for each client, under one budget of entries. Sans I/O: time comes in as nanoseconds.
 
-A gateway's queue is a set of lines by unit, not a list of messages: a line overtaken before it left is
-still one line, so a gateway that does not read costs at most one entry a line of the published state.
-The budget is a token bucket over all gateways (lines and the head of each message), first come first
-served; withdrawals go before the rest, as the grace of a drain does not wait for balance.
+What waits for a client is a set of entries by unit, not a list of messages: an entry that changes again before it left
+is still one entry, so a client that does not read costs at most one entry for each of the published state. The budget
+is a token bucket over all clients (entries, and the overhead of each message), first come first served; withdrawals go
+before the rest, as the grace of a drain does not wait for balance.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict, deque
+from collections.abc import Iterator, Mapping
 from typing import NamedTuple
 
-BURST = 0.05  # s of the pace that an idle channel may send at once
+BURST_S = 0.05  # seconds of the rate that an idle queue may send at once
+NS_PER_S = 1e9
+REFILL_MARGIN_NS = 1_000_000  # added to the time until tokens are there, so that they are
 
 
 class OutboundMessage(NamedTuple):
-    """What leaves for one gateway now."""
+    """What leaves for one client now.
+
+    Attributes:
+        client: number of the client.
+        units: changed entries by unit.
+        ordered_at: ns; when the oldest of them was ordered.
+        first_seq: the lowest sequence number of a change among them.
+        entries: how many entries there are.
+    """
 
-    gateway: int
+    client: int
     units: dict[str, set[str]]
-    ordered: int  # ns: when the oldest of it was ordered
-    first: int  # the lowest change number it answers for
-    lines: int
+    ordered_at: int
+    first_seq: int
+    entries: int
 
 
-class Waiting:
-    """What waits for one gateway."""
+class PendingChanges:
+    """What waits for one client."""
 
     def __init__(self) -> None:
-        self.units: dict[str, set[str]] = {}
-        self.ordered = self.first = self.lines = 0
-        self.urgent = False
-
-    def add(self, now: int, seq: int, lines: dict[str, set[str]], urgent: bool) -> None:
+        self.units: dict[str, set[str]] = {}  # changed entries by unit
+        self.ordered_at = 0  # ns; when the oldest of them was ordered
+        self.first_seq = 0  # the lowest sequence number of a change among them
+        self.entries = 0
+        self.urgent = False  # a withdrawal is among them
+
+    def add(self, now: int, seq: int, entries: Mapping[str, set[str]], urgent: bool) -> None:
+        """Merge the entries of one change."""
         if not self.units:
-            self.ordered, self.first = now, seq
-        for unit, names in lines.items():
-            have = self.units.setdefault(unit, set())
-            before = len(have)
-            have |= names
-            self.lines += len(have) - before
+            self.ordered_at = now
+            self.first_seq = seq
+        for unit, keys in entries.items():
+            waiting = self.units.setdefault(unit, set())
+            before = len(waiting)
+            waiting |= keys
+            self.entries += len(waiting) - before
         self.urgent |= urgent
 
 
-class Channel:
-    """Queues of all gateways of one pilot.
+class SendQueue:
+    """The queues of all clients of one controller.
 
     Args:
-        rate: lines a second over all gateways; 0 for no budget.
-        head: lines that a message costs beside its own.
-        limit: lines that may wait; passing it is counted, not acted on (the module keeps it).
-        messages, window: messages to one gateway within so many ns; 0 for no such limit.
+        rate: entries a second over all clients; 0: no budget.
+        message_overhead: entries that a message costs beside its own.
+        limit: entries that may wait; exceeding it is reported, not acted on (the planner keeps within it).
+        messages: to one client within `window`; 0: no such limit.
+        window: ns.
     """
 
-    def __init__(self, rate: float, head: float, limit: float, messages: int = 0, window: int = 0) -> None:
-        self.rate, self.head, self.limit = rate, head, limit
-        self.messages, self.window = messages, window
-        self.waits: dict[int, Waiting] = {}
-        self.line: OrderedDict[int, None] = OrderedDict()  # gateways in turn
-        self.rush: OrderedDict[int, None] = OrderedDict()  # those with a withdrawal
-        self.shut: set[int] = set()  # gateways that take nothing now
-        self.sent: dict[int, deque[int]] = {}
-        self.tokens, self.at = 0.0, 0
-        self.most = 0.0  # lines ever waiting at once, heads included
-
-    def join(self, gateway: int) -> None:
-        self.waits[gateway] = Waiting()
-        self.sent[gateway] = deque()
-        self.shut.discard(gateway)
-
-    def leave(self, gateway: int) -> None:
-        for place in (self.waits, self.line, self.rush, self.sent):
-            place.pop(gateway, None)
-        self.shut.discard(gateway)
-
-    def order(self, now: int, gateway: int, seq: int, lines: dict[str, set[str]], urgent: bool) -> None:
-        """Queue lines for a gateway; an unknown one is ignored, as it has left."""
-        wait = self.waits.get(gateway)
-        if wait is None or not lines:
+    def __init__(self, rate: float, message_overhead: float, limit: float, messages: int = 0, window: int = 0) -> None:
+        self.rate = rate
+        self.message_overhead = message_overhead
+        self.limit = limit
+        self.messages = messages
+        self.window = window
+        self.pending: dict[int, PendingChanges] = {}  # by client
+        self.service_order: OrderedDict[int, None] = OrderedDict()  # clients with something waiting
+        self.urgent: OrderedDict[int, None] = OrderedDict()  # those of them with a withdrawal
+        self.blocked: set[int] = set()  # clients that take nothing now
+        self.sent_at: dict[int, deque[int]] = {}  # by client: ns of the messages within the window
+        self.tokens = 0.0  # entries that may leave; negative: paid in advance
+        self.refilled_at = 0  # ns
+        self.most_waiting = 0.0  # entries ever waiting at once, overhead included
+
+    def join(self, client: int) -> None:
+        """A client has connected."""
+        self.pending[client] = PendingChanges()
+        self.sent_at[client] = deque()
+        self.blocked.discard(client)
+
+    def leave(self, client: int) -> None:
+        """A client has left: what waits for it is dropped."""
+        for by_client in (self.pending, self.service_order, self.urgent, self.sent_at):
+            by_client.pop(client, None)
+        self.blocked.discard(client)
+
+    def enqueue(self, now: int, client: int, seq: int, entries: Mapping[str, set[str]], urgent: bool) -> None:
+        """Queue changed entries for a client; one that has left is ignored.
+
+        Args:
+            now: ns.
+            client: number of the client.
+            seq: sequence number of the change.
+            entries: by unit.
+            urgent: a withdrawal is among them.
+        """
+        pending = self.pending.get(client)
+        if pending is None or not entries:
             return
-        wait.add(now, seq, lines, urgent)
-        self.line.setdefault(gateway)
-        if wait.urgent:
-            self.rush.setdefault(gateway)
-        self.most = max(self.most, self.waiting())
-
-    def open(self, gateway: int, ready: bool) -> None:
-        """Whether a gateway takes another message: one that does not read or acknowledge holds up nobody."""
+        pending.add(now, seq, entries, urgent)
+        self.service_order.setdefault(client)
+        if pending.urgent:
+            self.urgent.setdefault(client)
+        self.most_waiting = max(self.most_waiting, self.waiting())
+
+    def set_ready(self, client: int, ready: bool) -> None:
+        """Note whether a client takes another message: one that does not read or acknowledge delays nobody else."""
         if ready:
-            self.shut.discard(gateway)
-        elif gateway in self.waits:
-            self.shut.add(gateway)
+            self.blocked.discard(client)
+        elif client in self.pending:
+            self.blocked.add(client)
 
-    def charge(self, lines: float) -> None:
-        """Lines of a message that turned out longer than what was ordered: what follows waits for them."""
-        self.tokens -= lines if self.rate else 0
+    def charge(self, entries: float) -> None:
+        """Count entries of a message that turned out longer than what was queued: what follows waits for them."""
+        if self.rate:
+            self.tokens -= entries
 
     def waiting(self) -> float:
-        """Lines that wait, heads included."""
-        return sum(self.waits[g].lines + self.head for g in self.line)
+        """Entries that wait, overhead included."""
+        return sum(self.pending[client].entries + self.message_overhead for client in self.service_order)
 
-    def take(self, now: int) -> OutboundMessage | None:
-        """The next message to leave, or None: nothing waits, or the pace does not allow it yet."""
+    def next_message(self, now: int) -> OutboundMessage | None:
+        """Take the next message to leave; None: nothing waits, or the budget does not allow it yet."""
         self._refill(now)
-        for gateway in [*self.rush, *(g for g in self.line if g not in self.rush)]:
-            if gateway in self.shut or not self._may(now, gateway):
+        for client in list(self._clients_in_turn()):
+            if client in self.blocked or not self._within_window(now, client):
                 continue
-            wait = self.waits[gateway]
-            cost = wait.lines + self.head
             if self.rate and self.tokens <= 0:
                 return None
-            self.tokens -= cost if self.rate else 0
-            return self._pop(now, gateway, wait)
+            pending = self.pending[client]
+            self.charge(pending.entries + self.message_overhead)
+            return self._take(now, client, pending)
         return None
 
-    def _pop(self, now: int, gateway: int, wait: Waiting) -> OutboundMessage:
-        self.waits[gateway] = Waiting()
-        self.line.pop(gateway, None)
-        self.rush.pop(gateway, None)
+    def _clients_in_turn(self) -> Iterator[int]:
+        yield from self.urgent
+        for client in self.service_order:
+            if client not in self.urgent:
+                yield client
+
+    def _take(self, now: int, client: int, pending: PendingChanges) -> OutboundMessage:
+        self.pending[client] = PendingChanges()
+        self.service_order.pop(client, None)
+        self.urgent.pop(client, None)
         if self.messages:
-            self.sent[gateway].append(now)
-        return OutboundMessage(gateway, wait.units, wait.ordered, wait.first, wait.lines)
+            self.sent_at[client].append(now)
+        return OutboundMessage(client, pending.units, pending.ordered_at, pending.first_seq, pending.entries)
 
     def _refill(self, now: int) -> None:
-        """A message may leave while tokens are above nought, and takes them below: large ones are not stuck."""
+        """Add the tokens of the time since the last refill.
+
+        A message may leave while tokens are above zero, and takes them below: so a large one is never stuck.
+        """
         if self.rate:
-            gained = max(0, now - self.at) / 1e9 * self.rate if self.at else self.rate * BURST
-            self.tokens = min(self.rate * BURST, self.tokens + gained)
-        self.at = max(self.at, now)
+            burst = self.rate * BURST_S
+            gained = max(0, now - self.refilled_at) / NS_PER_S * self.rate if self.refilled_at else burst
+            self.tokens = min(burst, self.tokens + gained)
+        self.refilled_at = max(self.refilled_at, now)
 
-    def _may(self, now: int, gateway: int) -> bool:
+    def _within_window(self, now: int, client: int) -> bool:
+        """Whether a client may be sent another message within the window."""
         if not self.messages:
             return True
-        sent = self.sent[gateway]
-        while sent and sent[0] <= now - self.window:
-            sent.popleft()
-        return len(sent) < self.messages
-
-    def wake(self, now: int) -> int | None:
-        """Nanoseconds until `take` may give something, None while nothing waits that could go."""
-        ready = [g for g in self.line if g not in self.shut]
+        sent_at = self.sent_at[client]
+        while sent_at and sent_at[0] <= now - self.window:
+            sent_at.popleft()
+        return len(sent_at) < self.messages
+
+    def next_due(self, now: int) -> int | None:
+        """ns until `next_message` may give something; None: nothing waits that could go."""
+        ready = [client for client in self.service_order if client not in self.blocked]
         if not ready:
             return None
         pause = 0
         if self.rate and self.tokens <= 0:
-            pause = int(-self.tokens / self.rate * 1e9) + 1_000_000
-        if self.messages and not any(self._may(now, g) for g in ready):
-            pause = max(pause, min(self.sent[g][0] for g in ready) + self.window - now)
+            pause = int(-self.tokens / self.rate * NS_PER_S) + REFILL_MARGIN_NS
+        if self.messages and not any(self._within_window(now, client) for client in ready):
+            window_ends = min(self.sent_at[client][0] for client in ready) + self.window
+            pause = max(pause, window_ends - now)
         return max(0, pause)
--- a/damsonpick/protocols/shared/session.py
+++ b/damsonpick/protocols/shared/session.py
@@ -1,7 +1,7 @@
-"""What the hub asks of a session, whatever wire it speaks. Types only.
+"""What the session manager asks of a session, whatever protocol it speaks. Types only.
 
-A front is a wire: its sessions take changes by unit and say how far their peer has come. What is published, in what
-order, within which budget and what the module is told of it is common to all fronts.
+A session takes changes by unit and says how far its peer has come. What is published, in what order, within which
+budget, and what the planner is told of it is common to all protocols.
 """
 
 from __future__ import annotations
@@ -10,46 +10,77 @@
 from typing import NamedTuple, Protocol
 
 
-class Due(NamedTuple):
-    """What a message answers for."""
+class CoveredChanges(NamedTuple):
+    """The changes that a message brings to a client.
 
-    first: int  # the lowest change number it answers for
-    ordered: int  # ns
-    lines: int
+    Attributes:
+        first_seq: the lowest sequence number among them; 0: the message answers a request of the client.
+        ordered_at: ns; when the oldest of them was ordered.
+        entries: how many entries they changed.
+    """
 
+    first_seq: int
+    ordered_at: int
+    entries: int
+
+
+class SeqRange(NamedTuple):
+    """Changes by their sequence numbers, both ends included."""
+
+    first: int
+    last: int
 
-class Session(Protocol):
-    """One peer on one stream."""
 
-    variant: str  # how its wire is called
-    node: str  # who it is
+class RejectedVersion(NamedTuple):
+    """A version of a unit that a peer would not take."""
+
+    unit: str
+    version: str
+
+
+class Session(Protocol):
+    """One peer on one stream.
+
+    Attributes:
+        variant: the name of its protocol.
+        node: the name of the peer.
+        zone: of the peer.
+        fresh: the peer holds nothing from earlier streams.
+        verifies_roots: the peer checks the root of what it holds itself.
+        rejected_ranges: changes of messages that the peer rejected.
+        rejections: what the peer said of a unit it rejected, by unit.
+        newly_rejected: versions rejected since the session manager last looked.
+    """
+
+    variant: str
+    node: str
     zone: str
-    fresh: bool  # holds nothing of earlier streams
-    roots: bool  # checks roots itself
-    void: list[tuple[int, int]]  # changes that a rejected message answered for
-    rejections: dict[str, str]  # unit: what the peer said of it
-    refused: list[tuple[str, str]]  # (unit, version) newly refused
+    fresh: bool
+    verifies_roots: bool
+    rejected_ranges: list[SeqRange]
+    rejections: dict[str, str]
+    newly_rejected: list[RejectedVersion]
 
-    def wants(self, unit: str) -> bool:
-        """Whether a unit concerns it."""
+    def subscribes_to(self, unit: str) -> bool:
+        """Whether a unit concerns the peer."""
 
-    def change(self, units: Iterable[str], due: Due) -> None:
-        """Units that changed and whose turn it is."""
+    def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
+        """Take units that have changed and may be sent now."""
 
     def ready(self) -> bool:
         """Whether it takes another message now."""
 
-    def oldest(self) -> int:
-        """The lowest change number that its peer has not answered for, or a number above all."""
+    def oldest_unacknowledged(self) -> int:
+        """The lowest sequence number that the peer has not acknowledged, or a number above all."""
 
-    def unanswered(self) -> int:
-        """Messages on their way."""
+    def unacknowledged_messages(self) -> int:
+        """Messages sent and not acknowledged."""
 
-    def held(self) -> dict[str, str]:
-        """Version by unit of what its peer has acknowledged; empty where the wire tells none."""
+    def acknowledged_versions(self) -> dict[str, str]:
+        """Versions that the peer has acknowledged, by unit; empty where the protocol tells none."""
 
-    def since(self) -> int:
-        """ns: when its peer last acknowledged anything; 0: never."""
+    def acknowledged_at(self) -> int:
+        """When the peer last acknowledged anything, ns; 0: never."""
 
-    def holds(self) -> dict[str, int]:
-        """For people: how much it holds, by kind."""
+    def held_counts(self) -> dict[str, int]:
+        """How much the peer holds, by kind; for operators."""
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -1,225 +1,338 @@
-"""All sessions of one pilot, on any wire: who is joined, what goes to whom, how far each has come. Sans I/O."""
+"""All sessions of one controller, in any protocol: who is connected, what goes to whom, how far each has come.
+
+Sans I/O: time comes in as nanoseconds.
+"""
 
 from __future__ import annotations
 
 import heapq
 from collections import deque
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from typing import NamedTuple, Protocol
 
 from damsonpick import interface as api
-from damsonpick.protocols.shared.send_queue import Channel
-from damsonpick.protocols.shared.session import Due, Session
+from damsonpick.protocols.shared.send_queue import SendQueue
+from damsonpick.protocols.shared.session import CoveredChanges, RejectedVersion, Session
 from damsonpick.state.history.digest import Digest
 from damsonpick.state.published_tables import FLEET, Change, PublishedTables
 
-MOST_REFUSED = 10_000  # resources and versions whose refusers are remembered
-SPARE = 60_000  # numbers from here on are for second streams under a node id that is taken
+MAX_REMEMBERED_REJECTIONS = 10_000  # versions whose rejecting nodes are remembered
+FIRST_DUPLICATE_NUMBER = 60_000  # client numbers from here on are for second streams under a node id in use
+LAST_DUPLICATE_NUMBER = 65_534
+NO_CHANGE = 1 << 62  # above all sequence numbers
 
 
 class Catalogue(Protocol):
-    """What keeps ready-made texts of the units in step with what is published."""
+    """Keeps the units ready to be sent, in step with what is published.
+
+    Attributes:
+        stopped: by unit, a version that too many clients rejected: it goes to nobody else.
+    """
+
+    stopped: dict[str, str]
+
+    def refresh(self, units: Iterable[str]) -> object:
+        """Take over what is published of some units."""
 
-    stopped: dict[str, str]  # unit: a version that too many refused
 
-    def refresh(self, units: Iterable[str]) -> object: ...
+class PendingToken(NamedTuple):
+    """A sync token that a client has not acknowledged yet."""
+
+    seq: int
+    token: int
+    ordered_at: int  # ns
 
 
-class Waiting(NamedTuple):
-    """A mark that a gateway has not yet answered for."""
+class StagedChange(NamedTuple):
+    """Changed entries that a client is sent later, for a rollout by zone. The order of the fields orders the heap."""
 
+    due_at: int  # ns
+    client: int
     seq: int
-    mark: int
-    ordered: int
+    entries: dict[str, set[str]]
+
+
+class StoppedRollout(NamedTuple):
+    """A version that goes to no further client."""
+
+    unit: str
+    version: str
+    rejections: int  # nodes that rejected it
 
 
-class Member:
-    """A joined gateway."""
+class Client:
+    """A connected client.
+
+    Args:
+        number: the lasting number of its node id, or one for a second stream under it.
+        session: its session.
+        now: ns.
+    """
 
     def __init__(self, number: int, session: Session, now: int) -> None:
-        self.number, self.session, self.since = number, session, now
-        self.marks: deque[Waiting] = deque()
-        self.acked_at = now
+        self.number = number
+        self.session = session
+        self.pending_tokens: deque[PendingToken] = deque()  # by sequence number
+        self.acknowledged_at = now  # ns; when it last acknowledged a sync token
 
 
 class SessionManager:
-    """Streams, their queues and their marks.
+    """The sessions, what waits for them, and the sync tokens they have not acknowledged.
 
     Args:
-        published, catalogue: the state and its resources.
-        channel: the queues.
+        published: the published state.
+        catalogue: keeps its units ready to be sent.
+        send_queue: what waits for each client.
         number_of: the lasting number of a node id.
     """
 
     def __init__(
-        self, published: PublishedTables, catalogue: Catalogue, channel: Channel, number_of: Callable[[str], int]
+        self, published: PublishedTables, catalogue: Catalogue, send_queue: SendQueue, number_of: Callable[[str], int]
     ) -> None:
-        self.published, self.catalogue, self.channel, self.number_of = published, catalogue, channel, number_of
-        self.members: dict[int, Member] = {}
-        self.by: dict[Session, Member] = {}
-        self.events: list[api.Event] = []  # for the module, in order
-        self.spare = SPARE
-        self.stop_share = 1.0
-        self.refusers: dict[tuple[str, str], set[str]] = {}  # (resource, version): node ids that refused it
-        self.stopped: list[tuple[str, str, int]] = []  # newly held back: resource, version, how many refused
-        self.later: list[tuple[int, int, int, dict[str, set[str]]]] = []  # stages: at, number, seq, lines by unit
-
-    def join(self, now: int, session: Session) -> Member:
-        """A stream has asked for tables. Two under one node id are two members: a drain must bind both."""
+        self.published = published
+        self.catalogue = catalogue
+        self.send_queue = send_queue
+        self.number_of = number_of
+        self.clients: dict[int, Client] = {}  # by number
+        self.by_session: dict[Session, Client] = {}
+        self.events: list[api.Event] = []  # for the planner, in order
+        self.stop_share = 1.0  # of the clients; a version that so many rejected goes to no further one
+        self.stopped_rollouts: list[StoppedRollout] = []  # newly stopped, for the log
+        self._next_duplicate_number = FIRST_DUPLICATE_NUMBER
+        self._rejecting_nodes: dict[RejectedVersion, set[str]] = {}
+        self._staged: list[StagedChange] = []  # heap
+
+    # -- who is connected
+
+    def join(self, now: int, session: Session) -> Client:
+        """A session has asked for tables.
+
+        Two sessions under one node id are two clients: a drain must bind both.
+        """
         number = self.number_of(session.node)
-        if number in self.members:
-            number, self.spare = self.spare, self.spare + 1 if self.spare < 65_534 else SPARE
-        member = Member(number, session, now)
-        self.members[number], self.by[session] = member, member
-        self.channel.join(number)
+        if number in self.clients:
+            number = self._duplicate_number()
+        client = Client(number, session, now)
+        self.clients[number] = client
+        self.by_session[session] = client
+        self.send_queue.join(number)
         self.events.append(api.ProxyJoined(number, session.zone, 0.0, session.fresh))
-        return member
+        return client
+
+    def _duplicate_number(self) -> int:
+        number = self._next_duplicate_number
+        self._next_duplicate_number = number + 1 if number < LAST_DUPLICATE_NUMBER else FIRST_DUPLICATE_NUMBER
+        return number
 
     def leave(self, session: Session) -> None:
-        member = self.by.pop(session, None)
-        if member is not None:
-            del self.members[member.number]
-            self.channel.leave(member.number)
-            self.events.append(api.ProxyLeft(member.number))
+        """A session has ended; one that never asked for tables is ignored."""
+        client = self.by_session.pop(session, None)
+        if client is not None:
+            del self.clients[client.number]
+            self.send_queue.leave(client.number)
+            self.events.append(api.ProxyLeft(client.number))
 
-    def publish(self, now: int, change: Change, stages: dict[str, int] | None = None) -> list[Session]:
-        """Queue a change for every gateway it concerns; returns those that may answer for its marks now.
+    # -- what goes to whom
+
+    def publish(self, now: int, change: Change, delay_by_zone: Mapping[str, int] | None = None) -> list[Session]:
+        """Queue a change for every client it concerns.
 
         Args:
-            stages: ns to wait by zone of the gateways. Whoever needs a unit earlier, for a later change of it or
-                because it joins, is sent it whole at once.
+            now: ns.
+            change: what has changed.
+            delay_by_zone: ns that clients of a zone wait. A client that needs a unit earlier, for a later change of it
+                or because it joins, is sent it whole at once.
+
+        Returns:
+            Sessions that the change does not concern, and which may acknowledge its sync tokens now.
         """
-        self.catalogue.refresh(change.lines)
-        marks, idle = [Waiting(change.seq, mark, now) for mark in change.marks], []
-        for member in self.members.values():
-            mine = {unit: lines for unit, lines in change.lines.items() if member.session.wants(unit)}
-            member.marks.extend(marks)
-            wait = (stages or {}).get(member.session.zone, 0)
-            if mine and wait:
-                heapq.heappush(self.later, (now + wait, member.number, change.seq, mine))
-            elif mine:
-                self.channel.order(now, member.number, change.seq, mine, change.urgent)
-            elif marks:
-                idle.append(member.session)
+        self.catalogue.refresh(change.entries)
+        tokens = [PendingToken(change.seq, token, now) for token in change.sync_tokens]
+        idle: list[Session] = []
+        for client in self.clients.values():
+            client.pending_tokens.extend(tokens)
+            entries = _subscribed_entries(client.session, change)
+            delay = (delay_by_zone or {}).get(client.session.zone, 0)
+            if entries and delay:
+                heapq.heappush(self._staged, StagedChange(now + delay, client.number, change.seq, entries))
+            elif entries:
+                self.send_queue.enqueue(now, client.number, change.seq, entries, change.urgent)
+            elif tokens:
+                idle.append(client.session)
         return idle
 
-    def offer(self, now: int, session: Session, lines: dict[str, set[str]], urgent: bool) -> None:
-        """Queue something for one session that no change of the tables brings: it takes the channel as any other."""
-        member = self.by.get(session)
-        if member is not None:
-            self.channel.order(now, member.number, self.published.seq, lines, urgent)
-
-    def pump(self, now: int) -> tuple[list[Session], int | None]:
-        """Hand to sessions what may leave now; returns those and ns until more may, None if nothing waits."""
-        stirred: list[Session] = []
-        self._staged(now)
-        while (parcel := self.channel.take(now)) is not None:
-            session = self.members[parcel.gateway].session
-            session.change(parcel.units, Due(parcel.first, parcel.ordered, parcel.lines))
-            stirred.append(session)
-            self.channel.open(parcel.gateway, session.ready())
-        wake = self.channel.wake(now)
-        if self.later:
-            wake = min(wake, self.later[0][0] - now) if wake is not None else self.later[0][0] - now
-        return stirred, wake
-
-    def _staged(self, now: int) -> None:
-        """Stages whose time has come; a stage does not begin while what it carries is held back."""
-        while self.later and self.later[0][0] <= now:
-            _, number, seq, mine = heapq.heappop(self.later)
-            if number in self.members:
-                self.channel.order(now, number, seq, mine, False)
-
-    def hasten(self, now: int) -> None:
-        """No stage waits any longer: servers may have begun to drain that only the new tables have left."""
-        self.later = [(now, *rest) for _, *rest in self.later]
-
-    def _refused(self, session: Session) -> None:
-        """Count who refuses what: a resource refused by too many goes to nobody else. Withdrawals always go."""
-        for name, version in session.refused:
-            who = self.refusers.setdefault((name, version), set())
-            who.add(session.node)
-            if (
-                name != FLEET
-                and version
-                and len(who) >= self.stop_share * max(2, len(self.members))
-                and self.catalogue.stopped.get(name) != version
-            ):
-                self.catalogue.stopped[name] = version
-                self.stopped.append((name, version, len(who)))
-        session.refused.clear()
-        if len(self.refusers) > MOST_REFUSED:
-            self.refusers = {k: v for k, v in self.refusers.items() if self.catalogue.stopped.get(k[0]) == k[1]}
-
-    def review(self, session: Session) -> bool:
-        """A stream answered or was sent something: whether it takes more; True if something waits for it."""
-        member = self.by.get(session)
-        if member is None:
+    def enqueue(self, now: int, session: Session, entries: Mapping[str, set[str]], urgent: bool) -> None:
+        """Queue entries for one session that no change of the tables brings; they count against the budget as any."""
+        client = self.by_session.get(session)
+        if client is not None:
+            self.send_queue.enqueue(now, client.number, self.published.seq, entries, urgent)
+
+    def dispatch(self, now: int) -> tuple[list[Session], int | None]:
+        """Hand sessions what may leave now.
+
+        Returns:
+            The sessions that have something to send, and ns until more may leave; None: nothing waits.
+        """
+        sessions: list[Session] = []
+        self._enqueue_staged(now)
+        while (message := self.send_queue.next_message(now)) is not None:
+            session = self.clients[message.client].session
+            session.enqueue(message.units, CoveredChanges(message.first_seq, message.ordered_at, message.entries))
+            sessions.append(session)
+            self.send_queue.set_ready(message.client, session.ready())
+        return sessions, self._next_due(now)
+
+    def _next_due(self, now: int) -> int | None:
+        """ns until more may leave; None: nothing waits."""
+        due = self.send_queue.next_due(now)
+        if not self._staged:
+            return due
+        staged_due = self._staged[0].due_at - now
+        return staged_due if due is None else min(due, staged_due)
+
+    def _enqueue_staged(self, now: int) -> None:
+        """Queue staged changes whose time has come."""
+        while self._staged and self._staged[0].due_at <= now:
+            staged = heapq.heappop(self._staged)
+            if staged.client in self.clients:
+                self.send_queue.enqueue(now, staged.client, staged.seq, staged.entries, False)
+
+    def release_staged(self, now: int) -> None:
+        """Let no staged change wait any longer: endpoints may drain now that only the new tables have dropped."""
+        self._staged = [staged._replace(due_at=now) for staged in self._staged]
+
+    def update_ready(self, session: Session) -> bool:
+        """A session was answered or has sent something: note whether it takes more.
+
+        Returns:
+            Whether something waits that it takes now.
+        """
+        client = self.by_session.get(session)
+        if client is None:
             return False
         ready = session.ready()
-        self.channel.open(member.number, ready)
-        return ready and bool(self.channel.waits[member.number].units)
-
-    def settle(self, now: int, session: Session) -> None:
-        """Tell the module of every mark that this gateway has now answered for."""
-        if session.refused:
-            self._refused(session)
-        member = self.by.get(session)
-        if member is None or not member.marks:
+        self.send_queue.set_ready(client.number, ready)
+        return ready and bool(self.send_queue.pending[client.number].units)
+
+    # -- how far each has come
+
+    def acknowledge(self, now: int, session: Session) -> None:
+        """Tell the planner of every sync token that a client has now acknowledged, and note what it rejected."""
+        if session.newly_rejected:
+            self._count_rejections(session)
+        client = self.by_session.get(session)
+        if client is None or not client.pending_tokens:
             return
-        low = min(session.oldest(), self._queued(member.number))
-        while member.marks and member.marks[0].seq < low:
-            mark = member.marks.popleft()
-            if any(first <= mark.seq <= upto for first, upto in session.void if first):
-                continue  # rejected: not applied, and a later mark clears the module's books
-            member.acked_at = now
-            self.events.append(api.SyncAcknowledged(mark.mark, member.number, max(0, now - mark.ordered)))
-        if not member.marks:
-            session.void.clear()
-
-    def _queued(self, number: int) -> int:
-        wait = self.channel.waits.get(number)
-        return wait.first if wait is not None and wait.units else 1 << 62
-
-    def holders(self, now: int, roots: dict[str, int]) -> Iterable[dict[str, object]]:
-        """Which version each gateway holds. `roots`: number by root.
-
-        `verified`: it checks roots itself; otherwise it is what it has acknowledged. `version` None: what it holds
-        is no kept version, such as halfway between two.
+        unacknowledged = self._oldest_unacknowledged(client)
+        while client.pending_tokens and client.pending_tokens[0].seq < unacknowledged:
+            pending = client.pending_tokens.popleft()
+            if _rejected(session, pending.seq):
+                continue  # the change was not applied; a later token tells the planner what is
+            client.acknowledged_at = now
+            delay = max(0, now - pending.ordered_at)
+            self.events.append(api.SyncAcknowledged(pending.token, client.number, delay))
+        if not client.pending_tokens:
+            session.rejected_ranges.clear()
+
+    def _oldest_unacknowledged(self, client: Client) -> int:
+        """The lowest sequence number that is queued for a client or sent to it, or a number above all."""
+        return min(client.session.oldest_unacknowledged(), self._oldest_queued(client.number))
+
+    def _oldest_queued(self, number: int) -> int:
+        pending = self.send_queue.pending.get(number)
+        return pending.first_seq if pending is not None and pending.units else NO_CHANGE
+
+    def _count_rejections(self, session: Session) -> None:
+        """Count which nodes reject a version; one that too many reject goes to no further client."""
+        for rejected in session.newly_rejected:
+            nodes = self._rejecting_nodes.setdefault(rejected, set())
+            nodes.add(session.node)
+            if self._stops_rollout(rejected, len(nodes)):
+                self.catalogue.stopped[rejected.unit] = rejected.version
+                self.stopped_rollouts.append(StoppedRollout(*rejected, len(nodes)))
+        session.newly_rejected.clear()
+        if len(self._rejecting_nodes) > MAX_REMEMBERED_REJECTIONS:
+            self._forget_rejections()
+
+    def _stops_rollout(self, rejected: RejectedVersion, rejections: int) -> bool:
+        """Whether a version is rejected by too many; withdrawals are never stopped."""
+        if rejected.unit == FLEET or not rejected.version:
+            return False
+        if self.catalogue.stopped.get(rejected.unit) == rejected.version:
+            return False
+        return rejections >= self.stop_share * max(2, len(self.clients))
+
+    def _forget_rejections(self) -> None:
+        """Keep only those of versions that are stopped."""
+        stopped = self.catalogue.stopped
+        self._rejecting_nodes = {
+            rejected: nodes
+            for rejected, nodes in self._rejecting_nodes.items()
+            if stopped.get(rejected.unit) == rejected.version
+        }
+
+    # -- for operators; the keys are part of the commands' interface
+
+    def held_versions(self, now: int, numbers_by_root: Mapping[str, int]) -> Iterator[dict[str, object]]:
+        """Which version of the tables each client holds, as `damsonpick versions who` answers it.
+
+        `verified`: the client checks roots itself; otherwise the version is what it has acknowledged. `version` None:
+        what it holds is no kept version, such as halfway between two.
+
+        Args:
+            now: ns.
+            numbers_by_root: kept versions.
         """
-        for _, member in sorted(self.members.items()):
-            session = member.session
-            held, since = session.held(), session.since()
-            root = Digest(held).root()
+        for number, client in sorted(self.clients.items()):
+            session = client.session
+            acknowledged_at = session.acknowledged_at()
+            root = Digest(session.acknowledged_versions()).root()
             yield {
                 "gateway": session.node,
                 "zone": session.zone,
                 "root": root,
-                "version": roots.get(root),
-                "pending": session.unanswered()
-                + len(self.channel.waits[member.number].units)
-                + sum(member.number == n for _, n, *_ in self.later),
-                "since_s": round((now - since) / 1e9, 3) if since else None,
-                "verified": session.roots,
+                "version": numbers_by_root.get(root),
+                "pending": session.unacknowledged_messages() + self._waiting_units(number),
+                "since_s": _seconds(now - acknowledged_at) if acknowledged_at else None,
+                "verified": session.verifies_roots,
                 "rejected": dict(session.rejections),
             }
 
-    def view(self, now: int) -> Iterable[dict[str, object]]:
-        """For operators: what each gateway holds, what is under way and what it refused."""
-        for number, member in sorted(self.members.items()):
-            session, wait = member.session, self.channel.waits[number]
-            low = min(session.oldest(), self._queued(number))
+    def _waiting_units(self, number: int) -> int:
+        """Units queued for a client, and changes staged for it."""
+        staged = sum(staged.client == number for staged in self._staged)
+        return len(self.send_queue.pending[number].units) + staged
+
+    def view(self, now: int) -> Iterator[dict[str, object]]:
+        """What each client holds, what is under way and what it rejected, as `damsonpick status` answers it."""
+        for number, client in sorted(self.clients.items()):
+            session = client.session
+            pending = self.send_queue.pending[number]
             yield {
                 "gateway": session.node,
                 "number": number,
                 "zone": session.zone,
                 "variant": session.variant,
-                "acknowledged": min(self.published.seq, low - 1),
+                "acknowledged": min(self.published.seq, self._oldest_unacknowledged(client) - 1),
                 "published": self.published.seq,
-                "applied_s": round((now - member.acked_at) / 1e9, 3),
-                "unanswered": session.unanswered(),
-                "waiting_lines": wait.lines,
-                "waiting_s": round((now - wait.ordered) / 1e9, 3) if wait.units else 0.0,
-                "holds": session.holds(),
+                "applied_s": _seconds(now - client.acknowledged_at),
+                "unanswered": session.unacknowledged_messages(),
+                "waiting_lines": pending.entries,
+                "waiting_s": _seconds(now - pending.ordered_at) if pending.units else 0.0,
+                "holds": session.held_counts(),
                 "rejected": dict(session.rejections),
             }
+
+
+def _subscribed_entries(session: Session, change: Change) -> dict[str, set[str]]:
+    """Changed entries of the units that concern a session."""
+    return {unit: keys for unit, keys in change.entries.items() if session.subscribes_to(unit)}
+
+
+def _rejected(session: Session, seq: int) -> bool:
+    """Whether a change was in a message that the client rejected; messages without a change number do not count."""
+    return any(changes.first <= seq <= changes.last for changes in session.rejected_ranges if changes.first)
+
+
+def _seconds(ns: int) -> float:
+    return round(ns / 1e9, 3)
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -1,8 +1,8 @@
-"""The server list over a published protocol: an EDS subscription (state of the world, ADS) upstream.
+"""The endpoint list over a published protocol: an EDS subscription (state of the world, ADS) upstream.
 
-One ClusterLoadAssignment lists the fleet: locality zone, weight, health (HEALTHY or UNKNOWN: in service,
-DRAINING: terminating, else terminated) and, in the endpoint's filter metadata under `damsonpick`, the
-field `started`: wall-clock nanoseconds of the last start, as text (a protobuf Struct has no 64-bit number).
+One ClusterLoadAssignment lists the fleet: locality zone, weight, health (HEALTHY or UNKNOWN: in service, DRAINING:
+terminating, else terminated) and, in the endpoint's filter metadata under `damsonpick`, the field `started`: wall-clock
+nanoseconds of the last start, as text (a protobuf Struct has no 64-bit number).
 """
 
 from __future__ import annotations
@@ -15,66 +15,94 @@
 from envoy.config.core.v3 import base_pb2, health_check_pb2
 from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
+from google.protobuf import any_pb2
 
 from damsonpick import interface as api
 from damsonpick.protocols.shared import grpc_stream
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.runtime.backoff import Backoff
-from damsonpick.state.endpoint_list.sources import Budget, ListError
+from damsonpick.state.endpoint_list.sources import CallBudget, ListError
 
-METADATA, STARTED = "damsonpick", "started"
-STATES = {
+METADATA_KEY, STARTED_FIELD = "damsonpick", "started"
+STATE_BY_HEALTH: dict[int, api.EndpointStatus] = {
     health_check_pb2.UNKNOWN: "in_service",
     health_check_pb2.HEALTHY: "in_service",
     health_check_pb2.DRAINING: "terminating",
 }
+HEALTH_BY_STATE = {"in_service": health_check_pb2.HEALTHY, "terminating": health_check_pb2.DRAINING}
+KEEPALIVE = [("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 3000)]
 
 
-def read(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.EndpointEntry]:
+def read_entries(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.EndpointEntry]:
     """Entries of an assignment.
 
     Raises:
         ListError: an endpoint without a socket address or with a start that is no number.
     """
-    return [_entry(place.locality.zone, line) for place in assignment.endpoints for line in place.lb_endpoints]
+    return [
+        _read_entry(locality.locality.zone, endpoint)
+        for locality in assignment.endpoints
+        for endpoint in locality.lb_endpoints
+    ]
+
+
+def _read_entry(zone: str, lb_endpoint: endpoint_components_pb2.LbEndpoint) -> api.EndpointEntry:
+    address = lb_endpoint.endpoint.address.socket_address
+    host = f"[{address.address}]" if ":" in address.address else address.address
+    name = f"{host}:{address.port_value}"
+    if not address.address or not address.port_value:
+        raise ListError(f"upstream list: endpoint {name!r} has no socket address and port; give both")
+    weight = lb_endpoint.load_balancing_weight.value if lb_endpoint.HasField("load_balancing_weight") else 1
+    state = STATE_BY_HEALTH.get(lb_endpoint.health_status, "terminated")
+    return api.EndpointEntry(name, zone, state, float(weight), _read_started(name, lb_endpoint))
 
 
-def _entry(zone: str, line: endpoint_components_pb2.LbEndpoint) -> api.EndpointEntry:
-    at = line.endpoint.address.socket_address
-    host = f"[{at.address}]" if ":" in at.address else at.address
-    name = f"{host}:{at.port_value}"
-    if not at.address or not at.port_value:
-        raise ListError(f"upstream list: endpoint {name!r} has no socket address and port; give both")
-    weight = line.load_balancing_weight.value if line.HasField("load_balancing_weight") else 1
-    fields = line.metadata.filter_metadata[METADATA].fields if METADATA in line.metadata.filter_metadata else {}
-    text = fields[STARTED].string_value if STARTED in fields else "0"
+def _read_started(name: str, lb_endpoint: endpoint_components_pb2.LbEndpoint) -> int:
+    """When an endpoint started, ns since 1970; 0: long ago."""
+    metadata = lb_endpoint.metadata.filter_metadata
+    if METADATA_KEY not in metadata or STARTED_FIELD not in metadata[METADATA_KEY].fields:
+        return 0
+    text = metadata[METADATA_KEY].fields[STARTED_FIELD].string_value
     if not text.lstrip("-").isdigit():
         raise ListError(f"upstream list: endpoint {name} started = {text!r}: write nanoseconds as text")
-    return api.EndpointEntry(name, zone, STATES.get(line.health_status, "terminated"), float(weight), int(text))
+    return int(text)
 
 
-def write(cluster: str, entries: list[api.EndpointEntry]) -> endpoint_pb2.ClusterLoadAssignment:
-    """The other half of `read`, for a list server that stands in."""
-    health = {"in_service": health_check_pb2.HEALTHY, "terminating": health_check_pb2.DRAINING}
+def write_entries(cluster: str, entries: list[api.EndpointEntry]) -> endpoint_pb2.ClusterLoadAssignment:
+    """The other half of `read_entries`, for fake list servers."""
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=cluster)
-    zones: dict[str, list[api.EndpointEntry]] = {}
+    by_zone: dict[str, list[api.EndpointEntry]] = {}
     for entry in entries:
-        zones.setdefault(entry.zone, []).append(entry)
-    for zone, inside in sorted(zones.items()):
-        place = assignment.endpoints.add()
-        place.locality.zone = zone
-        for entry in inside:
-            host, _, port = entry.endpoint.rpartition(":")
-            line = place.lb_endpoints.add(health_status=health.get(entry.state, health_check_pb2.UNHEALTHY))
-            line.endpoint.address.socket_address.address = host.strip("[]")
-            line.endpoint.address.socket_address.port_value = int(port)
-            line.load_balancing_weight.value = max(1, round(entry.weight))
-            line.metadata.filter_metadata[METADATA].update({STARTED: str(entry.started)})
+        by_zone.setdefault(entry.zone, []).append(entry)
+    for zone, zone_entries in sorted(by_zone.items()):
+        locality = assignment.endpoints.add()
+        locality.locality.zone = zone
+        for entry in zone_entries:
+            _write_entry(locality.lb_endpoints.add(), entry)
     return assignment
 
 
+def _write_entry(lb_endpoint: endpoint_components_pb2.LbEndpoint, entry: api.EndpointEntry) -> None:
+    host, _, port = entry.endpoint.rpartition(":")
+    address = lb_endpoint.endpoint.address.socket_address
+    address.address = host.strip("[]")
+    address.port_value = int(port)
+    lb_endpoint.health_status = HEALTH_BY_STATE.get(entry.state, health_check_pb2.UNHEALTHY)
+    lb_endpoint.load_balancing_weight.value = max(1, round(entry.weight))
+    lb_endpoint.metadata.filter_metadata[METADATA_KEY].update({STARTED_FIELD: str(entry.started)})
+
+
 class UpstreamSource:
-    """Yields whole lists as the upstream sends them; a broken stream is a ListError and is dialled again."""
+    """Gives whole lists as the upstream sends them; a stream that broke is a ListError and is opened again.
+
+    Args:
+        address: of the upstream, HOST:PORT.
+        cluster: name of the assignment that lists the fleet.
+        node: our node id.
+        backoff: delays between streams.
+        budget: limits how many streams are opened.
+        clock: ns, for the budget.
+    """
 
     def __init__(
         self,
@@ -82,51 +110,54 @@
         cluster: str,
         node: str,
         backoff: Backoff,
-        budget: Budget | None = None,
+        budget: CallBudget | None = None,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        self.address, self.cluster, self.node, self.backoff = address, cluster, node, backoff
-        self.budget, self.clock = budget or Budget(), clock
+        self.address = address
+        self.cluster = cluster
+        self.node = node
+        self.backoff = backoff
+        self.budget = budget or CallBudget()
+        self.clock = clock
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
+        """Endless; an error stands in the place of a list."""
         while True:
             await anyio.sleep(self.budget.wait(self.clock()) / 1e9)
             self.budget.spend(self.clock())
             try:
-                async for said in self._stream():
-                    yield said
-            except grpc_stream.StreamEnded as error:
+                async for content in self._stream():
+                    yield content
+            except grpc_stream.StreamEndedError as error:
                 why = str(error)
             yield ListError(f"upstream list at {self.address}: {why}; it is dialled again")
             await anyio.sleep(self.backoff.failed())
 
     async def _stream(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        options = [("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 3000)]
-        async with grpc.aio.insecure_channel(self.address, options) as channel:
+        """What one stream brings.
+
+        Raises:
+            StreamEndedError: it is over; it ends in no other way.
+        """
+        async with grpc.aio.insecure_channel(self.address, KEEPALIVE) as channel:
             call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources()
             await grpc_stream.write(call, self._request())
-            version = ""
+            accepted_version = ""
             while True:
                 response = await grpc_stream.read(call)
                 self.backoff.succeeded()
                 try:
-                    found = [self._unpack(body) for body in response.resources]
-                    for assignment in found:
+                    for assignment in _unpack_all(response):
                         if assignment.cluster_name == self.cluster:
-                            yield read(assignment)
-                    version = response.version_info
-                    await grpc_stream.write(call, self._request(version, response.nonce))
+                            yield read_entries(assignment)
+                    accepted_version = response.version_info
+                    await grpc_stream.write(call, self._request(accepted_version, response.nonce))
                 except ListError as error:
                     yield error
-                    await grpc_stream.write(call, self._request(version, response.nonce, str(error)))
+                    await grpc_stream.write(call, self._request(accepted_version, response.nonce, str(error)))
 
-    def _unpack(self, body: object) -> endpoint_pb2.ClusterLoadAssignment:
-        assignment = endpoint_pb2.ClusterLoadAssignment()
-        if not body.Unpack(assignment):
-            raise ListError(f"upstream list: a resource is {body.type_url}, not a ClusterLoadAssignment")
-        return assignment
-
-    def _request(self, version: str = "", nonce: str = "", bad: str = "") -> discovery_pb2.DiscoveryRequest:
+    def _request(self, version: str = "", nonce: str = "", rejection: str = "") -> discovery_pb2.DiscoveryRequest:
+        """A request that accepts `version`, or, with `rejection`, rejects the response of that nonce."""
         request = discovery_pb2.DiscoveryRequest(
             node=base_pb2.Node(id=self.node),
             type_url=EDS,
@@ -134,6 +165,23 @@
             version_info=version,
             response_nonce=nonce,
         )
-        if bad:
-            request.error_detail.code, request.error_detail.message = 3, bad
+        if rejection:
+            request.error_detail.code = grpc.StatusCode.INVALID_ARGUMENT.value[0]
+            request.error_detail.message = rejection
         return request
+
+
+def _unpack_all(response: discovery_pb2.DiscoveryResponse) -> list[endpoint_pb2.ClusterLoadAssignment]:
+    """All assignments of a response.
+
+    Raises:
+        ListError: a resource is of another type; nothing of the response is used then.
+    """
+    return [_unpack(body) for body in response.resources]
+
+
+def _unpack(body: any_pb2.Any) -> endpoint_pb2.ClusterLoadAssignment:
+    assignment = endpoint_pb2.ClusterLoadAssignment()
+    if not body.Unpack(assignment):
+        raise ListError(f"upstream list: a resource is {body.type_url}, not a ClusterLoadAssignment")
+    return assignment
--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -11,7 +11,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 
 from damsonpick.protocols.xds.names import slice_of
-from damsonpick.state.load_reports import EndpointSum, GatewaySums, SliceSum
+from damsonpick.state.load_reports import ClientReport, EndpointStats, SliceStats
 
 LATENCY, REQUESTS, FAILURES = "latency_ms", "requests.", "failures."
 MOST_CLUSTERS = 70_000  # in one report: more than there can be slices
@@ -25,10 +25,10 @@
     return reply
 
 
-def read(gateway: int, zone: str, report: lrs_pb2.LoadStatsRequest) -> GatewaySums | None:
+def read(gateway: int, zone: str, report: lrs_pb2.LoadStatsRequest) -> ClientReport | None:
     """One report as sums; None if it reports nothing. The longest interval stands for the report."""
     ends: dict[str, list[int]] = {}
-    slices: list[SliceSum] = []
+    slices: list[SliceStats] = []
     period = 0
     for cluster in report.cluster_stats[:MOST_CLUSTERS]:
         period = max(period, cluster.load_report_interval.ToNanoseconds())
@@ -36,7 +36,7 @@
         slices += _slices(cluster)
     if not report.cluster_stats:
         return None
-    return GatewaySums(gateway, zone, period, tuple(EndpointSum(n, *v) for n, v in ends.items()), tuple(slices))
+    return ClientReport(gateway, zone, period, tuple(EndpointStats(n, *v) for n, v in ends.items()), tuple(slices))
 
 
 def _endpoints(cluster: load_report_pb2.ClusterStats, ends: dict[str, list[int]]) -> None:
@@ -54,7 +54,7 @@
                     have[3] += int(metric.total_metric_value * 1e6)
 
 
-def _slices(cluster: load_report_pb2.ClusterStats) -> list[SliceSum]:
+def _slices(cluster: load_report_pb2.ClusterStats) -> list[SliceStats]:
     number = slice_of(cluster.cluster_name)
     if number < 0:
         return []
@@ -67,7 +67,7 @@
                     have[k] += int(metric.total_metric_value)
     for drop in cluster.dropped_requests:
         came.setdefault(drop.category, [0, 0])[0] += drop.dropped_count
-    return [SliceSum(number, name, *counts) for name, counts in came.items()]
+    return [SliceStats(number, name, *counts) for name, counts in came.items()]
 
 
 def write(period: int, slices: dict[int, SliceCounts]) -> lrs_pb2.LoadStatsRequest:
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -15,7 +15,7 @@
 from damsonpick.protocols.xds import load_stats
 from damsonpick.protocols.xds.names import ADS_SERVICE, LRS_SERVICE
 from damsonpick.protocols.xds.session import DeltaSession, ProtocolError, Session, SotwSession
-from damsonpick.state.load_reports import GatewaySums
+from damsonpick.state.load_reports import ClientReport
 
 KEEPALIVE = [  # a gateway gone without a word is noticed in twenty seconds
     ("grpc.keepalive_time_ms", 10000),
@@ -60,7 +60,7 @@
         epoch: int,
         now: Callable[[], int],
         stir: Callable[[], None],
-        hear: Callable[[GatewaySums], None],
+        hear: Callable[[ClientReport], None],
         report_every: int,
         log: Any,
     ) -> None:
@@ -123,11 +123,11 @@
                     while (response := session.compose(self.now())) is not None:
                         await context.write(response)
                         await anyio.lowlevel.checkpoint()
-                    if self.session_manager.review(session):
+                    if self.session_manager.update_ready(session):
                         self.stir()  # room for what was merged meanwhile
         finally:
             del self.streams[session]
-            if session in self.session_manager.by:
+            if session in self.session_manager.by_session:
                 self.log.info("gateway_left", gateway=session.node, why=str(ended[0]) if ended else "the stream broke")
             self.session_manager.leave(session)
             self.stir()
@@ -150,9 +150,9 @@
                 if session.joined and not joined:
                     self._joined(session)
                 self._notes(session)
-                self.session_manager.settle(self.now(), session)
+                self.session_manager.acknowledge(self.now(), session)
                 stream.ring()
-                if self.session_manager.review(session) or self.session_manager.events:
+                if self.session_manager.update_ready(session) or self.session_manager.events:
                     self.stir()
         except DecodeError:
             ended.append(ProtocolError(f"a request is no {kind.DESCRIPTOR.name}; send protobuf as specified"))
@@ -163,16 +163,16 @@
         scope.cancel()
 
     def _joined(self, session: Session) -> None:
-        member = self.session_manager.join(self.now(), session)
+        client = self.session_manager.join(self.now(), session)
         self.log.info(
             "gateway_joined",
             gateway=session.node,
-            number=member.number,
+            number=client.number,
             zone=session.zone,
             variant=session.variant,
             fresh=session.fresh,
         )
-        if member.number >= 60_000:
+        if client.number >= 60_000:
             self.log.warning(
                 "node_id_twice",
                 gateway=session.node,
--- a/damsonpick/protocols/xds/session.py
+++ b/damsonpick/protocols/xds/session.py
@@ -13,7 +13,7 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.shared.session import CoveredChanges, RejectedVersion, SeqRange
 from damsonpick.protocols.xds.names import CDS, EDS, ORDER, RDS, SHORT
 from damsonpick.protocols.xds.resources import Catalogue, kind_of
 from damsonpick.state.history import root_statement
@@ -46,7 +46,7 @@
 class Flight:
     """One response on its way."""
 
-    def __init__(self, nonce: str, versions: dict[str, str], due: Due, upto: int) -> None:
+    def __init__(self, nonce: str, versions: dict[str, str], due: CoveredChanges, upto: int) -> None:
         self.nonce, self.versions, self.due = nonce, versions, due
         self.upto = upto  # the newest change number when it was sent
 
@@ -61,7 +61,7 @@
         self.held: dict[str, str] = {}
         self.sent: dict[str, str] = {}
         self.rejected: dict[str, str] = {}  # the version a gateway would not take: not sent again
-        self.due: dict[str, Due] = {}
+        self.due: dict[str, CoveredChanges] = {}
         self.forced: set[str] = set()  # due although the same version was sent: it asked again
         self.apart: deque[list[str]] = deque()  # parts of a rejected response, each to go alone
         self.flights: OrderedDict[str, Flight] = OrderedDict()
@@ -104,13 +104,13 @@
         self.catalogue, self.epoch = catalogue, epoch
         self.watches: dict[str, Watch] = {}
         self.node, self.zone = "", ""
-        self.roots = False  # the gateway checks roots
+        self.verifies_roots = False  # the gateway checks roots
         self.fresh = True
         self.count = 0
-        self.void: list[tuple[int, int]] = []  # changes that a rejected response answered for
+        self.rejected_ranges: list[SeqRange] = []  # changes that a rejected response answered for
         self.rejections: dict[str, str] = {}  # resource: what the gateway said of it
         self.notes: list[Note] = []
-        self.refused: list[tuple[str, str]] = []  # (resource, version) newly refused, for the hub
+        self.newly_rejected: list[RejectedVersion] = []
         self.allowance, self.metered = REQUEST_BURST, 0
         self.bytes = 0
 
@@ -125,7 +125,7 @@
         self._meter(now)
         if request.HasField("node") and not self.node:
             self.node, self.zone = request.node.id, request.node.locality.zone
-            self.roots = root_statement.FEATURE in request.node.client_features
+            self.verifies_roots = root_statement.FEATURE in request.node.client_features
         if not self.node:
             raise ProtocolError("the first request names no node.id; set one for each gateway")
         if request.type_url not in ORDER:
@@ -179,7 +179,7 @@
         """A rejection says that something in a response is bad, not what. The response is cut in halves until
         the bad resource stands alone; that text is never sent again, all others get through."""
         versions, why = flight.versions, request.error_detail.message[:MOST_WHY]
-        self.void.append((flight.due.first, flight.upto))
+        self.rejected_ranges.append(SeqRange(flight.due.first_seq, flight.upto))
         for name, version in versions.items():
             if watch.sent.get(name, "") == version:
                 watch.will_hold(name, watch.held.get(name, ""))
@@ -196,7 +196,7 @@
         for name, version in versions.items():
             watch.rejected[name] = version
             self.rejections[name] = why
-            self.refused.append((name, version))
+            self.newly_rejected.append(RejectedVersion(name, version))
             self.notes.append(
                 Note("rejected", SHORT[request.type_url], {"resource": name, "version": version, "why": why})
             )
@@ -225,7 +225,7 @@
         dues = [watch.due.pop(n) for n in names if n in watch.due]
         for name in names:
             watch.rejected.pop(name, None)
-        due = Due(min((d.first for d in dues), default=0), now, len(names))
+        due = CoveredChanges(min((d.first_seq for d in dues), default=0), now, len(names))
         return self._send(now, kind, watch, {n: self._version(kind, n) for n in names}, due, tuple(ranges))
 
     def _version(self, kind: str, name: str) -> str:
@@ -241,7 +241,7 @@
             if again:
                 watch.forced.add(name)
             if again or self._stale(kind, watch, name):
-                watch.due.setdefault(name, Due(0, now, 0))
+                watch.due.setdefault(name, CoveredChanges(0, now, 0))
 
     def _stale(self, kind: str, watch: Watch, name: str) -> bool:
         """Whether the gateway neither has nor refused the present version."""
@@ -254,14 +254,14 @@
 
     # -- orders
 
-    def change(self, units: Iterable[str], due: Due) -> None:
+    def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
         """Resources that changed and whose turn it is."""
         for unit in units:
             watch = self.watches.get(kind_of(unit))
             if watch is not None and watch.wants(unit) and unit not in watch.due:
-                watch.due[unit] = due
+                watch.due[unit] = covered
 
-    def wants(self, unit: str) -> bool:
+    def subscribes_to(self, unit: str) -> bool:
         watch = self.watches.get(kind_of(unit))
         return watch is not None and watch.wants(unit)
 
@@ -277,27 +277,27 @@
     def busy(self) -> bool:
         return any(w.due or w.apart or w.repair is not None for w in self.watches.values())
 
-    def unanswered(self) -> int:
+    def unacknowledged_messages(self) -> int:
         return sum(len(w.flights) for w in self.watches.values())
 
-    def held(self) -> dict[str, str]:
+    def acknowledged_versions(self) -> dict[str, str]:
         """Versions that the gateway has acknowledged, of tables and routes."""
         return {n: v for kind in (EDS, RDS) if kind in self.watches for n, v in self.watches[kind].held.items() if v}
 
-    def since(self) -> int:
+    def acknowledged_at(self) -> int:
         return max((w.since for w in self.watches.values()), default=0)
 
-    def holds(self) -> dict[str, int]:
+    def held_counts(self) -> dict[str, int]:
         return {SHORT[kind]: len(w.held) for kind, w in self.watches.items()}
 
-    def oldest(self) -> int:
+    def oldest_unacknowledged(self) -> int:
         """The lowest change number not yet answered for, or a number above all."""
         low = 1 << 62
         for watch in self.watches.values():
             for flight in watch.flights.values():
-                low = min(low, flight.due.first)
+                low = min(low, flight.due.first_seq)
             for due in watch.due.values():
-                low = min(low, due.first)
+                low = min(low, due.first_seq)
         return low
 
     # -- responses
@@ -344,25 +344,31 @@
         if not send:
             return None
         given = [due for due in dues if due is not None]
-        due = Due(
-            min((d.first for d in given), default=0),
-            min((d.ordered for d in given if d.ordered), default=now),
-            max((d.lines for d in given), default=0),
+        due = CoveredChanges(
+            min((d.first_seq for d in given), default=0),
+            min((d.ordered_at for d in given if d.ordered_at), default=now),
+            max((d.entries for d in given), default=0),
         )
         return self._send(now, kind, watch, {name: self._version(kind, name) for name in send}, due)
 
     def _send(
-        self, now: int, kind: str, watch: Watch, versions: dict[str, str], due: Due, replaces: tuple[int, ...] = ()
+        self,
+        now: int,
+        kind: str,
+        watch: Watch,
+        versions: dict[str, str],
+        due: CoveredChanges,
+        replaces: tuple[int, ...] = (),
     ) -> bytes:
         """One response under way."""
         self.count += 1
-        nonce = f"{self.count}.{due.ordered}.{now}.{due.lines}"
+        nonce = f"{self.count}.{due.ordered_at}.{now}.{due.entries}"
         watch.flights[nonce] = Flight(nonce, versions, due, self.catalogue.published.seq)
         watch.last = nonce
-        start = watch.digest.root() if self.roots else ""
+        start = watch.digest.root() if self.verifies_roots else ""
         for name, version in versions.items():
             watch.will_hold(name, version)
-        said = root_statement.Statement(start, watch.digest.root(), replaces).text() if self.roots else ""
+        said = root_statement.Statement(start, watch.digest.root(), replaces).text() if self.verifies_roots else ""
         return self._render(kind, nonce, versions, said)
 
     def _whole(self, kind: str, watch: Watch, names: list[str]) -> list[str]:
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -68,7 +68,7 @@
                 why = "ended"
                 try:
                     await grpc_stream.guarded(self._session(address))
-                except* grpc_stream.StreamEnded as group:
+                except* grpc_stream.StreamEndedError as group:
                     why = str(group.exceptions[0])
                 if self.linked:
                     self.linked = False
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -1,21 +1,25 @@
-"""Several list sources, best first: which one is believed, and what the others add. Sans I/O.
+"""Several list sources, best first: which one is in force, and what the others add. Sans I/O.
 
-Membership is the believed source's. A drain or an end that any live source tells of binds, as it is the safer state;
-what only a lesser source names is not taken in. A better source that falls silent is held on to for a while, so that a
-blip changes nothing, and one that returns must be steady before it is believed again.
+Which endpoints there are is for the source in force to say. A drain or an end that any reachable source states holds,
+as it is the safer state; an endpoint that only another source names is left out. When the source in force falls silent
+it stays in force for a while, so that a blip changes nothing, and a better one that returns must be steady before it
+takes over.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import NamedTuple
 
 from damsonpick import interface as api
-from damsonpick.state.endpoint_list.validation import STATES
+from damsonpick.state.endpoint_list.validation import STATES_BY_SAFETY
 
-SECOND = 1_000_000_000
-PATIENCE = SECOND  # ns that better sources have to answer at the start
-HOLD = 5 * SECOND  # ns that the believed source may be silent before the next is
-STEADY = 3 * SECOND  # ns that a better one must have been up
+SECOND_NS = 1_000_000_000
+FIRST_ANSWER_NS = SECOND_NS  # that better sources have to answer at the start
+SILENCE_NS = 5 * SECOND_NS  # that the source in force may be unreachable before another takes over
+STEADY_NS = 3 * SECOND_NS  # that a better source must have been reachable before it takes over
+MAX_CALLS = 20  # to one source within `CALL_WINDOW_NS`
+CALL_WINDOW_NS = 60 * SECOND_NS
 
 
 class ListError(Exception):
@@ -26,105 +30,172 @@
     """What one source has said."""
 
     def __init__(self) -> None:
-        self.entries: list[api.EndpointEntry] | None = None  # its last list
-        self.up = False
-        self.since = 0  # of `up`
-        self.why = "has not answered yet"
+        self.entries: list[api.EndpointEntry] | None = None  # its last list; None: it has given none
+        self.up = False  # it answered the last time
+        self.since = 0  # ns: when `up` last changed; 0: it never answered
+        self.why = "has not answered yet"  # why it is not up; '': it is
+
+    def set_up(self, now: int, up: bool) -> None:
+        """Note whether it answered."""
+        if up != self.up:
+            self.up = up
+            self.since = now
+
+    def has_answered(self) -> bool:
+        """Whether it has answered at least once."""
+        return self.since != 0
+
+
+class MergedList(NamedTuple):
+    """The list in force.
+
+    Attributes:
+        entries: None: no source has given a list.
+        disputes: where the sources disagree, in words.
+    """
+
+    entries: list[api.EndpointEntry] | None
+    disputes: list[str]
 
 
 class Sources:
-    """Args: names: the sources, the best first; now: ns."""
+    """The sources of one endpoint list.
+
+    Args:
+        names: the sources, the best first.
+        now: ns.
+    """
 
     def __init__(self, names: Sequence[str], now: int) -> None:
         self.all = {name: Source() for name in names}
-        self.started, self.believed = now, ""
+        self.started = now
+        self.believed = ""  # the source in force; '': none yet
 
-    def take(self, now: int, name: str, said: list[api.EndpointEntry] | None, why: str = "") -> None:
-        """A source has given a list, or (None) has failed."""
+    def received(self, now: int, name: str, entries: list[api.EndpointEntry]) -> None:
+        """A source has given a list."""
         source = self.all[name]
-        if (said is not None) != source.up:
-            source.up, source.since = said is not None, now
-        if said is None:
-            source.why = why
-        else:
-            source.entries, source.why = said, ""
+        source.set_up(now, True)
+        source.entries = entries
+        source.why = ""
         self.choose(now)
 
+    def failed(self, now: int, name: str, why: str) -> None:
+        """A source cannot be reached, or its list cannot be used."""
+        source = self.all[name]
+        source.set_up(now, False)
+        source.why = why
+        self.choose(now)
+
+    # -- which source is in force
+
     def choose(self, now: int) -> str:
-        """The source to believe now; '': none yet."""
-        names = list(self.all)
-        up = [n for n in names if self.all[n].up]
+        """The name of the source in force now; '': none yet."""
         if not self.believed:
-            first = up[0] if up else ""
-            if first and (
-                first == names[0]
-                or now - self.started >= PATIENCE
-                or not any(self._open(n) for n in names[: names.index(first)])
-            ):
-                self.believed = first
+            self.believed = self._first_choice(now)
             return self.believed
-        present = self.all[self.believed]
-        better = [
-            n for n in up[:1] if names.index(n) < names.index(self.believed) and now - self.all[n].since >= STEADY
-        ]
+        better = self._better_source(now)
         if better:
-            self.believed = better[0]
-        elif not present.up and up and now - present.since >= HOLD:
-            self.believed = up[0]
+            self.believed = better
+        elif self._is_silent(now):
+            self.believed = self._best_up() or self.believed
         return self.believed
 
-    def _open(self, name: str) -> bool:
-        """It may still answer for the first time."""
-        return self.all[name].since == 0
+    def _best_up(self) -> str:
+        return next((name for name, source in self.all.items() if source.up), "")
 
-    def merged(self, now: int) -> tuple[list[api.EndpointEntry] | None, list[str]]:
-        """The list in force, and disagreements in words; None: no source has given one."""
+    def _better_than(self, name: str) -> list[str]:
+        names = list(self.all)
+        return names[: names.index(name)]
+
+    def _first_choice(self, now: int) -> str:
+        """The best source that is up, unless a better one may still answer in time."""
+        best = self._best_up()
+        if not best or now - self.started >= FIRST_ANSWER_NS:
+            return best
+        may_answer = any(not self.all[name].has_answered() for name in self._better_than(best))
+        return "" if may_answer else best
+
+    def _better_source(self, now: int) -> str:
+        """A source that is better than the one in force, and steady; '': there is none."""
+        best = self._best_up()
+        if best in self._better_than(self.believed) and now - self.all[best].since >= STEADY_NS:
+            return best
+        return ""
+
+    def _is_silent(self, now: int) -> bool:
+        """Whether the source in force has been unreachable for too long."""
+        source = self.all[self.believed]
+        return not source.up and now - source.since >= SILENCE_NS
+
+    # -- what the list in force is
+
+    def merged(self, now: int) -> MergedList:
+        """The list of the source in force, with the drains and ends that other reachable sources state."""
         chosen = self.choose(now)
-        if not chosen or self.all[chosen].entries is None:
-            return None, []
-        doubts: list[str] = []
-        entries = {e.endpoint: e for e in self.all[chosen].entries}
+        chosen_entries = self.all[chosen].entries if chosen else None
+        if chosen_entries is None:
+            return MergedList(None, [])
+        entries = {entry.endpoint: entry for entry in chosen_entries}
+        disputes: list[str] = []
         for name, source in self.all.items():
-            if name == chosen or not source.up:
-                continue
-            for other in source.entries or ():
-                mine = entries.get(other.endpoint)
-                if mine is None:
-                    doubts.append(f"{name} names {other.endpoint}, {chosen} does not: left out")
-                elif other.started == mine.started and STATES.index(other.state) > STATES.index(mine.state):
-                    doubts.append(
-                        f"{other.endpoint} is {other.state} by {name}, {mine.state} by {chosen}: {other.state} binds"
-                    )
-                    entries[other.endpoint] = mine._replace(state=other.state)
-        return list(entries.values()), doubts
+            if name != chosen and source.up:
+                disputes += self._add_safer_states(entries, chosen, name)
+        return MergedList(list(entries.values()), disputes)
+
+    def _add_safer_states(self, entries: dict[str, api.EndpointEntry], chosen: str, other: str) -> list[str]:
+        """Take over the safer states of another source into `entries`; returns the disputes, in words."""
+        disputes: list[str] = []
+        for claimed in self.all[other].entries or ():
+            entry = entries.get(claimed.endpoint)
+            if entry is None:
+                disputes.append(f"{other} names {claimed.endpoint}, {chosen} does not: left out")
+            elif claimed.started == entry.started and _is_safer(claimed, entry):
+                disputes.append(
+                    f"{claimed.endpoint} is {claimed.state} by {other}, {entry.state} by {chosen}: "
+                    f"{claimed.state} binds"
+                )
+                entries[claimed.endpoint] = entry._replace(state=claimed.state)
+        return disputes
 
     def view(self, now: int) -> list[dict[str, object]]:
-        """For operators."""
+        """The sources as `damsonpick list` answers them; the keys are part of the command's interface."""
         return [
             {
                 "source": name,
-                "up": s.up,
+                "up": source.up,
                 "believed": name == self.believed,
-                "why": s.why,
-                "since_s": round((now - s.since) / SECOND, 1) if s.since else None,
-                "servers": len(s.entries or ()),
+                "why": source.why,
+                "since_s": round((now - source.since) / SECOND_NS, 1) if source.has_answered() else None,
+                "servers": len(source.entries or ()),
             }
-            for name, s in self.all.items()
+            for name, source in self.all.items()
         ]
 
 
-class Budget:
-    """Calls to one source: at most so many in a window, whatever it does. A source that accepts and hangs up at once
-    is not called in a tight loop."""
+def _is_safer(entry: api.EndpointEntry, other: api.EndpointEntry) -> bool:
+    return STATES_BY_SAFETY.index(entry.state) > STATES_BY_SAFETY.index(other.state)
+
+
+class CallBudget:
+    """Limits the calls to one source, so that one which accepts and hangs up at once is not called in a tight loop.
+
+    Args:
+        calls: allowed within any window.
+        window: ns.
+    """
 
-    def __init__(self, calls: int = 20, window: int = 60 * SECOND) -> None:
-        self.calls, self.window = calls, window
-        self.made: list[int] = []
+    def __init__(self, calls: int = MAX_CALLS, window: int = CALL_WINDOW_NS) -> None:
+        self.calls = calls
+        self.window = window
+        self.recent: list[int] = []  # ns: times of the calls within the last window
 
     def wait(self, now: int) -> int:
         """ns until the next call may go."""
-        self.made = [t for t in self.made if t > now - self.window]
-        return 0 if len(self.made) < self.calls else self.made[-self.calls] + self.window - now
+        self.recent = [at for at in self.recent if at > now - self.window]
+        if len(self.recent) < self.calls:
+            return 0
+        return self.recent[-self.calls] + self.window - now
 
     def spend(self, now: int) -> None:
-        self.made.append(now)
+        """Note a call."""
+        self.recent.append(now)
--- a/damsonpick/state/load_reports.py
+++ b/damsonpick/state/load_reports.py
@@ -1,8 +1,8 @@
-"""Adds up gateways' sums into the module's reports. Sans I/O: time comes in as nanoseconds.
+"""Adds up clients' load reports into the planner's. Sans I/O: time comes in as nanoseconds.
 
-A sum is doubted before it counts. LRS numbers no report, so a repeat shows only in that a gateway claims
-to have counted more seconds than have passed: such a sum is dropped. Late sums count with the time that
-they cover. What contradicts itself is cut to what is possible, on the side of fewer good answers.
+A report is checked before it counts. LRS numbers no report, so a repeat shows only in that a client claims to have
+counted more time than has passed: such a report is dropped. A late report counts with the time that it covers. Figures
+that contradict each other are cut to what is possible, on the side of fewer successes.
 """
 
 from __future__ import annotations
@@ -11,135 +11,196 @@
 
 from damsonpick import interface as api
 
-SECOND = 1_000_000_000
-SLACK = 0.5  # of a report period that clocks and timers may be out
+SECOND_NS = 1_000_000_000
+TIMER_TOLERANCE_SHARE = 0.5  # of a report period that clocks and timers of clients may be out
 
 
-class EndpointSum(NamedTuple):
+class EndpointStats(NamedTuple):
+    """What one client met at one endpoint."""
+
     endpoint: str
-    tries: int
+    attempts: int
     failures: int
-    answered: int  # good answers with a time
-    time: int  # ns: their times added up
+    timed_successes: int  # successes whose latency was measured
+    total_latency: int  # ns, over the timed successes
+
 
+class SliceStats(NamedTuple):
+    """Requests of one class that came to one client for one slice."""
 
-class SliceSum(NamedTuple):
     slice: int
     request_class: str
-    requests: int  # all that came, refused ones included
-    failures: int  # let in and not answered
+    requests: int  # rejected ones included
+    failures: int  # admitted and not answered
 
 
-class GatewaySums(NamedTuple):
-    """One report of one gateway."""
+class ClientReport(NamedTuple):
+    """One load report of one client."""
 
-    gateway: int
+    client: int
     zone: str
     period: int  # ns that it covers
-    endpoints: tuple[EndpointSum, ...]
-    slices: tuple[SliceSum, ...]
+    endpoints: tuple[EndpointStats, ...]
+    slices: tuple[SliceStats, ...]
 
 
-class _Tally:
-    """Sums by gateway, so that rates add over gateways and times add within one."""
+class _EndpointTotals:
+    """Figures of one endpoint, added up within each client."""
 
     def __init__(self) -> None:
-        self.by: dict[int, list[int]] = {}
+        self.attempts: dict[int, int] = {}  # by client
+        self.failures = 0
+        self.timed_successes = 0
+        self.total_latency = 0  # ns
+
+    def add(self, client: int, attempts: int, failures: int, timed_successes: int, total_latency: int) -> None:
+        self.attempts[client] = self.attempts.get(client, 0) + attempts
+        self.failures += failures
+        self.timed_successes += timed_successes
+        self.total_latency += total_latency
 
-    def add(self, gateway: int, *figures: int) -> None:
-        have = self.by.setdefault(gateway, [0] * len(figures))
-        have[:] = [a + b for a, b in zip(have, figures, strict=True)]
 
-    def total(self, place: int) -> int:
-        return sum(v[place] for v in self.by.values())
+class _SliceTotals:
+    """Figures of one class in one slice, added up within each client."""
+
+    def __init__(self) -> None:
+        self.requests: dict[int, int] = {}  # by client
+        self.failures = 0
 
-    def period(self, spans: dict[int, int]) -> int:
-        """The span at which the summed count gives the sum of the gateways' rates."""
-        rate = sum(v[0] / spans[g] for g, v in self.by.items() if spans[g])
-        return round(self.total(0) / rate) if rate > 0 else 0
+    def add(self, client: int, requests: int, failures: int) -> None:
+        self.requests[client] = self.requests.get(client, 0) + requests
+        self.failures += failures
 
 
 class LoadReports:
-    """Reports since the last flush.
+    """Load reports of all clients since the last flush.
 
     Args:
         classes: names of the request classes.
         slices: how many slices there are.
-        every: ns between reports.
-        oldest: ns; a sum that covers more is dropped.
+        report_period: ns between the reports of a client.
+        max_period: ns; a report that covers more is dropped.
     """
 
-    def __init__(self, classes: tuple[str, ...], slices: int, every: int, oldest: int) -> None:
-        self.classes, self.slices, self.every, self.oldest = classes, slices, every, oldest
-        self.known: set[str] = set()  # endpoints ever listed
-        self.claimed: dict[int, int] = {}  # gateway: the time up to which it has accounted for
-        self.dropped = 0
+    def __init__(self, classes: tuple[str, ...], slices: int, report_period: int, max_period: int) -> None:
+        self.classes = classes
+        self.slices = slices
+        self.report_period = report_period
+        self.max_period = max_period
+        self.known_endpoints: set[str] = set()  # ever listed
+        self.accounted_until: dict[int, int] = {}  # by client: ns up to which its reports account for time
+        self.dropped = 0  # reports
         self._clear()
 
     def _clear(self) -> None:
-        self.ends: dict[tuple[str, str], _Tally] = {}
-        self.asks: dict[tuple[int, str], _Tally] = {}
-        self.spans: dict[int, int] = {}
-
-    def join(self, now: int, gateway: int) -> None:
-        """From here on a gateway may account for time; one that was away may bring the time it was away."""
-        self.claimed.setdefault(gateway, now - self.every)
-
-    def hear(self, now: int, sums: GatewaySums) -> list[str]:
-        """Take in one report; returns what was doubted, in words."""
-        if not 0 < sums.period <= self.oldest:
+        self._endpoints: dict[tuple[str, str], _EndpointTotals] = {}  # by zone of the clients, and endpoint
+        self._slices: dict[tuple[int, str], _SliceTotals] = {}  # by slice and class
+        self._covered: dict[int, int] = {}  # by client: ns that its reports cover
+
+    def join(self, now: int, client: int) -> None:
+        """From here on a client may account for time; one that was away may bring reports on that time."""
+        self.accounted_until.setdefault(client, now - self.report_period)
+
+    def add(self, now: int, report: ClientReport) -> list[str]:
+        """Take in one report.
+
+        Args:
+            now: ns.
+            report: as the client gave it.
+
+        Returns:
+            What was wrong with it, in words; empty: nothing.
+        """
+        problem = self._period_problem(now, report)
+        if problem:
             self.dropped += 1
-            return [f"a sum over {sums.period / SECOND:.1f} s was dropped: not from 0 to {self.oldest / SECOND:g} s"]
-        floor = now - self.oldest
-        start = max(self.claimed.get(sums.gateway, floor), floor)
-        if start + sums.period > now + SLACK * self.every:
-            self.dropped += 1
-            return [
-                "a sum was dropped: with it the gateway would have counted more time than has passed "
+            return [problem]
+        client = report.client
+        self.accounted_until[client] = self._accounted_until(now, client) + report.period
+        self._covered[client] = self._covered.get(client, 0) + report.period
+        problems: list[str] = []
+        for endpoint_stats in report.endpoints:
+            self._add_endpoint(report, endpoint_stats, problems)
+        for slice_stats in report.slices:
+            self._add_slice(report, slice_stats, problems)
+        return problems
+
+    def _accounted_until(self, now: int, client: int) -> int:
+        """ns from which the next report of a client counts: time longer ago than `max_period` is lost."""
+        earliest = now - self.max_period
+        return max(self.accounted_until.get(client, earliest), earliest)
+
+    def _period_problem(self, now: int, report: ClientReport) -> str:
+        """Why a report cannot cover the time that it claims; '': it can."""
+        if not 0 < report.period <= self.max_period:
+            claimed_s, max_s = report.period / SECOND_NS, self.max_period / SECOND_NS
+            return f"a report over {claimed_s:.1f} s was dropped: not from 0 to {max_s:g} s"
+        tolerance = TIMER_TOLERANCE_SHARE * self.report_period
+        if self._accounted_until(now, report.client) + report.period > now + tolerance:
+            return (
+                "a report was dropped: with it the gateway would have counted more time than has passed "
                 "(a repeat, or two senders under one id)"
-            ]
-        self.claimed[sums.gateway] = start + sums.period
-        self.spans[sums.gateway] = self.spans.get(sums.gateway, 0) + sums.period
-        doubts: list[str] = []
-        for part in sums.endpoints:
-            self._endpoint(sums, part, doubts)
-        for ask in sums.slices:
-            self._slice(sums, ask, doubts)
-        return doubts
-
-    def _endpoint(self, sums: GatewaySums, part: EndpointSum, doubts: list[str]) -> None:
-        if part.endpoint not in self.known:
-            doubts.append(f"{part.endpoint} was never listed: its sum was dropped")
+            )
+        return ""
+
+    def _add_endpoint(self, report: ClientReport, stats: EndpointStats, problems: list[str]) -> None:
+        if stats.endpoint not in self.known_endpoints:
+            problems.append(f"{stats.endpoint} was never listed: its figures were dropped")
             return
-        tries, failures = part.tries, part.failures
-        if failures > tries or part.answered > tries - failures or part.time < 0:
-            doubts.append(f"{part.endpoint}: {failures} failures and {part.answered} answers in {tries} tries: cut")
-            failures = min(failures, tries)
-        good = tries - failures
-        answered = min(part.answered, good)
-        mean = max(0, part.time) // part.answered if part.answered else 0
-        self.ends.setdefault((sums.zone, part.endpoint), _Tally()).add(
-            sums.gateway, tries, failures, answered, mean * answered
-        )
-
-    def _slice(self, sums: GatewaySums, ask: SliceSum, doubts: list[str]) -> None:
-        if not 0 <= ask.slice < self.slices or ask.request_class not in self.classes:
-            doubts.append(f"slice {ask.slice}, class {ask.request_class!r}: no such thing, its sum was dropped")
+        failures = stats.failures
+        successes = stats.attempts - failures
+        if failures > stats.attempts or stats.timed_successes > successes or stats.total_latency < 0:
+            problems.append(
+                f"{stats.endpoint}: {failures} failures and {stats.timed_successes} successes "
+                f"in {stats.attempts} attempts: cut"
+            )
+            failures = min(failures, stats.attempts)
+        timed_successes = min(stats.timed_successes, stats.attempts - failures)
+        mean_latency = max(0, stats.total_latency) // stats.timed_successes if stats.timed_successes else 0
+        totals = self._endpoints.setdefault((report.zone, stats.endpoint), _EndpointTotals())
+        totals.add(report.client, stats.attempts, failures, timed_successes, mean_latency * timed_successes)
+
+    def _add_slice(self, report: ClientReport, stats: SliceStats, problems: list[str]) -> None:
+        if not 0 <= stats.slice < self.slices or stats.request_class not in self.classes:
+            problems.append(
+                f"slice {stats.slice}, class {stats.request_class!r}: there is no such thing, its figures were dropped"
+            )
             return
-        self.asks.setdefault((ask.slice, ask.request_class), _Tally()).add(
-            sums.gateway, ask.requests, min(ask.failures, ask.requests)
-        )
+        totals = self._slices.setdefault((stats.slice, stats.request_class), _SliceTotals())
+        totals.add(report.client, stats.requests, min(stats.failures, stats.requests))
 
     def flush(self) -> list[api.Event]:
-        """Reports of the period that ends now, in a settled order. No try, no line."""
-        events: list[api.Event] = []
-        for (zone, endpoint), tally in sorted(self.ends.items()):
-            tries, failures, answered, time = (tally.total(k) for k in range(4))
-            if tries > 0:
-                mean = time // answered if answered else 0
-                events.append(api.EndpointReport(zone, endpoint, tries, failures, mean, tally.period(self.spans), ()))
-        for (number, kind), tally in sorted(self.asks.items()):
-            if tally.total(0) > 0:
-                events.append(api.SliceDemand(number, kind, tally.total(0), tally.total(1), tally.period(self.spans)))
+        """The planner's reports of the period that ends now, in sorted order; what had no request is left out."""
+        events = [*self._endpoint_events(), *self._slice_events()]
         self._clear()
         return events
+
+    def _endpoint_events(self) -> list[api.Event]:
+        events: list[api.Event] = []
+        for (zone, endpoint), totals in sorted(self._endpoints.items()):
+            attempts = sum(totals.attempts.values())
+            if attempts <= 0:
+                continue
+            mean_latency = totals.total_latency // totals.timed_successes if totals.timed_successes else 0
+            period = self._joint_period(totals.attempts)
+            events.append(api.EndpointReport(zone, endpoint, attempts, totals.failures, mean_latency, period, ()))
+        return events
+
+    def _slice_events(self) -> list[api.Event]:
+        events: list[api.Event] = []
+        for (number, request_class), totals in sorted(self._slices.items()):
+            requests = sum(totals.requests.values())
+            if requests <= 0:
+                continue
+            period = self._joint_period(totals.requests)
+            events.append(api.SliceDemand(number, request_class, requests, totals.failures, period))
+        return events
+
+    def _joint_period(self, counts: dict[int, int]) -> int:
+        """ns over which the sum of the counts gives the sum of the clients' rates.
+
+        Args:
+            counts: by client; rates add up over clients, times within one.
+        """
+        rate = sum(count / self._covered[client] for client, count in counts.items() if self._covered[client])
+        return round(sum(counts.values()) / rate) if rate > 0 else 0
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -1,118 +1,171 @@
 """The published state and what each order changes of it. Pure state, no clock and no wire.
 
-A *unit* is the smallest piece a gateway is sent whole: one slice's table, the fleet's withdrawals and
-levels, or the retry routes. A *line* is what the channel counts: one endpoint in one table, one
-withdrawal, one level. Every change gets a *sequence number*; it only grows within one run of a pilot.
+A *unit* is the least that a client is sent at once: one slice's table, the withdrawals and levels that hold for the
+whole fleet, or the retry routes. An *entry* is what the send queue counts: one endpoint in one table, one withdrawal,
+one level. Every change gets a sequence number, which only grows within one run of the controller.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
 from damsonpick import interface as api
+from damsonpick.state import standing_orders
+from damsonpick.state.standing_orders import FULL_LEVEL, Scope, StoredLevel, StoredRetryMode, StoredWithdrawal
 
-FLEET, ROUTES = "fleet", "routes"
-
-
-def _place(table: int | None) -> str:
-    return "-" if table is None else str(table)
+FLEET, ROUTES = "fleet", "routes"  # units beside those of the slices
+NO_RETRIES = 0  # retry mode that needs no order
 
 
 def slice_unit(number: int) -> str:
+    """The unit of a slice's table."""
     return f"slice/{number}"
 
 
+class ChangedEntry(NamedTuple):
+    """One entry that an order has changed."""
+
+    unit: str
+    key: str  # an endpoint, or what `_level_key` and `_retry_key` give
+
+
 class Change(NamedTuple):
-    """What one set of orders changed: its number, the lines by unit, and marks that wait on it."""
+    """What one set of orders changed.
+
+    Attributes:
+        seq: its sequence number.
+        entries: changed entries by unit.
+        sync_tokens: tokens to be acknowledged by every client that has applied the change.
+        urgent: it withdraws an endpoint.
+    """
 
     seq: int
-    lines: dict[str, set[str]]
-    marks: list[int]
-    urgent: bool  # a withdrawal is among it
+    entries: dict[str, set[str]]
+    sync_tokens: list[int]
+    urgent: bool
 
-    def cost(self) -> int:
-        return sum(map(len, self.lines.values()))
+    def entry_count(self) -> int:
+        """How many entries it changed."""
+        return sum(map(len, self.entries.values()))
 
 
 class PublishedTables:
-    """Tables by slice, levels and retry modes by class, endpoints withdrawn."""
+    """Tables by slice, admission levels and retry modes by table and class, endpoints withdrawn.
+
+    Args:
+        classes: names of the request classes.
+        slices: how many slices there are.
+    """
 
     def __init__(self, classes: tuple[str, ...], slices: int) -> None:
-        self.classes, self.slices = classes, slices
-        self.tables: dict[int, dict[str, float]] = {n: {} for n in range(slices)}
-        self.withdrawn: dict[str, int] = {}  # endpoint: the number of the change that withdrew it
-        self.levels: dict[tuple[int | None, int], float] = {}
-        self.retries: dict[tuple[int | None, int], int] = {}
-        self.seq = 0
-        self.changed: dict[str, int] = {unit: 0 for unit in self.units()}  # unit: its last change
-
-    def units(self) -> Iterable[str]:
+        self.classes = classes
+        self.slices = slices
+        self.tables: dict[int, dict[str, float]] = {number: {} for number in range(slices)}
+        self.withdrawn: dict[str, int] = {}  # endpoint: sequence number of its withdrawal; 0: before this run
+        self.levels: dict[tuple[int | None, int], float] = {}  # by table (None: all) and class
+        self.retries: dict[tuple[int | None, int], int] = {}  # by table (None: all) and class
+        self.seq = 0  # of the newest change
+        self.changed: dict[str, int] = dict.fromkeys(self.units(), 0)  # unit: sequence number of its last change
+
+    def units(self) -> Iterator[str]:
+        """All units there are."""
         yield FLEET
         yield ROUTES
         for number in range(self.slices):
             yield slice_unit(number)
 
-    def restore(self, number: int, lines: dict[str, float]) -> None:
-        """A table as the store holds it, before anything is published."""
-        self.tables[number] = dict(lines)
-
-    def standing(self) -> dict[str, float]:
-        """Withdrawals, levels and retry modes as keys and figures: what a restart must find as it was."""
-        found = {f"out {name}": 1.0 for name in self.withdrawn}
-        found |= {f"level {_place(t)} {k}": v for (t, k), v in self.levels.items() if v != 1.0}
-        return found | {f"retry {_place(t)} {k}": float(v) for (t, k), v in self.retries.items() if v}
-
-    def restore_standing(self, kept: Mapping[str, float], levels: bool) -> None:
-        """Orders of an earlier life, as `standing` gave them. `levels`: those too."""
-        for key, value in kept.items():
-            what, _, rest = key.partition(" ")
-            if what == "out":
-                self.withdrawn[rest] = 0
-                continue
-            table, _, k = rest.partition(" ")
-            place = None if table == "-" else int(table)
-            if not 0 <= int(k) < len(self.classes) or (place is not None and place not in self.tables):
+    # -- what the store keeps
+
+    def restore(self, number: int, entries: Mapping[str, float]) -> None:
+        """Take a table as the store holds it."""
+        self.tables[number] = dict(entries)
+
+    def standing_orders(self) -> dict[str, float]:
+        """Withdrawals, levels and retry modes in force, in the format of the store."""
+        return standing_orders.encode(self.withdrawn, self.levels, self.retries)
+
+    def restore_standing_orders(self, stored: Mapping[str, float], restore_levels: bool) -> None:
+        """Take the orders of an earlier run, as `standing_orders` gave them.
+
+        Args:
+            stored: orders in the format of the store; those on tables or classes that no longer exist are left out.
+            restore_levels: levels too.
+        """
+        for order in standing_orders.decode(stored):
+            if isinstance(order, StoredWithdrawal):
+                self.withdrawn[order.endpoint] = 0
+            elif not self._exists(order.scope):
                 continue
-            if what == "retry":
-                self.retries[place, int(k)] = int(value)
-            elif levels:
-                self.levels[place, int(k)] = value
+            elif isinstance(order, StoredRetryMode):
+                self.retries[order.scope] = order.mode
+            elif isinstance(order, StoredLevel) and restore_levels:
+                self.levels[order.scope] = order.level
+
+    def _exists(self, scope: Scope) -> bool:
+        if not 0 <= scope.class_index < len(self.classes):
+            return False
+        return scope.table is None or scope.table in self.tables
 
-    def level(self, table: int | None, k: int) -> float:
-        """Share of class k let in: the lower of the fleet's and, for a slice, its own."""
-        low = self.levels.get((None, k), 1.0)
-        return low if table is None else min(low, self.levels.get((table, k), 1.0))
+    # -- what is asked
+
+    def level(self, table: int | None, class_index: int) -> float:
+        """Share of a class that is admitted: the lower of the fleet's and, for a slice, its own."""
+        fleet_level = self.levels.get((None, class_index), FULL_LEVEL)
+        if table is None:
+            return fleet_level
+        return min(fleet_level, self.levels.get((table, class_index), FULL_LEVEL))
+
+    def routable_endpoints(self, number: int) -> list[str]:
+        """Endpoints in a slice's table that clients may pick."""
+        return [endpoint for endpoint in self.tables[number] if endpoint not in self.withdrawn]
+
+    # -- changes
 
     def apply(self, orders: Iterable[api.Action]) -> Change:
-        """Carry out table orders; what an order leaves as it was changes nothing and costs nothing."""
-        lines: dict[str, set[str]] = {}
-        marks: list[int] = []
+        """Carry out table orders; one that leaves everything as it is changes no entry."""
+        entries: dict[str, set[str]] = {}
+        sync_tokens: list[int] = []
         urgent = False
         self.seq += 1
         for order in orders:
             if isinstance(order, api.RequestSync):
-                marks.append(order.token)
+                sync_tokens.append(order.token)
                 continue
-            urgent |= isinstance(order, api.SetWithdrawn) and order.withdrawn and order.endpoint not in self.withdrawn
-            for unit, line in self._one(order):
-                lines.setdefault(unit, set()).add(line)
-        for unit in lines:
-            self.changed[unit] = self.seq
-        return Change(self.seq, lines, marks, urgent)
-
-    def _one(self, order: api.Action) -> list[tuple[str, str]]:
-        if isinstance(order, api.SetEntry):
-            return self._set_line(order)
-        if isinstance(order, api.ClearTable):
-            return self._clear(order.table)
-        if isinstance(order, api.SetWithdrawn):
-            return self._withdraw(order)
-        if isinstance(order, api.SetAdmission):
-            return self._admit(order)
+            urgent |= self._newly_withdraws(order)
+            for unit, key in self._apply_order(order):
+                entries.setdefault(unit, set()).add(key)
+        self.changed.update(dict.fromkeys(entries, self.seq))
+        return Change(self.seq, entries, sync_tokens, urgent)
+
+    def touch(self, endpoints: Iterable[str]) -> Change:
+        """Mark the entries of some endpoints as changed in all tables: something else about them, such as their zone,
+        has changed."""
+        self.seq += 1
+        entries: dict[str, set[str]] = {}
+        for endpoint in endpoints:
+            for number, table in self.tables.items():
+                if endpoint in table:
+                    entries.setdefault(slice_unit(number), set()).add(endpoint)
+        self.changed.update(dict.fromkeys(entries, self.seq))
+        return Change(self.seq, entries, [], False)
+
+    def _newly_withdraws(self, order: api.Action) -> bool:
+        return isinstance(order, api.SetWithdrawn) and order.withdrawn and order.endpoint not in self.withdrawn
+
+    def _apply_order(self, order: api.Action) -> list[ChangedEntry]:
+        match order:
+            case api.SetEntry():
+                return self._set_entry(order)
+            case api.ClearTable():
+                return self._clear_table(order.table)
+            case api.SetWithdrawn():
+                return self._set_withdrawn(order)
+            case api.SetAdmission():
+                return self._set_admission(order)
         return []
 
-    def _set_line(self, order: api.SetEntry) -> list[tuple[str, str]]:
+    def _set_entry(self, order: api.SetEntry) -> list[ChangedEntry]:
         table = self.tables.get(order.table)
         if table is None or table.get(order.endpoint, 0.0) == order.weight:
             return []
@@ -120,51 +173,46 @@
             table[order.endpoint] = order.weight
         else:
             table.pop(order.endpoint, None)
-        return [(slice_unit(order.table), order.endpoint)]
+        return [ChangedEntry(slice_unit(order.table), order.endpoint)]
 
-    def _clear(self, number: int) -> list[tuple[str, str]]:
+    def _clear_table(self, number: int) -> list[ChangedEntry]:
         table = self.tables.get(number)
         if table is None:
             return []
-        gone = [(slice_unit(number), name) for name in table]
+        unit = slice_unit(number)
+        changed = [ChangedEntry(unit, endpoint) for endpoint in table]
         table.clear()
-        for k in range(len(self.classes)):
-            if self.levels.pop((number, k), None) is not None:
-                gone.append((slice_unit(number), f"level {k}"))
-        return gone
+        for class_index in range(len(self.classes)):
+            if self.levels.pop((number, class_index), None) is not None:
+                changed.append(ChangedEntry(unit, _level_key(class_index)))
+        return changed
 
-    def _withdraw(self, order: api.SetWithdrawn) -> list[tuple[str, str]]:
+    def _set_withdrawn(self, order: api.SetWithdrawn) -> list[ChangedEntry]:
         if order.withdrawn == (order.endpoint in self.withdrawn):
             return []
         if order.withdrawn:
             self.withdrawn[order.endpoint] = self.seq
         else:
             del self.withdrawn[order.endpoint]
-        return [(FLEET, order.endpoint)]
+        return [ChangedEntry(FLEET, order.endpoint)]
 
-    def _admit(self, order: api.SetAdmission) -> list[tuple[str, str]]:
+    def _set_admission(self, order: api.SetAdmission) -> list[ChangedEntry]:
         unit = FLEET if order.table is None else slice_unit(order.table)
-        result = []
-        for k in order.classes or range(len(self.classes)):
-            if self.levels.get((order.table, k), 1.0) != order.level:
-                result.append((unit, f"level {k}"))
-            if self.retries.get((order.table, k), 0) != order.retry:
-                result.append((ROUTES, f"retry {order.table} {k}"))
-            self.levels[order.table, k] = order.level
-            self.retries[order.table, k] = order.retry
-        return result
+        changed: list[ChangedEntry] = []
+        for class_index in order.classes or range(len(self.classes)):
+            scope = order.table, class_index
+            if self.levels.get(scope, FULL_LEVEL) != order.level:
+                changed.append(ChangedEntry(unit, _level_key(class_index)))
+            if self.retries.get(scope, NO_RETRIES) != order.retry:
+                changed.append(ChangedEntry(ROUTES, _retry_key(order.table, class_index)))
+            self.levels[scope] = order.level
+            self.retries[scope] = order.retry
+        return changed
 
-    def touch(self, endpoints: Iterable[str]) -> Change:
-        """A change of what is known of endpoints (their zone), in every table that names them."""
-        self.seq += 1
-        lines: dict[str, set[str]] = {}
-        for name in endpoints:
-            for number, table in self.tables.items():
-                if name in table:
-                    lines.setdefault(slice_unit(number), set()).add(name)
-        self.changed.update(dict.fromkeys(lines, self.seq))
-        return Change(self.seq, lines, [], False)
-
-    def open_lines(self, number: int) -> list[str]:
-        """Endpoints of a slice that a gateway may pick."""
-        return [name for name in self.tables[number] if name not in self.withdrawn]
+
+def _level_key(class_index: int) -> str:
+    return f"level {class_index}"
+
+
+def _retry_key(table: int | None, class_index: int) -> str:
+    return f"retry {table} {class_index}"
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -67,7 +67,7 @@
 
     def _response(self, shown: list[api.EndpointEntry]) -> discovery_pb2.DiscoveryResponse:
         body = any_pb2.Any()
-        body.Pack(endpoint_list_client.write(self.cluster, shown))
+        body.Pack(endpoint_list_client.write_entries(self.cluster, shown))
         return discovery_pb2.DiscoveryResponse(
             version_info=str(self.version), type_url=endpoint_list_client.EDS, nonce=str(self.version), resources=[body]
         )
--- a/fuzz/sasp_messages.py
+++ b/fuzz/sasp_messages.py
@@ -17,7 +17,7 @@
 from damsonpick.protocols.sasp.registry import Limits, Registry
 from damsonpick.protocols.sasp.session import Desk, SaspSession
 from damsonpick.protocols.sasp.weights import Known
-from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.shared.session import CoveredChanges
 from damsonpick.state.published_tables import PublishedTables
 
 NOW = 10**18
@@ -64,7 +64,7 @@
     assert len(again) == len(frame) and codec.decode(again) == message
     kept = sum(len(g.members) for b in made.desk.registry.balancers.values() for g in b.groups.values())
     assert kept <= 20 * 50 * len(made.desk.registry.balancers)
-    made.change(["slice/0"], Due(3, NOW, 1))
+    made.enqueue(["slice/0"], CoveredChanges(3, NOW, 1))
     if (push := made.compose(NOW)) is not None:
         codec.decode(push)
         made.written()
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -29,7 +29,7 @@
             for number in range(1, self.slices):
                 for name in list(self.tables[number]):
                     del self.tables[number][name]
-                    change.lines.setdefault(f"slice/{number}", set()).add(name)
+                    change.entries.setdefault(f"slice/{number}", set()).add(name)
         return change
 
     real, PublishedTables.apply = PublishedTables.apply, apply
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The loop round the module: failures of the module, clock steps, a store that cannot be written."""
+"""The engine: failures of the planner, clock steps, a store that cannot be written, leases lost."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 from damsonpick import interface as api
 from damsonpick.controller.engine import Engine
 from damsonpick.decisions.planner import Planner
-from damsonpick.protocols.shared.send_queue import Channel
+from damsonpick.protocols.shared.send_queue import SendQueue
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.protocols.xds.resources import Catalogue
 from damsonpick.protocols.xds.session import DeltaSession
 from damsonpick.settings import load
 from damsonpick.state.endpoint_list.validation import EndpointList
-from damsonpick.state.published_tables import PublishedTables, slice_unit
+from damsonpick.state.history.database import open_store
+from damsonpick.state.history.recorder import HistoryRecorder
+from damsonpick.state.published_tables import PublishedTables
 from damsonpick.state.store.sqlite import Store
 from tests.pilots import SETTINGS, Pilot, until
 from tests.test_xds_hard_cases import SLICES, drained, served
@@ -26,15 +28,15 @@
 NOW = 100 * SECOND
 
 
-class Broken(Planner):
+class FailingPlanner(Planner):
     """Fails at the calls that it is told to."""
 
     fail_at: tuple[int, ...] = ()
     calls = 0
 
     def handle(self, now, events):
-        Broken.calls += 1
-        if Broken.calls in Broken.fail_at:
+        FailingPlanner.calls += 1
+        if FailingPlanner.calls in FailingPlanner.fail_at:
             raise ZeroDivisionError("told to")
         return super().handle(now, events)
 
@@ -48,12 +50,14 @@
         self.store = Store(folder / "t.db", 6)
         self.published = PublishedTables(("page", "tally"), 6)
         self.catalogue = Catalogue(self.published, self.settings, lambda n: "a")
-        self.session_manager = SessionManager(self.published, self.catalogue, Channel(0, 8, 1e9), self.store.gateway)
+        self.session_manager = SessionManager(self.published, self.catalogue, SendQueue(0, 8, 1e9), self.store.gateway)
         self.endpoint_list = EndpointList(("a", "b"))
         self.log = structlog.testing.LogCapture()
         log = structlog.wrap_logger(None, processors=[self.log])
+        history = open_store(folder / "versions.db")
+        recorder = HistoryRecorder(self.published, self.catalogue.versions, history, 100, 3600 * SECOND, log)
         self.engine = Engine(
-            self.settings, self.store, self.published, self.session_manager, self.endpoint_list, log, make
+            self.settings, self.store, self.published, self.session_manager, self.endpoint_list, log, make, recorder
         )
         self.now = NOW
         self.engine.start(NOW)
@@ -61,7 +65,7 @@
 
     def list(self, *states):
         entries = [api.EndpointEntry(f"127.0.0.1:{9001 + k}", "a", s, 1.0, 0) for k, s in enumerate(states)]
-        verdict = self.endpoint_list.take(self.now, entries)
+        verdict = self.endpoint_list.apply(self.now, entries)
         if verdict.event:
             self.engine.tell(verdict.event)
 
@@ -81,12 +85,12 @@
         end = self.now + int(seconds * SECOND)
         while self.now < end:
             self.engine.step(self.now)
-            self.session_manager.pump(self.now)
-            for session in list(self.session_manager.by):
+            self.session_manager.dispatch(self.now)
+            for session in list(self.session_manager.by_session):
                 while (response := session.compose(self.now)) is not None:
                     self.acknowledge(session, response)
-                self.session_manager.review(session)
-                self.session_manager.settle(self.now, session)
+                self.session_manager.update_ready(session)
+                self.session_manager.acknowledge(self.now, session)
             self.now += step
 
     def acknowledge(self, session, response):
@@ -99,53 +103,53 @@
         return [e for e in self.log.entries if e["event"] == name]
 
     def open(self):
-        return all(self.published.open_lines(n) for n in range(6))
+        return all(self.published.routable_endpoints(n) for n in range(6))
 
 
-def test_tables_are_stored_before_they_are_sent_and_marks_come_back(tmp_path):
+def test_tables_are_stored_before_they_are_sent_and_sync_tokens_come_back(tmp_path):
     world = World(tmp_path)
     session = world.join()
     world.run(1)
     assert world.open() and world.store.tables() == world.published.tables
-    assert world.session_manager.by[session].session is session and world.engine.planner.flow_control.last_token
-    assert not world.engine.planner.flow_control.in_flight, "every mark was answered"
+    assert world.session_manager.by_session[session].session is session and world.engine.planner.flow_control.last_token
+    assert not world.engine.planner.flow_control.in_flight, "every sync token was acknowledged"
 
 
-def test_a_failing_module_keeps_the_tables_and_starts_over_from_the_store(tmp_path):
-    Broken.fail_at, Broken.calls = (6,), 0
-    world = World(tmp_path, Broken)
+def test_a_failing_planner_keeps_the_tables_and_starts_over_from_the_store(tmp_path):
+    FailingPlanner.fail_at, FailingPlanner.calls = (6,), 0
+    world = World(tmp_path, FailingPlanner)
     world.join()
     world.run(0.3)
     before = {n: dict(t) for n, t in world.published.tables.items()}
     world.run(2)
-    (failed,) = world.events("module_failed")
+    (failed,) = world.events("planner_failed")
     assert "ZeroDivisionError" in failed["error"] and failed["events"] and failed["restart_in_ms"] == 0
     assert world.engine.planner is not None and world.published.tables == before
     world.list("terminating", "in_service", "in_service")
     world.run(1)
-    assert all("127.0.0.1:9001" not in world.published.open_lines(n) for n in range(6)) and world.open()
+    assert all("127.0.0.1:9001" not in world.published.routable_endpoints(n) for n in range(6)) and world.open()
 
 
-def test_what_a_failed_module_had_learned_is_handed_on_once_and_not_after_a_second_failure(tmp_path):
+def test_what_a_failed_planner_had_learned_is_handed_on_once_and_not_after_a_second_failure(tmp_path):
     world = World(tmp_path)
     world.run(1)
     world.engine.planner.endpoints["127.0.0.1:9001"].capacity_factor = 0.25
     world.engine.planner.endpoints["127.0.0.1:9001"].last_report_at = 1
-    kept = world.engine.learned()
+    kept = world.engine.learned_state()
     assert [s.speed for s in kept.servers] == [0.25]
-    world.engine._failed(world.now, [], ValueError("first"))
-    world.engine._begin(world.now, learned=world.engine.salvaged)
-    assert world.engine.salvaged is not None
-    world.engine._failed(world.now + 1, [], ValueError("second"))
-    assert world.engine.salvaged is None
+    world.engine._planner_failed(world.now, [], ValueError("first"))
+    world.engine._start_planner(world.engine.captured_state)
+    assert world.engine.captured_state is not None
+    world.engine._planner_failed(world.now + 1, [], ValueError("second"))
+    assert world.engine.captured_state is None
 
 
-def test_a_module_that_fails_again_and_again_is_tried_within_a_second_each_time(tmp_path):
-    Broken.fail_at, Broken.calls = tuple(range(3, 60)), 0
-    world = World(tmp_path, Broken)
+def test_a_planner_that_fails_again_and_again_is_tried_within_a_second_each_time(tmp_path):
+    FailingPlanner.fail_at, FailingPlanner.calls = tuple(range(3, 60)), 0
+    world = World(tmp_path, FailingPlanner)
     world.join()
     world.run(30)
-    waits = [e["restart_in_ms"] for e in world.events("module_failed")]
+    waits = [e["restart_in_ms"] for e in world.events("planner_failed")]
     assert waits[0] == 0 and max(waits) <= 1000 and len(waits) >= 20
 
 
@@ -160,10 +164,10 @@
     world.now = seen + 7200 * SECOND
     world.list("terminating", "in_service", "in_service")
     world.run(1)
-    assert all("127.0.0.1:9001" not in world.published.open_lines(n) for n in range(6)) and world.open()
+    assert all("127.0.0.1:9001" not in world.published.routable_endpoints(n) for n in range(6)) and world.open()
 
 
-def test_a_store_that_cannot_be_written_is_said_and_orders_go_on(tmp_path, monkeypatch):
+def test_a_store_that_cannot_be_written_is_logged_and_orders_go_on(tmp_path, monkeypatch):
     world = World(tmp_path)
     world.join()
 
@@ -172,13 +176,13 @@
 
     monkeypatch.setattr(world.store, "write", full)
     world.run(1)
-    assert world.open() and world.events("store_not_written") and not any(world.store.tables().values())
+    assert world.open() and world.events("store_write_failed") and not any(world.store.tables().values())
     monkeypatch.undo()
     world.run(2)
-    assert world.store.tables() == world.published.tables and world.events("store_caught_up")
+    assert world.store.tables() == world.published.tables and world.events("store_write_recovered")
 
 
-def test_custody_lost_is_given_up_and_orders_for_it_are_dropped(tmp_path):
+def test_a_lost_slice_is_given_up_and_orders_for_it_are_dropped(tmp_path):
     world = World(tmp_path)
     world.join()
     world.run(1)
@@ -196,37 +200,24 @@
     assert set(world.engine.planner.slices) == set(range(6))
 
 
-def test_orders_that_change_nothing_cost_nothing():
-    published = PublishedTables(("page",), 2)
-    line = api.SetEntry(0, "x:1", 1.0)
-    assert published.apply([line]).cost() == 1 and published.apply([line]).cost() == 0
-    assert published.apply([api.SetWithdrawn("x:1", False), api.SetAdmission(None, (), 1.0, 0)]).cost() == 0
-    change = published.apply(
-        [api.SetWithdrawn("x:1", True), api.SetAdmission(0, (0,), 0.5, 1), api.RequestSync(7, True)]
-    )
-    assert change.urgent and change.marks == [7] and set(change.lines) == {"fleet", slice_unit(0), "routes"}
-    assert published.open_lines(0) == [] and published.level(0, 0) == 0.5
-    assert published.apply([api.ClearTable(0)]).lines == {slice_unit(0): {"x:1", "level 0"}}
-
-
 FAULTY = "tests.faulty_pilot"
 
 
 @pytest.mark.parametrize("delta", [True, False])
-def test_a_failing_module_through_real_sockets(tmp_path, clients, delta):
+def test_a_failing_planner_through_real_sockets(tmp_path, clients, delta):
     pilot = Pilot(tmp_path, module=FAULTY)
     pilot.list(s1="in_service", s2="in_service", s3="in_service")
     pilot.start()
     try:
         client = clients(pilot, delta=delta)
         client.until(served(client))
-        until(lambda: pilot.log("module_failed"))
+        until(lambda: pilot.log("planner_failed"))
         before = dict(client.tables)
         client.settle()
         assert all(client.tables[s] for s in SLICES) and before
         pilot.list(s1="terminating", s2="in_service", s3="in_service")
         client.until(lambda: drained(pilot, client, 1))
-        assert all(e["restart_in_ms"] <= 1000 for e in pilot.log("module_failed"))
-        assert json.dumps(pilot.log("module_failed")[0]["events"])
+        assert all(e["restart_in_ms"] <= 1000 for e in pilot.log("planner_failed"))
+        assert json.dumps(pilot.log("planner_failed")[0]["events"])
     finally:
         pilot.stop()
--- a/tests/test_knowledge_pilot.py
+++ b/tests/test_knowledge_pilot.py
@@ -201,7 +201,7 @@
         )
         made.pilot.stop(signal.SIGKILL)
         await started(made)
-        assert made.pilot.log("recalled")[-1]["servers"] >= 3
+        assert made.pilot.log("learned_state_restored")[-1]["endpoints"] >= 3
         assert speed() < 0.75, "no second learning"
         await true(made.usable)
 
@@ -258,7 +258,7 @@
     assert command(pilot, "knowledge", "verify").returncode == 1
     pilot.start()
     assert pilot.log("knowledge_refused")[-1]["what"].startswith(str(path))
-    assert pilot.log("recalled")
+    assert pilot.log("learned_state_restored")
     pilot.stop()
     again = [codec.decode((kept(tmp_path) / w).read_bytes()).sequence for w in ("current", "previous")]
     assert again[0] >= newest and command(pilot, "knowledge", "verify").returncode == 0
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -40,7 +40,7 @@
 from damsonpick.protocols.sasp.registry import GONE, Limits, Registry
 from damsonpick.protocols.sasp.session import Desk, SaspSession
 from damsonpick.protocols.sasp.weights import Advice, Known
-from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.shared.session import CoveredChanges
 from damsonpick.state.published_tables import PublishedTables
 from fuzz import sasp_messages
 
@@ -402,13 +402,13 @@
 def test_a_push_tells_of_changed_members_alone_where_that_was_asked_for():
     shared = desk()
     made = session(shared, b"lb1", LbFlag.PUSH | LbFlag.NO_CHANGE)
-    made.change(["fleet"], Due(1, NOW, 1))
+    made.enqueue(["fleet"], CoveredChanges(1, NOW, 1))
     assert len(codec.decode(made.compose(NOW)).body.groups[0].weights) == 2 and made.rows == 2
     made.written()
     shared.registry.set_states(
         Sender.BALANCER, (StatesOf(WEB, (MemberState(member("1.1.1.1:1"), 0, MemberFlag.QUIESCE),)),)
     )
-    made.change(["slice/0"], Due(2, NOW, 1))
+    made.enqueue(["slice/0"], CoveredChanges(2, NOW, 1))
     weights_ = codec.decode(made.compose(NOW)).body.groups[0].weights
     assert [w.member.endpoint for w in weights_] == ["1.1.1.1:1"] and made.rows == 1
 
@@ -416,18 +416,18 @@
 def test_a_push_goes_once_and_waits_for_the_socket():
     made = session(desk())
     assert [len(x) for x in made.news(NOW, 9)[0].values()] == [2] and not made.news(NOW, 9)[1], "neither is barred"
-    made.change(["fleet"], Due(1, NOW, 1))
+    made.enqueue(["fleet"], CoveredChanges(1, NOW, 1))
     assert codec.decode(made.compose(NOW)).body.groups[0].group == WEB and not made.ready()
-    made.change(["slice/0"], Due(5, NOW, 1))
-    assert made.compose(NOW) is None and made.oldest() == 1
+    made.enqueue(["slice/0"], CoveredChanges(5, NOW, 1))
+    assert made.compose(NOW) is None and made.oldest_unacknowledged() == 1
     made.written()
     assert made.ready() and made.compose(NOW) is None and made.news(NOW, 9) == ({}, False), "nothing is different"
-    assert made.oldest() == 1 << 62
+    assert made.oldest_unacknowledged() == 1 << 62
 
 
 def test_a_group_deleted_before_its_push_is_written_is_not_in_it():
     made = session(desk(), b"lb1", LbFlag.PUSH, b"web", b"other")
-    made.change(["slice/0"], Due(1, NOW, 1))
+    made.enqueue(["slice/0"], CoveredChanges(1, NOW, 1))
     ask(made, Deregister(Sender.BALANCER, 0, (MembersOf(WEB, ()),)))
     assert [g.group.name for g in codec.decode(made.compose(NOW)).body.groups] == [b"other"]
 
@@ -447,8 +447,8 @@
 def test_only_pushes_are_ordered_through_the_channel():
     shared = desk()
     pusher, poller = session(shared), session(shared, b"lb2", LbFlag(0))
-    assert pusher.wants("slice/1") and pusher.wants("fleet") and not pusher.wants("routes")
-    assert not poller.wants("slice/1")
+    assert pusher.subscribes_to("slice/1") and pusher.subscribes_to("fleet") and not pusher.subscribes_to("routes")
+    assert not poller.subscribes_to("slice/1")
 
 
 # -- pace
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -24,7 +24,7 @@
 from damsonpick.solver.model import Costs, Kind, Problem, Server
 from damsonpick.solver.plan import keep, normal, plan
 from damsonpick.solver.program import SHORT_PENALTY, Program, ceiling, patience
-from damsonpick.state.load_reports import EndpointSum, GatewaySums, LoadReports, SliceSum
+from damsonpick.state.load_reports import ClientReport, EndpointStats, LoadReports, SliceStats
 from tests.pilots import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -475,12 +475,14 @@
     loop.run(10)
     name = next(iter(loop.zones))
     load_reports = LoadReports(("page", "tally"), 4, SECOND, 10 * SECOND)
-    load_reports.known = set(loop.zones)
+    load_reports.known_endpoints = set(loop.zones)
     for g, (tries, bad) in enumerate(((5, 50), (0, 0), (10**15, 3))):
         load_reports.join(loop.now, g)
-        load_reports.hear(
+        load_reports.add(
             loop.now,
-            GatewaySums(g, "a", SECOND, (EndpointSum(name, tries, bad, 9, -3),), (SliceSum(0, "page", 10**15, 0),)),
+            ClientReport(
+                g, "a", SECOND, (EndpointStats(name, tries, bad, 9, -3),), (SliceStats(0, "page", 10**15, 0),)
+            ),
         )
     loop.tell(*load_reports.flush())
     made = plan(loop.program, loop.advisor.problem(loop.planner))
--- /dev/null
+++ b/tests/test_store.py
@@ -0,0 +1,83 @@
+"""The store: what it keeps, leases, kills in the middle of a write, files that cannot be used."""
+
+from __future__ import annotations
+
+import os
+import signal
+import sqlite3
+import subprocess
+import sys
+
+import pytest
+
+from damsonpick.state.store.sqlite import Store, StoreError
+from tests.helpers import SECOND, entry
+
+NOW = 100 * SECOND
+
+
+def test_store_keeps_tables_leases_numbers_and_list(tmp_path):
+    store = Store(tmp_path / "t.db", 4)
+    store.write({1: {"x": 1.0, "y": 2.0}, 2: {"x": 1.0}})
+    store.write({1: {"y": 1.0}})
+    assert [store.gateway(n) for n in ("a", "b", "a")] == [0, 1, 0]
+    store.keep_list([entry("x", started=5)])
+    assert store.epoch() == 1
+    store.close()
+    again = Store(tmp_path / "t.db", 4)
+    assert again.tables() == {0: {}, 1: {"y": 1.0}, 2: {"x": 1.0}, 3: {}}
+    assert again.epoch() == 2 and again.gateway("b") == 1 and again.listed() == [entry("x", started=5)]
+
+
+def test_a_slice_is_leased_once_until_its_lease_ends(tmp_path):
+    one, two = Store(tmp_path / "t.db", 3), Store(tmp_path / "t.db", 3)
+    assert [c.slice for c in one.claim("p", NOW, SECOND)] == [0, 1, 2]
+    assert two.claim("q", NOW, SECOND) == []
+    assert one.renew("p", NOW + SECOND // 2, SECOND)
+    assert two.claim("q", NOW + SECOND, SECOND) == []
+    taken = two.claim("q", NOW + 2 * SECOND, SECOND)
+    assert [c.term for c in taken] == [2, 2, 2] and one.renew("p", NOW + 2 * SECOND, SECOND) == []
+    two.release("q")
+    assert len(one.claim("p", NOW + 2 * SECOND, SECOND)) == 3
+
+
+WRITER = """
+import sys
+from pathlib import Path
+from damsonpick.state.store.sqlite import Store
+store = Store(Path(sys.argv[1]), 8)
+k = 0
+while True:
+    k += 1
+    store.write({n: {f"e{k}": float(k)} for n in range(8)})
+    print(k, flush=True)
+"""
+
+
+def test_a_killed_writer_leaves_one_whole_transaction(tmp_path):
+    for k in range(5):
+        path = tmp_path / f"{k}.db"
+        with subprocess.Popen([sys.executable, "-c", WRITER, str(path)], stdout=subprocess.PIPE) as process:
+            for _ in range(20 + 17 * k):
+                last = int(process.stdout.readline())
+            process.send_signal(signal.SIGKILL)
+        tables = Store(path, 8).tables()
+        assert len({tuple(t.items()) for t in tables.values()}) == 1, "never half of an order"
+        assert next(iter(tables[0].values())) >= last
+
+
+def test_store_that_cannot_be_used_says_why(tmp_path):
+    (tmp_path / "t.db").write_bytes(os.urandom(8192))
+    with pytest.raises(StoreError, match="cannot be opened"):
+        Store(tmp_path / "t.db", 4)
+    Store(tmp_path / "u.db", 4).close()
+    with pytest.raises(StoreError, match="slices 4, the settings say 5"):
+        Store(tmp_path / "u.db", 5)
+
+
+def test_a_write_that_fails_leaves_the_old_tables(tmp_path):
+    store = Store(tmp_path / "t.db", 2)
+    store.write({0: {"x": 1.0}})
+    with pytest.raises(sqlite3.Error):
+        store.write({0: {"y": 1.0}, 1: {"z": None}})
+    assert store.tables() == {0: {"x": 1.0}, 1: {}}
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -9,7 +9,7 @@
 from damsonpick import interface as api
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.state.endpoint_list import validation
-from damsonpick.state.endpoint_list.sources import HOLD, PATIENCE, STEADY, Budget, Sources
+from damsonpick.state.endpoint_list.sources import FIRST_ANSWER_NS, SILENCE_NS, STEADY_NS, CallBudget, Sources
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.learned import list_confidence, restore
 from damsonpick.state.learned.list_confidence import FRESH, OLD, SMALL, TRIAL, Kept, Trust
@@ -132,7 +132,7 @@
 
 def endpoint_list(count=10):
     made = EndpointList(("a",))
-    made.take(NOW, [entry(f"s{k}") for k in range(count)])
+    made.apply(NOW, [entry(f"s{k}") for k in range(count)])
     return made
 
 
@@ -142,43 +142,43 @@
 
 def test_a_list_that_returns_half_empty_is_held_until_it_has_said_so_for_a_while():
     made = endpoint_list()
-    verdict = made.take(NOW, some(0, 1, 2, 3))
-    assert len(made.entries) == 10 and verdict.event is None and "list accept" in verdict.doubts[0]
-    assert made.recheck(NOW + validation.CONFIRM - 1, lambda n: False).event is None
-    gone = made.recheck(NOW + validation.CONFIRM, lambda n: False)
+    verdict = made.apply(NOW, some(0, 1, 2, 3))
+    assert len(made.entries) == 10 and verdict.event is None and "list accept" in verdict.problems[0]
+    assert made.recheck(NOW + validation.CONFIRM_NS - 1, lambda n: False).event is None
+    gone = made.recheck(NOW + validation.CONFIRM_NS, lambda n: False)
     assert len(gone.event.entries) == 4 and made.recheck(NOW, lambda n: False) is None
 
 
 def test_a_list_that_is_whole_again_ends_the_doubt():
     made = endpoint_list()
-    made.take(NOW, some(0, 1, 2, 3))
-    made.take(NOW + SECOND, some(*range(10)))
-    made.take(NOW + validation.CONFIRM, some(0, 1, 2, 3))
+    made.apply(NOW, some(0, 1, 2, 3))
+    made.apply(NOW + SECOND, some(*range(10)))
+    made.apply(NOW + validation.CONFIRM_NS, some(0, 1, 2, 3))
     assert len(made.entries) == 10, "the clock starts again"
 
 
 def test_what_fails_goes_at_once_and_the_rest_is_held():
     made = endpoint_list()
-    made.take(NOW, some(0, 1, 2, 3))
+    made.apply(NOW, some(0, 1, 2, 3))
     verdict = made.recheck(NOW + SECOND, lambda n: n in ("s8", "s9"))
     assert {e.endpoint for e in verdict.event.entries} == {f"s{k}" for k in range(8)}
 
 
 def test_an_operator_lets_them_go():
     made = endpoint_list()
-    made.take(NOW, some(0, 1, 2, 3))
+    made.apply(NOW, some(0, 1, 2, 3))
     assert len(made.accept(NOW, lambda n: False).event.entries) == 4
     assert made.accept(NOW, lambda n: False) is None
 
 
 def test_states_that_are_stated_bind_however_many_and_a_few_may_vanish():
     made = endpoint_list()
-    verdict = made.take(NOW, [entry(f"s{k}", "terminating" if k else "in_service") for k in range(10)])
+    verdict = made.apply(NOW, [entry(f"s{k}", "terminating" if k else "in_service") for k in range(10)])
     assert sum(e.state == "terminating" for e in verdict.event.entries) == 9
     made = endpoint_list()
-    assert len(made.take(NOW, some(*range(4, 10))).event.entries) == 6, "four of ten: as told"
+    assert len(made.apply(NOW, some(*range(4, 10))).event.entries) == 6, "four of ten: as told"
     made = endpoint_list(3)
-    assert len(made.take(NOW, some(0)).event.entries) == 1, "two are too few to be a sign"
+    assert len(made.apply(NOW, some(0)).event.entries) == 1, "two are too few to be a sign"
 
 
 # -- several sources
@@ -186,29 +186,32 @@
 
 def test_the_best_source_that_answers_is_believed_and_a_blip_changes_nothing():
     made = Sources(("main", "spare"), NOW)
-    made.take(NOW, "spare", some(1))
+    made.received(NOW, "spare", some(1))
     assert made.merged(NOW)[0] is None, "the better one has a moment"
-    assert made.merged(NOW + PATIENCE)[0] == some(1)
-    made.take(NOW + PATIENCE, "main", some(1, 2))
-    assert made.merged(NOW + PATIENCE)[0] == some(1), "it must be steady first"
-    now = NOW + PATIENCE + STEADY
+    assert made.merged(NOW + FIRST_ANSWER_NS)[0] == some(1)
+    made.received(NOW + FIRST_ANSWER_NS, "main", some(1, 2))
+    assert made.merged(NOW + FIRST_ANSWER_NS)[0] == some(1), "it must be steady first"
+    now = NOW + FIRST_ANSWER_NS + STEADY_NS
     assert made.merged(now)[0] == some(1, 2) and made.believed == "main"
-    made.take(now, "main", None, "broke")
-    assert made.choose(now + HOLD - 1) == "main"
-    assert made.choose(now + HOLD) == "spare"
+    made.failed(now, "main", "broke")
+    assert made.choose(now + SILENCE_NS - 1) == "main"
+    assert made.choose(now + SILENCE_NS) == "spare"
     assert [v["up"] for v in made.view(now)] == [False, True]
 
 
 def test_a_flapping_source_is_not_believed_anew_each_time():
     made = Sources(("main", "spare"), NOW)
-    made.take(NOW, "main", some(1, 2))
-    made.take(NOW, "spare", some(1))
+    made.received(NOW, "main", some(1, 2))
+    made.received(NOW, "spare", some(1))
     made.merged(NOW)
     now, switches, last = NOW, 0, "main"
-    made.take(now, "main", None, "broke")
+    made.failed(now, "main", "broke")
     for k in range(200):
         now += SECOND // 2
-        made.take(now, "main", some(1, 2) if k % 2 else None, "broke")
+        if k % 2:
+            made.received(now, "main", some(1, 2))
+        else:
+            made.failed(now, "main", "broke")
         switches += made.choose(now) != last
         last = made.choose(now)
     assert switches <= 1
@@ -216,24 +219,24 @@
 
 def test_a_single_source_that_fails_keeps_its_last_list():
     made = Sources(("main",), NOW)
-    made.take(NOW, "main", some(1))
-    made.take(NOW, "main", None, "broke")
-    assert made.merged(NOW + HOLD)[0] == some(1)
+    made.received(NOW, "main", some(1))
+    made.failed(NOW, "main", "broke")
+    assert made.merged(NOW + SILENCE_NS)[0] == some(1)
 
 
 def test_a_drain_that_any_live_source_tells_of_binds_and_strangers_stay_out():
     made = Sources(("main", "spare"), NOW)
-    made.take(NOW, "main", some(1, 2))
-    made.take(NOW, "spare", [entry("s1", "terminating"), entry("s2", "terminating", started=5), entry("s9")])
+    made.received(NOW, "main", some(1, 2))
+    made.received(NOW, "spare", [entry("s1", "terminating"), entry("s2", "terminating", started=5), entry("s9")])
     entries, doubts = made.merged(NOW)
     assert {e.endpoint: e.state for e in entries} == {"s1": "terminating", "s2": "in_service"}
     assert len(doubts) == 2 and "s9" in doubts[1]
-    made.take(NOW, "spare", None, "broke")
+    made.failed(NOW, "spare", "broke")
     assert made.merged(NOW)[0] == some(1, 2), "one that is down binds nothing"
 
 
 def test_a_source_that_hangs_up_at_once_is_called_within_its_budget():
-    budget, now, calls = Budget(20, 60 * SECOND), NOW, []
+    budget, now, calls = CallBudget(20, 60 * SECOND), NOW, []
     rng = random.Random(1)
     backoff = Backoff(rng)
     while now < NOW + 600 * SECOND:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -35,7 +35,7 @@
     states = {1: {u: dict(k) for u, k in history.state.items()}}
     for k, orders in enumerate(steps, 1):
         change = published.apply(orders)
-        made = history.add(k * SECOND, published, change.lines, f"root{k}", "module")
+        made = history.add(k * SECOND, published, change.entries, f"root{k}", "module")
         if made:
             states[made.number] = {u: dict(x) for u, x in history.state.items()}
     return published, history, states
@@ -128,8 +128,8 @@
 
 def step(made, published, versions, k):
     change = published.apply([order(k % 4, f"s{k % 7}", 1.0 + k)])
-    versions.update({unit: f"v{k}" for unit in change.lines})
-    return made.note(k * SECOND, change.lines, "module")
+    versions.update({unit: f"v{k}" for unit in change.entries})
+    return made.note(k * SECOND, change.entries, "module")
 
 
 def test_a_history_outlives_its_pilot_and_goes_on(tmp_path):
--- a/tests/test_xds_hard_cases.py
+++ b/tests/test_xds_hard_cases.py
@@ -77,7 +77,7 @@
     client.settle()
     pilot.list(s1="terminating", s2="in_service", s3="in_service")
     held = [client.next()]
-    until(lambda: pilot.log("withdrawn"))
+    until(lambda: pilot.log("endpoint_withdrawn"))
     pilot.list(s1="terminating", s2="terminating", s3="in_service")
     end = time.monotonic() + 3
     while time.monotonic() < end and not drained(pilot, client, 2):
@@ -299,7 +299,7 @@
     pilot.put_list(text)
     until(lambda: pilot.log(what))
     client.settle()
-    assert client.tables == before and not pilot.log("withdrawn")
+    assert client.tables == before and not pilot.log("endpoint_withdrawn")
 
 
 def test_list_all_draining_withdraws_all_and_shrinking_to_one_keeps_that_one(pilot, clients):
@@ -329,7 +329,7 @@
     client.out.put(discovery_pb2.DeltaDiscoveryRequest(type_url=EDS, resource_names_subscribe=["slice/1"]))
     client.settle()
     pilot.list(s1="terminating", s2="terminating", s3="in_service")
-    until(lambda: pilot.log("withdrawn"))
+    until(lambda: pilot.log("endpoint_withdrawn"))
     assert all(r.name != "slice/0" for g in client.settle() for r in g.resources)
 
 
--- a/tests/versions_model.py
+++ b/tests/versions_model.py
@@ -17,7 +17,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2
 
-from damsonpick.protocols.shared.session import Due
+from damsonpick.protocols.shared.session import CoveredChanges
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.protocols.xds.resources import Resource
 from damsonpick.protocols.xds.session import DeltaSession
@@ -102,7 +102,7 @@
     def publish(self, name):
         self.catalogue.at[name] = (self.catalogue.at[name] + 1) % CONTENTS
         self.catalogue.published.seq += 1
-        self.session.change([name], Due(self.catalogue.published.seq, 0, 1))
+        self.session.enqueue([name], CoveredChanges(self.catalogue.published.seq, 0, 1))
 
     def send(self):
         response = self.session.compose(self.catalogue.published.seq)
