--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -113,11 +113,11 @@
         self._start_planner(replaces_planner=True)
 
     def _start_planner(self, learned: Snapshot | None = None, replaces_planner: bool = False) -> None:
-        """Start a planner and have it told what stands.
+        """Start a planner and queue the present state as its first events.
 
         Args:
             learned: what an earlier planner learned, aged.
-            replaces_planner: a planner is at work; one that failed counts without being named here.
+            replaces_planner: a planner of this process is at work. One that has failed is replaced in any case.
         """
         replaces_planner = replaces_planner or bool(self.failures)
         seed = self.settings.pilot.seed * PLANNERS_A_SEED + self.failures
@@ -126,8 +126,11 @@
         self.begin_with(self.make(self.settings.planner(), seed), events)
 
     def _drop_stale_events(self, replaces_planner: bool) -> None:
-        """Drop what clients did under an earlier planner: its sync tokens mean nothing to a new one, and clients that
-        joined under it are told anew."""
+        """Drop what clients did before the new planner starts.
+
+        The sync tokens of an earlier planner mean nothing to it, and clients that joined under one are among its first
+        events.
+        """
         manager = self.session_manager
         if replaces_planner:
             manager.events = []
--- a/damsonpick/controller/explain.py
+++ b/damsonpick/controller/explain.py
@@ -8,7 +8,7 @@
 from damsonpick.decisions.planner import Planner
 from damsonpick.state.published_tables import PublishedTables
 
-SLOW_CAPACITY_FACTOR = 0.75  # below it an operator is told that the endpoint is slow; no decision depends on it
+SLOW_CAPACITY_FACTOR = 0.75  # below it `why` names the endpoint as slow; no decision depends on it
 
 
 def endpoint_rows(planner: Planner, published: PublishedTables) -> Iterator[dict[str, object]]:
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -62,7 +62,7 @@
 
     def vouched(self) -> int:
         """Clock time when the believed source last stood by the list; 0: it does not."""
-        believed = self.sources.believed
+        believed = self.sources.active
         return self.clock.now() if believed and self.sources.all[believed].up else 0
 
     # -- what sources say
@@ -115,11 +115,11 @@
             if dispute not in self.disputes:
                 self.log.warning("list_disputed", what=dispute)
         self.disputes = disputes
-        if entries is None or self.taken == (self.sources.believed, entries):
+        if entries is None or self.taken == (self.sources.active, entries):
             return
-        if self.taken is not None and self.taken[0] != self.sources.believed:
-            self.log.warning("list_source", now=self.sources.believed, before=self.taken[0])
-        self.taken = (self.sources.believed, entries)
+        if self.taken is not None and self.taken[0] != self.sources.active:
+            self.log.warning("list_source", now=self.sources.active, before=self.taken[0])
+        self.taken = (self.sources.active, entries)
         self._use(self.endpoint_list.apply(now, entries, lambda name: self.trust.lost(now, name)))
         self.said = f"{len(entries)} servers"
 
@@ -145,7 +145,7 @@
             states[entry.state] = states.get(entry.state, 0) + 1
         self.log.info("listed", **states)
         try:
-            self.store.keep_list(event.entries, self.clock.now(), self.sources.believed, self.endpoint_list.held)
+            self.store.keep_list(event.entries, self.clock.now(), self.sources.active, self.endpoint_list.held)
         except Exception as error:
             self.log.error("list_not_kept", error=str(error), remedy="free space or rights on the state folder")
 
--- a/damsonpick/controller/planner_start.py
+++ b/damsonpick/controller/planner_start.py
@@ -1,7 +1,7 @@
-"""What a new planner is told of the state that already stands. Sans I/O.
+"""The first events of a new planner: the state in force when it starts. Sans I/O.
 
 A planner starts empty: after a restart of the process, after an exception, when a pin begins or ends, and when an
-operator has learned state forgotten. In each case it first receives the endpoint list, the tables of the slices owned
+operator discards the learned state. In each case it first receives the endpoint list, the tables of the owned slices
 and whatever an earlier planner learned.
 """
 
@@ -49,7 +49,7 @@
         self.ownership = ownership
         self.removed_entries = removed_entries
         self.log = log
-        self.confidence_events: Callable[[], list[api.Event]] = list  # confidence in list entries, as last told
+        self.confidence_events: Callable[[], list[api.Event]] = list  # the last confidence in list entries
 
     def events(self, learned: Snapshot | None, replaces_planner: bool) -> list[api.Event]:
         """The events, in the order the planner must receive them.
--- a/damsonpick/controller/table_pin.py
+++ b/damsonpick/controller/table_pin.py
@@ -23,7 +23,7 @@
         version: number or beginning of a root.
         pinned_until: ns; how long the tables stay pinned.
         expected_generation: the generation of the pin that the operator saw; None: not checked.
-        dry_run: only say what would be done.
+        dry_run: only report what would be done.
         delay_by_zone: ns that clients of a zone wait.
         restore_admission: admission levels and retry modes too; while pinned, levels may then fall and not rise.
     """
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -14,7 +14,7 @@
 import configparser
 from collections.abc import AsyncIterator, Callable
 from pathlib import Path
-from typing import TypeVar
+from typing import NamedTuple, TypeVar
 
 import anyio
 
@@ -95,6 +95,18 @@
     )
 
 
+class _FileContent(NamedTuple):
+    """One look at a list file.
+
+    Attributes:
+        text: by which a change is noticed; an error in reading stands for it.
+        result: what the text says.
+    """
+
+    text: str
+    result: list[api.EndpointEntry] | ListError
+
+
 class FileSource:
     """Gives whole lists as the file changes; a file that cannot be used is reported once and skipped.
 
@@ -111,19 +123,18 @@
         """Endless; an error stands in the place of a list, and the next text that can be used follows it."""
         last: str | None = None
         while True:
-            text, content = await self._read()
-            if text != last:
-                last = text
-                yield content
+            content = await self._read()
+            if content.text != last:
+                last = content.text
+                yield content.result
             await anyio.sleep(self.poll_s)
 
-    async def _read(self) -> tuple[str, list[api.EndpointEntry] | ListError]:
-        """The text, by which a change is noticed, and what it says; an error in reading stands for a text."""
+    async def _read(self) -> _FileContent:
         try:
             text = await anyio.Path(self.path).read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
-            return f"error {error}", ListError(f"{self.path}: cannot be read ({error}); restore the file")
+            return _FileContent(f"error {error}", ListError(f"{self.path}: cannot be read ({error}); restore the file"))
         try:
-            return text, parse(text, str(self.path))
+            return _FileContent(text, parse(text, str(self.path)))
         except ListError as error:
-            return text, error
+            return _FileContent(text, error)
--- a/damsonpick/protocols/shared/session.py
+++ b/damsonpick/protocols/shared/session.py
@@ -1,7 +1,7 @@
 """What the session manager asks of a session, whatever protocol it speaks. Types only.
 
-A session takes changes by unit and says how far its peer has come. What is published, in what order, within which
-budget, and what the planner is told of it is common to all protocols.
+A session takes changes by unit and reports how far its peer has come. What is published, in what order, within which
+budget, and which events the planner receives of it is common to all protocols.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         fresh: the peer holds nothing from earlier streams.
         verifies_roots: the peer checks the root of what it holds itself.
         rejected_ranges: changes of messages that the peer rejected.
-        rejections: what the peer said of a unit it rejected, by unit.
+        rejections: why the peer rejected a unit, in its words, by unit.
         newly_rejected: versions rejected since the session manager last looked.
     """
 
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -60,6 +60,18 @@
     rejections: int  # nodes that rejected it
 
 
+class Dispatch(NamedTuple):
+    """What `SessionManager.dispatch` has done.
+
+    Attributes:
+        sessions: those that have something to send now.
+        next_due: ns until more may leave; None: nothing waits.
+    """
+
+    sessions: list[Session]
+    next_due: int | None
+
+
 class Client:
     """A connected client.
 
@@ -167,12 +179,8 @@
         if client is not None:
             self.send_queue.enqueue(now, client.number, self.published.seq, entries, urgent)
 
-    def dispatch(self, now: int) -> tuple[list[Session], int | None]:
-        """Hand sessions what may leave now.
-
-        Returns:
-            The sessions that have something to send, and ns until more may leave; None: nothing waits.
-        """
+    def dispatch(self, now: int) -> Dispatch:
+        """Hand sessions what may leave now."""
         sessions: list[Session] = []
         self._enqueue_staged(now)
         while (message := self.send_queue.next_message(now)) is not None:
@@ -180,7 +188,7 @@
             session.enqueue(message.units, CoveredChanges(message.first_seq, message.ordered_at, message.entries))
             sessions.append(session)
             self.send_queue.set_ready(message.client, session.ready())
-        return sessions, self._next_due(now)
+        return Dispatch(sessions, self._next_due(now))
 
     def _next_due(self, now: int) -> int | None:
         """ns until more may leave; None: nothing waits."""
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -27,7 +27,7 @@
     """One call of the planner.
 
     Attributes:
-        events: what the planner was told.
+        events: what the planner received.
         actions: what it ordered, without timers and log lines, which the loop carries out itself.
     """
 
@@ -53,7 +53,7 @@
         self.restart_at = 0  # ns
 
     def begin_with(self, planner: Planner, events: list[api.Event]) -> None:
-        """Put a planner to work; `events` are the first it is told, and nothing queued before them is kept."""
+        """Put a planner to work; `events` are the first it receives, in place of all that is queued."""
         self.planner = planner
         self.timers.clear()
         self.inbox = events
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -1,9 +1,8 @@
-"""Several list sources, best first: which one is in force, and what the others add. Sans I/O.
+"""Several list sources, best first: which one is active, and what the others add. Sans I/O.
 
-Which endpoints there are is for the source in force to say. A drain or an end that any reachable source states holds,
-as it is the safer state; an endpoint that only another source names is left out. When the source in force falls silent
-it stays in force for a while, so that a blip changes nothing, and a better one that returns must be steady before it
-takes over.
+The active source decides which endpoints there are. A drain or an end that any reachable source states holds, as it is
+the safer state; an endpoint that only another source names is left out. When the active source falls silent it stays
+active for a while, so that a blip changes nothing, and a better one that returns must be steady before it takes over.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 SECOND_NS = 1_000_000_000
 FIRST_ANSWER_NS = SECOND_NS  # that better sources have to answer at the start
-SILENCE_NS = 5 * SECOND_NS  # that the source in force may be unreachable before another takes over
+SILENCE_NS = 5 * SECOND_NS  # that the active source may be unreachable before another takes over
 STEADY_NS = 3 * SECOND_NS  # that a better source must have been reachable before it takes over
 MAX_CALLS = 20  # to one source within `CALL_WINDOW_NS`
 CALL_WINDOW_NS = 60 * SECOND_NS
@@ -27,7 +26,7 @@
 
 
 class Source:
-    """What one source has said."""
+    """The last answer of one source."""
 
     def __init__(self) -> None:
         self.entries: list[api.EndpointEntry] | None = None  # its last list; None: it has given none
@@ -69,7 +68,7 @@
     def __init__(self, names: Sequence[str], now: int) -> None:
         self.all = {name: Source() for name in names}
         self.started = now
-        self.believed = ""  # the source in force; '': none yet
+        self.active = ""  # name of the active source; '': none yet
 
     def received(self, now: int, name: str, entries: list[api.EndpointEntry]) -> None:
         """A source has given a list."""
@@ -86,19 +85,19 @@
         source.why = why
         self.choose(now)
 
-    # -- which source is in force
+    # -- which source is active
 
     def choose(self, now: int) -> str:
-        """The name of the source in force now; '': none yet."""
-        if not self.believed:
-            self.believed = self._first_choice(now)
-            return self.believed
+        """The name of the active source; '': none yet."""
+        if not self.active:
+            self.active = self._first_choice(now)
+            return self.active
         better = self._better_source(now)
         if better:
-            self.believed = better
+            self.active = better
         elif self._is_silent(now):
-            self.believed = self._best_up() or self.believed
-        return self.believed
+            self.active = self._best_up() or self.active
+        return self.active
 
     def _best_up(self) -> str:
         return next((name for name, source in self.all.items() if source.up), "")
@@ -116,21 +115,21 @@
         return "" if may_answer else best
 
     def _better_source(self, now: int) -> str:
-        """A source that is better than the one in force, and steady; '': there is none."""
+        """A source that is better than the active one, and steady; '': there is none."""
         best = self._best_up()
-        if best in self._better_than(self.believed) and now - self.all[best].since >= STEADY_NS:
+        if best in self._better_than(self.active) and now - self.all[best].since >= STEADY_NS:
             return best
         return ""
 
     def _is_silent(self, now: int) -> bool:
-        """Whether the source in force has been unreachable for too long."""
-        source = self.all[self.believed]
+        """Whether the active source has been unreachable for too long."""
+        source = self.all[self.active]
         return not source.up and now - source.since >= SILENCE_NS
 
     # -- what the list in force is
 
     def merged(self, now: int) -> MergedList:
-        """The list of the source in force, with the drains and ends that other reachable sources state."""
+        """The list of the active source, with the drains and ends that other reachable sources state."""
         chosen = self.choose(now)
         chosen_entries = self.all[chosen].entries if chosen else None
         if chosen_entries is None:
@@ -163,7 +162,7 @@
             {
                 "source": name,
                 "up": source.up,
-                "believed": name == self.believed,
+                "believed": name == self.active,
                 "why": source.why,
                 "since_s": round((now - source.since) / SECOND_NS, 1) if source.has_answered() else None,
                 "servers": len(source.entries or ()),
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -1,4 +1,4 @@
-"""From what a list source said to the planner's list events. Sans I/O.
+"""Turns the lists of a source into the planner's list events. Sans I/O.
 
 A list is a claim and may be wrong. Here it is made consistent: an endpoint named twice takes the safer state, a start
 in the future is the moment it was first seen, and an empty list after a full one is a failed source (a real fleet does
@@ -45,7 +45,7 @@
 
 
 class EndpointList:
-    """The endpoint list in force, as the planner has been told it.
+    """The endpoint list in force, as the planner knows it.
 
     Args:
         zones: names of the zones that endpoints may be in.
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -192,7 +192,7 @@
     made.received(NOW + FIRST_ANSWER_NS, "main", some(1, 2))
     assert made.merged(NOW + FIRST_ANSWER_NS)[0] == some(1), "it must be steady first"
     now = NOW + FIRST_ANSWER_NS + STEADY_NS
-    assert made.merged(now)[0] == some(1, 2) and made.believed == "main"
+    assert made.merged(now)[0] == some(1, 2) and made.active == "main"
     made.failed(now, "main", "broke")
     assert made.choose(now + SILENCE_NS - 1) == "main"
     assert made.choose(now + SILENCE_NS) == "spare"
