--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -26,8 +26,8 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.history.recorder import HistoryRecorder
-from damsonpick.state.learned import ageing, restore
-from damsonpick.state.learned.snapshot import Moment, Snapshot
+from damsonpick.state.learned import ageing, capture
+from damsonpick.state.learned.snapshot import HostTime, Snapshot
 from damsonpick.state.published_tables import Change, PublishedTables
 from damsonpick.state.store.sqlite import Store
 
@@ -98,8 +98,8 @@
             away: ns since that process was last seen; None: not known.
         """
         now = self.clock.advance_to(now)
-        self.persistence.load(ageing.levels_hold(away))
-        self.endpoint_list.restore(self.store.listed())
+        self.persistence.load(ageing.admission_levels_valid(away))
+        self.endpoint_list.restore(self.store.load_endpoint_list())
         self.session_manager.catalogue.refresh(self.published.units())
         self.recorder.start(now)
         if self.pin.holds(now):
@@ -145,7 +145,7 @@
         """What the planner at work has learned, to be handed to the next one; None: it cannot be read."""
         if not isinstance(self.planner, Planner):
             return None
-        return restore.take(self.planner, 0, self.ownership.owner, Moment(0, "", 0))
+        return capture.take_snapshot(self.planner, capture.SnapshotInfo(0, self.ownership.owner, HostTime(0, "", 0)))
 
     def capture_learned_state(self) -> None:
         """Keep what a planner that failed had learned, if it can be read.
@@ -182,7 +182,7 @@
             self.tell(api.SliceOwnershipChanged(number, False))
         taken_over = sorted(claimed - self.owned)
         if taken_over:
-            stored = self.store.tables()
+            stored = self.store.load_tables()
             for number in taken_over:
                 self._take_over(number, stored[number])
         self.ownership.owned = claimed  # last: if the store fails, the next renewal finds the same difference
--- a/damsonpick/controller/planner_start.py
+++ b/damsonpick/controller/planner_start.py
@@ -16,10 +16,10 @@
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.learned import restore
-from damsonpick.state.learned.snapshot import Fleet, Snapshot
+from damsonpick.state.learned.snapshot import LearnedFleet, Snapshot
 from damsonpick.state.published_tables import PublishedTables
 
-NO_FLEET_KNOWLEDGE = Fleet(0.0, 0.0)
+NO_FLEET_KNOWLEDGE = LearnedFleet(0.0, 0.0)
 
 
 class PlannerStart:
@@ -92,12 +92,14 @@
         withdrawn = tuple(self.published.withdrawn)
         if learned is not None or withdrawn or min(levels) < 1:
             fleet = learned.fleet if learned is not None else NO_FLEET_KNOWLEDGE
-            events.append(api.FleetRestored(levels, withdrawn, fleet.best, fleet.pace))
+            events.append(api.FleetRestored(levels, withdrawn, fleet.best_throughput, fleet.throughput_per_capacity))
         return events
 
     def _snapshot_events(self, learned: Snapshot) -> list[api.Event]:
-        mismatch = restore.fits(learned, self.published.classes, self.published.slices)
-        events, restarted = restore.events(learned, self.endpoint_list.entries, self.ownership.owned, not mismatch)
+        mismatch = restore.settings_mismatch(learned, self.published.classes, self.published.slices)
+        events, restarted = restore.restored_events(
+            learned, self.endpoint_list.entries, self.ownership.owned, not mismatch
+        )
         self.log.info(
             "learned_state_restored",
             endpoints=sum(isinstance(event, api.EndpointRestored) for event in events),
--- a/damsonpick/controller/slice_ownership.py
+++ b/damsonpick/controller/slice_ownership.py
@@ -2,20 +2,11 @@
 
 from __future__ import annotations
 
-from typing import Protocol
-
-from damsonpick.state.store.leases import Charge
+from damsonpick.state.store.leases import LeaseStore
 
 LEASE_NS = 10_000_000_000  # longer than a restart takes, so that no other controller need move the slices
 
 
-class LeaseStore(Protocol):
-    """Where leases are kept, shared by all controllers of a site."""
-
-    def claim(self, owner: str, now: int, lease: int) -> list[Charge]:
-        """Renew the owner's leases for `lease` ns and take the free ones; returns all it holds."""
-
-
 class SliceOwnership:
     """The slices this controller owns.
 
--- a/damsonpick/state/standing_orders.py
+++ b/damsonpick/state/persistent_actions.py
@@ -1,4 +1,4 @@
-"""Standing orders as the store keeps them: withdrawals, admission levels and retry modes as keys and numbers.
+"""Persistent actions as the store keeps them: withdrawals, admission levels and retry modes as keys and numbers.
 
 The keys are part of the stored format:
 
@@ -16,11 +16,11 @@
 
 WITHDRAWN, LEVEL, RETRY = "out", "level", "retry"  # kinds of keys
 ALL_TABLES = "-"
-FULL_LEVEL = 1.0  # needs no order
+FULL_LEVEL = 1.0  # needs no action
 
 
 class Scope(NamedTuple):
-    """Where an order on admission holds. `table` None: in all tables."""
+    """Where an action on admission holds. `table` None: in all tables."""
 
     table: int | None
     class_index: int
@@ -46,7 +46,7 @@
     mode: int
 
 
-StoredOrder = StoredWithdrawal | StoredLevel | StoredRetryMode
+StoredAction = StoredWithdrawal | StoredLevel | StoredRetryMode
 
 
 def encode(
@@ -54,7 +54,7 @@
     levels: Mapping[tuple[int | None, int], float],
     retry_modes: Mapping[tuple[int | None, int], int],
 ) -> dict[str, float]:
-    """Keys and numbers of the orders in force; what needs no order is left out."""
+    """Keys and numbers of the actions in force; what needs no action is left out."""
     stored = {f"{WITHDRAWN} {endpoint}": 1.0 for endpoint in withdrawn}
     for scope, level in levels.items():
         if level != FULL_LEVEL:
@@ -65,8 +65,8 @@
     return stored
 
 
-def decode(stored: Mapping[str, float]) -> Iterator[StoredOrder]:
-    """The orders behind stored keys, in their order.
+def decode(stored: Mapping[str, float]) -> Iterator[StoredAction]:
+    """The actions behind stored keys, in their order.
 
     Raises:
         ValueError: a table or class in a key is no number.
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -11,8 +11,8 @@
 from typing import NamedTuple
 
 from damsonpick import interface as api
-from damsonpick.state import standing_orders
-from damsonpick.state.standing_orders import FULL_LEVEL, Scope, StoredLevel, StoredRetryMode, StoredWithdrawal
+from damsonpick.state import persistent_actions
+from damsonpick.state.persistent_actions import FULL_LEVEL, Scope, StoredLevel, StoredRetryMode, StoredWithdrawal
 
 FLEET, ROUTES = "fleet", "routes"  # units beside those of the slices
 NO_RETRIES = 0  # retry mode that needs no order
@@ -81,26 +81,26 @@
         """Take a table as the store holds it."""
         self.tables[number] = dict(entries)
 
-    def standing_orders(self) -> dict[str, float]:
+    def persistent_actions(self) -> dict[str, float]:
         """Withdrawals, levels and retry modes in force, in the format of the store."""
-        return standing_orders.encode(self.withdrawn, self.levels, self.retries)
+        return persistent_actions.encode(self.withdrawn, self.levels, self.retries)
 
-    def restore_standing_orders(self, stored: Mapping[str, float], restore_levels: bool) -> None:
-        """Take the orders of an earlier run, as `standing_orders` gave them.
+    def restore_persistent_actions(self, stored: Mapping[str, float], restore_levels: bool) -> None:
+        """Take the actions of an earlier run, as `persistent_actions` gave them.
 
         Args:
-            stored: orders in the format of the store; those on tables or classes that no longer exist are left out.
+            stored: actions in the format of the store; those on tables or classes that no longer exist are left out.
             restore_levels: levels too.
         """
-        for order in standing_orders.decode(stored):
-            if isinstance(order, StoredWithdrawal):
-                self.withdrawn[order.endpoint] = 0
-            elif not self._exists(order.scope):
+        for action in persistent_actions.decode(stored):
+            if isinstance(action, StoredWithdrawal):
+                self.withdrawn[action.endpoint] = 0
+            elif not self._exists(action.scope):
                 continue
-            elif isinstance(order, StoredRetryMode):
-                self.retries[order.scope] = order.mode
-            elif isinstance(order, StoredLevel) and restore_levels:
-                self.levels[order.scope] = order.level
+            elif isinstance(action, StoredRetryMode):
+                self.retries[action.scope] = action.mode
+            elif isinstance(action, StoredLevel) and restore_levels:
+                self.levels[action.scope] = action.level
 
     def _exists(self, scope: Scope) -> bool:
         if not 0 <= scope.class_index < len(self.classes):
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -50,7 +50,9 @@
         self.store = Store(folder / "t.db", 6)
         self.published = PublishedTables(("page", "tally"), 6)
         self.catalogue = Catalogue(self.published, self.settings, lambda n: "a")
-        self.session_manager = SessionManager(self.published, self.catalogue, SendQueue(0, 8, 1e9), self.store.gateway)
+        self.session_manager = SessionManager(
+            self.published, self.catalogue, SendQueue(0, 8, 1e9), self.store.gateway_number
+        )
         self.endpoint_list = EndpointList(("a", "b"))
         self.log = structlog.testing.LogCapture()
         log = structlog.wrap_logger(None, processors=[self.log])
@@ -110,7 +112,7 @@
     world = World(tmp_path)
     session = world.join()
     world.run(1)
-    assert world.open() and world.store.tables() == world.published.tables
+    assert world.open() and world.store.load_tables() == world.published.tables
     assert world.session_manager.by_session[session].session is session and world.engine.planner.flow_control.last_token
     assert not world.engine.planner.flow_control.in_flight, "every sync token was acknowledged"
 
@@ -136,7 +138,7 @@
     world.engine.planner.endpoints["127.0.0.1:9001"].capacity_factor = 0.25
     world.engine.planner.endpoints["127.0.0.1:9001"].last_report_at = 1
     kept = world.engine.learned_state()
-    assert [s.speed for s in kept.servers] == [0.25]
+    assert [s.capacity_factor for s in kept.endpoints] == [0.25]
     world.engine._planner_failed(world.now, [], ValueError("first"))
     world.engine._start_planner(world.engine.captured_state)
     assert world.engine.captured_state is not None
@@ -174,12 +176,12 @@
     def full(tables):
         raise sqlite3.OperationalError("database or disk is full")
 
-    monkeypatch.setattr(world.store, "write", full)
+    monkeypatch.setattr(world.store, "save_tables", full)
     world.run(1)
-    assert world.open() and world.events("store_write_failed") and not any(world.store.tables().values())
+    assert world.open() and world.events("store_write_failed") and not any(world.store.load_tables().values())
     monkeypatch.undo()
     world.run(2)
-    assert world.store.tables() == world.published.tables and world.events("store_write_recovered")
+    assert world.store.load_tables() == world.published.tables and world.events("store_write_recovered")
 
 
 def test_a_lost_slice_is_given_up_and_orders_for_it_are_dropped(tmp_path):
