--- a/damsonpick/controller/decision_log.py
+++ b/damsonpick/controller/decision_log.py
@@ -10,13 +10,13 @@
 from damsonpick import interface as api
 from damsonpick.controller import explain
 from damsonpick.decisions.planner import Planner
+from damsonpick.state.history.version import Cause
 from damsonpick.state.published_tables import PublishedTables
 
-ChangeCause = Literal["solver", "list", "gateways", "module"]  # as the history stores it; "module": the planner
 TableCause = Literal["unroutable endpoint", "balance", "new entry"]
 
 
-def change_cause(events: list[api.Event]) -> ChangeCause:
+def change_cause(events: list[api.Event]) -> Cause:
     """What set off a step of the planner."""
     if any(isinstance(event, api.TableAdvised | api.CapacityAdvised) for event in events):
         return "solver"
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -18,7 +18,7 @@
 from damsonpick.controller.planner_start import PlannerStart
 from damsonpick.controller.slice_ownership import SliceOwnership
 from damsonpick.controller.table_persistence import TablePersistence
-from damsonpick.controller.table_pin import RollbackPlan, RollbackRequest, TablePin
+from damsonpick.controller.table_pin import RollbackRequest, TablePin, VersionRollback
 from damsonpick.decisions.planner import Planner
 from damsonpick.protocols.shared.session import Session
 from damsonpick.protocols.shared.session_manager import SessionManager
@@ -26,6 +26,7 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.history.recorder import HistoryRecorder
+from damsonpick.state.history.version import Cause
 from damsonpick.state.learned import ageing, capture
 from damsonpick.state.learned.snapshot import HostTime, Snapshot
 from damsonpick.state.published_tables import Change, PublishedTables
@@ -233,14 +234,14 @@
         if self.persistence.retry_due(now):
             self.persistence.save(now)
         if self.recorder.pending and now >= self.recorder.retry_at:
-            self.recorder.write(now)
+            self.recorder.flush(now)
 
     def _carry_out(self, now: int, step: Step) -> list[Session]:
         """Apply the planner's orders: first to memory, then to the store, then to the clients."""
         orders = self._owned_orders(step.actions)
         if not orders:
             return []
-        orders = self.pin.filter(orders, self.is_unavailable)
+        orders = self.pin.filter(orders, self.is_unroutable)
         change = self.published.apply(orders)
         touched = {order.table for order in orders if isinstance(order, api.SetEntry | api.ClearTable)}
         self.persistence.save(now, touched)
@@ -259,11 +260,11 @@
         return orders
 
     def _publish(
-        self, now: int, change: Change, cause: str, note: str = "", delay_by_zone: Mapping[str, int] | None = None
+        self, now: int, change: Change, cause: Cause, note: str = "", delay_by_zone: Mapping[str, int] | None = None
     ) -> list[Session]:
         idle = self.session_manager.publish(now, change, delay_by_zone)
         if change.entries:
-            self.recorder.note(now, change.entries, cause, note)
+            self.recorder.record(now, change.entries, cause, note)
         return idle
 
     # -- pin and rollback
@@ -278,7 +279,7 @@
             ValueError: no such version is kept, or another operator acted meanwhile.
         """
         now = self.clock.advance_to(now)
-        plan = self.pin.plan_rollback(request, self.owned, self.is_unavailable, self.is_warming_up)
+        plan = self.pin.plan_rollback(request, self.owned, self.is_unroutable, self.is_warming_up)
         if request.dry_run:
             return plan.reply() | {"done": False, "generation": self.recorder.pin.generation}
         self._apply_rollback(now, plan, request)
@@ -287,7 +288,7 @@
             "tables_rolled_back",
             target_version=plan.target.number,
             new_version=newest.number,
-            entries=len(plan.table_plan.orders),
+            entries=len(plan.table_plan.actions),
             entries_kept=len(plan.table_plan.kept),
         )
         return plan.reply() | {
@@ -298,8 +299,8 @@
             "same": newest.root == plan.target.root,
         }
 
-    def _apply_rollback(self, now: int, plan: RollbackPlan, request: RollbackRequest) -> None:
-        orders = plan.table_plan.orders
+    def _apply_rollback(self, now: int, plan: VersionRollback, request: RollbackRequest) -> None:
+        orders = plan.table_plan.actions
         self.pin.remember_removed(orders)
         change = self.published.apply([*orders, *plan.admission_orders])
         self.persistence.save(now, plan.slices())
@@ -319,7 +320,7 @@
         )
         self._start_planner(self.learned_state(), replaces_planner=True)
 
-    def is_unavailable(self, name: str) -> bool:
+    def is_unroutable(self, name: str) -> bool:
         """Whether an endpoint may not be picked now: unlisted, draining, gone or withdrawn."""
         entry = self.endpoint_list.entries.get(name)
         return entry is None or entry.state != "in_service" or name in self.published.withdrawn
--- a/damsonpick/controller/table_pin.py
+++ b/damsonpick/controller/table_pin.py
@@ -8,12 +8,11 @@
 
 from damsonpick import interface as api
 from damsonpick.state.history import rollback
-from damsonpick.state.history.history import Version, number_of
 from damsonpick.state.history.recorder import HistoryRecorder
+from damsonpick.state.history.state_keys import entry_endpoint, slice_number
+from damsonpick.state.history.version import Version
 from damsonpick.state.published_tables import PublishedTables
 
-ENTRY_KEY = "line "  # of a table entry in a version's difference; the endpoint follows
-
 
 @dataclass(frozen=True, slots=True)
 class RollbackRequest:
@@ -37,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RollbackPlan:
+class VersionRollback:
     """What a rollback would change.
 
     Attributes:
@@ -47,19 +46,19 @@
     """
 
     target: Version
-    table_plan: rollback.Plan
+    table_plan: rollback.RollbackPlan
     admission_orders: list[api.SetAdmission]
 
     def slices(self) -> set[int]:
         """Slices whose tables change."""
-        return {order.table for order in self.table_plan.orders}
+        return {order.table for order in self.table_plan.actions}
 
     def reply(self) -> dict[str, Any]:
         """The plan as `damsonpick versions rollback` answers it; the keys are part of the command's interface."""
         return {
             "version": self.target.number,
             "root": self.target.root,
-            "lines": len(self.table_plan.orders),
+            "lines": len(self.table_plan.actions),
             "levels": len(self.admission_orders),
             "slices": len(self.slices()),
             "kept": [kept._asdict() for kept in self.table_plan.kept],
@@ -83,45 +82,44 @@
 
     def holds(self, now: int) -> bool:
         """Whether the tables are pinned at this time."""
-        return self.recorder.pin.holds(now)
+        return self.recorder.pin.is_active(now)
 
-    def filter(self, orders: list[api.Action], is_unavailable: Callable[[str], bool]) -> list[api.Action]:
+    def filter(self, orders: list[api.Action], is_unroutable: Callable[[str], bool]) -> list[api.Action]:
         """Orders that pass the pin: all of them while there is none.
 
         Args:
             orders: orders of the planner on tables, withdrawals and admission.
-            is_unavailable: whether an endpoint may not be picked now.
+            is_unroutable: whether an endpoint may not be picked now.
         """
         if not self.applied:
             return orders
-        passed, self.withheld_orders = self.recorder.pin.sift(
-            orders, self.published.tables, is_unavailable, self.published.level
-        )
-        return passed
+        filtered = self.recorder.pin.filter_actions(orders, self.published.tables, is_unroutable, self.published.level)
+        self.withheld_orders = filtered.held_back_count
+        return filtered.passed
 
     def plan_rollback(
         self,
         request: RollbackRequest,
         owned: set[int],
-        is_unavailable: Callable[[str], bool],
+        is_unroutable: Callable[[str], bool],
         is_warming_up: Callable[[str], bool],
-    ) -> RollbackPlan:
+    ) -> VersionRollback:
         """What would bring the owned tables back to a kept version, as far as is safe.
 
         Raises:
             ValueError: no such version is kept, or another operator acted meanwhile.
         """
         recorder = self.recorder
-        recorder.pin.check(request.expected_generation)
+        recorder.pin.check_generation(request.expected_generation)
         version = recorder.history.find(request.version)
-        target = recorder.history.at(version.number)
+        target = recorder.history.state_at(version.number)
         tables = {number: self.published.tables[number] for number in owned}
-        table_plan = rollback.plan(target, tables, is_unavailable, is_warming_up)
+        table_plan = rollback.plan_rollback(target, tables, is_unroutable, is_warming_up)
         admission_orders: list[api.SetAdmission] = []
         if request.restore_admission:
             classes = len(self.published.classes)
-            admission_orders = rollback.admissions(target, recorder.history.state, classes)
-        return RollbackPlan(version, table_plan, admission_orders)
+            admission_orders = rollback.plan_admission(target, recorder.history.state, classes)
+        return VersionRollback(version, table_plan, admission_orders)
 
     def remember_removed(self, orders: list[api.SetEntry]) -> None:
         """Note the entries that a rollback is about to remove."""
@@ -142,9 +140,10 @@
 
     def _add_removed(self, version: Version) -> None:
         for unit, changes in version.difference.items():
-            number = number_of(unit)
+            number = slice_number(unit)
             if number is None:
                 continue
-            for key, (before, after) in changes.items():
-                if key.startswith(ENTRY_KEY) and before is not None and after is None:
-                    self.removed_entries.setdefault(number, {})[key.removeprefix(ENTRY_KEY)] = before
+            for key, change in changes.items():
+                endpoint = entry_endpoint(key)
+                if endpoint is not None and change.before is not None and change.after is None:
+                    self.removed_entries.setdefault(number, {})[endpoint] = change.before
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -61,7 +61,7 @@
     def _state(self, now: int) -> Reply:
         """The newest version and the pin."""
         pin, newest = self.recorder.pin, self.recorder.history.newest()
-        pinned = pin.holds(now)
+        pinned = pin.is_active(now)
         return {
             "newest": newest.number,
             "root": newest.root,
@@ -78,12 +78,12 @@
         most = min(MAX_VERSIONS, max(1, most))
         kept = list(self.recorder.history.versions.values())
         newest_first = reversed(kept[-most:])
-        return self._state(now) | {"kept": len(kept), "versions": [version.brief() for version in newest_first]}
+        return self._state(now) | {"kept": len(kept), "versions": [version.summary() for version in newest_first]}
 
     def _show(self, _now: int, request: Request) -> Reply:
         history = self.recorder.history
         version = history.find(str(request["version"]))
-        return version.brief() | {"difference": version.difference, "state": history.at(version.number)}
+        return version.summary() | {"difference": version.difference, "state": history.state_at(version.number)}
 
     def _diff(self, _now: int, request: Request) -> Reply:
         history = self.recorder.history
@@ -121,13 +121,13 @@
 
     def _pin(self, now: int, request: Request) -> Reply:
         """Pin the tables as they are."""
-        self.recorder.pin.check(request.get("expected"))
+        self.recorder.pin.check_generation(request.get("expected"))
         self.recorder.set_pin(self.recorder.history.newest().number, self._pin_end(now, request))
         return self._state(now)
 
     def _release(self, now: int, request: Request) -> Reply:
-        self.recorder.pin.check(request.get("expected"))
-        self.recorder.release()
+        self.recorder.pin.check_generation(request.get("expected"))
+        self.recorder.release_pin()
         return self._state(now)
 
     def _pin_end(self, now: int, request: Request) -> int:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -17,7 +17,8 @@
 from damsonpick.protocols.xds.session import DeltaSession
 from damsonpick.settings import load
 from damsonpick.state.endpoint_list.validation import EndpointList
-from damsonpick.state.history.database import open_store
+from damsonpick.state.history.database import open_history
+from damsonpick.state.history.history import Retention
 from damsonpick.state.history.recorder import HistoryRecorder
 from damsonpick.state.published_tables import PublishedTables
 from damsonpick.state.store.sqlite import Store
@@ -56,8 +57,8 @@
         self.endpoint_list = EndpointList(("a", "b"))
         self.log = structlog.testing.LogCapture()
         log = structlog.wrap_logger(None, processors=[self.log])
-        history = open_store(folder / "versions.db")
-        recorder = HistoryRecorder(self.published, self.catalogue.versions, history, 100, 3600 * SECOND, log)
+        history = open_history(folder / "versions.db")
+        recorder = HistoryRecorder(self.published, self.catalogue.versions, history, Retention(100, 3600 * SECOND), log)
         self.engine = Engine(
             self.settings, self.store, self.published, self.session_manager, self.endpoint_list, log, make, recorder
         )
