--- a/tests/test_endpoint_list_sources.py
+++ b/tests/test_endpoint_list_sources.py
@@ -1,4 +1,4 @@
-"""Lists from which much vanished, and several list sources, without sockets."""
+"""Several list sources, without sockets: which one is active, what the others add, how often one is called."""
 
 from __future__ import annotations
 
@@ -7,71 +7,16 @@
 import pytest
 
 from damsonpick.runtime.backoff import Backoff
-from damsonpick.state.endpoint_list import validation
 from damsonpick.state.endpoint_list.sources import FIRST_ANSWER_NS, SILENCE_NS, STEADY_NS, CallBudget, Sources
-from damsonpick.state.endpoint_list.validation import EndpointList
 from tests.helpers import SECOND, entry
 
 NOW = 10**18
 
 
-# -- a list from which much vanished
-
-
-def endpoint_list(count=10):
-    made = EndpointList(("a",))
-    made.apply(NOW, [entry(f"s{k}") for k in range(count)])
-    return made
-
-
 def some(*numbers):
     return [entry(f"s{k}") for k in numbers]
 
 
-def test_a_list_that_returns_half_empty_is_held_until_it_has_said_so_for_a_while():
-    made = endpoint_list()
-    verdict = made.apply(NOW, some(0, 1, 2, 3))
-    assert len(made.entries) == 10 and verdict.event is None and "list accept" in verdict.problems[0]
-    assert made.recheck(NOW + validation.CONFIRM_NS - 1, lambda n: False).event is None
-    gone = made.recheck(NOW + validation.CONFIRM_NS, lambda n: False)
-    assert len(gone.event.entries) == 4 and made.recheck(NOW, lambda n: False) is None
-
-
-def test_a_list_that_is_whole_again_ends_the_doubt():
-    made = endpoint_list()
-    made.apply(NOW, some(0, 1, 2, 3))
-    made.apply(NOW + SECOND, some(*range(10)))
-    made.apply(NOW + validation.CONFIRM_NS, some(0, 1, 2, 3))
-    assert len(made.entries) == 10, "the clock starts again"
-
-
-def test_what_fails_goes_at_once_and_the_rest_is_held():
-    made = endpoint_list()
-    made.apply(NOW, some(0, 1, 2, 3))
-    verdict = made.recheck(NOW + SECOND, lambda n: n in ("s8", "s9"))
-    assert {e.endpoint for e in verdict.event.entries} == {f"s{k}" for k in range(8)}
-
-
-def test_an_operator_lets_them_go():
-    made = endpoint_list()
-    made.apply(NOW, some(0, 1, 2, 3))
-    assert len(made.accept(NOW, lambda n: False).event.entries) == 4
-    assert made.accept(NOW, lambda n: False) is None
-
-
-def test_states_that_are_stated_bind_however_many_and_a_few_may_vanish():
-    made = endpoint_list()
-    verdict = made.apply(NOW, [entry(f"s{k}", "terminating" if k else "in_service") for k in range(10)])
-    assert sum(e.state == "terminating" for e in verdict.event.entries) == 9
-    made = endpoint_list()
-    assert len(made.apply(NOW, some(*range(4, 10))).event.entries) == 6, "four of ten: as told"
-    made = endpoint_list(3)
-    assert len(made.apply(NOW, some(0)).event.entries) == 1, "two are too few to be a sign"
-
-
-# -- several sources
-
-
 def test_the_best_source_that_answers_is_believed_and_a_blip_changes_nothing():
     made = Sources(("main", "spare"), NOW)
     made.received(NOW, "spare", some(1))
