--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick import interface as api
 from damsonpick.controller.control_socket import Reply, Request
@@ -17,10 +18,10 @@
 from damsonpick.controller.queries import Ports, Query, QueryRouter, StatusQuery, TablesQuery, sasp_query, weights_query
 from damsonpick.controller.snapshot_task import SnapshotTask
 from damsonpick.controller.solver_task import SolverTask
-from damsonpick.controller.version_queries import Questions
+from damsonpick.controller.version_queries import VersionQueries
 from damsonpick.decisions.planner import Planner
 from damsonpick.protocols.sasp.server import SaspServer
-from damsonpick.protocols.shared.send_queue import Channel
+from damsonpick.protocols.shared.send_queue import SendQueue
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.protocols.xds.resources import Catalogue
 from damsonpick.protocols.xds.server import XdsServer
@@ -37,9 +38,6 @@
 from damsonpick.state.published_tables import PublishedTables
 from damsonpick.state.store.sqlite import Store
 
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
-
 PlannerFactory = Callable[[api.Settings, int], Planner]
 AdvisorFactory = Callable[[PilotSettings, Callable[[str], str]], Advisor]
 
@@ -102,7 +100,7 @@
         budget = settings.channel
         self.published = PublishedTables(tuple(settings.classes), settings.table_count())
         self.endpoint_list = EndpointList(settings.pilot.zones)
-        self.channel = Channel(
+        self.send_queue = SendQueue(
             budget.lines_per_second,
             budget.message_overhead,
             budget.limit,
@@ -110,7 +108,9 @@
             budget.message_window,
         )
         self.catalogue = Catalogue(self.published, settings, self._zone_of)
-        self.session_manager = SessionManager(self.published, self.catalogue, self.channel, self.store.gateway_number)
+        self.session_manager = SessionManager(
+            self.published, self.catalogue, self.send_queue, self.store.gateway_number
+        )
         self.session_manager.stop_share = settings.versions.stop_share
 
     def _make_engine(self, planner_factory: PlannerFactory) -> None:
@@ -140,7 +140,7 @@
             tuple(settings.classes), settings.table_count(), reports.period, reports.max_age
         )
         self.confidence = ListConfidence()
-        self.engine.doubted = self.confidence.published_events
+        self.engine.set_confidence_source(self.confidence.published_events)
         self.list_updater = ListUpdater(
             clock=self.clock,
             endpoint_list=self.endpoint_list,
@@ -219,7 +219,7 @@
         )
 
     def _make_queries(self) -> None:
-        self.version_queries = Questions(self.engine, self.recorder, self.session_manager, self.settings)
+        self.version_queries = VersionQueries(self.engine, self.recorder, self.session_manager, self.settings)
         status = StatusQuery(
             name=self.settings.pilot.name,
             epoch=self.epoch,
@@ -228,7 +228,7 @@
             engine=self.engine,
             published=self.published,
             session_manager=self.session_manager,
-            channel=self.channel,
+            send_queue=self.send_queue,
             list_watch=self.list_watch,
             snapshot_task=self.snapshot_task,
         )
@@ -246,7 +246,7 @@
 
     def _zone_of(self, endpoint: str) -> str:
         """The zone that an endpoint was last listed in; '': it never was."""
-        return self.endpoint_list.places.get(endpoint, "")
+        return self.endpoint_list.known_zones.get(endpoint, "")
 
     def _list_changed(self) -> None:
         """Tables that the solver assigns follow a change of the endpoint list at once, and so does SASP advice."""
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -4,10 +4,10 @@
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
-from typing import TYPE_CHECKING
 
 import anyio
 from anyio.abc import TaskGroup, TaskStatus
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick.controller import control_socket
 from damsonpick.controller.components import AdvisorFactory, Components, PlannerFactory
@@ -18,9 +18,6 @@
 from damsonpick.solver import work
 from damsonpick.solver.advice import Advisor
 
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
-
 XDS_STOP_GRACE_S = 0.2  # wall time that open streams have to end
 
 
--- a/damsonpick/controller/drive_loop.py
+++ b/damsonpick/controller/drive_loop.py
@@ -4,18 +4,16 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 import anyio
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick.controller.engine import Engine
 from damsonpick.protocols.shared.session import Session
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.runtime.clock import Clock
 
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
-
 BATCH_WINDOW_S = 0.001  # wall time; events within it are handed to the engine in one step: a thousand joins are one
 SHORTEST_WAIT_S = 0.001  # wall time
 
@@ -81,13 +79,13 @@
     def _step(self, now: int) -> int | None:
         """One step of the engine and of sending; returns ns until the channel has room again, None: nothing waits."""
         acknowledging = self.engine.step(now)
-        writable, send_pause = self.session_manager.pump(now)
+        dispatch = self.session_manager.dispatch(now)
         for session in acknowledging:
-            self.session_manager.settle(now, session)
+            self.session_manager.acknowledge(now, session)
         self._log_stopped_rollouts()
         for server in self.servers:
-            server.ring(writable)
-        return send_pause
+            server.ring(dispatch.sessions)
+        return dispatch.next_due
 
     def _longest_wait_s(self, now: int, send_pause: int | None) -> float | None:
         """Wall seconds until the engine or the channel must run by itself; None: until notified."""
@@ -102,12 +100,12 @@
         return max(SHORTEST_WAIT_S, self.clock.seconds(min(waits_ns)))
 
     def _log_stopped_rollouts(self) -> None:
-        for resource, version, rejected_by in self.session_manager.stopped:
+        for stopped in self.session_manager.stopped_rollouts:
             self.log.error(
                 "rollout_stopped",
-                resource=resource,
-                version=version,
-                rejected_by=rejected_by,
+                resource=stopped.unit,
+                version=stopped.version,
+                rejections=stopped.rejections,
                 remedy="others keep the former one; see `versions who`, then go back or change the table",
             )
-        self.session_manager.stopped.clear()
+        self.session_manager.stopped_rollouts.clear()
--- a/damsonpick/controller/lease_task.py
+++ b/damsonpick/controller/lease_task.py
@@ -4,16 +4,13 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 import anyio
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick.controller.engine import Engine
 from damsonpick.runtime.clock import Clock
 
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
-
 RENEWAL_PERIOD_NS = 2_000_000_000
 
 
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -5,7 +5,8 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick import interface as api
 from damsonpick.controller.engine import Engine
@@ -17,9 +18,6 @@
 from damsonpick.state.load_reports import LoadReports
 from damsonpick.state.store.sqlite import ListedAt, Store
 
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
-
 MOST_LOGGED_ENDPOINTS = 20  # of one change of confidence
 
 
@@ -59,7 +57,7 @@
         """
         now = self.clock.now()
         entries = self.endpoint_list.entries
-        self.load_reports.known = set(entries)
+        self.load_reports.known_endpoints = set(entries)
         times = restore.entry_times(learned, now, away, entries, self.store.listed_at())
         self.confidence.restore(now, times)
 
@@ -67,7 +65,7 @@
         """Apply a list of `source`."""
         now = self.clock.now()
         self.source = source
-        self._apply(self.endpoint_list.take(now, entries, lambda name: self.confidence.is_lost(now, name)))
+        self._apply(self.endpoint_list.apply(now, entries, lambda name: self.confidence.is_lost(now, name)))
 
     def list_unavailable(self) -> None:
         """No source answers: the list stays in force, and the engine knows that it may be out of date."""
@@ -96,18 +94,18 @@
             self.notify()
 
     def _apply(self, validation: ListValidation) -> None:
-        for problem in validation.doubts:
+        for problem in validation.problems:
             self.log.warning("list_validation_failed", reason=problem)
         event = validation.event
         if event is None:
             return
         now = self.clock.now()
         names = [entry.endpoint for entry in event.entries]
-        self.load_reports.known.update(names)
+        self.load_reports.known_endpoints.update(names)
         if event.kind == "replace":
             self.confidence.confirm(now, names)
             self._store(event)
-        self.engine.relocate(now, self.endpoint_list.moved(event.entries))
+        self.engine.relocate(now, self.endpoint_list.update_zones(event.entries))
         self.engine.tell(event, *self.confidence.changes(now))
         self.on_change()
         self.notify()
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -1,12 +1,13 @@
-"""Watches the endpoint list's sources and hands on what the believed one says, as merged with the others."""
+"""Watches the endpoint list's sources and hands on what the active one says, as merged with the others."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import AsyncIterator, Callable
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 import anyio
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick import interface as api
 from damsonpick.controller.list_updates import ListUpdater
@@ -17,9 +18,6 @@
 from damsonpick.settings.model import ListSource, PilotSettings
 from damsonpick.state.endpoint_list.sources import ListError, Sources
 
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
-
 RECHECK_PERIOD_NS = 250_000_000  # between looks at what only time changes
 FIRST_SOURCE = "list"  # the source of the section [list]
 SASP_SOURCE = "sasp members"  # the last source: what trusted members and balancers say over SASP
@@ -69,9 +67,9 @@
         self.disagreements: list[str] = []
 
     def confirmed_at(self) -> int:
-        """Clock time when the believed source last confirmed the list; 0: it does not at present."""
-        believed = self.sources.believed
-        is_up = bool(believed) and self.sources.all[believed].up
+        """Clock time when the active source last confirmed the list; 0: it does not at present."""
+        active = self.sources.active
+        is_up = bool(active) and self.sources.all[active].up
         return self.clock.now() if is_up else 0
 
     async def run(self) -> None:
@@ -114,7 +112,7 @@
         if isinstance(result, ListError):
             self._source_failed(now, name, str(result))
         else:
-            self.sources.take(now, name, result)
+            self.sources.received(now, name, result)
         self._merge(now)
         self.notify()
 
@@ -122,24 +120,25 @@
         if self.sources.all[name].why != reason:
             kept = len(self.updater.endpoint_list.entries)
             self.log.warning("list_source_failed", source=name, reason=reason, kept_endpoints=kept)
-        self.sources.take(now, name, None, reason)
+        self.sources.failed(now, name, reason)
         if not any(source.up for source in self.sources.all.values()):
             self.summary = reason
             self.updater.list_unavailable()
 
     def _merge(self, now: int) -> None:
         """Apply the list in force, if it differs from the one applied last."""
-        entries, disagreements = self.sources.merged(now)
-        for disagreement in disagreements:
+        merged = self.sources.merged(now)
+        for disagreement in merged.disputes:
             if disagreement not in self.disagreements:
                 self.log.warning("list_sources_disagreed", reason=disagreement)
-        self.disagreements = disagreements
-        believed = self.sources.believed
-        if entries is None or (believed == self.applied_source and entries == self.applied_entries):
+        self.disagreements = merged.disputes
+        entries = merged.entries
+        active = self.sources.active
+        if entries is None or (active == self.applied_source and entries == self.applied_entries):
             return
-        if self.applied_entries is not None and self.applied_source != believed:
-            self.log.warning("list_source_changed", source=believed, previous=self.applied_source)
-        self.applied_source = believed
+        if self.applied_entries is not None and self.applied_source != active:
+            self.log.warning("list_source_changed", source=active, previous=self.applied_source)
+        self.applied_source = active
         self.applied_entries = entries
-        self.updater.apply(believed, entries)
+        self.updater.apply(active, entries)
         self.summary = f"{len(entries)} servers"
--- a/damsonpick/controller/load_report_task.py
+++ b/damsonpick/controller/load_report_task.py
@@ -4,17 +4,14 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 import anyio
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick.controller.engine import Engine
 from damsonpick.runtime.clock import Clock
 from damsonpick.state.learned.list_confidence import ListConfidence
-from damsonpick.state.load_reports import GatewaySums, LoadReports
-
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
+from damsonpick.state.load_reports import ClientReport, LoadReports
 
 MOST_LOGGED_PROBLEMS = 3  # of one load report
 
@@ -41,13 +38,13 @@
     notify: Callable[[], None]
     log: FilteringBoundLogger
 
-    def receive(self, sums: GatewaySums) -> None:
+    def receive(self, report: ClientReport) -> None:
         """Take one load report of one gateway in."""
         now = self.clock.now()
-        self.load_reports.join(now, sums.gateway)
-        problems = self.load_reports.hear(now, sums)
+        self.load_reports.join(now, report.client)
+        problems = self.load_reports.add(now, report)
         for problem in problems[:MOST_LOGGED_PROBLEMS]:
-            self.log.info("load_report_invalid", gateway=sums.gateway, reason=problem)
+            self.log.info("load_report_invalid", gateway=report.client, reason=problem)
 
     async def run(self) -> None:
         """Flush once a period until cancelled."""
--- a/damsonpick/controller/queries.py
+++ b/damsonpick/controller/queries.py
@@ -11,7 +11,7 @@
 from damsonpick.controller.engine import Engine
 from damsonpick.controller.list_watch import ListWatch
 from damsonpick.controller.snapshot_task import SnapshotTask
-from damsonpick.protocols.shared.send_queue import Channel
+from damsonpick.protocols.shared.send_queue import SendQueue
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.protocols.xds.resources import Catalogue
@@ -74,7 +74,7 @@
         epoch: number of this start.
         ports: read when asked: they are known once the servers listen.
         clock: the pilot's clock.
-        engine, published, session_manager, channel, list_watch, snapshot_task: what is shown.
+        engine, published, session_manager, send_queue, list_watch, snapshot_task: what is shown.
     """
 
     name: str
@@ -84,7 +84,7 @@
     engine: Engine
     published: PublishedTables
     session_manager: SessionManager
-    channel: Channel
+    send_queue: SendQueue
     list_watch: ListWatch
     snapshot_task: SnapshotTask
 
@@ -105,7 +105,11 @@
             "unsaved": len(self.engine.unsaved),
             "levels": {name: self.published.level(None, index) for index, name in enumerate(classes)},
             "knowledge": self.snapshot_task.last_write._asdict(),
-            "channel": {"waiting": self.channel.waiting(), "most": self.channel.most, "limit": self.channel.limit},
+            "channel": {
+                "waiting": self.send_queue.waiting(),
+                "most": self.send_queue.most_waiting,
+                "limit": self.send_queue.limit,
+            },
             "gateways": list(self.session_manager.view(self.clock.now())),
             "endpoints": self.engine.view(),
         }
@@ -138,7 +142,7 @@
             "version": self.catalogue.get(EDS, name).version,
             "changed": self.published.changed[name],
             "lines": self.published.tables[number],
-            "open": self.published.open_lines(number),
+            "open": self.published.routable_endpoints(number),
         }
 
 
--- a/damsonpick/controller/snapshot_task.py
+++ b/damsonpick/controller/snapshot_task.py
@@ -6,10 +6,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 import anyio
 import anyio.to_thread
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick.controller.engine import Engine
 from damsonpick.decisions.planner import Planner
@@ -20,9 +21,6 @@
 from damsonpick.state.learned.disk import OsDisk, host_time
 from damsonpick.state.learned.snapshot import PreEncodedSnapshot, Snapshot
 
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
-
 
 class LearnedState(NamedTuple):
     """What an earlier incarnation left."""
--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -4,9 +4,10 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import anyio
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick import interface as api
 from damsonpick.controller.engine import Engine
@@ -17,9 +18,6 @@
 from damsonpick.solver.advice import Advisor
 from damsonpick.solver.model import Plan
 
-if TYPE_CHECKING:
-    from structlog.typing import FilteringBoundLogger
-
 DUE_CHECK_PERIOD_NS = 100_000_000
 WORKER_START_S = 5.0  # wall time that the worker may take to start, beside the solve's own limit
 NS_PER_SECOND = 1e9
