--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -5,7 +5,7 @@
 import sys
 
 from damsonpick import interface as api
-from damsonpick.cli import main as cli
+from damsonpick.cli.main import main
 from damsonpick.decisions import capacity, slow_start
 from damsonpick.decisions.endpoint_list import EndpointListTracker
 from damsonpick.state.published_tables import PublishedTables
@@ -31,7 +31,7 @@
             for number in range(1, self.slices):
                 for name in list(self.tables[number]):
                     del self.tables[number][name]
-                    change.lines.setdefault(f"slice/{number}", set()).add(name)
+                    change.entries.setdefault(f"slice/{number}", set()).add(name)
         return change
 
     real, PublishedTables.apply = PublishedTables.apply, apply
@@ -54,4 +54,4 @@
 
 if __name__ == "__main__":
     globals()[sys.argv.pop(1)]()
-    cli.main()
+    main()
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -86,12 +86,12 @@
 def test_persistent_actions_of_the_store_are_restored(fixture_copy):
     store = Store(fixture_copy("store-1.sqlite"), 4)
     published = PublishedTables(("page", "tally"), 4)
-    published.restore_standing(store.load_persistent_actions(), levels=True)
+    published.restore_persistent_actions(store.load_persistent_actions(), restore_levels=True)
     store.close()
     assert set(published.withdrawn) == {C, D}
     assert published.levels == {(None, 0): 0.75, (3, 1): 0.125}
     assert published.retries == {(None, 0): 1, (None, 1): 3, (3, 1): 2}
-    assert published.standing() == STANDING
+    assert published.persistent_actions() == STANDING
 
 
 def test_store_of_another_number_of_slices_is_refused(fixture_copy):
@@ -113,7 +113,7 @@
     )
     store = Store(tmp_path / "store", 4)
     assert [store.next_epoch() for _ in range(3)] == [1, 2, 3]
-    store.save_tables(published.tables, published.standing())
+    store.save_tables(published.tables, published.persistent_actions())
     store.claim("pilot-0", TIME, 10 * SECOND)
     store.release("pilot-0")
     store.claim("pilot-1", TIME + SECOND, 10 * SECOND)
@@ -241,7 +241,7 @@
 
     def record(seconds, actions, cause, note=""):
         change = published.apply(actions)
-        assert recorder.record(TIME + seconds * SECOND, change.lines, cause, note) is not None
+        assert recorder.record(TIME + seconds * SECOND, change.entries, cause, note) is not None
 
     record(1, [api.SetEntry(0, B, 0.25), api.SetEntry(1, A, 2.0)], "module")
     record(2, [api.SetWithdrawn(B, True), api.SetAdmission(None, (0,), 0.5, 1)], "module")
--- a/tests/test_versions_pilot.py
+++ b/tests/test_versions_pilot.py
@@ -315,10 +315,10 @@
         pilot.list(s1="in_service", s2="in_service", s3="terminating")
         await soon(lambda: _off(gates, "127.0.0.1:9003"))
         await soon(lambda: _logged(pilot, "history_not_written"))
-        await soon(lambda: _logged(pilot, "store_not_written"))
+        await soon(lambda: _logged(pilot, "store_write_failed"))
         await settled(pilot, gates)
         resource.prlimit(pilot.process.pid, resource.RLIMIT_FSIZE, free)
-        await soon(lambda: _logged(pilot, "store_caught_up"))
+        await soon(lambda: _logged(pilot, "store_write_recovered"))
         await soon(lambda: _logged(pilot, "history_write_recovered"))
         await settled(pilot, gates)
         kept = weights(gates[0])
@@ -355,7 +355,7 @@
         pilot.stop(signal.SIGKILL)
         await anyio.to_thread.run_sync(pilot.start)
         pilot.list(**{f"s{k}": "terminating" if moved.endswith(str(k)) else "in_service" for k in (1, 2, 3)})
-        await soon(lambda: _logged(pilot, "listed"))
+        await soon(lambda: _logged(pilot, "list_applied"))
         for gate in gates:
             gate.follower.may_dial = lambda: True
         with anyio.fail_after(2.2):  # the grace of a drain
