--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -4,6 +4,7 @@
 
 import json
 import os
+import random
 import shlex
 import signal
 import socket
@@ -53,10 +54,19 @@
 
 
 def free_port() -> int:
-    """A port that was free a moment ago; the pilot is told its port and cannot pick one."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()[1]
+    """A port that was free a moment ago; the pilot is told its port and cannot pick one.
+
+    It lies below the range from which the system takes the ports of outgoing connections (32768 and above): one of the
+    many of a test run could take the port before the pilot has opened it.
+    """
+    while True:
+        port = random.randrange(20_000, 32_000)
+        with socket.socket() as probe:
+            try:
+                probe.bind(("127.0.0.1", port))
+            except OSError:
+                continue
+            return port
 
 
 def config(listen: int = 1, registry: int = 2, discovery: int = 3, **changes) -> dict:
