--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -162,13 +162,3 @@
     def has_slice_without_endpoint(self) -> bool:
         """Whether proxies can reach no endpoint for some slice."""
         return not all(self.routable(number) for number in self.tables)
-
-    # Names that tests of other packages still use.
-    tell = handle
-    bare = has_slice_without_endpoint
-    heat = slice_share
-    live = routable
-
-    @property
-    def shut(self) -> dict[str, bool]:
-        return self.withdrawn
--- a/tests/test_learned_restore.py
+++ b/tests/test_learned_restore.py
@@ -31,7 +31,7 @@
     new = World("pqrs", slices=12)
     told, anew = restore.restored_events(kept, {n: entry(n) for n in "pqrs"}, range(12))
     assert not anew
-    new.tell(*told)
+    new.handle(*told)
     for name in "pqrs":
         assert new.planner.endpoints[name].capacity_factor == old.planner.endpoints[name].capacity_factor
     assert new.planner.endpoints["p"].capacity_factor < 0.5
@@ -56,15 +56,15 @@
 
 def test_restored_factor_is_dropped_once_the_list_shows_a_restart():
     world = World("pqrs", slices=12)
-    world.tell(api.EndpointRestored("p", 0, 0.2))
+    world.handle(api.EndpointRestored("p", 0, 0.2))
     assert world.planner.endpoints["p"].capacity_factor == 0.2
-    world.tell(api.EndpointListChanged("replace", tuple(entry(n, started=5 if n == "p" else 0) for n in "pqrs")))
+    world.handle(api.EndpointListChanged("replace", tuple(entry(n, started=5 if n == "p" else 0) for n in "pqrs")))
     assert world.planner.endpoints["p"].capacity_factor == 1.0
 
 
 def test_wrong_capacity_factors_are_corrected_within_seconds():
     world = World("pqrs", slices=12)
-    world.tell(api.EndpointRestored("p", 0, 0.1), api.EndpointRestored("q", 0, 2.0))
+    world.handle(api.EndpointRestored("p", 0, 0.1), api.EndpointRestored("q", 0, 2.0))
     world.run(10)
     speeds = {n: world.planner.endpoints[n].capacity_factor for n in "pqrs"}
     assert speeds["p"] > 0.6 and speeds["q"] < 1.3, speeds
@@ -82,9 +82,9 @@
 
 def test_restored_levels_hold_until_reports_come_and_then_follow_them():
     world = World("pqrs", slices=12, proxies=0)
-    world.tell(api.FleetRestored((0.5, 0.6), ("s",), 240.0, 2.0))
+    world.handle(api.FleetRestored((0.5, 0.6), ("s",), 240.0, 2.0))
     world.proxies = [0, 1]
-    world.tell(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
+    world.handle(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
     assert world.planner.desired_levels == (0.5, 0.6) and world.planner.admitted_rate_limit > 1e9
     assert world.levels[None, 0] == 0.5 and world.levels[None, 1] == 0.6, "greeted with what is in force"
     world.run(1, latency=dict.fromkeys("pqrs", 700))
@@ -98,9 +98,9 @@
 
     def back(best):
         world = World("pqrs", slices=12, proxies=0)
-        world.tell(api.FleetRestored((0.1, 0.1), (), best, 2.0))
+        world.handle(api.FleetRestored((0.1, 0.1), (), best, 2.0))
         world.proxies = [0, 1]
-        world.tell(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
+        world.handle(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
         # calm, but not so calm, nor so near to the usual, that growth is sure by itself
         world.run(1, latency=dict.fromkeys("pqrs", 120), rate=40, tries=12)
         world.run(6, latency=dict.fromkeys("pqrs", 200), rate=40, tries=12)
@@ -116,9 +116,9 @@
 def test_restored_withdrawal_ends_once_the_list_has_the_endpoint_in_service():
     world = World("pqrs", slices=12)
     world.planner.withdrawn.clear()
-    world.tell(api.FleetRestored((1.0, 1.0), ("s", "ghost"), 0.0, 0.0))
+    world.handle(api.FleetRestored((1.0, 1.0), ("s", "ghost"), 0.0, 0.0))
     world.run(2)
-    assert world.shut.get("s") is False and world.shut.get("ghost") is None
+    assert world.withdrawn.get("s") is False and world.withdrawn.get("ghost") is None
 
 
 @settings(max_examples=25, deadline=None)
@@ -127,7 +127,7 @@
     world = World("pqrstu", slices=12)
     names = "pqrstux"
     for _ in range(4):
-        world.tell(
+        world.handle(
             *[api.EndpointRestored(n, rng.choice((0, 5)), rng.choice((0.01, 0.3, 1, 90))) for n in names],
             *[api.EndpointConfidenceChanged(n, rng.choice((0.0, 0.3, 1.0))) for n in names],
             *[api.SliceRestored(k, (rng.random() * 1e3, 0.0), ((rng.choice(names), 1.0),)) for k in range(14)],
@@ -136,11 +136,11 @@
             ),
         )
         out = rng.choice("pqr")
-        world.tell(api.EndpointListChanged("update", (entry(out, rng.choice(("terminating", "terminated"))),)))
+        world.handle(api.EndpointListChanged("update", (entry(out, rng.choice(("terminating", "terminated"))),)))
         world.run(4, latency={n: rng.choice((50, 900)) for n in names})
-        assert not world.bare()
-        assert not any(out in world.live(n) for n in world.tables)
-        world.tell(api.EndpointListChanged("update", (entry(out),)))
+        assert not world.has_slice_without_endpoint()
+        assert not any(out in world.routable(n) for n in world.tables)
+        world.handle(api.EndpointListChanged("update", (entry(out),)))
         world.run(1)
 
 
--- a/tests/test_list_confidence.py
+++ b/tests/test_list_confidence.py
@@ -77,19 +77,19 @@
 
 def test_planner_uses_last_resorts_only_where_there_is_no_other():
     world = World("pqrs", slices=12)
-    world.tell(api.EndpointConfidenceChanged("p", 0.0))
+    world.handle(api.EndpointConfidenceChanged("p", 0.0))
     world.run(3)
-    assert world.count("p") == 0 and not world.bare()
-    world.tell(*[api.EndpointConfidenceChanged(n, 0.0) for n in "qrs"])
+    assert world.count("p") == 0 and not world.has_slice_without_endpoint()
+    world.handle(*[api.EndpointConfidenceChanged(n, 0.0) for n in "qrs"])
     world.run(3)
-    assert not world.bare(), "better than none"
-    world.tell(*[api.EndpointConfidenceChanged(n, 1.0) for n in "pqrs"])
+    assert not world.has_slice_without_endpoint(), "better than none"
+    world.handle(*[api.EndpointConfidenceChanged(n, 1.0) for n in "pqrs"])
     world.run(30)
     assert world.count("p") > 0
 
 
 def test_an_old_entry_gets_a_smaller_share():
     world = World("pqrs", slices=40)
-    world.tell(api.EndpointConfidenceChanged("p", EntryConfidence.REDUCED.value))
+    world.handle(api.EndpointConfidenceChanged("p", EntryConfidence.REDUCED.value))
     world.run(60)
-    assert world.heat("p") < 0.8 * min(world.heat(n) for n in "qrs")
+    assert world.slice_share("p") < 0.8 * min(world.slice_share(n) for n in "qrs")
