--- a/damsonpick/controller/decision_log.py
+++ b/damsonpick/controller/decision_log.py
@@ -36,6 +36,7 @@
     """
 
     def __init__(self, published: PublishedTables, log: FilteringBoundLogger) -> None:
+        """Start with nothing logged."""
         self.published = published
         self.log = log
         self.withdrawn: set[str] = set()  # endpoints last logged as withdrawn
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -60,6 +60,7 @@
         make: Callable[[api.Settings, int], Planner],
         recorder: HistoryRecorder,
     ) -> None:
+        """Build the parts; `start` takes up the stored state."""
         super().__init__(log)
         self.settings = settings
         self.store = store
--- a/damsonpick/controller/planner_start.py
+++ b/damsonpick/controller/planner_start.py
@@ -43,6 +43,7 @@
         removed_entries: Mapping[int, Mapping[str, float]],
         log: FilteringBoundLogger,
     ) -> None:
+        """Read the collaborators only when a planner starts."""
         self.endpoint_list = endpoint_list
         self.published = published
         self.session_manager = session_manager
--- a/damsonpick/controller/slice_ownership.py
+++ b/damsonpick/controller/slice_ownership.py
@@ -16,6 +16,7 @@
     """
 
     def __init__(self, store: LeaseStore, owner: str) -> None:
+        """Own nothing until the first claim is noted in `owned`."""
         self.store = store
         self.owner = owner
         self.owned: set[int] = set()
--- a/damsonpick/controller/table_persistence.py
+++ b/damsonpick/controller/table_persistence.py
@@ -39,6 +39,7 @@
     """
 
     def __init__(self, store: TableStore, published: PublishedTables, log: FilteringBoundLogger) -> None:
+        """Assume an empty store until `load`."""
         self.store = store
         self.published = published
         self.log = log
--- a/damsonpick/controller/table_pin.py
+++ b/damsonpick/controller/table_pin.py
@@ -74,6 +74,7 @@
     """
 
     def __init__(self, recorder: HistoryRecorder, published: PublishedTables) -> None:
+        """Start with no pin applied."""
         self.recorder = recorder
         self.published = published
         self.applied = False  # the planner at work was started under the pin
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import Any
 
 from damsonpick.controller.engine import Engine
@@ -18,6 +18,33 @@
 Reply = dict[str, Any]
 
 
+class UnknownOrderError(ValueError):
+    """A request gives an order that there is not.
+
+    Attributes:
+        order: as the request gives it.
+    """
+
+    def __init__(self, order: object, known: Iterable[str]) -> None:
+        """Name the orders there are as the remedy."""
+        *names, last = known
+        super().__init__(f"unknown order {order!r}; use {', '.join(names)} or {last}")
+        self.order = order
+
+
+class UnknownZoneError(ValueError):
+    """A request names a zone that there is not.
+
+    Attributes:
+        zone: as the request names it.
+    """
+
+    def __init__(self, zone: str, known: Iterable[str]) -> None:
+        """Name the zones there are as the remedy."""
+        super().__init__(f"zone {zone}: there are {', '.join(known)}")
+        self.zone = zone
+
+
 class VersionQueries:
     """Answers questions about the versions of the tables, and carries out orders on them.
 
@@ -31,6 +58,7 @@
     def __init__(
         self, engine: Engine, recorder: HistoryRecorder, session_manager: SessionManager, settings: PilotSettings
     ) -> None:
+        """Map the orders of the command to what carries them out."""
         self.engine = engine
         self.recorder = recorder
         self.session_manager = session_manager
@@ -49,13 +77,13 @@
         """Answer one request.
 
         Raises:
-            ValueError, KeyError: the request cannot be carried out; the text says why.
+            ValueError, KeyError: the request cannot be carried out; the text says why. An order that there is not is an
+                `UnknownOrderError`.
         """
         name = request.get("do", "list")
         handler = self.handlers.get(name)
         if handler is None:
-            *names, last = self.handlers
-            raise ValueError(f"unknown order {name!r}; use {', '.join(names)} or {last}")
+            raise UnknownOrderError(name, self.handlers)
         return handler(now, request)
 
     def _state(self, now: int) -> Reply:
@@ -139,14 +167,14 @@
         """ns that clients of a zone wait: the zones named in their order, then all others.
 
         Raises:
-            ValueError: there is no such zone.
+            UnknownZoneError: there is no such zone.
         """
         first_zones = request.get("stages") or []
         hold = int(request.get("hold_ns") or 0)
         known = self.settings.pilot.zones
         for zone in first_zones:
             if zone not in known:
-                raise ValueError(f"zone {zone}: there are {', '.join(known)}")
+                raise UnknownZoneError(zone, known)
         if not first_zones:
             return {}
         zones = [*first_zones, *(zone for zone in known if zone not in first_zones)]
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -30,6 +30,21 @@
 Number = TypeVar("Number", int, float)
 
 
+class ListFileError(ListError):
+    """A list file cannot be used.
+
+    Attributes:
+        place: the file, or a section of it.
+        problem: what is wrong there, and the remedy.
+    """
+
+    def __init__(self, place: str, problem: str) -> None:
+        """Put place and problem into one text."""
+        super().__init__(f"{place} {problem}")
+        self.place = place
+        self.problem = problem
+
+
 def parse(text: str, name: str = "list") -> list[api.EndpointEntry]:
     """All entries of a list file.
 
@@ -38,14 +53,14 @@
         name: of the file, for errors.
 
     Raises:
-        ListError: the first thing wrong. No entry is used then, as half a list would be a smaller fleet.
+        ListFileError: the first thing wrong. No entry is used then, as half a list would be a smaller fleet.
     """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     try:
         parser.read_string(text, source=name)
     except configparser.Error as error:
         problem = " ".join(str(error).split())
-        raise ListError(f"{name}: {problem}; write [server IP:PORT] sections, each once") from None
+        raise ListFileError(f"{name}:", f"{problem}; write [server IP:PORT] sections, each once") from None
     return [_entry(f"{name}: [{section}]", section, parser[section]) for section in parser.sections()]
 
 
@@ -53,19 +68,19 @@
     """The entry of one section; `place` names file and section in errors."""
     kind, _, endpoint = section.partition(" ")
     if kind != SECTION_KIND:
-        raise ListError(f"{place} is no section of a list; write [server IP:PORT]")
+        raise ListFileError(place, "is no section of a list; write [server IP:PORT]")
     for key in values:
         if key not in KEYS:
-            raise ListError(f"{place} {key}: no such key; a server has {', '.join(KEYS)}")
+            raise ListFileError(place, f"{key}: no such key; a server has {', '.join(KEYS)}")
     try:
         endpoint = address(endpoint)
     except ValueError as error:
-        raise ListError(f"{place} {error}") from None
+        raise ListFileError(place, str(error)) from None
     state = values.get("state", DEFAULT_STATE)
     if state not in STATES_BY_SAFETY:
-        raise ListError(f"{place} state = {state!r}: write one of {', '.join(STATES_BY_SAFETY)}")
+        raise ListFileError(place, f"state = {state!r}: write one of {', '.join(STATES_BY_SAFETY)}")
     if "zone" not in values:
-        raise ListError(f"{place} zone is missing; name the building the server stands in")
+        raise ListFileError(place, "zone is missing; name the building the server stands in")
     weight = _number(place, values, "weight", DEFAULT_WEIGHT, float)
     started = _number(place, values, "started", DEFAULT_STARTED, int)
     return api.EndpointEntry(endpoint, values["zone"], state, weight, started)
@@ -77,7 +92,7 @@
     try:
         return convert(values.get(key, default))
     except ValueError:
-        raise ListError(f"{place} {key} = {values[key]!r}: write a number") from None
+        raise ListFileError(place, f"{key} = {values[key]!r}: write a number") from None
 
 
 def render(entries: list[api.EndpointEntry]) -> str:
@@ -116,6 +131,7 @@
     """
 
     def __init__(self, path: Path, poll_s: float) -> None:
+        """Read nothing yet."""
         self.path = path
         self.poll_s = poll_s
 
@@ -133,8 +149,10 @@
         try:
             text = await anyio.Path(self.path).read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
-            return _FileContent(f"error {error}", ListError(f"{self.path}: cannot be read ({error}); restore the file"))
+            return _FileContent(
+                f"error {error}", ListFileError(f"{self.path}:", f"cannot be read ({error}); restore the file")
+            )
         try:
             return _FileContent(text, parse(text, str(self.path)))
-        except ListError as error:
+        except ListFileError as error:
             return _FileContent(text, error)
--- a/damsonpick/protocols/shared/grpc_stream.py
+++ b/damsonpick/protocols/shared/grpc_stream.py
@@ -17,6 +17,11 @@
 Result = TypeVar("Result")
 
 
+ENDED_BY_PEER = "the peer ended the stream"
+CANCELLED_BY_PEER = "the peer cancelled the call"
+CALL_OVER = "the call is over"
+
+
 class StreamEndedError(Exception):
     """The stream is over; the text says how."""
 
@@ -29,7 +34,7 @@
     """
     message = await guarded(call.read())
     if message is grpc.aio.EOF:
-        raise StreamEndedError("the peer ended the stream")
+        raise StreamEndedError(ENDED_BY_PEER)
     return message
 
 
@@ -54,8 +59,9 @@
         task = asyncio.current_task()
         if task is not None and task.cancelling():
             raise
-        raise StreamEndedError("the peer cancelled the call") from None
+        raise StreamEndedError(CANCELLED_BY_PEER) from None
     except asyncio.InvalidStateError:
-        raise StreamEndedError("the call is over") from None
+        raise StreamEndedError(CALL_OVER) from None
     except grpc.aio.AioRpcError as error:
-        raise StreamEndedError(f"{error.code().name}: {error.details()}") from None
+        status = f"{error.code().name}: {error.details()}"
+        raise StreamEndedError(status) from None
--- a/damsonpick/protocols/shared/send_queue.py
+++ b/damsonpick/protocols/shared/send_queue.py
@@ -39,6 +39,7 @@
     """What waits for one client."""
 
     def __init__(self) -> None:
+        """Start with nothing waiting."""
         self.units: dict[str, set[str]] = {}  # changed entries by unit
         self.ordered_at = 0  # ns; when the oldest of them was ordered
         self.first_seq = 0  # the lowest sequence number of a change among them
@@ -70,6 +71,7 @@
     """
 
     def __init__(self, rate: float, message_overhead: float, limit: float, messages: int = 0, window: int = 0) -> None:
+        """Start without clients."""
         self.rate = rate
         self.message_overhead = message_overhead
         self.limit = limit
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -82,6 +82,7 @@
     """
 
     def __init__(self, number: int, session: Session, now: int) -> None:
+        """Start with nothing to acknowledge."""
         self.number = number
         self.session = session
         self.pending_tokens: deque[PendingToken] = deque()  # by sequence number
@@ -101,6 +102,7 @@
     def __init__(
         self, published: PublishedTables, catalogue: Catalogue, send_queue: SendQueue, number_of: Callable[[str], int]
     ) -> None:
+        """Start without clients."""
         self.published = published
         self.catalogue = catalogue
         self.send_queue = send_queue
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -33,11 +33,39 @@
 KEEPALIVE = [("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 3000)]
 
 
+class UpstreamEntryError(ListError):
+    """An endpoint of an upstream list cannot be used.
+
+    Attributes:
+        endpoint: which one.
+        problem: what is wrong with it, and the remedy.
+    """
+
+    def __init__(self, endpoint: str, problem: str) -> None:
+        """Put endpoint and problem into one text."""
+        super().__init__(f"upstream list: endpoint {endpoint} {problem}")
+        self.endpoint = endpoint
+        self.problem = problem
+
+
+class UpstreamTypeError(ListError):
+    """An upstream response holds a resource of another type.
+
+    Attributes:
+        type_url: of the resource.
+    """
+
+    def __init__(self, type_url: str) -> None:
+        """Name the type that came and the one that is needed."""
+        super().__init__(f"upstream list: a resource is {type_url}, not a ClusterLoadAssignment")
+        self.type_url = type_url
+
+
 def read_entries(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.EndpointEntry]:
     """Entries of an assignment.
 
     Raises:
-        ListError: an endpoint without a socket address or with a start that is no number.
+        UpstreamEntryError: an endpoint without a socket address or with a start that is no number.
     """
     return [
         _read_entry(locality.locality.zone, endpoint)
@@ -51,7 +79,7 @@
     host = f"[{address.address}]" if ":" in address.address else address.address
     name = f"{host}:{address.port_value}"
     if not address.address or not address.port_value:
-        raise ListError(f"upstream list: endpoint {name!r} has no socket address and port; give both")
+        raise UpstreamEntryError(repr(name), "has no socket address and port; give both")
     weight = lb_endpoint.load_balancing_weight.value if lb_endpoint.HasField("load_balancing_weight") else 1
     state = STATE_BY_HEALTH.get(lb_endpoint.health_status, "terminated")
     return api.EndpointEntry(name, zone, state, float(weight), _read_started(name, lb_endpoint))
@@ -64,7 +92,7 @@
         return 0
     text = metadata[METADATA_KEY].fields[STARTED_FIELD].string_value
     if not text.lstrip("-").isdigit():
-        raise ListError(f"upstream list: endpoint {name} started = {text!r}: write nanoseconds as text")
+        raise UpstreamEntryError(name, f"started = {text!r}: write nanoseconds as text")
     return int(text)
 
 
@@ -113,6 +141,7 @@
         budget: CallBudget | None = None,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
+        """Open nothing yet."""
         self.address = address
         self.cluster = cluster
         self.node = node
@@ -175,7 +204,7 @@
     """All assignments of a response.
 
     Raises:
-        ListError: a resource is of another type; nothing of the response is used then.
+        UpstreamTypeError: a resource is of another type; nothing of the response is used then.
     """
     return [_unpack(body) for body in response.resources]
 
@@ -183,5 +212,5 @@
 def _unpack(body: any_pb2.Any) -> endpoint_pb2.ClusterLoadAssignment:
     assignment = endpoint_pb2.ClusterLoadAssignment()
     if not body.Unpack(assignment):
-        raise ListError(f"upstream list: a resource is {body.type_url}, not a ClusterLoadAssignment")
+        raise UpstreamTypeError(body.type_url)
     return assignment
--- a/damsonpick/runtime/backoff.py
+++ b/damsonpick/runtime/backoff.py
@@ -21,6 +21,7 @@
     """
 
     def __init__(self, rng: random.Random, least: float = MIN_DELAY_S, most: float = MAX_DELAY_S) -> None:
+        """Start from the least delay."""
         self.rng = rng
         self.least = least
         self.most = most
--- a/damsonpick/runtime/clock.py
+++ b/damsonpick/runtime/clock.py
@@ -19,6 +19,7 @@
     """
 
     def __init__(self, rate: float = 1.0) -> None:
+        """Read the wall clock, this once."""
         self.rate = rate
         self._started_wall_ns = time.time_ns() - STRETCH_ORIGIN_NS
         self._started_monotonic_ns = time.monotonic_ns()
@@ -37,6 +38,7 @@
     """The latest time that was handed in: one that goes back is replaced by the latest so far."""
 
     def __init__(self) -> None:
+        """Start at 0."""
         self.latest = 0  # ns
         self.steps_back = 0  # how often a time was handed in that went back
 
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -43,6 +43,7 @@
     """
 
     def __init__(self, log: FilteringBoundLogger) -> None:
+        """Start without a planner."""
         self.log = log
         self.inbox: list[api.Event] = []  # for the next step
         self.timers: list[tuple[int, int]] = []  # heap of (ns when due, token)
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -29,6 +29,7 @@
     """The last answer of one source."""
 
     def __init__(self) -> None:
+        """Start with no answer."""
         self.entries: list[api.EndpointEntry] | None = None  # its last list; None: it has given none
         self.up = False  # it answered the last time
         self.since = 0  # ns: when `up` last changed; 0: it never answered
@@ -66,6 +67,7 @@
     """
 
     def __init__(self, names: Sequence[str], now: int) -> None:
+        """Start with no active source."""
         self.all = {name: Source() for name in names}
         self.started = now
         self.active = ""  # name of the active source; '': none yet
@@ -184,6 +186,7 @@
     """
 
     def __init__(self, calls: int = MAX_CALLS, window: int = CALL_WINDOW_NS) -> None:
+        """Start with no call."""
         self.calls = calls
         self.window = window
         self.recent: list[int] = []  # ns: times of the calls within the last window
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -52,6 +52,7 @@
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
+        """Start with an empty list."""
         self.zones = zones
         self.entries: dict[str, api.EndpointEntry] = {}
         self.confirmed = False  # a source has given a list since the start
--- a/damsonpick/state/load_reports.py
+++ b/damsonpick/state/load_reports.py
@@ -83,6 +83,7 @@
     """
 
     def __init__(self, classes: tuple[str, ...], slices: int, report_period: int, max_period: int) -> None:
+        """Start with no report."""
         self.classes = classes
         self.slices = slices
         self.report_period = report_period
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -59,6 +59,7 @@
     """
 
     def __init__(self, classes: tuple[str, ...], slices: int) -> None:
+        """Start with empty tables."""
         self.classes = classes
         self.slices = slices
         self.tables: dict[int, dict[str, float]] = {number: {} for number in range(slices)}
