--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from typing import Any
 
+from damsonpick.controller.control_socket import Reply, Request
 from damsonpick.controller.engine import Engine
 from damsonpick.controller.table_pin import RollbackRequest
 from damsonpick.protocols.shared.session_manager import SessionManager
@@ -14,9 +14,6 @@
 MAX_VERSIONS = 1000  # in one reply
 DEFAULT_VERSIONS = 20
 
-Request = dict[str, Any]
-Reply = dict[str, Any]
-
 
 class UnknownOrderError(ValueError):
     """A request gives an order that there is not.
@@ -161,7 +158,7 @@
     def _pin_end(self, now: int, request: Request) -> int:
         """When a pin that is asked for ends, ns."""
         duration = request.get("pin_ns")
-        return now + (self.settings.versions.pin if duration is None else int(duration))
+        return now + (self.settings.versions.pin_time if duration is None else int(duration))
 
     def _delay_by_zone(self, request: Request) -> dict[str, int]:
         """ns that clients of a zone wait: the zones named in their order, then all others.
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -19,7 +19,7 @@
 import anyio
 
 from damsonpick import interface as api
-from damsonpick.settings.units import address
+from damsonpick.settings.units import parse_address
 from damsonpick.state.endpoint_list.sources import ListError
 from damsonpick.state.endpoint_list.validation import STATES_BY_SAFETY
 
@@ -73,7 +73,7 @@
         if key not in KEYS:
             raise ListFileError(place, f"{key}: no such key; a server has {', '.join(KEYS)}")
     try:
-        endpoint = address(endpoint)
+        endpoint = parse_address(endpoint)
     except ValueError as error:
         raise ListFileError(place, str(error)) from None
     state = values.get("state", DEFAULT_STATE)
