--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -65,6 +65,7 @@
         advisor_factory: AdvisorFactory,
         solve: Callable,
     ) -> None:
+        """Open the state folder and make the parts."""
         self.settings = settings
         self.log = log
         self.clock = Clock(settings.pilot.clock_rate)
--- a/damsonpick/controller/control_socket.py
+++ b/damsonpick/controller/control_socket.py
@@ -30,6 +30,36 @@
 class ControlError(Exception):
     """The pilot cannot be asked; the text says why and what to do."""
 
+    def __init__(self, path: Path, reason: str) -> None:
+        """Name the socket and why there is no reply."""
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+
+
+class NoPilotError(ControlError):
+    """Nobody listens on the socket."""
+
+    def __init__(self, path: Path, cause: OSError) -> None:
+        """Name the socket and what the operating system says."""
+        super().__init__(path, f"no pilot answers ({cause}); start it with `damsonpick run`")
+
+
+class NoReplyError(ControlError):
+    """The pilot took the request and did not reply."""
+
+    def __init__(self, path: Path, timeout_s: float) -> None:
+        """Name the socket and for how long was waited."""
+        super().__init__(path, f"the pilot gave no answer in {timeout_s:g} s; see its log")
+        self.timeout_s = timeout_s
+
+
+class RequestError(ValueError):
+    """A request that is no JSON object."""
+
+    def __init__(self) -> None:
+        """The text is the same for every request."""
+        super().__init__("a request is a JSON object")
+
 
 async def serve(path: Path, answer: Callable[[Request], Reply], ready: Callable[[], None]) -> None:
     """Answer requests until cancelled. A socket left by a killed pilot is replaced.
@@ -70,7 +100,7 @@
 def _parse_request(text: bytes) -> Request:
     request = json.loads(text)
     if not isinstance(request, dict):
-        raise ValueError("a request is a JSON object")
+        raise RequestError
     return request
 
 
@@ -78,7 +108,8 @@
     """One reply from the pilot that listens on `path`.
 
     Raises:
-        ControlError: nobody listens, or no reply within `timeout_s` seconds.
+        NoPilotError: nobody listens.
+        NoReplyError: no reply within `timeout_s` seconds.
     """
     try:
         with anyio.fail_after(timeout_s):
@@ -86,7 +117,7 @@
                 await stream.send(json.dumps(request).encode() + b"\n")
                 text = await BufferedByteReceiveStream(stream).receive_until(b"\n", MAX_REPLY_BYTES)
     except OSError as error:
-        raise ControlError(f"{path}: no pilot answers ({error}); start it with `damsonpick run`") from None
+        raise NoPilotError(path, error) from None
     except (TimeoutError, anyio.EndOfStream, anyio.IncompleteRead, anyio.BrokenResourceError):
-        raise ControlError(f"{path}: the pilot gave no answer in {timeout_s:g} s; see its log") from None
+        raise NoReplyError(path, timeout_s) from None
     return json.loads(text)
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -44,6 +44,7 @@
         advisor_factory: AdvisorFactory = Advisor,
         solve: Callable = work.solve,
     ) -> None:
+        """Compose the pilot; sockets are opened by `running`."""
         self.settings = settings
         self.log = log
         self.components = Components(settings, log, planner_factory, advisor_factory, solve)
--- a/damsonpick/controller/drive_loop.py
+++ b/damsonpick/controller/drive_loop.py
@@ -22,6 +22,7 @@
     """A flag that any task raises and one loop waits for. Raising it twice before the loop looks wakes it once."""
 
     def __init__(self) -> None:
+        """Not raised yet."""
         self._event = anyio.Event()
 
     def notify(self) -> None:
--- a/damsonpick/controller/lease_task.py
+++ b/damsonpick/controller/lease_task.py
@@ -37,7 +37,8 @@
             try:
                 self.engine.renew(self.clock.now())
             except Exception as error:
-                self.log.error(
-                    "lease_renewal_failed", error=str(error), remedy="see space and rights of the state folder"
-                )
+                self._renewal_failed(error)
             self.notify()
+
+    def _renewal_failed(self, error: Exception) -> None:
+        self.log.error("lease_renewal_failed", error=str(error), remedy="see space and rights of the state folder")
--- a/damsonpick/controller/list_queries.py
+++ b/damsonpick/controller/list_queries.py
@@ -9,9 +9,11 @@
 from damsonpick.controller.control_socket import Reply, Request
 from damsonpick.controller.list_updates import ListUpdater
 from damsonpick.controller.list_watch import ListWatch
+from damsonpick.controller.version_queries import UnknownOrderError
 from damsonpick.runtime.clock import Clock
 
 NS_PER_SECOND = 1e9
+COMMANDS = ("show", "accept")
 
 
 @dataclass(slots=True, eq=False)
@@ -32,13 +34,13 @@
         """Show the list, or accept that missing endpoints are gone.
 
         Raises:
-            ValueError: `do` names neither.
+            UnknownOrderError: `do` names neither.
         """
         command = request.get("do", "show")
         if command == "accept":
             return {"accepted": self.updater.accept()}
         if command != "show":
-            raise ValueError(f"unknown order {command!r}; use show or accept")
+            raise UnknownOrderError(command, COMMANDS)
         return self._show()
 
     def _show(self) -> Reply:
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -117,4 +117,7 @@
             listed_at = ListedAt(self.clock.now(), self.source)
             self.store.save_endpoint_list(event.entries, listed_at, self.endpoint_list.held)
         except Exception as error:
-            self.log.error("list_not_stored", error=str(error), remedy="free space or rights on the state folder")
+            self._store_failed(error)
+
+    def _store_failed(self, error: Exception) -> None:
+        self.log.error("list_not_stored", error=str(error), remedy="free space or rights on the state folder")
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -51,6 +51,7 @@
         notify: Callable[[], None],
         log: FilteringBoundLogger,
     ) -> None:
+        """No source is asked before `run`."""
         self.settings = settings
         self.clock = clock
         self.updater = updater
--- a/damsonpick/controller/queries.py
+++ b/damsonpick/controller/queries.py
@@ -35,6 +35,16 @@
 QueryAnswerer = Callable[[Request], Reply]
 
 
+class UnknownSliceError(ValueError):
+    """A slice that there is not."""
+
+    def __init__(self, number: int, slice_count: int) -> None:
+        """Name the slice and how many there are."""
+        super().__init__(f"slice {number}: there are {slice_count}, from 0")
+        self.number = number
+        self.slice_count = slice_count
+
+
 @dataclass(slots=True, eq=False)
 class QueryRouter:
     """Hands each request to what answers its kind.
@@ -126,7 +136,7 @@
         """The tables.
 
         Raises:
-            ValueError: a slice is asked for that there is not.
+            UnknownSliceError: a slice is asked for that there is not.
         """
         asked = request.get("slices")
         slices = range(self.published.slices) if asked is None else asked
@@ -135,7 +145,7 @@
 
     def _row(self, number: int) -> dict[str, Any]:
         if number not in self.published.tables:
-            raise ValueError(f"slice {number}: there are {self.published.slices}, from 0")
+            raise UnknownSliceError(number, self.published.slices)
         name = f"slice/{number}"
         return {
             "slice": number,
--- a/damsonpick/controller/snapshot_task.py
+++ b/damsonpick/controller/snapshot_task.py
@@ -103,7 +103,10 @@
             try:
                 await self.write()
             except Exception as error:  # what learns must not stop what serves
-                self.log.error("snapshot_failed", error=repr(error), remedy="send this to the maintainers")
+                self._failed(error)
+
+    def _failed(self, error: Exception) -> None:
+        self.log.error("snapshot_failed", error=repr(error), remedy="send this to the maintainers")
 
     async def write(self) -> None:
         """Write one snapshot. A folder that cannot be written is logged once, and tried again each time."""
--- a/damsonpick/controller/solver_worker.py
+++ b/damsonpick/controller/solver_worker.py
@@ -27,10 +27,19 @@
     """The task raised in the worker, or the worker died; the text says what."""
 
 
+class WorkerDiedError(WorkerError):
+    """The worker ended without a reply."""
+
+    def __init__(self) -> None:
+        """There is nothing to say of how it ended."""
+        super().__init__("the worker process died")
+
+
 class SolverWorker:
     """One worker process, started at the first call and after each call that failed."""
 
     def __init__(self) -> None:
+        """Nothing is started before the first call."""
         self.process: anyio.abc.Process | None = None
         self.replies: BufferedByteReceiveStream | None = None
 
@@ -61,7 +70,7 @@
                 returned, result = pickle.loads(await self.replies.receive_exactly(length))
             succeeded = True
         except PIPE_BROKEN:
-            raise WorkerError("the worker process died") from None
+            raise WorkerDiedError from None
         finally:
             if not succeeded:
                 await self.stop()
--- a/damsonpick/settings/units.py
+++ b/damsonpick/settings/units.py
@@ -1,7 +1,7 @@
 """Values as operators write them: durations with a unit, addresses, lists.
 
 Each parser takes the text of a value, or a value that was parsed before, and raises ValueError with what is wrong with
-it and what to write instead.
+it and what to write instead (`value_errors`).
 """
 
 from __future__ import annotations
@@ -12,6 +12,18 @@
 
 from pydantic import BeforeValidator
 
+from damsonpick.settings.value_errors import (
+    NoNamesError,
+    NotACoverageError,
+    NotADurationError,
+    NotAnAddressError,
+    NotLoopbackError,
+    PortError,
+    RepeatedNameError,
+    SliceRangeError,
+    ZonePairCostError,
+)
+
 NS_PER_UNIT = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "min": 60_000_000_000, "h": 3_600_000_000_000}
 _DURATION = re.compile(r"^([0-9]+(?:\.[0-9]+)?)\s*(ns|us|ms|s|min|h)$")
 _ZONE_PAIR_COST = re.compile(r"(\S+?)\s*>\s*(\S+)\s+([0-9.]+)")
@@ -26,7 +38,7 @@
         return text
     match = _DURATION.match(str(text).strip())
     if not match:
-        raise ValueError("is not a duration; write a number and a unit, such as 2.2 s or 250 ms")
+        raise NotADurationError
     return round(float(match[1]) * NS_PER_UNIT[match[2]])
 
 
@@ -37,11 +49,11 @@
     try:
         is_loopback = ipaddress.ip_address(host.strip("[]")).is_loopback
     except ValueError:
-        raise ValueError("is not an address; write IP:PORT, such as 127.0.0.1:18000") from None
+        raise NotAnAddressError from None
     if not port.isdigit() or int(port) > HIGHEST_PORT:
-        raise ValueError("has no port from 0 to 65535; write IP:PORT, such as 127.0.0.1:18000")
+        raise PortError
     if not is_loopback:
-        raise ValueError("is not a loopback address; streams are plain text so far, so only loopback is served")
+        raise NotLoopbackError
     return stripped
 
 
@@ -49,9 +61,9 @@
     """A comma-separated list without repeats."""
     names = tuple(text) if isinstance(text, tuple | list) else _split(text)
     if len(set(names)) != len(names):
-        raise ValueError("names one thing twice; list each once")
+        raise RepeatedNameError
     if not names:
-        raise ValueError("is empty; list at least one name")
+        raise NoNamesError
     return names
 
 
@@ -63,7 +75,7 @@
     for part in _split(text):
         match = _ZONE_PAIR_COST.fullmatch(part)
         if not match:
-            raise ValueError("is no list of pairs; write from>to price, such as north>south 0.05")
+            raise ZonePairCostError
         costs.append((match[1], match[2], float(match[3])))
     return tuple(costs)
 
@@ -75,12 +87,12 @@
     if coverage == "fleet" or (kind == "class" and rest):
         return coverage
     if kind != "slices":
-        raise ValueError("is none of: fleet, class NAME, slices 0-9, 12")
+        raise NotACoverageError
     for part in rest.split(","):
         low, _, high = part.strip().partition("-")
         is_range = low.isdigit() and (not high or (high.isdigit() and int(high) >= int(low)))
         if not is_range:
-            raise ValueError(f"names {part.strip()!r}; write slices such as 0-9, 12")
+            raise SliceRangeError(part.strip())
     return coverage
 
 
