--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -1,4 +1,7 @@
-"""Wire lines to events, actions to wire lines. No decision is taken here."""
+"""The simulator's wire: lines of tab-separated values to events, actions to lines.
+
+The wire's own names of messages stand in this module alone, beside the interface's terms. No decision is made here.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,12 @@
 from damsonpick import interface as api
 from damsonpick.protocols.shared import instance_settings
 
-ALL_TABLES = 65535
+ALL_TABLES = 65535  # on the wire: the order holds for all tables of the instance
+ABSENT = "-"
 
 
 class WireError(Exception):
-    """Input that does not follow the wire; the message names the line and the reason."""
+    """Input that does not follow the wire; the text names line number, message and reason."""
 
 
 class Start(NamedTuple):
@@ -24,20 +28,24 @@
 
 
 class Stop(NamedTuple):
+    """An instance ends."""
+
     instance: str
 
 
-class Told(NamedTuple):
+class InstanceEvent(NamedTuple):
     """An event for one instance."""
 
     instance: str
     event: api.Event
 
 
-Item = Start | Stop | Told
+Item = Start | Stop | InstanceEvent
 
 
 class Batch(NamedTuple):
+    """What happened up to `now` (ns)."""
+
     now: int
     items: list[Item]
 
@@ -46,12 +54,12 @@
     return int(text)
 
 
-def _opt_int(text: str) -> int:
-    return 0 if text == "-" else int(text)
+def _optional_int(text: str) -> int:
+    return 0 if text == ABSENT else int(text)
 
 
-def _opt_float(text: str) -> float:
-    return 0.0 if text == "-" else _float(text)
+def _optional_float(text: str) -> float:
+    return 0.0 if text == ABSENT else _float(text)
 
 
 def _float(text: str) -> float:
@@ -67,12 +75,12 @@
     return text == "1"
 
 
-def _row(text: str) -> tuple[float, ...]:
-    return () if text in ("-", "") else tuple(_opt_float(part) for part in text.split(","))
+def _floats(text: str) -> tuple[float, ...]:
+    return () if text in (ABSENT, "") else tuple(_optional_float(part) for part in text.split(","))
 
 
-def _hex(text: str) -> bytes:
-    return b"" if text == "-" else bytes.fromhex(text)
+def _bytes(text: str) -> bytes:
+    return b"" if text == ABSENT else bytes.fromhex(text)
 
 
 def _one_of(*allowed: str) -> Callable[[str], str]:
@@ -84,31 +92,31 @@
     return read
 
 
-_STATE = _one_of("in_service", "terminating", "terminated")
-_MODE = _one_of("update", "replace", "restored", "unavailable")
+_endpoint_status = _one_of("in_service", "terminating", "terminated")
+_change_kind = _one_of("update", "replace", "restored", "unavailable")
 
 
-def _swap_demand(period: int, failures: int, requests: int, name: str, slice_: int) -> api.SliceDemand:
+def _slice_demand(period: int, failures: int, requests: int, name: str, slice_: int) -> api.SliceDemand:
     return api.SliceDemand(slice_, name, requests, failures, period)
 
 
-def _joined(fresh: bool, zone: str, rate: float, proxy: int) -> api.ProxyJoined:
+def _proxy_joined(fresh: bool, zone: str, rate: float, proxy: int) -> api.ProxyJoined:
     return api.ProxyJoined(proxy, zone, rate, fresh)
 
 
 # name -> (readers of the values after the instance, builder)
 _EVENTS: dict[str, tuple[tuple[Callable, ...], Callable[..., api.Event]]] = {
     "FIRED": ((_int,), api.TimerFired),
-    "PONG": ((str, str, _opt_int, _row), api.ProbeResult),
-    "FROM_PEER": ((_int, _hex), api.PeerMessage),
-    "ENROLLED": ((_bool, str, _opt_float, _int), _joined),
+    "PONG": ((str, str, _optional_int, _floats), api.ProbeResult),
+    "FROM_PEER": ((_int, _bytes), api.PeerMessage),
+    "ENROLLED": ((_bool, str, _optional_float, _int), _proxy_joined),
     "LOST_STREAM": ((_int,), api.ProxyLeft),
-    "ROUNDUP": ((str, str, _int, _int, _opt_int, _opt_int, _row), api.EndpointReport),
-    "OFFERED_LOAD": ((_int, str, _int, _int, _opt_int), api.ProxyDemand),
-    "ACTIVITY": ((_opt_int, _int, _int, str, _int), _swap_demand),
+    "ROUNDUP": ((str, str, _int, _int, _optional_int, _optional_int, _floats), api.EndpointReport),
+    "OFFERED_LOAD": ((_int, str, _int, _int, _optional_int), api.ProxyDemand),
+    "ACTIVITY": ((_optional_int, _int, _int, str, _int), _slice_demand),
     "CUSTODY": ((_int, _bool), api.SliceOwnershipChanged),
     "RECORDED": ((_int, str, _float), api.StoredEntry),
-    "CAUGHT_UP": ((_int, _int, _opt_int), api.SyncAcknowledged),
+    "CAUGHT_UP": ((_int, _int, _optional_int), api.SyncAcknowledged),
 }
 
 
@@ -117,17 +125,17 @@
 
     def __init__(self, lines: Iterable[str]) -> None:
         self._lines = iter(lines)
-        self._number = 0
+        self._line_number = 0
 
     def _next(self) -> str | None:
         line = next(self._lines, None)
         if line is None:
             return None
-        self._number += 1
+        self._line_number += 1
         return line.rstrip("\n").rstrip("\r")
 
     def _fail(self, reason: object) -> WireError:
-        return WireError(f"line {self._number}: {reason}")
+        return WireError(f"line {self._line_number}: {reason}")
 
     def batches(self) -> Iterator[Batch]:
         """Yield batches until the input ends between two of them."""
@@ -169,19 +177,19 @@
                 raise ValueError(f"wants 1 value, got {len(values)}")
             return Stop(values[0])
         if name == "TOPOLOGY":
-            return Told(values[0], self._topology(values[1:]))
+            return InstanceEvent(values[0], self._topology(values[1:]))
         if name not in _EVENTS:
             raise ValueError("unknown message")
         readers, build = _EVENTS[name]
         if len(values) != len(readers) + 1:
             raise ValueError(f"wants {len(readers) + 1} values, got {len(values)}")
-        return Told(values[0], build(*(read(text) for read, text in zip(readers, values[1:], strict=True))))
+        return InstanceEvent(values[0], build(*(read(text) for read, text in zip(readers, values[1:], strict=True))))
 
     def _topology(self, values: list[str]) -> api.EndpointListChanged:
         if len(values) < 2:
             raise ValueError("wants mode, rev and entries")
-        mode = _MODE(values[0])
-        count = _opt_int(values[2]) if len(values) > 2 else 0
+        mode = _change_kind(values[0])
+        count = _optional_int(values[2]) if len(values) > 2 else 0
         return api.EndpointListChanged(mode, tuple(self._entry() for _ in range(count)))
 
     def _entry(self) -> api.EndpointEntry:
@@ -192,7 +200,9 @@
         if parts[0] != "ITEM" or len(parts) != 8:
             raise ValueError(f"expected ITEM with 7 values, got {line[:60]!r}")
         _, endpoint, zone, _machine, _cell, state, weight, started = parts
-        return api.EndpointEntry(endpoint, zone, _STATE(state), _opt_float(weight), _opt_int(started))
+        return api.EndpointEntry(
+            endpoint, zone, _endpoint_status(state), _optional_float(weight), _optional_int(started)
+        )
 
 
 def read_settings(pairs: list[str]) -> api.Settings:
@@ -206,24 +216,24 @@
     return instance_settings.read_settings(known)
 
 
-def _mask(classes: tuple[int, ...]) -> int:
+def _class_mask(classes: tuple[int, ...]) -> int:
     return sum(1 << place for place in classes)
 
 
-def _number(value: float) -> str:
+def _decimal(value: float) -> str:
     return f"{value:.6g}"
 
 
 _WRITERS: dict[type, Callable[..., tuple[object, ...]]] = {
-    api.SetEntry: lambda a: ("WEIGH", a.endpoint, a.table, _number(a.weight)),
+    api.SetEntry: lambda a: ("WEIGH", a.endpoint, a.table, _decimal(a.weight)),
     api.ClearTable: lambda a: ("EMPTY", a.table),
-    api.BindTable: lambda a: ("USE_TABLE", _mask(a.classes), a.proxy, a.table),
+    api.BindTable: lambda a: ("USE_TABLE", _class_mask(a.classes), a.proxy, a.table),
     api.SetWithdrawn: lambda a: ("BENCH", a.endpoint, int(a.withdrawn)),
     api.SetAdmission: lambda a: (
         "THROTTLE",
         ALL_TABLES if a.table is None else a.table,
-        _mask(a.classes),
-        _number(a.level),
+        _class_mask(a.classes),
+        _decimal(a.level),
         a.retry,
     ),
     api.RequestSync: lambda a: ("SEAL", a.token, int(a.all_proxies)),
@@ -231,7 +241,7 @@
     api.FetchEndpointList: lambda a: ("GET_LIST",),
     api.SetTimer: lambda a: ("WAKE_ME", a.delay, a.token),
     api.Probe: lambda a: ("SOUND_OUT", a.endpoint),
-    api.SendToPeer: lambda a: ("TELL", "all" if a.to is None else a.to, a.payload.hex() or "-"),
+    api.SendToPeer: lambda a: ("TELL", "all" if a.to is None else a.to, a.payload.hex() or ABSENT),
     api.Log: lambda a: ("RECORD", " ".join(a.text.split())),
 }
 
--- a/damsonpick/protocols/simulator/host.py
+++ b/damsonpick/protocols/simulator/host.py
@@ -1,48 +1,48 @@
-"""Many independent planners behind one stream of batches; they share nothing."""
+"""Many independent planners behind one stream of batches."""
 
 from __future__ import annotations
 
 import sys
 import traceback
 
+from damsonpick import interface as api
 from damsonpick.decisions.planner import Planner
-from damsonpick.interface import Event
 from damsonpick.protocols.simulator import codec
 
 
 class Host:
-    """Starts, feeds and stops planners as the batches say."""
+    """Starts, feeds and stops planners as the batches say. Planners share nothing."""
 
     def __init__(self) -> None:
         self._planners: dict[str, Planner] = {}
 
     def reply(self, batch: codec.Batch) -> list[str]:
         """Hand each instance its events of this batch, in order, and collect the reply lines."""
-        pending: dict[str, list[Event]] = {}
+        pending: dict[str, list[api.Event]] = {}
         lines: list[str] = []
         for item in batch.items:
             if isinstance(item, codec.Start):
                 self._planners[item.instance] = Planner(item.settings, item.seed)
                 pending[item.instance] = []
             elif isinstance(item, codec.Stop):
-                self._known(item.instance)
+                self._require_started(item.instance)
                 del self._planners[item.instance]
                 pending.pop(item.instance, None)
             else:
-                self._known(item.instance)
+                self._require_started(item.instance)
                 pending.setdefault(item.instance, []).append(item.event)
         for instance, events in pending.items():
             lines.extend(self._run(instance, batch.now, events))
         return lines
 
-    def _known(self, instance: str) -> None:
+    def _require_started(self, instance: str) -> None:
         if instance not in self._planners:
             raise codec.WireError(f"event for {instance}, which was never started")
 
-    def _run(self, instance: str, now: int, events: list[Event]) -> list[str]:
+    def _run(self, instance: str, now: int, events: list[api.Event]) -> list[str]:
         try:
             actions = self._planners[instance].handle(now, events)
             return [codec.write_action(instance, action) for action in actions]
-        except Exception as error:  # the day ends here; the traceback is for the engineer
+        except Exception as error:  # the simulator ends the run; the traceback is for the engineer
             traceback.print_exc(file=sys.stderr)
             return [codec.write_fault(instance, error)]
--- a/damsonpick/proxy/messages.py
+++ b/damsonpick/proxy/messages.py
@@ -31,6 +31,7 @@
 HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 ORDINARY_HEAD = re.compile(rb"[^\r\n\0]+\r\n(?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[^\r\n\0]*\r\n)*\r\n")
 BARE_LINE_END_TEXT = "a bare CR or LF stands in the head; end lines with CR LF"
+MAX_LENGTH_DIGITS = 18
 METHODS_WITHOUT_BODY = (b"GET", b"HEAD", b"OPTIONS")
 REASON_PHRASES = {
     200: b"OK",
@@ -215,30 +216,19 @@
         self._parse(head)
 
     def _check_head_lines(self, head: bytes) -> None:
+        """Refuse a head that could be read in two ways."""
         if BARE_LINE_END.search(head):
             raise HttpProtocolError(BARE_LINE_END_TEXT)
         if FOLDED_LINE.search(head):
             raise HttpProtocolError("a header is folded over lines; write it on one")
         lengths, codings = [], []
         for line in head.split(b"\r\n")[1:-2]:
-            name, colon, value = line.partition(b":")
-            if not colon or not HEADER_NAME.match(name):
-                raise HttpProtocolError(
-                    "a header has no proper name; write name: value without white space before the colon"
-                )
-            if b"\0" in value:
-                raise HttpProtocolError("a header holds a zero byte")
-            low = name.lower()
-            if low == b"content-length":
+            name, value = _split_header(line)
+            if name == b"content-length":
                 lengths.append(value.strip())
-            elif low == b"transfer-encoding":
+            elif name == b"transfer-encoding":
                 codings.append(value.strip().lower())
-        if len(lengths) > 1 or (lengths and codings):
-            raise HttpProtocolError("the length of the body is stated twice; state it once")
-        if lengths and not (lengths[0].isdigit() and len(lengths[0]) < 19):
-            raise HttpProtocolError("content-length is no number")
-        if codings and codings != [b"chunked"]:
-            raise HttpProtocolError("transfer-encoding is not chunked alone", 501)
+        _check_framing(lengths, codings)
 
     def _parse(self, data: bytes) -> None:
         try:
@@ -274,6 +264,26 @@
         return Head(start, self.fields, length, chunked, keep, expects, named)
 
 
+def _split_header(line: bytes) -> tuple[bytes, bytes]:
+    """Name in lower case, and value as it stands."""
+    name, colon, value = line.partition(b":")
+    if not colon or not HEADER_NAME.match(name):
+        raise HttpProtocolError("a header has no proper name; write name: value without white space before the colon")
+    if b"\0" in value:
+        raise HttpProtocolError("a header holds a zero byte")
+    return name.lower(), value
+
+
+def _check_framing(lengths: list[bytes], codings: list[bytes]) -> None:
+    """Refuse a head whose body has no single, plain length (RFC 9112, section 6.3)."""
+    if len(lengths) > 1 or (lengths and codings):
+        raise HttpProtocolError("the length of the body is stated twice; state it once")
+    if lengths and not (lengths[0].isdigit() and len(lengths[0]) <= MAX_LENGTH_DIGITS):
+        raise HttpProtocolError("content-length is no number")
+    if codings and codings != [b"chunked"]:
+        raise HttpProtocolError("transfer-encoding is not chunked alone", 501)
+
+
 def forwardable_headers(head: Head, without: bytes = b"") -> list[tuple[bytes, bytes]]:
     """Headers without hop-by-hop ones, those that `Connection` names (RFC 9110, 7.6.1) and `without`."""
     if b"connection" not in head.named:
--- a/damsonpick/proxy/settings.py
+++ b/damsonpick/proxy/settings.py
@@ -23,6 +23,8 @@
 
 
 class Section(BaseModel):
+    """A section of the file. Field names are its keys."""
+
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
@@ -72,6 +74,8 @@
 
 
 class ProxySettings(Section):
+    """The complete file."""
+
     proxy: Own
     limits: Limits = Limits()
     classes: dict[str, RequestClass]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -47,7 +47,7 @@
 def one(row: str) -> api.Event:
     (batch,) = read("TICK\t5", row, "OVER_TO_YOU")
     (item,) = batch.items
-    assert isinstance(item, codec.Told) and item.instance == "pilot/3"
+    assert isinstance(item, codec.InstanceEvent) and item.instance == "pilot/3"
     return item.event
 
 
