--- a/damsonpick/controller/control_socket.py
+++ b/damsonpick/controller/control_socket.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from pathlib import Path
 from typing import Any
 
@@ -27,6 +27,20 @@
 )
 
 
+class UnknownOrderError(ValueError):
+    """A request gives an order that there is not.
+
+    Attributes:
+        order: as the request gives it.
+    """
+
+    def __init__(self, order: object, known: Iterable[str]) -> None:
+        """Name the orders there are as the remedy."""
+        *names, last = known
+        super().__init__(f"unknown order {order!r}; use {', '.join(names)} or {last}")
+        self.order = order
+
+
 class ControlError(Exception):
     """The pilot cannot be asked; the text says why and what to do."""
 
--- a/damsonpick/controller/list_queries.py
+++ b/damsonpick/controller/list_queries.py
@@ -6,10 +6,9 @@
 from typing import Any
 
 from damsonpick import interface as api
-from damsonpick.controller.control_socket import Reply, Request
+from damsonpick.controller.control_socket import Reply, Request, UnknownOrderError
 from damsonpick.controller.list_updates import ListUpdater
 from damsonpick.controller.list_watch import ListWatch
-from damsonpick.controller.version_queries import UnknownOrderError
 from damsonpick.runtime.clock import Clock
 
 NS_PER_SECOND = 1e9
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from damsonpick.controller.control_socket import Reply, Request
+from damsonpick.controller.control_socket import Reply, Request, UnknownOrderError
 from damsonpick.controller.engine import Engine
 from damsonpick.controller.table_pin import RollbackRequest
 from damsonpick.protocols.shared.session_manager import SessionManager
@@ -15,20 +15,6 @@
 DEFAULT_VERSIONS = 20
 
 
-class UnknownOrderError(ValueError):
-    """A request gives an order that there is not.
-
-    Attributes:
-        order: as the request gives it.
-    """
-
-    def __init__(self, order: object, known: Iterable[str]) -> None:
-        """Name the orders there are as the remedy."""
-        *names, last = known
-        super().__init__(f"unknown order {order!r}; use {', '.join(names)} or {last}")
-        self.order = order
-
-
 class UnknownZoneError(ValueError):
     """A request names a zone that there is not.
 
--- a/damsonpick/state/learned/generations.py
+++ b/damsonpick/state/learned/generations.py
@@ -114,7 +114,7 @@
             continue
         except SnapshotFormatError as error:
             newer_format = True
-            remedy = "use the newer program, or `damsonpick knowledge forget`"
+            remedy = "use the newer program, or `damsonpick learned forget`"
             problems.append(f"{path}: {error}; it is left alone, and nothing is written: {remedy}")
             continue
         except SnapshotCorruptError as error:
