--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -242,7 +242,7 @@
         orders = self._owned_orders(step.actions)
         if not orders:
             return []
-        orders = self.pin.filter(orders, self.is_unroutable)
+        orders = self.pin.filter(orders, self.may_not_be_picked)
         change = self.published.apply(orders)
         touched = {order.table for order in orders if isinstance(order, api.SetEntry | api.ClearTable)}
         self.persistence.save(now, touched)
@@ -280,7 +280,7 @@
             ValueError: no such version is kept, or another operator acted meanwhile.
         """
         now = self.clock.advance_to(now)
-        plan = self.pin.plan_rollback(request, self.owned, self.is_unroutable, self.is_warming_up)
+        plan = self.pin.plan_rollback(request, self.owned, self.may_not_be_picked, self.is_warming_up)
         if request.dry_run:
             return plan.reply() | {"done": False, "generation": self.recorder.pin.generation}
         self._apply_rollback(now, plan, request)
@@ -321,7 +321,7 @@
         )
         self._start_planner(self.learned_state(), replaces_planner=True)
 
-    def is_unroutable(self, name: str) -> bool:
+    def may_not_be_picked(self, name: str) -> bool:
         """Whether an endpoint may not be picked now: unlisted, draining, gone or withdrawn."""
         entry = self.endpoint_list.entries.get(name)
         return entry is None or entry.state != "in_service" or name in self.published.withdrawn
--- a/damsonpick/controller/table_pin.py
+++ b/damsonpick/controller/table_pin.py
@@ -85,16 +85,18 @@
         """Whether the tables are pinned at this time."""
         return self.recorder.pin.is_active(now)
 
-    def filter(self, orders: list[api.Action], is_unroutable: Callable[[str], bool]) -> list[api.Action]:
+    def filter(self, orders: list[api.Action], may_not_be_picked: Callable[[str], bool]) -> list[api.Action]:
         """Orders that pass the pin: all of them while there is none.
 
         Args:
             orders: orders of the planner on tables, withdrawals and admission.
-            is_unroutable: whether an endpoint may not be picked now.
+            may_not_be_picked: whether an endpoint may not be picked now.
         """
         if not self.applied:
             return orders
-        filtered = self.recorder.pin.filter_actions(orders, self.published.tables, is_unroutable, self.published.level)
+        filtered = self.recorder.pin.filter_actions(
+            orders, self.published.tables, may_not_be_picked, self.published.level
+        )
         self.withheld_orders = filtered.held_back_count
         return filtered.passed
 
@@ -102,7 +104,7 @@
         self,
         request: RollbackRequest,
         owned: set[int],
-        is_unroutable: Callable[[str], bool],
+        may_not_be_picked: Callable[[str], bool],
         is_warming_up: Callable[[str], bool],
     ) -> VersionRollback:
         """What would bring the owned tables back to a kept version, as far as is safe.
@@ -115,7 +117,7 @@
         version = recorder.history.find(request.version)
         target = recorder.history.state_at(version.number)
         tables = {number: self.published.tables[number] for number in owned}
-        table_plan = rollback.plan_rollback(target, tables, is_unroutable, is_warming_up)
+        table_plan = rollback.plan_rollback(target, tables, may_not_be_picked, is_warming_up)
         admission_orders: list[api.SetAdmission] = []
         if request.restore_admission:
             classes = len(self.published.classes)
--- a/damsonpick/decisions/admission.py
+++ b/damsonpick/decisions/admission.py
@@ -18,7 +18,7 @@
 OVERLOAD_LATENCY_SHARE = 0.4  # median latency over the objective above which the limit falls
 CALM_LATENCY_SHARE = 0.3  # median latency over the objective below which the limit grows
 LIMIT_HOLD_NS = 3 * NS_PER_SECOND  # time until a lower limit shows in the reports
-DECREASE_PER_LATENCY = 0.3  # part by which the limit falls for each objective that the median latency takes
+DECREASE_PER_LATENCY = 0.3  # part by which the limit falls for a median latency of one objective
 MIN_DECREASE_FACTOR = 0.7  # the limit falls to no less than this part at a time
 KNOWN_THROUGHPUT_SHARE = 0.85  # part of the best throughput that the fleet is sure to give
 BEST_THROUGHPUT_KEPT = 0.98  # part of the best throughput kept each report period
@@ -27,7 +27,7 @@
 FAST_GROWTH = 1.15  # growth each report period where the fleet is sure to bear it
 PROBE_GROWTH = 1.04  # growth each report period beyond that
 UNQUEUED_LATENCY_RATIO = 1.2  # latency over the base latency below which no requests queue
-BASE_LATENCY_KEPT = 0.995  # part of itself that the base latency is divided by each report period: it is forgotten
+BASE_LATENCY_KEPT = 0.995  # divides the base latency each report period, so that an old minimum is forgotten
 UNLIMITED_DEMAND_RATIO = 2  # a limit above this many times the demand is none
 WARMING_THROUGHPUT_RATIO = 1.5  # most admitted, against the best throughput, while most of the fleet is warming up
 MIN_COVERAGE = 0.1  # least part of the fleet that reports count for
@@ -136,11 +136,11 @@
         demand = sum(rates)
         reporting = self._reporting_endpoints(capacities)
         throughput = self._throughput(capacities, reporting, admitted)
-        latency = median_latency(fleet, reporting) / self.latency_objective
+        latency_share = median_latency(fleet, reporting) / self.latency_objective
         self._adopt_restored_levels(admitted)
         self.best_throughput = max(throughput, self.best_throughput * BEST_THROUGHPUT_KEPT)
-        self.base_latency = min(latency or math.inf, self.base_latency / BASE_LATENCY_KEPT)
-        self._adjust_limit(latency, throughput, demand)
+        self.base_latency = min(latency_share or math.inf, self.base_latency / BASE_LATENCY_KEPT)
+        self._adjust_limit(latency_share, throughput, demand)
         self._bound_limit_while_warming(capacities, throughput)
         fleet.admitted_share = min(1.0, self.admitted_rate_limit / (demand + NON_ZERO))
         if fleet.settings.admission == "ratio":
@@ -185,36 +185,36 @@
         if min(self.fleet.published_levels) < 1:
             self.admitted_rate_limit = admitted
 
-    def _adjust_limit(self, latency: float, throughput: float, demand: float) -> None:
+    def _adjust_limit(self, latency_share: float, throughput: float, demand: float) -> None:
         """Lower the limit on late answers, bound it by advice before they are late, let it grow while they are fast.
 
         Args:
-            latency: median latency as a share of the objective.
+            latency_share: median latency as a share of the objective.
             throughput: answers/s of the fleet.
             demand: requests/s that come.
         """
-        if latency > OVERLOAD_LATENCY_SHARE:
+        if latency_share > OVERLOAD_LATENCY_SHARE:
             if self.fleet.now - self.last_decrease_at > LIMIT_HOLD_NS:
-                self._lower_limit(latency, throughput)
-        elif latency > CALM_LATENCY_SHARE:
+                self._lower_limit(latency_share, throughput)
+        elif latency_share > CALM_LATENCY_SHARE:
             if self.advised_capacity and demand > self.advised_capacity:
                 self.admitted_rate_limit = min(self.admitted_rate_limit, max(self.advised_capacity, throughput))
-        elif latency < CALM_LATENCY_SHARE:
-            self._raise_limit(latency, demand)
+        elif latency_share < CALM_LATENCY_SHARE:
+            self._raise_limit(latency_share, demand)
 
-    def _lower_limit(self, latency: float, throughput: float) -> None:
+    def _lower_limit(self, latency_share: float, throughput: float) -> None:
         if self.best_throughput_restored:  # one that is too high would keep the limit from falling at all
             self.best_throughput_restored = False
             self.best_throughput = min(self.best_throughput, MAX_RESTORED_RATIO * throughput)
-        factor = max(MIN_DECREASE_FACTOR, 1 - DECREASE_PER_LATENCY * latency)
+        factor = max(MIN_DECREASE_FACTOR, 1 - DECREASE_PER_LATENCY * latency_share)
         known = max(throughput, KNOWN_THROUGHPUT_SHARE * self.best_throughput)
         self.admitted_rate_limit = max(1.0, factor * known)
         self.last_decrease_at = self.fleet.now
 
-    def _raise_limit(self, latency: float, demand: float) -> None:
+    def _raise_limit(self, latency_share: float, demand: float) -> None:
         unqueued = max(CALM_LATENCY_SHARE / 2, UNQUEUED_LATENCY_RATIO * self.base_latency)
         known = self.admitted_rate_limit < KNOWN_THROUGHPUT_SHARE * self.best_throughput
-        growth = FAST_GROWTH if known or latency < unqueued else PROBE_GROWTH
+        growth = FAST_GROWTH if known or latency_share < unqueued else PROBE_GROWTH
         limit = self.admitted_rate_limit * growth
         self.admitted_rate_limit = limit if limit < UNLIMITED_DEMAND_RATIO * demand else math.inf
 
--- a/damsonpick/decisions/advised_tables.py
+++ b/damsonpick/decisions/advised_tables.py
@@ -25,4 +25,4 @@
     slice_state.externally_assigned = event.complete and (bool(weights) or not event.entries)
     if slice_state.externally_assigned:
         slice_state.assigned = list(weights)
-    fleet.evacuation_due = True
+    fleet.assignments_stale = True
--- a/damsonpick/decisions/balancing_round.py
+++ b/damsonpick/decisions/balancing_round.py
@@ -44,7 +44,7 @@
         search = Search(self.fleet)
         if search.is_needed():
             self.search = search.run()
-        placement.evacuate(self.fleet)
+        placement.repair_assignments(self.fleet)
 
     def continue_search(self, actions: list[api.Action]) -> None:
         """Run the next part of the search under way, if it is time for it."""
@@ -56,7 +56,7 @@
             next(self.search)
         except StopIteration:
             self.search = None
-            placement.evacuate(self.fleet)
+            placement.repair_assignments(self.fleet)
 
     def _is_due(self) -> bool:
         return bool(self.fleet.now >= self.next_round_at and self.fleet.last_report_at and self.search is None)
--- a/damsonpick/decisions/capacity.py
+++ b/damsonpick/decisions/capacity.py
@@ -12,7 +12,7 @@
 from damsonpick.decisions.endpoint_state import EndpointState
 from damsonpick.decisions.fleet_state import FleetState
 
-MIN_LIST_CONFIDENCE = 0.05  # below this an endpoint is used only if no other is left
+LAST_RESORT_CONFIDENCE = 0.05  # below this an endpoint is used only if no other is left
 
 MIN_ATTEMPTS = 4.0  # recent attempts needed to judge an endpoint
 MIN_CAPACITY_FACTOR = 0.1
@@ -26,7 +26,7 @@
 
 def capacity_of(fleet: FleetState, endpoint: EndpointState) -> float:
     """Present capacity of an endpoint, in units of listed weight."""
-    confidence = max(endpoint.list_confidence, MIN_LIST_CONFIDENCE / 2)
+    confidence = max(endpoint.list_confidence, LAST_RESORT_CONFIDENCE / 2)
     return endpoint.weight * slow_start.warm_up_share(fleet, endpoint) * endpoint.capacity_factor * confidence
 
 
@@ -41,7 +41,7 @@
     """
     routable = {n: capacity_of(fleet, e) for n, e in fleet.endpoints.items() if not fleet.is_unroutable(n)}
     admitted = {n: capacity for n, capacity in routable.items() if not fleet.withdrawn.get(n)} or routable
-    believed = {n: c for n, c in admitted.items() if fleet.endpoints[n].list_confidence >= MIN_LIST_CONFIDENCE}
+    believed = {n: c for n, c in admitted.items() if fleet.endpoints[n].list_confidence >= LAST_RESORT_CONFIDENCE}
     return believed or admitted
 
 
--- a/damsonpick/decisions/cluster_copy.py
+++ b/damsonpick/decisions/cluster_copy.py
@@ -1,4 +1,4 @@
-"""The copy of the assignments on which the search tries moves: the paper's virtual cluster.
+"""The copy of the assignments on which the search tries moves: the virtual cluster of HBase's balancer.
 
 Endpoints and replicas (a slice's place at one of its assigned endpoints) are numbered from 0 and described by parallel
 lists, as the search reads them some million times a minute.
--- a/damsonpick/decisions/endpoint_list.py
+++ b/damsonpick/decisions/endpoint_list.py
@@ -32,7 +32,7 @@
 
     def __post_init__(self) -> None:
         """Ask at once where the list must be asked for."""
-        self.poll_at = 0 if self.fleet.settings.subscribe else None
+        self.poll_at = 0 if self.fleet.settings.list_on_request else None
 
     def apply_change(self, event: api.EndpointListChanged) -> None:
         """Apply a full list, an update, a restored list or a failure of the list service."""
@@ -47,14 +47,14 @@
             self._terminate_missing(event.entries)
         for entry in event.entries:
             self._apply_entry(entry)
-        self.fleet.evacuation_due = True
+        self.fleet.assignments_stale = True
 
     def apply_confidence(self, event: api.EndpointConfidenceChanged) -> None:
         """Take over how far the list is believed in naming an endpoint."""
         endpoint = self.fleet.endpoints.get(event.endpoint)
         if endpoint is not None:
             endpoint.list_confidence = event.confidence
-            self.fleet.evacuation_due = True
+            self.fleet.assignments_stale = True
 
     def poll_if_due(self, actions: list[api.Action]) -> None:
         """Ask for the list when it is time, and again if no answer comes."""
--- a/damsonpick/decisions/endpoint_state.py
+++ b/damsonpick/decisions/endpoint_state.py
@@ -70,7 +70,7 @@
         failures: requests that failed, over all zones, decaying.
         latency: mean latency of the answers, ns; 0 where there is none.
         answer_rate: answers a second, over all zones.
-        success_ratio: share of requests answered, in the zone where it is highest.
+        success_ratio: share of requests answered, in the zone where it is highest: a lower one may be its zone's link.
         reporting_zones: number of zones with a recent report.
         last_report_at: time of the newest report, ns; 0: none.
         zone_views: outcomes by zone of the reporting proxies.
--- a/damsonpick/decisions/fleet_state.py
+++ b/damsonpick/decisions/fleet_state.py
@@ -23,9 +23,9 @@
         slices: by number; those that this instance owns.
         known_proxies: proxies that have joined since the start, and their zones. They stay when a proxy leaves.
         list_received: an endpoint list newer than the restored one has come.
-        withdrawn: endpoints ever withdrawn, and whether they are withdrawn now.
+        withdrawn: endpoints whose withdrawal state a proxy may have to be sent, and whether they are withdrawn now.
         unpublished: slices whose published table is out of sync, by number.
-        evacuation_due: assignments must be checked against list, ownership or capacity.
+        assignments_stale: the list, ownership or advice has changed; assignments must be checked against it.
         published_levels: admission level by request class as published, 0 to 1.
         desired_levels: admission level by request class as it should be, 0 to 1.
         admitted_share: share of demand that the levels should admit.
@@ -46,7 +46,7 @@
     list_received: bool = False
     withdrawn: dict[str, bool] = field(default_factory=dict)
     unpublished: dict[int, SliceState] = field(default_factory=dict)
-    evacuation_due: bool = True
+    assignments_stale: bool = True
     published_levels: tuple[float, ...] = field(init=False)
     desired_levels: tuple[float, ...] = field(init=False)
     admitted_share: float = 1.0
--- a/damsonpick/decisions/flow_control.py
+++ b/damsonpick/decisions/flow_control.py
@@ -26,7 +26,8 @@
     CLEANUP = 3  # entries of withdrawn endpoints to be removed
 
 
-# Share of the channel's limit that may be taken. It stays below half, and leaves room behind the less urgent.
+# Share of the channel's limit that may be taken. It stays below half, as a message whose outcome is unknown is
+# sent again and both copies may wait, and the less urgent leave room for the more urgent.
 LIMIT_SHARE = {
     Urgency.CRITICAL: 0.49,
     Urgency.CONTROL: 0.49,
--- a/damsonpick/decisions/placement.py
+++ b/damsonpick/decisions/placement.py
@@ -1,4 +1,8 @@
-"""Placement outside the rounds: evacuation of endpoints that must not serve, and where load adds least."""
+"""Placement outside the rounds: assignments are repaired at once, where load adds least.
+
+Endpoints that must not serve are evacuated, warming ones that hold more than their share are relieved, and slices
+without an endpoint get one.
+"""
 
 from __future__ import annotations
 
@@ -65,7 +69,7 @@
         ]
 
 
-def evacuate(fleet: FleetState) -> None:
+def repair_assignments(fleet: FleetState) -> None:
     """Make all assignments valid at once, past the slop gate and the move cap of the rounds.
 
     Slices leave endpoints that are not usable, and warming endpoints that hold more than their share; slices without an
--- a/damsonpick/decisions/planner.py
+++ b/damsonpick/decisions/planner.py
@@ -68,9 +68,9 @@
             handler = self._handlers.get(type(event))
             if handler is not None:
                 handler(event)
-        if self.fleet.evacuation_due:
-            self.fleet.evacuation_due = False
-            placement.evacuate(self.fleet)
+        if self.fleet.assignments_stale:
+            self.fleet.assignments_stale = False
+            placement.repair_assignments(self.fleet)
         if now >= self._next_tick_at:
             self._next_tick_at = now + TICK_INTERVAL_NS
             actions.append(api.SetTimer(TICK_INTERVAL_NS, 0))
@@ -111,11 +111,14 @@
         self.rounds.start_if_due()
 
     def _review_reports(self) -> None:
-        """Learn from the reports once a report period. While all of them are late, demand and levels hold."""
+        """Learn from the reports once a report period. While all of them are late, demand and levels hold.
+
+        Nothing is forgotten meanwhile either: a proxy that is cut off may still hold an endpoint that is gone.
+        """
         if self.fleet.reports_are_recent():
             slice_demand.refresh_demand(self.fleet)
             retention.forget_terminated_endpoints(self.fleet)
             retention.forget_oldest_withdrawals(self.fleet)
             capacity.learn_capacity_factors(self.fleet)
             self.admission.update()
-        placement.evacuate(self.fleet)
+        placement.repair_assignments(self.fleet)
--- a/damsonpick/decisions/planner_view.py
+++ b/damsonpick/decisions/planner_view.py
@@ -108,7 +108,7 @@
 
     @property
     def withdrawn(self) -> dict[str, bool]:
-        """Endpoints ever withdrawn, and whether they are now."""
+        """Endpoints whose withdrawal state a proxy may have to be sent, and whether they are withdrawn now."""
         return self.fleet.withdrawn
 
     @property
--- a/damsonpick/decisions/publisher.py
+++ b/damsonpick/decisions/publisher.py
@@ -139,7 +139,7 @@
         withdrawn_now = dict.fromkeys(names, True)
         fleet.withdrawn.update(withdrawn_now)
         if names:
-            fleet.evacuation_due = True
+            fleet.assignments_stale = True
         return withdrawn_now
 
     def _add_resync(self, message: list[api.Action], room: list[int], withdrawn_now: dict[str, bool]) -> None:
@@ -173,7 +173,7 @@
         message += [api.SetWithdrawn(name, False) for name in names]
         self.fleet.withdrawn.update(dict.fromkeys(names, False))
         if names:
-            self.fleet.evacuation_due = True
+            self.fleet.assignments_stale = True
 
     def _table_changes(self) -> list[TableChange]:
         """Changes of all unpublished tables, the most urgent and hottest first."""
--- a/damsonpick/decisions/search.py
+++ b/damsonpick/decisions/search.py
@@ -55,8 +55,8 @@
 def spread(squares: float, total: float, total_capacity: float) -> float:
     """Standard deviation over the mean of a figure for each unit of capacity; 0 is even.
 
-    The paper scales a spread to 1 where all is on the smallest endpoint. What a move saves would then fall faster with
-    the size of the fleet than the warmth that it costs, and in a large fleet no move would pay.
+    HBase's balancer scales a spread to 1 where all is on the smallest endpoint. What a move saves would then fall
+    faster with the size of the fleet than the warmth that it costs, and in a large fleet no move would pay.
 
     Args:
         squares: sum of squared figures over capacity.
--- a/damsonpick/decisions/slice_ownership.py
+++ b/damsonpick/decisions/slice_ownership.py
@@ -23,7 +23,7 @@
         admission.hold_limit()
     if count_before and fleet.slices:
         admission.scale_limit(len(fleet.slices), count_before)
-    fleet.evacuation_due = True
+    fleet.assignments_stale = True
 
 
 def apply_stored_entry(fleet: FleetState, event: api.StoredEntry) -> None:
@@ -35,4 +35,4 @@
     slice_state.published[event.endpoint] = event.weight
     slice_state.assigned.append(event.endpoint)
     slice_state.warmth[event.endpoint] = 1.0
-    fleet.evacuation_due = True
+    fleet.assignments_stale = True
--- a/damsonpick/decisions/warm_restart.py
+++ b/damsonpick/decisions/warm_restart.py
@@ -48,4 +48,4 @@
     admission.levels_restored = True
     for name in event.withdrawn:
         fleet.endpoints.setdefault(name, EndpointState(name, "terminated"))
-    fleet.evacuation_due = True
+    fleet.assignments_stale = True
--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -2,6 +2,10 @@
 
 Types only. Times and durations are integer nanoseconds. A *slice* is a fixed part of the key space with one table; a
 *table* holds entries, each an endpoint with its weight; a *sync token* asks proxies to acknowledge what came before it.
+
+The interface covers the simulator's wire in full. The planner neither reads nor emits `ProbeResult`, `PeerMessage`,
+`ProxyDemand`, `BindTable`, `FetchEndpointList`, `Probe` and `SendToPeer`, and of the settings it does not read
+`instance`, `instances`, `zone`, `load_fields`, `balancing_policy` and those about writes.
 """
 
 from __future__ import annotations
@@ -19,8 +23,9 @@
 class RequestClass(NamedTuple):
     """One class of requests; classes keep the order of the settings.
 
-    `latency_objective`, `deadline` and `key_window` are in nanoseconds. `priority_weight` is what a served request of
-    the class is worth beside those of others.
+    `latency_objective`, `deadline` and `key_window` are in nanoseconds. `effect` says whether a request may be executed
+    twice: always, with the same key within `key_window` and `key_scope`, or never. `priority_weight` is what a served
+    request of the class counts beside those of others.
     """
 
     name: str
@@ -43,7 +48,7 @@
     proxies: int
     sole_owner: bool
     admission: AdmissionMode
-    subscribe: bool  # the endpoint list is sent on request only
+    list_on_request: bool  # the endpoint list is sent after `SubscribeEndpointList` only
     poll_interval: int  # between requests for the endpoint list
     channel_rate: float  # table entries a second, over all proxies
     channel_limit: float  # table entries that may wait to be sent
@@ -108,7 +113,7 @@
 
 
 class ProxyJoined(NamedTuple):
-    """A proxy has opened its stream; `rate` is what it reckons to send, in requests a second."""
+    """A proxy has opened its stream; `rate` is its expected request rate, requests a second."""
 
     proxy: int
     zone: str
--- a/damsonpick/protocols/platform/endpoint_list_watch.py
+++ b/damsonpick/protocols/platform/endpoint_list_watch.py
@@ -11,7 +11,7 @@
 from damsonpick.protocols.platform.errors import EndpointListError, TransportError
 from damsonpick.protocols.platform.readiness import Readiness, Source
 
-SILENCE_TIMEOUT_S = 3.2  # a heartbeat is due every two seconds
+SILENCE_TIMEOUT_S = 3.2  # a heartbeat, which is an empty line, is due every two seconds
 
 
 class EndpointListWatchReader:
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -106,6 +106,12 @@
     async def request(self, method: str, path: str, body: bytes, timeout_s: float) -> HttpResponse:
         """Send a request and return its response; call `connect` first.
 
+        Args:
+            method: of the request.
+            path: of the request.
+            body: of the request.
+            timeout_s: for sending, and for each wait for bytes of the response.
+
         Raises:
             TransportError: the request may or may not have been carried out.
         """
--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -58,7 +58,8 @@
     def unconfirmed_delay_s(self, order_count: int) -> float:
         """Return the additional delay after a request whose outcome is unknown.
 
-        The first one is repeated at once, as it may hold a drain and the planner leaves half of the channel free. If
+        The first one adds nothing to the usual backoff, as it may hold a drain and the planner leaves half of the
+        channel free. If
         the repeat's outcome is unknown as well, both may wait in the channel: the next one leaves time for one of
         them to be sent.
         """
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -89,7 +89,9 @@
             now_ns = self.clock.now()
             try:
                 self._step(now_ns)
-            except Exception as error:  # outside the planner, whose failures the loop handles: orders may be lost
+            except Exception as error:
+                # Outside the planner, whose failures the loop handles. Orders of this step may not have been queued:
+                # the next planner starts from what the registry stores and orders what is missing.
                 self.loop.give_up(now_ns, error)
             self._record_step(self.clock.now() - now_ns)
             await anyio.sleep(EVENT_BATCH_S)
--- a/damsonpick/protocols/platform/watch_client.py
+++ b/damsonpick/protocols/platform/watch_client.py
@@ -138,7 +138,8 @@
         """Whether a watch that has sent the current state is open now, so that no event can have been missed."""
         if self._active is None or not self._active.synchronized:
             return False
-        return anyio.current_time() - self._active.last_received_s < self._silence_timeout_s / 2
+        overdue_s = self._silence_timeout_s / 2  # a heartbeat is overdue by then: an event may have been missed
+        return anyio.current_time() - self._active.last_received_s < overdue_s
 
     def follow(self, group: TaskGroup, address: Address) -> None:
         """Watch this address from now on.
--- a/damsonpick/protocols/shared/instance_settings.py
+++ b/damsonpick/protocols/shared/instance_settings.py
@@ -154,7 +154,7 @@
         proxies=get.integer("domain.agents"),
         sole_owner=get.flag("domain.soleOwner"),
         admission=get.text("domain.admission", "none"),
-        subscribe=get.text("discovery", "automatic") == "subscribe",
+        list_on_request=get.text("discovery", "automatic") == "subscribe",
         poll_interval=get.integer("rules.askEveryNs", 0),
         channel_rate=get.number("domain.egressPerS"),
         channel_limit=get.number("domain.mostWaiting"),
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -15,7 +15,7 @@
 from damsonpick.decisions.planner import Planner
 from damsonpick.runtime.clock import MonotonicReading
 
-FIRST_RESTART_DELAY_NS = 100_000_000  # doubled with each failure in a row; the first restart is immediate
+BASE_RESTART_DELAY_NS = 100_000_000  # doubled with each failure: 0, 400, 800, 900, 900 ms after failures in a row
 MAX_RESTART_DELAY_NS = 900_000_000
 MAX_DELAY_DOUBLINGS = 8
 FAILURE_RESET_NS = 30_000_000_000  # without a failure, after which the next counts as the first
@@ -126,7 +126,7 @@
         if self.failures == 1:
             return 0
         doublings = min(self.failures, MAX_DELAY_DOUBLINGS)
-        return min(MAX_RESTART_DELAY_NS, FIRST_RESTART_DELAY_NS * 2**doublings)
+        return min(MAX_RESTART_DELAY_NS, BASE_RESTART_DELAY_NS * 2**doublings)
 
     def capture_learned_state(self) -> None:
         """Called while the failed planner can still be read; an owner that hands on what it learned overrides this."""
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -243,7 +243,7 @@
             proxies=proxies,
             sole_owner=self.tables.sole_owner,
             admission=self.tables.admission,
-            subscribe=False,
+            list_on_request=False,
             poll_interval=0,
             channel_rate=NEVER_FULL if unlimited else channel.lines_per_second,
             channel_limit=NEVER_FULL if unlimited else channel.limit,
--- a/damsonpick/state/learned/capture.py
+++ b/damsonpick/state/learned/capture.py
@@ -18,8 +18,8 @@
 )
 
 SLICES_PER_STEP = 200
-MIN_CAPACITY_FACTOR = 0.01
-MAX_CAPACITY_FACTOR = 100.0
+STORED_MIN_CAPACITY_FACTOR = 0.01
+STORED_MAX_CAPACITY_FACTOR = 100.0
 MIN_WARMTH = 0.02  # less is not stored
 
 SnapshotType = TypeVar("SnapshotType", Snapshot, PreEncodedSnapshot)
@@ -85,7 +85,7 @@
         for name, state in list(self.planner.endpoints.items()):
             last_success_at = self.last_success_at.get(name, 0)
             if state.last_report_at or state.restored_share or last_success_at:
-                factor = min(MAX_CAPACITY_FACTOR, max(MIN_CAPACITY_FACTOR, state.capacity_factor))
+                factor = min(STORED_MAX_CAPACITY_FACTOR, max(STORED_MIN_CAPACITY_FACTOR, state.capacity_factor))
                 self.endpoints.append(LearnedEndpoint(name, state.started, factor, last_success_at))
 
     def snapshot(self) -> Snapshot:
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -28,7 +28,7 @@
 
 
 def test_subscribes_at_once_and_polls_again_with_backoff_after_failures():
-    planner = Planner(settings(subscribe=True), 1)
+    planner = Planner(settings(list_on_request=True), 1)
     polls, now = [], START
     if any(isinstance(o, api.SubscribeEndpointList) for o in planner.handle(now, [])):
         polls.append(now)
@@ -43,7 +43,7 @@
 
 
 def test_unanswered_subscription_is_repeated():
-    planner = Planner(settings(subscribe=True), 1)
+    planner = Planner(settings(list_on_request=True), 1)
     planner.handle(START, [])
     orders = [o for k in range(1, 80) for o in planner.handle(START + k * SECOND // 4, [])]
     assert [o for o in orders if isinstance(o, api.SubscribeEndpointList)]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,7 +22,7 @@
         proxies=2,
         sole_owner=False,
         admission="ratio",
-        subscribe=False,
+        list_on_request=False,
         poll_interval=10 * SECOND,
         channel_rate=4000.0,
         channel_limit=6000.0,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -55,7 +55,7 @@
     (batch,) = read("TICK\t5", UP, "OVER_TO_YOU")
     (start,) = batch.items
     assert batch.now == 5 and start.seed == 11 and start.instance == "pilot/3"
-    assert start.settings.slices == 3 and start.settings.subscribe
+    assert start.settings.slices == 3 and start.settings.list_on_request
     assert start.settings.classes == (api.RequestClass("page", 10**9, 3 * 10**9, "read_like", "all", 0, 2.0),)
     assert start.settings.load_fields == ("pending", "svc_ms")
 
