--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -28,9 +28,9 @@
 
 from damsonpick import interface as api
 from damsonpick.protocols.shared.session import CoveredChanges
+from damsonpick.protocols.xds.delta_session import DeltaSession
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.protocols.xds.resources import Catalogue
-from damsonpick.protocols.xds.session import DeltaSession
 from damsonpick.proxy.program import Proxy
 from damsonpick.proxy.received_state import Asker, Holdings
 from damsonpick.proxy.settings import Own, ProxySettings, RequestClass
@@ -62,7 +62,7 @@
         self.asker = Asker(self.holdings, name, "a", True)
         if not checks:
             del self.asker.node.client_features[:]
-        units = [n for n in catalogue.by[EDS]]
+        units = list(catalogue.by_type[EDS])
         self.session.receive(0, self.asker.opening(EDS, units))
 
     def take(self, now: int) -> tuple[int, float, float]:
--- a/damsonpick/protocols/xds/__init__.py
+++ b/damsonpick/protocols/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The xDS front: resources, streams, load reports. The mapping is in docs/design/xds.md."""
+"""The xDS protocol: resources, ADS sessions of both variants, load reports. The mapping is in docs/design/xds.md."""
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -93,16 +93,7 @@
 
 
 class UpstreamSource:
-    """Gives whole lists as the upstream sends them; a stream that broke is a ListError and is opened again.
-
-    Args:
-        address: of the upstream, HOST:PORT.
-        cluster: name of the assignment that lists the fleet.
-        node: our node id.
-        backoff: delays between streams.
-        budget: limits how many streams are opened.
-        clock: ns, for the budget.
-    """
+    """Gives whole lists as the upstream sends them; a stream that broke is a ListError and is opened again."""
 
     def __init__(
         self,
@@ -113,6 +104,16 @@
         budget: CallBudget | None = None,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
+        """Prepare a source; `lists` opens its streams.
+
+        Args:
+            address: of the upstream, HOST:PORT.
+            cluster: name of the assignment that lists the fleet.
+            node: our node id.
+            backoff: delays between streams.
+            budget: limits how many streams are opened.
+            clock: ns, for the budget.
+        """
         self.address = address
         self.cluster = cluster
         self.node = node
--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -1,135 +1,251 @@
-"""LRS messages to and from the pilot's own sums. Sans I/O.
+"""Load reports of clients as LRS messages. Sans I/O.
 
-LRS counts tries and outcomes by cluster, locality and endpoint. It has no latency and no request class, so
-both travel as `load_metric_stats`, which the specification leaves to the parties: `latency_ms` by endpoint,
+LRS counts attempts and outcomes by cluster, locality and endpoint. It has no latency and no request class, so both
+travel as `load_metric_stats`, which the specification leaves to the parties: `latency_ms` by endpoint,
 `requests.CLASS` and `failures.CLASS` by locality (zone of the server) within a slice's cluster.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass, field
+
 from envoy.config.endpoint.v3 import load_report_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 
 from damsonpick.protocols.xds.names import slice_of
 from damsonpick.state.load_reports import ClientReport, EndpointStats, SliceStats
+from damsonpick.state.published_tables import FLEET, slice_unit
+
+LATENCY_METRIC = "latency_ms"
+REQUESTS_PREFIX = "requests."
+FAILURES_PREFIX = "failures."
+CLASS_COUNTS_SUB_ZONE = "asked"  # the locality with counts by class, whatever server a request went to
+MAX_CLUSTERS = 70_000  # in one report: more than there can be slices
+MAX_LATENCY_SUM_MS = 1e15
+MAX_COUNT = 1e12
+NS_PER_MS = 1e6
+
+
+def subscription(report_period: int) -> lrs_pb2.LoadStatsResponse:
+    """What a client is to report: all clusters, by endpoint.
+
+    Args:
+        report_period: ns between reports.
+    """
+    response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
+    response.load_reporting_interval.FromNanoseconds(report_period)
+    return response
+
+
+# -- reading
 
-LATENCY, REQUESTS, FAILURES = "latency_ms", "requests.", "failures."
-MOST_CLUSTERS = 70_000  # in one report: more than there can be slices
-ASKED = "asked"  # locality of what came for a slice, whatever server it went to
 
+@dataclass(slots=True)
+class _EndpointCounts:
+    """Attempts at one endpoint, over all clusters of a report."""
 
-def ask_for(every: int) -> lrs_pb2.LoadStatsResponse:
-    """What the pilot wants: all clusters, by endpoint, every so many ns."""
-    reply = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
-    reply.load_reporting_interval.FromNanoseconds(every)
-    return reply
+    attempts: int = 0
+    failures: int = 0
+    timed_successes: int = 0
+    total_latency: int = 0  # ns
 
+    def add(self, stats: load_report_pb2.UpstreamEndpointStats) -> None:
+        """Add the attempts of one cluster."""
+        self.attempts += stats.total_successful_requests + stats.total_error_requests
+        self.failures += stats.total_error_requests
+        for metric in stats.load_metric_stats:
+            if metric.metric_name == LATENCY_METRIC and 0 <= metric.total_metric_value < MAX_LATENCY_SUM_MS:
+                self.timed_successes += metric.num_requests_finished_with_metric
+                self.total_latency += int(metric.total_metric_value * NS_PER_MS)
 
-def read(gateway: int, zone: str, report: lrs_pb2.LoadStatsRequest) -> ClientReport | None:
-    """One report as sums; None if it reports nothing. The longest interval stands for the report."""
-    ends: dict[str, list[int]] = {}
+
+@dataclass(slots=True)
+class _ClassCounts:
+    """Requests of one class in one slice."""
+
+    requests: int = 0
+    failures: int = 0
+
+
+def read(client: int, zone: str, request: lrs_pb2.LoadStatsRequest) -> ClientReport | None:
+    """The report in a message; None if it reports nothing.
+
+    Args:
+        client: the client's number.
+        zone: of the client.
+        request: the message; the longest interval of its clusters stands for the whole report.
+    """
+    if not request.cluster_stats:
+        return None
+    endpoints: dict[str, _EndpointCounts] = {}
     slices: list[SliceStats] = []
     period = 0
-    for cluster in report.cluster_stats[:MOST_CLUSTERS]:
+    for cluster in request.cluster_stats[:MAX_CLUSTERS]:
         period = max(period, cluster.load_report_interval.ToNanoseconds())
-        _endpoints(cluster, ends)
-        slices += _slices(cluster)
-    if not report.cluster_stats:
-        return None
-    return ClientReport(gateway, zone, period, tuple(EndpointStats(n, *v) for n, v in ends.items()), tuple(slices))
+        _add_endpoints(cluster, endpoints)
+        slices.extend(_slice_stats(cluster))
+    endpoint_stats = tuple(
+        EndpointStats(name, counts.attempts, counts.failures, counts.timed_successes, counts.total_latency)
+        for name, counts in endpoints.items()
+    )
+    return ClientReport(client, zone, period, endpoint_stats, tuple(slices))
 
 
-def _endpoints(cluster: load_report_pb2.ClusterStats, ends: dict[str, list[int]]) -> None:
-    for place in cluster.upstream_locality_stats:
-        for end in place.upstream_endpoint_stats:
-            at = end.address.socket_address
-            host = f"[{at.address}]" if ":" in at.address else at.address
-            good, bad = end.total_successful_requests, end.total_error_requests
-            have = ends.setdefault(f"{host}:{at.port_value}", [0, 0, 0, 0])
-            have[0] += good + bad
-            have[1] += bad
-            for metric in end.load_metric_stats:
-                if metric.metric_name == LATENCY and 0 <= metric.total_metric_value < 1e15:
-                    have[2] += metric.num_requests_finished_with_metric
-                    have[3] += int(metric.total_metric_value * 1e6)
+def _add_endpoints(cluster: load_report_pb2.ClusterStats, endpoints: dict[str, _EndpointCounts]) -> None:
+    for locality in cluster.upstream_locality_stats:
+        for stats in locality.upstream_endpoint_stats:
+            address = stats.address.socket_address
+            host = f"[{address.address}]" if ":" in address.address else address.address
+            endpoints.setdefault(f"{host}:{address.port_value}", _EndpointCounts()).add(stats)
 
 
-def _slices(cluster: load_report_pb2.ClusterStats) -> list[SliceStats]:
+def _slice_stats(cluster: load_report_pb2.ClusterStats) -> Iterator[SliceStats]:
+    """Counts by class of a slice's cluster; nothing for other clusters."""
     number = slice_of(cluster.cluster_name)
     if number < 0:
-        return []
-    came: dict[str, list[int]] = {}
-    for place in cluster.upstream_locality_stats:
-        for metric in place.load_metric_stats:
-            for k, head in enumerate((REQUESTS, FAILURES)):
-                if metric.metric_name.startswith(head) and 0 <= metric.total_metric_value < 1e12:
-                    have = came.setdefault(metric.metric_name.removeprefix(head), [0, 0])
-                    have[k] += int(metric.total_metric_value)
+        return
+    by_class: dict[str, _ClassCounts] = {}
+    for locality in cluster.upstream_locality_stats:
+        for metric in locality.load_metric_stats:
+            _add_class_metric(metric, by_class)
     for drop in cluster.dropped_requests:
-        came.setdefault(drop.category, [0, 0])[0] += drop.dropped_count
-    return [SliceStats(number, name, *counts) for name, counts in came.items()]
+        by_class.setdefault(drop.category, _ClassCounts()).requests += drop.dropped_count
+    for request_class, counts in by_class.items():
+        yield SliceStats(number, request_class, counts.requests, counts.failures)
 
 
-def write(period: int, slices: dict[int, SliceCounts]) -> lrs_pb2.LoadStatsRequest:
-    """A gateway's report; the other half of `read`, for stand-ins and the project's own proxy."""
-    report = lrs_pb2.LoadStatsRequest()
+def _add_class_metric(metric: load_report_pb2.EndpointLoadMetricStats, by_class: dict[str, _ClassCounts]) -> None:
+    if not 0 <= metric.total_metric_value < MAX_COUNT:
+        return
+    count = int(metric.total_metric_value)
+    name = metric.metric_name
+    if name.startswith(REQUESTS_PREFIX):
+        by_class.setdefault(name.removeprefix(REQUESTS_PREFIX), _ClassCounts()).requests += count
+    elif name.startswith(FAILURES_PREFIX):
+        by_class.setdefault(name.removeprefix(FAILURES_PREFIX), _ClassCounts()).failures += count
+
+
+# -- writing
+
+
+def write(period: int, slices: Mapping[int, SliceCounts]) -> lrs_pb2.LoadStatsRequest:
+    """A client's report; the inverse of `read`.
+
+    Args:
+        period: ns that it covers.
+        slices: counts by slice; a report without any still accounts for the time.
+    """
+    request = lrs_pb2.LoadStatsRequest()
     for number, counts in sorted(slices.items()):
-        cluster = report.cluster_stats.add(cluster_name=f"slice/{number}")
+        cluster = request.cluster_stats.add(cluster_name=slice_unit(number))
         cluster.load_report_interval.FromNanoseconds(period)
-        counts.fill(cluster)
-    if not slices:  # nothing came: say that too, as it accounts for the time
-        report.cluster_stats.add(cluster_name="fleet").load_report_interval.FromNanoseconds(period)
-    return report
+        counts.write_to(cluster)
+    if not slices:
+        request.cluster_stats.add(cluster_name=FLEET).load_report_interval.FromNanoseconds(period)
+    return request
+
+
+@dataclass(slots=True)
+class _AttemptCounts:
+    """Attempts at one endpoint in one zone."""
 
+    successes: int = 0
+    failures: int = 0
+    latency_ms: float = 0.0  # sum over successes
 
+
+@dataclass(slots=True)
+class _RequestCounts:
+    """Requests of one class."""
+
+    admitted: int = 0
+    failed: int = 0
+
+
+@dataclass(slots=True)
 class SliceCounts:
-    """What one gateway met and was asked for in one slice."""
-
-    def __init__(self) -> None:
-        self.ends: dict[tuple[str, str], list[float]] = {}  # (zone, endpoint): good, bad, ms of the good
-        self.asked: dict[str, list[int]] = {}  # class: let in, failed
-        self.dropped: dict[str, int] = {}
-
-    def tried(self, zone: str, endpoint: str, good: bool, ms: float) -> None:
-        have = self.ends.setdefault((zone, endpoint), [0, 0, 0.0])
-        have[0 if good else 1] += 1
-        have[2] += ms if good else 0.0
-
-    def came(self, kind: str, failed: bool = False) -> None:
-        have = self.asked.setdefault(kind, [0, 0])
-        have[1 if failed else 0] += 1
-
-    def refused(self, kind: str) -> None:
-        self.dropped[kind] = self.dropped.get(kind, 0) + 1
-
-    def fill(self, cluster: load_report_pb2.ClusterStats) -> None:
-        for (zone, endpoint), (good, bad, ms) in sorted(self.ends.items()):
-            place = cluster.upstream_locality_stats.add(
-                total_successful_requests=int(good),
-                total_error_requests=int(bad),
-                total_issued_requests=int(good + bad),
-            )
-            place.locality.zone = zone
-            end = place.upstream_endpoint_stats.add(
-                total_successful_requests=int(good),
-                total_error_requests=int(bad),
-                total_issued_requests=int(good + bad),
-            )
-            host, _, port = endpoint.rpartition(":")
-            end.address.socket_address.address = host.strip("[]")
-            end.address.socket_address.port_value = int(port)
-            end.load_metric_stats.add(
-                metric_name=LATENCY, num_requests_finished_with_metric=int(good), total_metric_value=ms
-            )
-        place = cluster.upstream_locality_stats.add()
-        place.locality.sub_zone = ASKED
-        for kind, (let_in, failed) in sorted(self.asked.items()):
-            place.load_metric_stats.add(
-                metric_name=REQUESTS + kind, num_requests_finished_with_metric=let_in, total_metric_value=let_in
-            )
-            place.load_metric_stats.add(
-                metric_name=FAILURES + kind, num_requests_finished_with_metric=let_in, total_metric_value=failed
-            )
-        for kind, count in sorted(self.dropped.items()):
-            cluster.dropped_requests.add(category=kind, dropped_count=count)
+    """What one client counted in one slice since its last report.
+
+    Attributes:
+        attempts: by zone of the server, and endpoint.
+        requests: by class.
+        dropped: requests that were not admitted, by class.
+    """
+
+    attempts: dict[tuple[str, str], _AttemptCounts] = field(default_factory=dict)
+    requests: dict[str, _RequestCounts] = field(default_factory=dict)
+    dropped: dict[str, int] = field(default_factory=dict)
+
+    def count_attempt(self, zone: str, endpoint: str, succeeded: bool, latency_ms: float) -> None:
+        """Count an attempt at an endpoint."""
+        key = (zone, endpoint)
+        counts = self.attempts.get(key)
+        if counts is None:
+            counts = self.attempts[key] = _AttemptCounts()
+        if succeeded:
+            counts.successes += 1
+            counts.latency_ms += latency_ms
+        else:
+            counts.failures += 1
+
+    def count_admitted(self, request_class: str) -> None:
+        """Count an admitted request."""
+        self._requests_of(request_class).admitted += 1
+
+    def count_failed(self, request_class: str) -> None:
+        """Count an admitted request that was not answered."""
+        self._requests_of(request_class).failed += 1
+
+    def count_dropped(self, request_class: str) -> None:
+        """Count a request that was not admitted."""
+        self.dropped[request_class] = self.dropped.get(request_class, 0) + 1
+
+    def _requests_of(self, request_class: str) -> _RequestCounts:
+        counts = self.requests.get(request_class)
+        if counts is None:
+            counts = self.requests[request_class] = _RequestCounts()
+        return counts
+
+    def write_to(self, cluster: load_report_pb2.ClusterStats) -> None:
+        """Add all counts to the slice's cluster in a message."""
+        for zone, endpoint in sorted(self.attempts):
+            attempts = self.attempts[zone, endpoint]
+            _write_attempts(cluster.upstream_locality_stats.add(), zone, endpoint, attempts)
+        locality = cluster.upstream_locality_stats.add()
+        locality.locality.sub_zone = CLASS_COUNTS_SUB_ZONE
+        for request_class in sorted(self.requests):
+            _write_requests(locality, request_class, self.requests[request_class])
+        for request_class, count in sorted(self.dropped.items()):
+            cluster.dropped_requests.add(category=request_class, dropped_count=count)
         cluster.total_dropped_requests = sum(self.dropped.values())
+
+
+def _write_attempts(
+    locality: load_report_pb2.UpstreamLocalityStats, zone: str, endpoint: str, counts: _AttemptCounts
+) -> None:
+    locality.locality.zone = zone
+    stats = locality.upstream_endpoint_stats.add()
+    for target in (locality, stats):
+        target.total_successful_requests = counts.successes
+        target.total_error_requests = counts.failures
+        target.total_issued_requests = counts.successes + counts.failures
+    host, _, port = endpoint.rpartition(":")
+    stats.address.socket_address.address = host.strip("[]")
+    stats.address.socket_address.port_value = int(port)
+    stats.load_metric_stats.add(
+        metric_name=LATENCY_METRIC,
+        num_requests_finished_with_metric=counts.successes,
+        total_metric_value=counts.latency_ms,
+    )
+
+
+def _write_requests(
+    locality: load_report_pb2.UpstreamLocalityStats, request_class: str, counts: _RequestCounts
+) -> None:
+    for prefix, count in ((REQUESTS_PREFIX, counts.admitted), (FAILURES_PREFIX, counts.failed)):
+        locality.load_metric_stats.add(
+            metric_name=prefix + request_class,
+            num_requests_finished_with_metric=counts.admitted,
+            total_metric_value=count,
+        )
--- /dev/null
+++ b/damsonpick/protocols/xds/route_builder.py
@@ -0,0 +1,93 @@
+"""Routes: the cluster, deadline and retry policy of requests by class. Pure."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from envoy.config.route.v3 import route_components_pb2, route_pb2
+
+from damsonpick.protocols.xds.names import CLASS_HEADER, CLUSTER_HEADER, ZONE_HEADER
+from damsonpick.settings.model import PilotSettings
+from damsonpick.state.published_tables import NO_RETRIES, ROUTES, PublishedTables, slice_unit
+
+NOT_PROCESSED = "connect-failure,refused-stream"  # conditions that prove that the server did not begin a request
+ANY_FAILURE = NOT_PROCESSED + ",5xx,reset"
+FIRST_MODE_WITH_ATTEMPT_TIMEOUT = 2
+
+
+class RetryRule(NamedTuple):
+    """A retry mode in terms of xDS: conditions and the most retries."""
+
+    conditions: str
+    retries: int
+
+
+RETRY_RULES = {
+    0: RetryRule("", 0),
+    1: RetryRule(NOT_PROCESSED, 1),
+    2: RetryRule(ANY_FAILURE, 1),
+    3: RetryRule(ANY_FAILURE, 2),
+}
+
+
+class RouteBuilder:
+    """Builds the RouteConfiguration from the published state."""
+
+    def __init__(self, published: PublishedTables, settings: PilotSettings) -> None:
+        """Build from a state and the settings of request classes, zones and slices."""
+        self._published = published
+        self._settings = settings
+
+    def build(self) -> route_pb2.RouteConfiguration:
+        """All routes; those for one table come before those for all, as the first match counts."""
+        config = route_pb2.RouteConfiguration(name=ROUTES)
+        host = config.virtual_hosts.add(name="all", domains=["*"])
+        retries = self._published.retries
+        modes = sorted(retries.items(), key=lambda item: (item[0][0] is None, item[0]))
+        ordered_classes = {class_number for table, class_number in retries if table is None}
+        for class_number in range(len(self._published.classes)):
+            if class_number not in ordered_classes:
+                modes.append(((None, class_number), NO_RETRIES))
+        for (table, class_number), mode in modes:
+            if self._settings.tables.slices:
+                host.routes.append(self._route(table, class_number, mode))
+            else:
+                host.routes.extend(self._zone_routes(table, class_number, mode))
+        return config
+
+    def _zone_routes(self, table: int | None, class_number: int, mode: int) -> list[route_components_pb2.Route]:
+        """Routes where there are no slices: zone and class of a request name its table."""
+        routes = []
+        for zone_number, zone in enumerate(self._settings.pilot.zones):
+            number = zone_number * len(self._published.classes) + class_number
+            if table not in (None, number):
+                continue
+            route = self._route(None, class_number, mode)
+            route.name += f"/{zone}"
+            route.match.headers.add(name=ZONE_HEADER).string_match.exact = zone
+            route.route.cluster = slice_unit(number)
+            routes.append(route)
+        return routes
+
+    def _route(self, table: int | None, class_number: int, mode: int) -> route_components_pb2.Route:
+        """The route of a class, for one table or for all (None)."""
+        class_name = self._published.classes[class_number]
+        route = route_components_pb2.Route(name=class_name if table is None else f"{class_name}/{table}")
+        route.match.prefix = "/"
+        route.match.headers.add(name=CLASS_HEADER).string_match.exact = class_name
+        if table is not None:
+            route.match.headers.add(name=CLUSTER_HEADER).string_match.exact = slice_unit(table)
+        route.route.cluster_header = CLUSTER_HEADER
+        route.route.timeout.FromNanoseconds(self._settings.classes[class_name].deadline)
+        self._set_retry_policy(route, class_name, mode)
+        return route
+
+    def _set_retry_policy(self, route: route_components_pb2.Route, class_name: str, mode: int) -> None:
+        rule = RETRY_RULES.get(mode, RETRY_RULES[NO_RETRIES])
+        policy = route.route.retry_policy
+        policy.retry_on = rule.conditions
+        policy.num_retries.value = rule.retries
+        if mode >= FIRST_MODE_WITH_ATTEMPT_TIMEOUT:
+            latency_objective = self._settings.classes[class_name].latency_objective
+            attempt_timeout = self._settings.tables.attempt_timeout_objectives * latency_objective
+            policy.per_try_timeout.FromNanoseconds(int(attempt_timeout))
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -1,23 +1,27 @@
-"""The gRPC shell of the xDS front: ADS in both variants and LRS. Bytes in, bytes out; decisions are elsewhere."""
+"""The gRPC server of the xDS protocol: ADS in both variants and LRS. It moves bytes; sessions decide what is sent."""
 
 from __future__ import annotations
 
 from collections.abc import AsyncIterator, Callable
-from typing import Any
 
 import anyio
 import grpc
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
+from structlog.typing import FilteringBoundLogger
 
-from damsonpick.protocols.shared.session_manager import SessionManager
+from damsonpick.protocols.shared.session_manager import FIRST_DUPLICATE_NUMBER, SessionManager
 from damsonpick.protocols.xds import load_stats
+from damsonpick.protocols.xds.delta_session import DeltaSession
+from damsonpick.protocols.xds.errors import RequestFormatError, StreamError
 from damsonpick.protocols.xds.names import ADS_SERVICE, LRS_SERVICE
-from damsonpick.protocols.xds.session import DeltaSession, ProtocolError, Session, SotwSession
+from damsonpick.protocols.xds.session import Session
+from damsonpick.protocols.xds.session_events import WARNING_EVENTS
+from damsonpick.protocols.xds.sotw_session import SotwSession
 from damsonpick.state.load_reports import ClientReport
 
-KEEPALIVE = [  # a gateway gone without a word is noticed in twenty seconds
+SERVER_OPTIONS = [  # a client that is gone without a message is noticed within 20 s
     ("grpc.keepalive_time_ms", 10000),
     ("grpc.keepalive_timeout_ms", 10000),
     ("grpc.keepalive_permit_without_calls", 1),
@@ -26,64 +30,75 @@
     ("grpc.so_reuseport", 0),
 ]
 
+RequestType = type[discovery_pb2.DiscoveryRequest] | type[discovery_pb2.DeltaDiscoveryRequest]
+
 
 class Stream:
-    """A session with the bell that wakes its writer."""
+    """A session with the event that wakes its writer."""
 
-    def __init__(self, session: Session) -> None:
-        self.session, self.bell = session, anyio.Event()
+    def __init__(self, session: Session, request_type: RequestType) -> None:
+        """Begin with a session and the type of the requests that it takes."""
+        self.session = session
+        self.request_type = request_type
+        self.error: StreamError | None = None  # why it is ended
+        self._wakeup = anyio.Event()
 
-    def ring(self) -> None:
-        self.bell.set()
+    def notify(self) -> None:
+        """Wake the writer."""
+        self._wakeup.set()
 
     async def wait(self) -> None:
-        await self.bell.wait()
-        self.bell = anyio.Event()
+        """Wait until the writer is woken."""
+        await self._wakeup.wait()
+        self._wakeup = anyio.Event()
 
 
 class XdsServer:
-    """Serves one hub.
-
-    Args:
-        hub: streams and queues.
-        epoch: the pilot's start number.
-        now: the pilot's clock.
-        stir: called when the engine has something to look at.
-        hear: takes gateways' sums.
-        report_every: ns between load reports.
-        log: a structlog logger.
-    """
+    """Serves the sessions of one session manager."""
 
     def __init__(
         self,
         session_manager: SessionManager,
         epoch: int,
         now: Callable[[], int],
-        stir: Callable[[], None],
-        hear: Callable[[ClientReport], None],
-        report_every: int,
-        log: Any,
+        notify: Callable[[], None],
+        receive_report: Callable[[ClientReport], None],
+        report_period: int,
+        log: FilteringBoundLogger,
     ) -> None:
-        self.session_manager, self.epoch, self.now, self.stir, self.hear = session_manager, epoch, now, stir, hear
-        self.report_every, self.log = report_every, log
+        """Prepare a server; `start` opens it.
+
+        Args:
+            session_manager: of the sessions.
+            epoch: how often the control service has started.
+            now: the clock, ns.
+            notify: called when the controller has something to do.
+            receive_report: called with each load report of a client.
+            report_period: ns between load reports of a client.
+            log: logger.
+        """
+        self.session_manager = session_manager
+        self.epoch = epoch
+        self.report_period = report_period
+        self.log = log
         self.streams: dict[Session, Stream] = {}
-
-    async def start(self, address: str, largest: int) -> tuple[grpc.aio.Server, int]:
-        """Listen; returns the server and its port."""
-        server = grpc.aio.server(options=[*KEEPALIVE, ("grpc.max_receive_message_length", largest)])
-        raw = {"request_deserializer": None, "response_serializer": None}
+        self._now = now
+        self._notify = notify
+        self._receive_report = receive_report
+
+    async def start(self, address: str, max_message_bytes: int) -> tuple[grpc.aio.Server, int]:
+        """Listen at an address; returns the server and its port."""
+        options = [*SERVER_OPTIONS, ("grpc.max_receive_message_length", max_message_bytes)]
+        server = grpc.aio.server(options=options)
+        ads_methods = {
+            "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(self._serve_sotw),
+            "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(self._serve_delta),
+        }
+        lrs_methods = {"StreamLoadStats": grpc.stream_stream_rpc_method_handler(self._serve_load_stats)}
         server.add_generic_rpc_handlers(
             (
-                grpc.method_handlers_generic_handler(
-                    ADS_SERVICE,
-                    {
-                        "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(self._sotw, **raw),
-                        "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(self._delta, **raw),
-                    },
-                ),
-                grpc.method_handlers_generic_handler(
-                    LRS_SERVICE, {"StreamLoadStats": grpc.stream_stream_rpc_method_handler(self._loads, **raw)}
-                ),
+                grpc.method_handlers_generic_handler(ADS_SERVICE, ads_methods),
+                grpc.method_handlers_generic_handler(LRS_SERVICE, lrs_methods),
             )
         )
         port = server.add_insecure_port(address)
@@ -91,79 +106,72 @@
         return server, port
 
     def ring(self, sessions: list[Session]) -> None:
-        """Wake the writers of these streams."""
+        """Wake the writers of those sessions that are this server's."""
         for session in sessions:
             if session in self.streams:
-                self.streams[session].ring()
+                self.streams[session].notify()
 
-    async def _sotw(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
-        await self._serve(
-            SotwSession(self.session_manager.catalogue, self.epoch), discovery_pb2.DiscoveryRequest, requests, context
-        )
+    # -- ADS
 
-    async def _delta(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
-        await self._serve(
-            DeltaSession(self.session_manager.catalogue, self.epoch),
-            discovery_pb2.DeltaDiscoveryRequest,
-            requests,
-            context,
-        )
+    async def _serve_sotw(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
+        session = SotwSession(self.session_manager.catalogue, self.epoch)
+        await self._serve(Stream(session, discovery_pb2.DiscoveryRequest), requests, context)
 
-    async def _serve(
-        self, session: Session, kind: type, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext
-    ) -> None:
-        stream = Stream(session)
-        self.streams[session] = stream
-        ended: list[ProtocolError] = []
+    async def _serve_delta(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
+        session = DeltaSession(self.session_manager.catalogue, self.epoch)
+        await self._serve(Stream(session, discovery_pb2.DeltaDiscoveryRequest), requests, context)
+
+    async def _serve(self, stream: Stream, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
+        """Serve a stream until either side ends it."""
+        self.streams[stream.session] = stream
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._read, stream, kind, requests, ended, group.cancel_scope)
-                while True:
-                    await stream.wait()
-                    while (response := session.compose(self.now())) is not None:
-                        await context.write(response)
-                        await anyio.lowlevel.checkpoint()
-                    if self.session_manager.update_ready(session):
-                        self.stir()  # room for what was merged meanwhile
+                group.start_soon(self._read, stream, requests, group.cancel_scope)
+                await self._write(stream, context)
         finally:
-            del self.streams[session]
-            if session in self.session_manager.by_session:
-                self.log.info("gateway_left", gateway=session.node, why=str(ended[0]) if ended else "the stream broke")
-            self.session_manager.leave(session)
-            self.stir()
-        if ended:
-            await context.abort(grpc.StatusCode[ended[0].code], str(ended[0]))
-
-    async def _read(
-        self,
-        stream: Stream,
-        kind: type,
-        requests: AsyncIterator[bytes],
-        ended: list[ProtocolError],
-        scope: anyio.CancelScope,
-    ) -> None:
+            self._leave(stream)
+        if stream.error is not None:
+            await context.abort(grpc.StatusCode[stream.error.status], str(stream.error))
+
+    async def _write(self, stream: Stream, context: grpc.aio.ServicerContext) -> None:
+        """Send responses for ever."""
         session = stream.session
+        while True:
+            await stream.wait()
+            while (response := session.compose(self._now())) is not None:
+                await context.write(response)
+                await anyio.lowlevel.checkpoint()
+            if self.session_manager.update_ready(session):
+                self._notify()  # changes that were merged meanwhile may be sent now
+
+    async def _read(self, stream: Stream, requests: AsyncIterator[bytes], scope: anyio.CancelScope) -> None:
+        """Apply requests until the stream ends, then end its writer."""
+        message_name = stream.request_type.DESCRIPTOR.name
         try:
-            async for raw in requests:
-                joined = session.joined
-                session.receive(self.now(), kind.FromString(raw))
-                if session.joined and not joined:
-                    self._joined(session)
-                self._notes(session)
-                self.session_manager.acknowledge(self.now(), session)
-                stream.ring()
-                if self.session_manager.update_ready(session) or self.session_manager.events:
-                    self.stir()
+            async for raw_request in requests:
+                self._receive(stream, raw_request)
         except DecodeError:
-            ended.append(ProtocolError(f"a request is no {kind.DESCRIPTOR.name}; send protobuf as specified"))
-        except ProtocolError as error:
-            ended.append(error)
-        if ended:
-            self.log.warning("stream_refused", gateway=session.node, why=str(ended[0]))
+            stream.error = RequestFormatError(message_name)
+        except StreamError as error:
+            stream.error = error
+        if stream.error is not None:
+            self.log.warning("stream_rejected", gateway=stream.session.node, reason=str(stream.error))
         scope.cancel()
 
-    def _joined(self, session: Session) -> None:
-        client = self.session_manager.join(self.now(), session)
+    def _receive(self, stream: Stream, raw_request: bytes) -> None:
+        session = stream.session
+        was_joined = session.joined
+        session.receive(self._now(), stream.request_type.FromString(raw_request))
+        if session.joined and not was_joined:
+            self._join(session)
+        self._log_events(session)
+        self.session_manager.acknowledge(self._now(), session)
+        stream.notify()
+        if self.session_manager.update_ready(session) or self.session_manager.events:
+            self._notify()
+
+    def _join(self, session: Session) -> None:
+        client = self.session_manager.join(self._now(), session)
         self.log.info(
             "gateway_joined",
             gateway=session.node,
@@ -172,33 +180,44 @@
             variant=session.variant,
             fresh=session.fresh,
         )
-        if client.number >= 60_000:
+        if client.number >= FIRST_DUPLICATE_NUMBER:
             self.log.warning(
-                "node_id_twice",
+                "node_id_duplicated",
                 gateway=session.node,
                 remedy="two streams use one node id; both are served, but give each gateway its own",
             )
 
-    def _notes(self, session: Session) -> None:
-        for note in session.notes:
-            level = "warning" if note.kind in ("rejected", "unknown_type") else "info"
-            getattr(self.log, level)(note.kind, gateway=session.node, type=note.type, **note.detail)
-        session.notes.clear()
-
-    async def _loads(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
-        """LRS: the first message names the node and is answered with what is wanted; sums follow."""
+    def _leave(self, stream: Stream) -> None:
+        session = stream.session
+        del self.streams[session]
+        if session in self.session_manager.by_session:
+            reason = "the stream broke" if stream.error is None else str(stream.error)
+            self.log.info("gateway_left", gateway=session.node, reason=reason)
+        self.session_manager.leave(session)
+        self._notify()
+
+    def _log_events(self, session: Session) -> None:
+        for event in session.events:
+            write_line = self.log.warning if event.kind in WARNING_EVENTS else self.log.info
+            write_line(event.kind.value, gateway=session.node, type=event.type_name, **event.fields)
+        session.events.clear()
+
+    # -- LRS
+
+    async def _serve_load_stats(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
+        """Receive load reports; the first message names the node and is answered with what is to be reported."""
         node, zone, number = "", "", -1
-        async for raw in requests:
+        async for raw_request in requests:
             try:
-                report = lrs_pb2.LoadStatsRequest.FromString(raw)
+                request = lrs_pb2.LoadStatsRequest.FromString(raw_request)
             except DecodeError:
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "a report is no LoadStatsRequest")
             if not node:
-                node, zone = report.node.id, report.node.locality.zone
+                node, zone = request.node.id, request.node.locality.zone
                 if not node:
                     await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report names no node.id")
                 number = self.session_manager.number_of(node)
-                await context.write(load_stats.ask_for(self.report_every).SerializeToString())
-            sums = load_stats.read(number, zone, report)
-            if sums is not None:
-                self.hear(sums)
+                await context.write(load_stats.subscription(self.report_period).SerializeToString())
+            report = load_stats.read(number, zone, request)
+            if report is not None:
+                self._receive_report(report)
--- /dev/null
+++ b/damsonpick/protocols/xds/sotw_session.py
@@ -0,0 +1,57 @@
+"""The state-of-the-world variant of ADS: DiscoveryRequest and DiscoveryResponse. Sans I/O."""
+
+from __future__ import annotations
+
+from envoy.service.discovery.v3 import discovery_pb2
+
+from damsonpick.protocols.xds.names import CDS
+from damsonpick.protocols.xds.resource_watch import ResourceWatch
+from damsonpick.protocols.xds.session import Session
+
+WILDCARD = "*"
+
+
+class SotwSession(Session):
+    """A stream on which each request repeats the whole subscription of a type."""
+
+    variant = "sotw"
+
+    def _subscribe(self, now: int, watch: ResourceWatch, request: discovery_pb2.DiscoveryRequest) -> None:
+        first = not watch.started
+        if not first and request.response_nonce and request.response_nonce != watch.last_nonce:
+            return  # it answers an older response; the answer to the newest repeats the subscription
+        if first and request.version_info:
+            self.fresh = False
+        watch.started = True
+        names = set(request.resource_names)
+        wildcard = WILDCARD in names or _is_implicit_wildcard(watch, names, first)
+        names.discard(WILDCARD)
+        known = set(self.catalogue.by_type[watch.type_url])
+        requested = known if wildcard else names & known
+        previous = known if watch.wildcard else watch.names & known
+        if not wildcard:
+            for name in watch.names - names:
+                watch.drop(name)
+        watch.names = names
+        watch.wildcard = wildcard
+        # version_info of a first request tells no version of single resources: all that it names is sent.
+        watch.request(now, sorted(requested - previous))
+
+    def _complete(self, watch: ResourceWatch, names: list[str]) -> list[str]:
+        """All clusters instead of some: in this variant one that is left out is deleted."""
+        if watch.type_url != CDS or not names:
+            return names
+        return [name for name in self.catalogue.by_type[CDS] if watch.wants(name)]
+
+    def _serialize(self, type_url: str, nonce: str, versions: dict[str, str], statement: str) -> bytes:
+        resources = self.catalogue.by_type[type_url]
+        chunks = [resources[name].sotw for name in versions if name in resources]
+        head = discovery_pb2.DiscoveryResponse(version_info=self._version_info(), type_url=type_url, nonce=nonce)
+        if statement:
+            head.control_plane.identifier = statement
+        return b"".join([*chunks, head.SerializeToString()])
+
+
+def _is_implicit_wildcard(watch: ResourceWatch, names: set[str], first: bool) -> bool:
+    """Whether a request without names asks for all clusters, as the older form of a wildcard."""
+    return watch.type_url == CDS and not names and (first or watch.wildcard)
--- a/damsonpick/proxy/request_handler.py
+++ b/damsonpick/proxy/request_handler.py
@@ -163,18 +163,18 @@
             await anyio.sleep(stalled_s)
         counts = self._counts_of(request)
         if not self.router.admit(now, request):
-            counts.refused(request.request_class)
+            counts.count_dropped(request.request_class)
             return await self._reject_unadmitted(client, head, now)
-        counts.came(request.request_class)
+        counts.count_admitted(request.request_class)
         try:
             if head.expects:
                 await client.send(CONTINUE)
             return await self._attempt_until_answered(client, head, request)
         except AttemptError as failed:
-            self._counts_of(request).came(request.request_class, failed=True)
+            self._counts_of(request).count_failed(request.request_class)
             return await self._answer_failure(client, head, failed)
         except http.HttpProtocolError as error:  # of the client's body
-            self._counts_of(request).came(request.request_class, failed=True)
+            self._counts_of(request).count_failed(request.request_class)
             await client.send(http.plain_answer(error.status, str(error), close=True))
             return False
 
@@ -293,7 +293,7 @@
         finally:
             now = self.clock.now()
             self.router.load_balancer.request_ended(now, server, succeeded)
-            self._counts_of(request).tried(zone, server, succeeded, (now - started) / 1e6)
+            self._counts_of(request).count_attempt(zone, server, succeeded, (now - started) / 1e6)
             if connection is not None:
                 self.connector.release(server, connection, reusable, now)
 
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -151,14 +151,14 @@
         start = self.clock.now()
         counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
         if self.rng.random() >= self.holdings.level(cluster, kind.name):
-            counts.refused(kind.name)
+            counts.count_dropped(kind.name)
             return False, "refused"
-        counts.came(kind.name)
+        counts.count_admitted(kind.name)
         await self._stand_still()
         good, how = await self._tries(rid, kind, cluster, work, start + kind.deadline)
         if not good:
             counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
-            counts.came(kind.name, failed=True)
+            counts.count_failed(kind.name)
         return good, how
 
     async def _tries(self, rid: str, kind: Kind, cluster: str, work: float, end: int) -> tuple[bool, str]:
@@ -200,7 +200,7 @@
         now, good = self.clock.now(), how == "ok"
         self.picker.ended(now, server, good, self.holdings.strikes)
         counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
-        counts.tried(zone, server, good, (now - start) / 1e6)
+        counts.count_attempt(zone, server, good, (now - start) / 1e6)
         return how
 
     async def _exchange(self, rid: str, kind: Kind, cluster: str, server: str, zone: str, work: float) -> str:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -13,8 +13,8 @@
 from damsonpick.decisions.planner import Planner
 from damsonpick.protocols.shared.send_queue import SendQueue
 from damsonpick.protocols.shared.session_manager import SessionManager
+from damsonpick.protocols.xds.delta_session import DeltaSession
 from damsonpick.protocols.xds.resources import Catalogue
-from damsonpick.protocols.xds.session import DeltaSession
 from damsonpick.settings import load
 from damsonpick.state.endpoint_list.validation import EndpointList
 from damsonpick.state.history.database import open_history
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -84,12 +84,12 @@
 
 def test_lrs_reports_are_read_as_they_were_written():
     counts = load_stats.SliceCounts()
-    counts.came("page")
-    counts.came("page")
-    counts.came("page", failed=True)
-    counts.refused("page")
-    counts.tried("b", "127.0.0.1:9", True, 120.5)
-    counts.tried("b", "127.0.0.1:9", False, 40.0)
+    counts.count_admitted("page")
+    counts.count_admitted("page")
+    counts.count_failed("page")
+    counts.count_dropped("page")
+    counts.count_attempt("b", "127.0.0.1:9", True, 120.5)
+    counts.count_attempt("b", "127.0.0.1:9", False, 40.0)
     report = lrs_pb2.LoadStatsRequest.FromString(load_stats.write(SECOND, {3: counts}).SerializeToString())
     got = load_stats.read(7, "a", report)
     assert got == ClientReport(
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -173,14 +173,13 @@
 
 def filled():
     from damsonpick import interface as api
-    from damsonpick.protocols.xds.resources import Catalogue
+    from damsonpick.protocols.xds.assignment_builder import AssignmentBuilder
     from damsonpick.state.published_tables import PublishedTables
 
     published = PublishedTables(("page",), 2)
     published.apply([api.SetEntry(0, "127.0.0.1:1", 1.0), api.SetEntry(1, "127.0.0.1:2", 2.0)])
-    catalogue = Catalogue.__new__(Catalogue)
-    catalogue.published, catalogue.zone_of = published, lambda n: "a"
-    return {EDS: {f"slice/{n}": (str(n), catalogue._slice(n).SerializeToString()) for n in (0, 1)}}
+    builder = AssignmentBuilder(published, lambda n: "a")
+    return {EDS: {f"slice/{n}": (str(n), builder.build_slice(n).SerializeToString()) for n in (0, 1)}}
 
 
 def test_kept_tables_come_back_and_damaged_ones_are_refused(tmp_path):
--- a/tests/test_versions_protocol.py
+++ b/tests/test_versions_protocol.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from damsonpick.protocols.xds.session import Session
+from damsonpick.protocols.xds.rejections import RejectionHandler
 from damsonpick.proxy.received_state import Holdings
 from tests.versions_model import explore
 
@@ -21,6 +21,6 @@
 
 
 def test_a_pilot_that_repairs_nothing_is_found_out(monkeypatch):
-    monkeypatch.setattr(Session, "_mismatch", lambda self, kind, watch, theirs, why: None)
+    monkeypatch.setattr(RejectionHandler, "_repair_mismatch", lambda self, watch, range_sums, reason: None)
     with pytest.raises(AssertionError):
         explore(6)
--- a/tests/test_xds_hard_cases.py
+++ b/tests/test_xds_hard_cases.py
@@ -60,7 +60,7 @@
     assert name(1) in client.tables["fleet"], "the withdrawal binds although a table was refused"
     shown = until(lambda: gateway(pilot)["rejected"])
     assert shown == {victim: f"{victim} will not do"}
-    assert pilot.log("rejected")[0]["why"] == f"{victim} will not do"
+    assert pilot.log("resource_rejected")[0]["reason"] == f"{victim} will not do"
     # the next different text is sent, and is taken
     lines = next(t["lines"] for t in pilot.ask("tables")["tables"] if f"slice/{t['slice']}" == victim)
     states = {s: "terminating" if name(int(s[1])) in lines else "in_service" for s in ("s2", "s3")}
@@ -101,7 +101,7 @@
     )
     assert last is not None
     client.answer(response, nonce="99.1.1.1", bad="never sent")
-    until(lambda: pilot.log("stale"))
+    until(lambda: pilot.log("stale_nonce_received"))
     assert not gateway(pilot)["rejected"]
     pilot.list(s1="terminating", s2="in_service", s3="in_service")
     client.until(lambda: drained(pilot, client, 1))
@@ -226,7 +226,7 @@
     one, two = clients(pilot, "twin"), clients(pilot, "twin")
     one.until(served(one))
     two.until(served(two))
-    until(lambda: pilot.log("node_id_twice"))
+    until(lambda: pilot.log("node_id_duplicated"))
     pilot.list(s1="terminating", s2="in_service", s3="in_service")
     one.until(lambda: drained(pilot, one, 1))
     two.until(lambda: drained(pilot, two, 1))
@@ -257,7 +257,7 @@
     client.subscribe("type.googleapis.com/no.such.Type", ["x"])
     client.subscribe(EDS, SLICES)
     client.until(served(client))
-    assert pilot.log("unknown_type")[0]["type"] == "type.googleapis.com/no.such.Type"
+    assert pilot.log("unknown_type_requested")[0]["type"] == "type.googleapis.com/no.such.Type"
 
 
 @both
--- a/tests/versions_model.py
+++ b/tests/versions_model.py
@@ -18,9 +18,9 @@
 from google.protobuf import any_pb2
 
 from damsonpick.protocols.shared.session import CoveredChanges
+from damsonpick.protocols.xds.delta_session import DeltaSession
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.protocols.xds.resources import Resource
-from damsonpick.protocols.xds.session import DeltaSession
 from damsonpick.proxy.received_state import Asker, Bad, Holdings
 
 NAMES = ("slice/0", "slice/1")
@@ -49,7 +49,7 @@
         self.published = SimpleNamespace(seq=0)
 
     @property
-    def by(self):
+    def by_type(self):
         return {CDS: {}, EDS: {n: POOL[n, k] for n, k in self.at.items()}, RDS: {}}
 
     def get(self, kind, name):
@@ -78,13 +78,13 @@
             ()
             if watch is None
             else (
-                tuple(sorted(watch.sent.items())),
-                tuple(sorted(watch.held.items())),
-                tuple(sorted(watch.due)),
-                tuple(tuple(sorted(f.versions.items())) for f in watch.flights.values()),
-                None if watch.repair is None else len(watch.repair),
+                tuple(sorted(watch.expected.items())),
+                tuple(sorted(watch.acknowledged.items())),
+                tuple(sorted(watch.pending)),
+                tuple(tuple(sorted(response.versions.items())) for response in watch.in_flight.values()),
+                None if watch.ranges_to_replace is None else len(watch.ranges_to_replace),
                 watch.repairs,
-                tuple(map(tuple, watch.apart)),
+                tuple(map(tuple, watch.isolated_batches)),
                 tuple(sorted(watch.rejected.items())),
             )
         )
@@ -108,7 +108,7 @@
         response = self.session.compose(self.catalogue.published.seq)
         if response is not None:
             message = discovery_pb2.DeltaDiscoveryResponse.FromString(response)
-            self.down.append((message, dict(self.session.watches[EDS].sent)))
+            self.down.append((message, dict(self.session.watches[EDS].expected)))
         return response is not None
 
     def deliver(self):
@@ -125,8 +125,14 @@
     def answer(self):
         self.session.receive(0, self.up.pop(0))
         watch = self.session.watches[EDS]
-        if not self.corrupted and not watch.flights and watch.repair is None and not self.down and not self.up:
-            for name, version in watch.held.items():
+        if (
+            not self.corrupted
+            and not watch.in_flight
+            and watch.ranges_to_replace is None
+            and not self.down
+            and not self.up
+        ):
+            for name, version in watch.acknowledged.items():
                 assert self.holdings.versions[EDS].get(name) == version, "an acknowledged version was lost"
 
     def corrupt(self, name):
@@ -168,7 +174,7 @@
     for name in NAMES:
         state.publish(name)
         watch = state.session.watches.get(EDS)
-        if watch is not None and watch.sent.get(name) == POOL[name, state.catalogue.at[name]].version:
+        if watch is not None and watch.expected.get(name) == POOL[name, state.catalogue.at[name]].version:
             state.publish(name)  # the same as before would be no delta
     state.catalogue.stopped.clear()
     for _ in range(60):
