--- a/benchmarks/proxy_faults.py
+++ b/benchmarks/proxy_faults.py
@@ -22,7 +22,8 @@
 
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.proxy.program import Proxy
-from damsonpick.proxy.received_state import Table
+from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedResource, ReceivedTable
+from damsonpick.proxy.retry_policy import PublishedRetries
 from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
 
 SECOND = 1_000_000_000
@@ -114,14 +115,15 @@
     writes: set[str] = set()
     async with proxy.running() as group:
         await fleet.start(group, 6)
-        holdings = proxy.router.holdings
-        holdings.tables["slice/0"] = Table({n: (1000, "a") for n in [*fleet.names, "127.0.0.1:1"]}, {})
-        holdings.clusters = {("page", "a"): "slice/0", ("write", "a"): "slice/0"}
-        holdings.retries = {
-            ("page", "slice/0"): ("connect-failure,refused-stream,5xx,reset", 2),
-            ("write", "slice/0"): ("connect-failure,refused-stream,5xx,reset", 2),
+        received_state = proxy.router.received_state
+        entries = {n: ReceivedEntry(1000, "a") for n in [*fleet.names, "127.0.0.1:1"]}
+        received_state.tables["slice/0"] = ReceivedTable(entries, {})
+        received_state.clusters = {("page", "a"): "slice/0", ("write", "a"): "slice/0"}
+        received_state.retries = {
+            ("page", "slice/0"): PublishedRetries("connect-failure,refused-stream,5xx,reset", 2),
+            ("write", "slice/0"): PublishedRetries("connect-failure,refused-stream,5xx,reset", 2),
         }
-        proxy.apply_resources(EDS, [("slice/0", "1", b"")], [])
+        proxy.apply_resources(EDS, [ReceivedResource("slice/0", "1", b"")], [])
         numbers = iter(range(requests))
 
         async def client() -> None:
--- a/benchmarks/proxy_rate.py
+++ b/benchmarks/proxy_rate.py
@@ -21,10 +21,15 @@
 import tempfile
 import time
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import anyio
 import psutil
 
+if TYPE_CHECKING:
+    from damsonpick.proxy.received_resources import ReceivedResource
+    from damsonpick.proxy.received_state import ReceivedState
+
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 ASK = b"GET / HTTP/1.1\r\nhost: x\r\nx-damson-class: page\r\nx-key: k%d\r\n\r\n"
 
@@ -87,14 +92,14 @@
     await asyncio.to_thread(sys.stdin.read)
 
 
-def filled(holdings: object, ports: list[int], slices: int, lines: int) -> list[tuple[str, str, bytes]]:
-    from damsonpick.proxy.received_state import Table
+def filled(received_state: ReceivedState, ports: list[int], slices: int, lines: int) -> list[ReceivedResource]:
+    from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedResource, ReceivedTable
 
     for n in range(slices):
-        table = {f"127.0.0.1:{p}": (1000, "a") for p in ports}
-        table |= {f"127.0.0.2:{9000 + k}": (0, "a") for k in range(lines - len(ports))}
-        holdings.tables[f"slice/{n}"] = Table(table, {})
-    return [(f"slice/{n}", "1", b"") for n in range(slices)]
+        table = {f"127.0.0.1:{p}": ReceivedEntry(1000, "a") for p in ports}
+        table |= {f"127.0.0.2:{9000 + k}": ReceivedEntry(0, "a") for k in range(lines - len(ports))}
+        received_state.tables[f"slice/{n}"] = ReceivedTable(table, {})
+    return [ReceivedResource(f"slice/{n}", "1", b"") for n in range(slices)]
 
 
 async def proxy(ports: list[int], slices: int, lines: int) -> None:
@@ -111,14 +116,14 @@
     )
     made = Proxy(settings, structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()]), seed=1)
     async with made.running():
-        made.apply_resources(EDS, filled(made.router.holdings, ports, slices, lines), [])
+        made.apply_resources(EDS, filled(made.router.received_state, ports, slices, lines), [])
         print(made.port, flush=True)
         await anyio.to_thread.run_sync(sys.stdin.read)
 
 
 async def standin(ports: list[int]) -> None:
     """The earlier stand-in gateway's forwarding behind a socket of its own."""
-    from damsonpick.proxy.received_state import Table
+    from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedTable
     from damsonpick.runtime.clock import Clock
     from damsonpick.testing.fakes import http
     from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
@@ -129,7 +134,8 @@
     gateway = Gateway(
         "g", "a", True, str, {"page": kind}, clock, Recorder(Path(os.devnull), clock.now), Links(), random.Random(1)
     )
-    gateway.holdings.tables["slice/0"] = Table({f"127.0.0.1:{p}": (1000, "a") for p in ports}, {})
+    entries = {f"127.0.0.1:{p}": ReceivedEntry(1000, "a") for p in ports}
+    gateway.received_state.tables["slice/0"] = ReceivedTable(entries, {})
 
     async def handle(headers: dict[str, str]) -> http.Answer:
         good, _ = await gateway.serve("r", kind, "slice/0", 1.0)
--- a/benchmarks/sasp.py
+++ b/benchmarks/sasp.py
@@ -146,15 +146,15 @@
         connect(address, f"push-{time.monotonic_ns()}".encode(), pushes.append) as client,
         anyio.create_task_group() as group,
     ):
-        group.start_soon(gate.follower.run)
+        group.start_soon(gate.watch_client.run)
         await client.hello(LbFlag.PUSH)
         await client.register(b"all", [member(name(k)) for k in range(1, MEMBERS + 1)])
-        while len(gate.holdings.tables) < 7:
+        while len(gate.received_state.tables) < 7:
             await anyio.sleep(0.05)
         for k in range(1, repeats + 1):
             await anyio.sleep(rng.uniform(0.4, 0.6))  # not in step with the looks at the list
             pushes.clear()
-            assert any(name(k) in gate.holdings.open_lines(n) for n in gate.holdings.tables), name(k)
+            assert any(name(k) in gate.received_state.available_entries(n) for n in gate.received_state.tables), name(k)
             start, when = time.perf_counter(), {}
             listed(pilot, k)
             while len(when) < 2:
@@ -162,7 +162,9 @@
                     w.member.endpoint == name(k) and not w.weight for p in pushes for g in p.groups for w in g.weights
                 ):
                     when["push"] = time.perf_counter() - start
-                if "xds" not in when and not any(name(k) in gate.holdings.open_lines(n) for n in gate.holdings.tables):
+                if "xds" not in when and not any(
+                    name(k) in gate.received_state.available_entries(n) for n in gate.received_state.tables
+                ):
                     when["xds"] = time.perf_counter() - start
                 await anyio.sleep(0.0005)
                 if time.perf_counter() - start > 10:
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.versions --out benchmarks/versions.json
 
-`deltas`: 400 slices of 60 lines each, sessions and gateways' holdings in one process, no sockets: bytes and CPU of a
+`deltas`: 400 slices of 60 lines each, sessions and gateways' state in one process, no sockets: bytes and CPU of a
 change of one line, of 1% and of all, against the whole table (the baseline, what a pilot without versions would send),
 and what stating and checking roots costs. `store`: 10,000 versions. `hash`: a change against a digest made anew.
 `back`: a pilot's process, fifty gateways and ten proxies that lose a tenth of their streams, `rollback` by the
@@ -31,10 +31,11 @@
 from damsonpick.protocols.xds.delta_session import DeltaSession
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.protocols.xds.resources import Catalogue
+from damsonpick.proxy.ads_client import AdsClient
 from damsonpick.proxy.program import Proxy
-from damsonpick.proxy.received_state import Asker, Holdings
+from damsonpick.proxy.received_state import ReceivedState
 from damsonpick.proxy.settings import Own, ProxySettings, RequestClass
-from damsonpick.proxy.watch_client import Follower
+from damsonpick.proxy.watch_client import WatchCallbacks, WatchClient
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings import load
@@ -54,16 +55,16 @@
 
 
 class Gateway:
-    """One gateway's holdings and the pilot's session for it, with nothing between."""
+    """One gateway's received state and the pilot's session for it, with nothing between."""
 
     def __init__(self, catalogue: Catalogue, checks: bool, name: str, reads: bool) -> None:
         self.reads = reads  # a sample of the gateways does; the others acknowledge what they are sent
-        self.session, self.holdings = DeltaSession(catalogue, 1), Holdings()
-        self.asker = Asker(self.holdings, name, "a", True)
+        self.session, self.received_state = DeltaSession(catalogue, 1), ReceivedState()
+        self.ads = AdsClient(self.received_state, name, "a", True)
         if not checks:
-            del self.asker.node.client_features[:]
+            del self.ads.node.client_features[:]
         units = list(catalogue.by_type[EDS])
-        self.session.receive(0, self.asker.opening(EDS, units))
+        self.session.receive(0, self.ads.subscribe(EDS, units))
 
     def take(self, now: int) -> tuple[int, float, float]:
         """All that is due: bytes, CPU of the pilot, CPU of the gateway."""
@@ -78,11 +79,10 @@
             message = discovery_pb2.DeltaDiscoveryResponse.FromString(response)
             if self.reads:
                 start = time.process_time()
-                kind, resources, removed = self.asker.read(message)
-                self.holdings.take(kind, resources, removed, self.asker.stated(message))
+                self.received_state.apply(*self.ads.parse(message))
                 own += time.process_time() - start
             start = time.process_time()
-            self.session.receive(now, self.asker.verdict(message, ""))
+            self.session.receive(now, self.ads.acknowledge(message))
             pilot += time.process_time() - start
 
 
@@ -122,8 +122,8 @@
                 "pilot_cpu_to_whole": round(row["pilot_us"] / whole["pilot_us"], 4),
             }
             found[f"{name}, roots {'checked' if checks else 'not stated'}"] = row
-    first = fleets[True][0].holdings.versions[EDS]
-    assert all(g.holdings.versions[EDS] == first for f in fleets.values() for g in f[:READERS])
+    first = fleets[True][0].received_state.versions[EDS]
+    assert all(g.received_state.versions[EDS] == first for f in fleets.values() for g in f[:READERS])
     return found
 
 
@@ -197,8 +197,8 @@
     """Checks after each message how long a slice is without an open line: a drain's withdrawal comes just before
     the tables that name others, and the rule allows 2.8 s."""
 
-    def __init__(self, name: str, holdings: Holdings) -> None:
-        self.name, self.holdings, self.seen, self.longest = name, holdings, 0, 0.0
+    def __init__(self, name: str, received_state: ReceivedState) -> None:
+        self.name, self.received_state, self.seen, self.longest = name, received_state, 0, 0.0
         self.since: dict[str, float] = {}
         self.joined = time.monotonic()
         self.drain, self.late = "", 0.0  # a server that drains; longest that it was in reach, s
@@ -209,7 +209,7 @@
         self.drain, self.told = server, time.monotonic()
 
     def reaches(self) -> bool:
-        return any(self.drain in self.holdings.open_lines(n) for n in self.holdings.tables)
+        return any(self.drain in self.received_state.available_entries(n) for n in self.received_state.tables)
 
     def said(self, event: str, **details: object) -> None:
         if event == "stream" and details["up"]:
@@ -218,9 +218,11 @@
             self.late = max(self.late, time.monotonic() - max(self.told, self.joined))
         if event == "got" and not details["nack"]:
             self.seen += 1
-            tables = self.holdings.tables
+            tables = self.received_state.tables
             now = time.monotonic()
-            bare = {n for n in tables if n != "fleet" and tables[n].lines and not self.holdings.open_lines(n)}
+            bare = {
+                n for n in tables if n != "fleet" and tables[n].entries and not self.received_state.available_entries(n)
+            }
             ended = [now - t for n, t in self.since.items() if n not in bare]
             self.longest = max([self.longest, *ended])
             self.since = {n: self.since.get(n, now) for n in bare}
@@ -241,29 +243,18 @@
 
 
 async def _back(pilot: Pilot, rng: random.Random) -> dict[str, float]:
-    gates: list[Follower] = []
+    gates: list[WatchClient] = []
     watched: list[Watched] = []
     cut = {"on": False}
     down: dict[str, float] = {}
     failed: list[Exception] = []
     async with anyio.create_task_group() as group:
         for k in range(50):
-            holdings = Holdings()
-            watch = Watched(f"g{k}", holdings)
-            gates.append(
-                Follower(
-                    f"g{k}",
-                    "ab"[k % 2],
-                    lambda: [f"127.0.0.1:{pilot.port}"],
-                    holdings,
-                    Clock(),
-                    Backoff(rng, 0.05, 0.3),
-                    lambda *a: None,
-                    lambda: {},
-                    watch.said,
-                    LOG,
-                )
-            )
+            received_state = ReceivedState()
+            watch = Watched(f"g{k}", received_state)
+            callbacks = WatchCallbacks(lambda: [f"127.0.0.1:{pilot.port}"], lambda *a: None, lambda: {}, watch.said)
+            backoff = Backoff(rng, 0.05, 0.3)
+            gates.append(WatchClient(f"g{k}", "ab"[k % 2], received_state, callbacks, Clock(), backoff, LOG))
             watched.append(watch)
             group.start_soon(gates[-1].run)
         for k in range(10):
@@ -272,13 +263,13 @@
                 classes={"page": RequestClass(deadline=10**9)},
             )
             proxy = Proxy(settings, LOG, seed=k)
-            watch = Watched(f"p{k}", proxy.router.holdings)
-            proxy.follower.said = watch.said
-            gates.append(proxy.follower)
+            watch = Watched(f"p{k}", proxy.router.received_state)
+            proxy.watch_client.callbacks.record = watch.said
+            gates.append(proxy.watch_client)
             watched.append(watch)
             group.start_soon(_run, proxy)
         for gate in gates:
-            gate.may_dial = lambda n=gate.name: down.get(n, 0.0) < anyio.current_time()
+            gate.callbacks.may_connect = lambda n=gate.name: down.get(n, 0.0) < anyio.current_time()
 
         async def lose() -> None:
             """Every 0.3 s a tenth of the gateways loses its stream for a moment."""
--- a/benchmarks/versions_kills.py
+++ b/benchmarks/versions_kills.py
@@ -39,11 +39,13 @@
 
 def reachable(gates: list[Gate], server: int) -> bool:
     name = f"127.0.0.1:{9000 + server}"
-    return any(name in g.holdings.open_lines(n) for g in gates for n in g.holdings.tables)
+    return any(name in g.received_state.available_entries(n) for g in gates for n in g.received_state.tables)
 
 
 def bare(gates: list[Gate]) -> int:
-    return sum(not g.holdings.open_lines(n) for g in gates for n in g.holdings.tables if n != "fleet")
+    return sum(
+        not g.received_state.available_entries(n) for g in gates for n in g.received_state.tables if n != "fleet"
+    )
 
 
 async def turn(pilot: Pilot, gates: list[Gate], rng: random.Random, kill: bool) -> dict[str, Any]:
@@ -99,7 +101,7 @@
     try:
         async with anyio.create_task_group() as group:
             for gate in gates:
-                group.start_soon(gate.follower.run)
+                group.start_soon(gate.watch_client.run)
             await settled(pilot, gates)
             for k in range(kills):
                 turns.append(await turn(pilot, gates, rng, kill))
--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -129,6 +129,14 @@
 # -- writing
 
 
+def introduction(node_id: str, zone: str) -> lrs_pb2.LoadStatsRequest:
+    """The first message of a client's stream: who it is."""
+    request = lrs_pb2.LoadStatsRequest()
+    request.node.id = node_id
+    request.node.locality.zone = zone
+    return request
+
+
 def write(period: int, slices: Mapping[int, SliceCounts]) -> lrs_pb2.LoadStatsRequest:
     """A client's report; the inverse of `read`.
 
--- a/damsonpick/protocols/xds/resource_watch.py
+++ b/damsonpick/protocols/xds/resource_watch.py
@@ -152,7 +152,7 @@
 
     def take_answered(self, nonce: str) -> list[InFlightResponse]:
         """Move a response and those sent before it from in flight to answered; returns them in order."""
-        answered = []
+        answered: list[InFlightResponse] = []
         while not answered or answered[-1].nonce != nonce:
             _, response = self.in_flight.popitem(last=False)
             self.answered[response.nonce] = response
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import AsyncIterator, Callable
+from typing import TypeAlias
 
 import anyio
 import grpc
@@ -30,7 +31,7 @@
     ("grpc.so_reuseport", 0),
 ]
 
-RequestType = type[discovery_pb2.DiscoveryRequest] | type[discovery_pb2.DeltaDiscoveryRequest]
+RequestType: TypeAlias = type[discovery_pb2.DiscoveryRequest] | type[discovery_pb2.DeltaDiscoveryRequest]
 
 
 class Stream:
--- a/damsonpick/protocols/xds/session.py
+++ b/damsonpick/protocols/xds/session.py
@@ -7,10 +7,11 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import TypeAlias
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from damsonpick.protocols.shared.session import CoveredChanges, RejectedVersion, SeqRange
+from damsonpick.protocols.shared.session import CoveredChanges
 from damsonpick.protocols.xds.errors import MissingNodeIdError
 from damsonpick.protocols.xds.names import EDS, RDS, SEND_ORDER, SHORT_NAMES
 from damsonpick.protocols.xds.rejections import RejectionHandler
@@ -26,7 +27,7 @@
 MAX_NONCE_CHARS = 80  # of an unknown nonce, in the log
 ABOVE_ALL_SEQ = 1 << 62
 
-Request = discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest
+Request: TypeAlias = discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest
 
 
 class Session:
@@ -55,24 +56,12 @@
         self.verifies_roots = False
         self.fresh = True
         self._rejections = RejectionHandler(self.events)
+        self.rejected_ranges = self._rejections.seq_ranges
+        self.rejections = self._rejections.reasons
+        self.newly_rejected = self._rejections.new_versions
         self._request_rate = RequestRateLimit()
         self._response_count = 0
 
-    @property
-    def rejected_ranges(self) -> list[SeqRange]:
-        """Changes of responses that the client rejected."""
-        return self._rejections.seq_ranges
-
-    @property
-    def rejections(self) -> dict[str, str]:
-        """The client's error text by rejected resource."""
-        return self._rejections.reasons
-
-    @property
-    def newly_rejected(self) -> list[RejectedVersion]:
-        """Versions rejected since the session manager last looked."""
-        return self._rejections.new_versions
-
     # -- requests
 
     def receive(self, now: int, request: Request) -> None:
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -15,11 +15,12 @@
 
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.proxy import table_cache
+from damsonpick.proxy.received_resources import ReceivedResource
 from damsonpick.proxy.request_handler import RequestHandler, record_nothing
 from damsonpick.proxy.router import Router
 from damsonpick.proxy.settings import ProxySettings
 from damsonpick.proxy.stream import Stream
-from damsonpick.proxy.watch_client import Follower
+from damsonpick.proxy.watch_client import WatchCallbacks, WatchClient
 from damsonpick.runtime import port_files
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
@@ -31,15 +32,7 @@
 
 
 class Proxy:
-    """One proxy, from checked settings to open sockets.
-
-    Args:
-        settings: checked settings.
-        log: a structlog logger.
-        record: called with what passes on the sockets, for rehearsals.
-        seed: of all random draws; None: another each time.
-        delta: whether the delta variant of xDS is spoken.
-    """
+    """One proxy, from checked settings to open sockets."""
 
     def __init__(
         self,
@@ -49,23 +42,24 @@
         seed: int | str | None = None,
         delta: bool = True,
     ) -> None:
+        """Put a proxy together; `running` opens its sockets.
+
+        Args:
+            settings: checked settings.
+            log: a structlog logger.
+            record: called with what passes on the sockets, for rehearsals.
+            seed: of all random draws; None: another each time.
+            delta: whether the delta variant of xDS is spoken.
+        """
         self.settings, self.log = settings, log
         own, rng = settings.proxy, random.Random(seed)
         self.clock = Clock(settings.clock_rate)
         self.router = Router(settings, rng)
         self.requests = RequestHandler(settings, self.router, self.clock, record, log)
-        self.follower = Follower(
-            own.name,
-            own.zone,
-            self.pilot_addresses,
-            self.router.holdings,
-            self.clock,
-            Backoff(rng, FIRST_BACKOFF_S, MAX_BACKOFF_S),
-            self.apply_resources,
-            self.requests.take_counts,
-            record,
-            log,
-            delta,
+        callbacks = WatchCallbacks(self.pilot_addresses, self.apply_resources, self.requests.take_counts, record)
+        backoff = Backoff(rng, FIRST_BACKOFF_S, MAX_BACKOFF_S)
+        self.watch_client = WatchClient(
+            own.name, own.zone, self.router.received_state, callbacks, self.clock, backoff, log, delta
         )
         # Serialized resources in service, for the cache: version and body, by type and name.
         self.resources: dict[str, dict[str, tuple[str, bytes]]] = {CDS: {}, EDS: {}, RDS: {}}
@@ -85,19 +79,19 @@
         state = self.settings.proxy.state
         return state / f"{self.settings.proxy.name}.tables" if state else None
 
-    def apply_resources(self, type_url: str, resources: list[tuple[str, str, bytes]], removed: list[str]) -> None:
+    def apply_resources(self, type_url: str, resources: list[ReceivedResource], removed: list[str]) -> None:
         """Put received resources into service.
 
         Args:
             type_url: xDS type of all of them.
-            resources: name, version and serialized body.
+            resources: new and changed ones.
             removed: names of those that are gone.
         """
-        for name, version, body in resources:
-            self.resources[type_url][name] = (version, body)
+        for resource in resources:
+            self.resources[type_url][resource.name] = (resource.version, resource.body)
         for name in removed:
             self.resources[type_url].pop(name, None)
-        changed = [name for name, *_ in resources] + removed
+        changed = [resource.name for resource in resources] + removed
         self.requests.apply_tables(type_url, changed)
         self.unsaved.set()
 
@@ -116,9 +110,12 @@
             )
             self.port = listener.sockets[0].getsockname()[1]
             self.log.info(
-                "proxy_started", name=self.settings.proxy.name, port=self.port, tables=len(self.router.holdings.tables)
+                "proxy_started",
+                name=self.settings.proxy.name,
+                port=self.port,
+                tables=len(self.router.received_state.tables),
             )
-            group.start_soon(self.follower.run)
+            group.start_soon(self.watch_client.run)
             group.start_soon(self.requests.connector.close_expired)
             group.start_soon(self._save_changes)
             try:
@@ -134,7 +131,7 @@
             return
         path.parent.mkdir(parents=True, exist_ok=True)
         try:
-            restored = table_cache.load(path, self.router.holdings)
+            restored = table_cache.load(path, self.router.received_state)
         except table_cache.TableCacheError as error:
             self.log.error("tables_damaged", why=str(error))
             return
--- /dev/null
+++ b/damsonpick/proxy/received_resources.py
@@ -0,0 +1,95 @@
+"""xDS resources as the proxy reads them. Pure."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from envoy.config.endpoint.v3 import endpoint_pb2
+from envoy.config.route.v3 import route_components_pb2, route_pb2
+
+from damsonpick.protocols.xds.names import CLASS_HEADER, CLUSTER_HEADER, ZONE_HEADER
+from damsonpick.proxy.retry_policy import PublishedRetries
+
+PERCENTAGE_DENOMINATORS = (100, 10_000, 1_000_000)  # by FractionalPercent.DenominatorType
+
+
+class ReceivedResource(NamedTuple):
+    """One resource of a response, as serialized bytes."""
+
+    name: str
+    version: str
+    body: bytes
+
+
+class ReceivedEntry(NamedTuple):
+    """One endpoint of a table."""
+
+    weight: int
+    zone: str
+
+
+class ReceivedTable(NamedTuple):
+    """One load assignment.
+
+    Attributes:
+        entries: by endpoint.
+        levels: admitted share by class, 0 to 1; a class that is missing is admitted whole.
+    """
+
+    entries: dict[str, ReceivedEntry]
+    levels: dict[str, float]
+
+
+class ReceivedRoutes(NamedTuple):
+    """The route configuration.
+
+    Attributes:
+        retries: by class and cluster; '' for the cluster stands for all.
+        clusters: by class and zone, where there are no slices.
+    """
+
+    retries: dict[tuple[str, str], PublishedRetries]
+    clusters: dict[tuple[str, str], str]
+
+
+def parse_table(body: bytes) -> ReceivedTable:
+    """Parse a serialized ClusterLoadAssignment.
+
+    Raises:
+        DecodeError: it is none.
+    """
+    assignment = endpoint_pb2.ClusterLoadAssignment.FromString(body)
+    entries = {}
+    for locality in assignment.endpoints:
+        for entry in locality.lb_endpoints:
+            address = entry.endpoint.address.socket_address
+            name = f"{address.address}:{address.port_value}"
+            entries[name] = ReceivedEntry(entry.load_balancing_weight.value, locality.locality.zone)
+    levels = {}
+    for drop in assignment.policy.drop_overloads:
+        denominator = PERCENTAGE_DENOMINATORS[drop.drop_percentage.denominator]
+        levels[drop.category] = 1 - drop.drop_percentage.numerator / denominator
+    return ReceivedTable(entries, levels)
+
+
+def parse_routes(body: bytes) -> ReceivedRoutes:
+    """Parse a serialized RouteConfiguration.
+
+    Raises:
+        DecodeError: it is none.
+    """
+    routes = ReceivedRoutes({}, {})
+    for host in route_pb2.RouteConfiguration.FromString(body).virtual_hosts:
+        for route in host.routes:
+            _add_route(route, routes)
+    return routes
+
+
+def _add_route(route: route_components_pb2.Route, routes: ReceivedRoutes) -> None:
+    headers = {header.name: header.string_match.exact for header in route.match.headers}
+    request_class = headers.get(CLASS_HEADER, "")
+    cluster = headers.get(CLUSTER_HEADER, "") or route.route.cluster
+    policy = route.route.retry_policy
+    routes.retries[request_class, cluster] = PublishedRetries(policy.retry_on, policy.num_retries.value)
+    if ZONE_HEADER in headers:
+        routes.clusters[request_class, headers[ZONE_HEADER]] = cluster
--- a/damsonpick/proxy/received_state.py
+++ b/damsonpick/proxy/received_state.py
@@ -1,236 +1,187 @@
-"""What a gateway holds: tables, withdrawals, levels and retry modes as its xDS stream brought them. Sans I/O."""
+"""What a proxy holds: tables, withdrawals, levels and retry rules as its xDS stream brought them. Sans I/O."""
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from collections.abc import Iterable, Sequence
 
 import xxhash
 from envoy.config.cluster.v3 import cluster_pb2
-from envoy.config.core.v3 import base_pb2
-from envoy.config.endpoint.v3 import endpoint_pb2
-from envoy.config.route.v3 import route_pb2
-from envoy.service.discovery.v3 import discovery_pb2
 
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
-from damsonpick.state.history import root_statement
+from damsonpick.proxy.received_resources import (
+    ReceivedEntry,
+    ReceivedResource,
+    ReceivedTable,
+    parse_routes,
+    parse_table,
+)
+from damsonpick.proxy.response_errors import RootMismatchError, UnwantedResourceError, VersionMismatchError
+from damsonpick.proxy.retry_policy import PublishedRetries
 from damsonpick.state.history.digest import Digest, names_in_ranges, range_of
+from damsonpick.state.history.root_statement import RootStatement
+from damsonpick.state.published_tables import FLEET
 
-DENOMINATORS = (100, 10_000, 1_000_000)
+NO_RETRIES = PublishedRetries("", 0)
 
 
-class Table(NamedTuple):
-    """One assignment: weight and zone by endpoint, share let in by class."""
+class ReceivedState:
+    """All received resources.
 
-    lines: dict[str, tuple[int, str]]
-    levels: dict[str, float]
-
-
-class Bad(Exception):
-    """A resource that this gateway will not take."""
-
-
-def read_table(body: bytes) -> Table:
-    assignment = endpoint_pb2.ClusterLoadAssignment.FromString(body)
-    lines = {}
-    for place in assignment.endpoints:
-        for line in place.lb_endpoints:
-            at = line.endpoint.address.socket_address
-            lines[f"{at.address}:{at.port_value}"] = (line.load_balancing_weight.value, place.locality.zone)
-    levels = {
-        d.category: 1 - d.drop_percentage.numerator / DENOMINATORS[d.drop_percentage.denominator]
-        for d in assignment.policy.drop_overloads
-    }
-    return Table(lines, levels)
-
-
-def read_routes(body: bytes) -> tuple[dict[tuple[str, str], tuple[str, int]], dict[tuple[str, str], str]]:
-    """(class, cluster or '') to (conditions, further tries); (class, zone) to a cluster where there are no slices."""
-    result, clusters = {}, {}
-    for host in route_pb2.RouteConfiguration.FromString(body).virtual_hosts:
-        for route in host.routes:
-            asked = {h.name: h.string_match.exact for h in route.match.headers}
-            policy = route.route.retry_policy
-            kind, cluster = asked.get("x-damson-class", ""), asked.get("x-damson-cluster", "") or route.route.cluster
-            result[kind, cluster] = (policy.retry_on, policy.num_retries.value)
-            if "x-damson-zone" in asked:
-                clusters[kind, asked["x-damson-zone"]] = cluster
-    return result, clusters
-
-
-class Holdings:
-    """Everything held, with the version of each resource by type."""
+    Attributes:
+        versions: by type URL and name.
+        digests: over the versions, by type URL.
+        tables: by cluster.
+        retries: by class and cluster; '' for the cluster stands for all.
+        clusters: by class and zone, where there are no slices.
+        balancing_policies: Cluster.LbPolicy by cluster.
+        ejection_failures: consecutive failures after which an endpoint is ejected; 0: never.
+        rejected_names: resources that are to be rejected, for rehearsals.
+    """
 
     def __init__(self) -> None:
+        """Begin with nothing."""
         self.versions: dict[str, dict[str, str]] = {CDS: {}, EDS: {}, RDS: {}}
         self.digests: dict[str, Digest] = {CDS: Digest(), EDS: Digest(), RDS: Digest()}
-        self.tables: dict[str, Table] = {}
-        self.retries: dict[tuple[str, str], tuple[str, int]] = {}
+        self.tables: dict[str, ReceivedTable] = {}
+        self.retries: dict[tuple[str, str], PublishedRetries] = {}
         self.clusters: dict[tuple[str, str], str] = {}
-        self.picks: dict[str, int] = {}
-        self.strikes = 0
-        self.refuse: set[str] = set()  # names that it is told not to take
+        self.balancing_policies: dict[str, int] = {}
+        self.ejection_failures = 0
+        self.rejected_names: set[str] = set()
+
+    # -- responses
 
-    def take(
+    def apply(
         self,
-        kind: str,
-        resources: list[tuple[str, str, bytes]],
-        removed: list[str],
-        said: root_statement.RootStatement | None = None,
+        type_url: str,
+        resources: Sequence[ReceivedResource],
+        removed: Sequence[str],
+        statement: RootStatement | None = None,
     ) -> list[str]:
-        """Apply a response as a whole; returns names that went because their range was replaced.
+        """Apply a response as a whole.
+
+        Args:
+            type_url: of all its resources.
+            resources: new and changed ones.
+            removed: names that are gone.
+            statement: the stated roots, if there are any.
+
+        Returns:
+            Further names that are gone, as their range was replaced.
 
         Raises:
-            Bad: a resource or the stated root is not right; then nothing of the response is taken.
+            ResponseRejectedError: a resource or the stated root is wrong; then nothing of the response is applied.
         """
-        for name, _, _ in resources:
-            if name in self.refuse:
-                raise Bad(f"{name}: this gateway was told to refuse it")
-        lost: list[str] = []
-        if said is not None:
-            came = {name for name, *_ in resources}
-            lost = [n for n in names_in_ranges(self.versions[kind], said.replaces) if n not in came]
-            self._check(kind, resources, removed, said)
-        for name, version, body in resources:
-            self._hold(kind, name, version)
-            if kind == EDS:
-                self.tables[name] = read_table(body)
-            elif kind == RDS:
-                self.retries, self.clusters = read_routes(body)
-            else:
-                cluster = cluster_pb2.Cluster.FromString(body)
-                self.picks[name] = cluster.lb_policy
-                self.strikes = cluster.outlier_detection.consecutive_5xx.value
-        for name in [*removed, *lost]:
-            self._hold(kind, name, "")
-            if kind == EDS:
-                self.tables.pop(name, None)
-        return lost
-
-    def begin(self) -> None:
-        """A stream of the state-of-the-world variant begins: roots are over what comes on it. Tables stay in force."""
-        for kind in self.versions:
-            self.versions[kind], self.digests[kind] = {}, Digest()
-
-    def _hold(self, kind: str, name: str, version: str) -> None:
-        self.digests[kind].change(name, self.versions[kind].get(name, ""), version)
+        for resource in resources:
+            if resource.name in self.rejected_names:
+                raise UnwantedResourceError(resource.name)
+        replaced: list[str] = []
+        if statement is not None:
+            received = {resource.name for resource in resources}
+            in_ranges = names_in_ranges(self.versions[type_url], statement.replaces)
+            replaced = [name for name in in_ranges if name not in received]
+            self._verify(type_url, resources, removed, statement)
+        for resource in resources:
+            self._put(type_url, resource)
+        for name in [*removed, *replaced]:
+            self._remove(type_url, name)
+        return replaced
+
+    def start_sotw_stream(self) -> None:
+        """Begin a stream of the state-of-the-world variant.
+
+        Roots are over what the stream brings; received tables stay in force.
+        """
+        for type_url in self.versions:
+            self.versions[type_url] = {}
+            self.digests[type_url] = Digest()
+
+    def _put(self, type_url: str, resource: ReceivedResource) -> None:
+        name = resource.name
+        self._set_version(type_url, name, resource.version)
+        if type_url == EDS:
+            self.tables[name] = parse_table(resource.body)
+        elif type_url == RDS:
+            self.retries, self.clusters = parse_routes(resource.body)
+        else:
+            cluster = cluster_pb2.Cluster.FromString(resource.body)
+            self.balancing_policies[name] = cluster.lb_policy
+            self.ejection_failures = cluster.outlier_detection.consecutive_5xx.value
+
+    def _remove(self, type_url: str, name: str) -> None:
+        self._set_version(type_url, name, "")
+        if type_url == EDS:
+            self.tables.pop(name, None)
+
+    def _set_version(self, type_url: str, name: str, version: str) -> None:
+        """Hold a version of a resource; '' for none."""
+        versions = self.versions[type_url]
+        self.digests[type_url].change(name, versions.get(name, ""), version)
         if version:
-            self.versions[kind][name] = version
+            versions[name] = version
         else:
-            self.versions[kind].pop(name, None)
+            versions.pop(name, None)
 
-    def _check(
-        self, kind: str, resources: list[tuple[str, str, bytes]], removed: list[str], said: root_statement.RootStatement
+    def _verify(
+        self, type_url: str, resources: Iterable[ReceivedResource], removed: Iterable[str], statement: RootStatement
     ) -> None:
-        """Whether a delta starts from what is here and ends where it says, and each body is what its version says."""
-        for name, version, body in resources:
-            if (found := xxhash.xxh3_64_hexdigest(body)) != version:
-                raise Bad(f"{name}: the body's hash is {found}, its version says {version}")
-        own = self.digests[kind]
-        if not said.replaces and own.root() != said.start:
-            raise Bad(root_statement.mismatch_text(own.root(), said.start, own.range_sums()))
-        have, after = self.versions[kind], own.copy()
-        for place in said.replaces:
-            after.sums[place] = 0
-        replaced = set(said.replaces)
-        for name, version in [*((n, v) for n, v, _ in resources), *((n, "") for n in removed)]:
-            after.change(name, "" if range_of(name) in replaced else have.get(name, ""), version)
-        if after.root() != said.end:
-            raise Bad(root_statement.mismatch_text(after.root(), said.end, own.range_sums()))
-
-    def open_lines(self, cluster: str) -> dict[str, tuple[int, str]]:
-        """What may be picked for a cluster now."""
-        table, fleet = self.tables.get(cluster), self.tables.get("fleet")
+        """Check a response against its statement.
+
+        Raises:
+            VersionMismatchError: a version is not the hash of its body.
+            RootMismatchError: the response starts from another state than this one, or ends in another than stated.
+        """
+        for resource in resources:
+            body_hash = xxhash.xxh3_64_hexdigest(resource.body)
+            if body_hash != resource.version:
+                raise VersionMismatchError(resource.name, body_hash, resource.version)
+        held = self.digests[type_url]
+        if not statement.replaces and held.root() != statement.start:
+            raise RootMismatchError(held.root(), statement.start, held)
+        changes = [(resource.name, resource.version) for resource in resources]
+        changes += [(name, "") for name in removed]
+        end_root = self._digest_after(type_url, changes, statement.replaces).root()
+        if end_root != statement.end:
+            raise RootMismatchError(end_root, statement.end, held)
+
+    def _digest_after(
+        self, type_url: str, changes: Iterable[tuple[str, str]], replaced_ranges: Iterable[int]
+    ) -> Digest:
+        """The digest after whole ranges were emptied and versions by name were changed."""
+        versions = self.versions[type_url]
+        digest = self.digests[type_url].copy()
+        emptied = set(replaced_ranges)
+        for index in emptied:
+            digest.sums[index] = 0
+        for name, version in changes:
+            former = "" if range_of(name) in emptied else versions.get(name, "")
+            digest.change(name, former, version)
+        return digest
+
+    # -- what is in force
+
+    def available_entries(self, cluster: str) -> dict[str, ReceivedEntry]:
+        """Entries of a cluster's table whose endpoints are not withdrawn."""
+        table = self.tables.get(cluster)
         if table is None:
             return {}
-        return {n: v for n, v in table.lines.items() if fleet is None or n not in fleet.lines}
+        fleet = self.tables.get(FLEET)
+        if fleet is None:
+            return dict(table.entries)
+        return {name: entry for name, entry in table.entries.items() if name not in fleet.entries}
 
-    def level(self, cluster: str, kind: str) -> float:
-        """Share of a class that is let in, 0 to 1."""
+    def admission_level(self, cluster: str, request_class: str) -> float:
+        """The admitted share of a class, 0 to 1: the lower of the cluster's and the fleet's."""
         level = 1.0
-        for name in (cluster, "fleet"):
+        for name in (cluster, FLEET):
             table = self.tables.get(name)
-            if table is not None and kind in table.levels:
-                level = min(level, table.levels[kind])
+            if table is not None:
+                level = min(level, table.levels.get(request_class, 1.0))
         return level
 
-    def retry(self, cluster: str, kind: str) -> tuple[str, int]:
-        return self.retries.get((kind, cluster)) or self.retries.get((kind, ""), ("", 0))
-
-
-class Asker:
-    """The client half of one ADS stream, either variant: what to say at the start and to each response."""
-
-    def __init__(self, holdings: Holdings, node: str, zone: str, delta: bool) -> None:
-        self.holdings, self.delta = holdings, delta
-        self.node = base_pb2.Node(id=node, user_agent_name="damsonpick stand-in gateway")
-        self.node.locality.zone = zone
-        self.node.client_features.append(root_statement.CLIENT_FEATURE)
-        self.asked: dict[str, list[str]] = {}
-        self.accepted: dict[str, str] = {}
-        self.nonces: dict[str, str] = {}  # of the last response of a type
-
-    def opening(self, kind: str, names: list[str], version: str = "") -> object:
-        """The first request of a type on this stream."""
-        self.asked[kind] = names
-        if self.delta:
-            return discovery_pb2.DeltaDiscoveryRequest(
-                node=self.node,
-                type_url=kind,
-                resource_names_subscribe=names or ["*"],
-                initial_resource_versions=self.holdings.versions[kind],
-            )
-        return discovery_pb2.DiscoveryRequest(node=self.node, type_url=kind, resource_names=names, version_info=version)
-
-    def also(self, kind: str, names: list[str]) -> object:
-        """More names of a type that was asked for before."""
-        self.asked[kind] = sorted({*self.asked.get(kind, []), *names})
-        if self.delta:
-            return discovery_pb2.DeltaDiscoveryRequest(type_url=kind, resource_names_subscribe=names)
-        return discovery_pb2.DiscoveryRequest(
-            type_url=kind,
-            resource_names=self.asked[kind],
-            response_nonce=self.nonces.get(kind, ""),
-            version_info=self.accepted.get(kind, ""),
-        )
-
-    def read(self, response: object) -> tuple[str, list[tuple[str, str, bytes]], list[str]]:
-        """Type, (name, version, body) of what came, names removed."""
-        if self.delta:
-            return (
-                response.type_url,
-                [(r.name, r.version, r.resource.value) for r in response.resources],
-                list(response.removed_resources),
-            )
-        found = []
-        for body in response.resources:
-            name = {CDS: cluster_pb2.Cluster, RDS: route_pb2.RouteConfiguration}.get(response.type_url)
-            named = (
-                endpoint_pb2.ClusterLoadAssignment.FromString(body.value).cluster_name
-                if name is None
-                else name.FromString(body.value).name
-            )
-            found.append((named, xxhash.xxh3_64_hexdigest(body.value), body.value))
-        return response.type_url, found, []
-
-    def stated(self, response: object) -> root_statement.RootStatement | None:
-        """What a response says of its roots."""
-        return root_statement.parse(response.control_plane.identifier)
-
-    def verdict(self, response: object, bad: str) -> object:
-        """ACK, or NACK with what was wrong."""
-        kind = response.type_url
-        self.nonces[kind] = response.nonce
-        if self.delta:
-            request = discovery_pb2.DeltaDiscoveryRequest(type_url=kind, response_nonce=response.nonce)
-        else:
-            if not bad:
-                self.accepted[kind] = response.version_info
-            request = discovery_pb2.DiscoveryRequest(
-                type_url=kind,
-                response_nonce=response.nonce,
-                resource_names=self.asked.get(kind, []),
-                version_info=self.accepted.get(kind, ""),
-            )
-        if bad:
-            request.error_detail.code, request.error_detail.message = 3, bad
-        return request
+    def retries_of(self, cluster: str, request_class: str) -> PublishedRetries:
+        """The retries of a class in a cluster; where nothing is published for it, those of the class everywhere."""
+        own = self.retries.get((request_class, cluster))
+        if own is not None:
+            return own
+        return self.retries.get((request_class, ""), NO_RETRIES)
--- a/damsonpick/proxy/request_handler.py
+++ b/damsonpick/proxy/request_handler.py
@@ -34,19 +34,20 @@
 
 
 class RequestHandler:
-    """Serves the client connections of one proxy.
-
-    Args:
-        settings: the proxy's.
-        router: decides for each request.
-        clock: the proxy's.
-        record: called with what passes on the sockets, for rehearsals.
-        log: a structlog logger.
-    """
+    """Serves the client connections of one proxy."""
 
     def __init__(
         self, settings: ProxySettings, router: Router, clock: Clock, record: Callable[..., None], log: Any
     ) -> None:
+        """Begin without clients.
+
+        Args:
+            settings: the proxy's.
+            router: decides for each request.
+            clock: the proxy's.
+            record: called with what passes on the sockets, for rehearsals.
+            log: a structlog logger.
+        """
         own = settings.proxy
         self.limits = settings.limits
         self.router = router
--- a/damsonpick/proxy/router.py
+++ b/damsonpick/proxy/router.py
@@ -16,7 +16,7 @@
 from damsonpick.protocols.xds.names import EDS, slice_of
 from damsonpick.proxy.admission import Admission
 from damsonpick.proxy.load_balancer import LoadBalancer, Policy, WeightedTable
-from damsonpick.proxy.received_state import Holdings
+from damsonpick.proxy.received_state import ReceivedState
 from damsonpick.proxy.retry_policy import (
     NON_IDEMPOTENT,
     ON_ANY_FAILURE,
@@ -47,17 +47,18 @@
 
 
 class Router:
-    """Decides for each request of one proxy.
-
-    Args:
-        settings: the proxy's.
-        rng: random draws; the admission seed comes from it as well.
-    """
+    """Decides for each request of one proxy."""
 
     def __init__(self, settings: ProxySettings, rng: random.Random) -> None:
+        """Begin without tables.
+
+        Args:
+            settings: the proxy's.
+            rng: random draws; the admission seed comes from it as well.
+        """
         self.settings = settings
         self.rng = rng
-        self.holdings = Holdings()
+        self.received_state = ReceivedState()
         self.load_balancer = LoadBalancer(rng)
         self.admission = Admission(rng.getrandbits(63))
         self.retry_budget = RetryBudget()
@@ -73,32 +74,33 @@
             return []
         for name in names:
             self._prepared.pop(name, None)
-        fleet = self.holdings.tables.get(FLEET_CLUSTER)
-        withdrawn = frozenset(fleet.lines) if fleet else frozenset()
+        fleet = self.received_state.tables.get(FLEET_CLUSTER)
+        withdrawn = frozenset(fleet.entries) if fleet else frozenset()
         newly_withdrawn = withdrawn - self.withdrawn
         self.withdrawn = withdrawn
         return sorted(newly_withdrawn)
 
     def _apply_cluster_settings(self) -> None:
-        self.load_balancer.ejection_failures = self.holdings.strikes
-        number = next(iter(self.holdings.picks.values()), DEFAULT_XDS_POLICY)
+        self.load_balancer.ejection_failures = self.received_state.ejection_failures
+        number = next(iter(self.received_state.balancing_policies.values()), DEFAULT_XDS_POLICY)
         self.load_balancer.policy = POLICY_BY_XDS_NUMBER.get(number, Policy.POWER_OF_TWO)
 
     def _table(self, cluster: str) -> WeightedTable:
         prepared = self._prepared.get(cluster)
         if prepared is not None:
             return prepared
-        table = self.holdings.tables.get(cluster)
+        table = self.received_state.tables.get(cluster)
         if table is None:
             return EMPTY_TABLE
-        prepared = WeightedTable({name: weight for name, (weight, _) in table.lines.items()})
+        prepared = WeightedTable({name: entry.weight for name, entry in table.entries.items()})
         self._prepared[cluster] = prepared
         return prepared
 
     def zone_of(self, cluster: str, server: str) -> str:
         """The zone in which a table places a server; '' if it is not in the table."""
-        table = self.holdings.tables.get(cluster)
-        return table.lines.get(server, (0, ""))[1] if table else ""
+        table = self.received_state.tables.get(cluster)
+        entry = table.entries.get(server) if table else None
+        return entry.zone if entry else ""
 
     # -- a request
 
@@ -127,11 +129,11 @@
         slices = self.settings.proxy.slices
         if slices:
             return f"slice/{xxhash.xxh3_64_intdigest(key.encode()) % slices}"
-        return self.holdings.clusters.get((request_class, self.settings.proxy.zone), "")
+        return self.received_state.clusters.get((request_class, self.settings.proxy.zone), "")
 
     def admit(self, now: int, request: RoutedRequest) -> bool:
         """Whether a request is admitted at the published level; an admitted one earns retries."""
-        level = self.holdings.level(request.cluster, request.request_class)
+        level = self.received_state.admission_level(request.cluster, request.request_class)
         admitted = self.admission.admit(now, level, request.request_class, request.client)
         if admitted:
             self.retry_budget.earn()
@@ -139,7 +141,7 @@
 
     def pick(self, now: int, request: RoutedRequest, attempted: Collection[str]) -> str | None:
         """A server, or None: the table has no routable one that was not attempted."""
-        if self.holdings.level(request.cluster, request.request_class) <= 0:
+        if self.received_state.admission_level(request.cluster, request.request_class) <= 0:
             return None  # a level of zero also stops requests that are held
         return self.load_balancer.pick(now, self._table(request.cluster), self.withdrawn, attempted)
 
@@ -165,7 +167,7 @@
         return allowed and self.retry_budget.spend()
 
     def _published_retries(self, request: RoutedRequest) -> PublishedRetries:
-        return PublishedRetries(*self.holdings.retry(request.cluster, request.request_class))
+        return self.received_state.retries_of(request.cluster, request.request_class)
 
     def attempt_timeout(self, request: RoutedRequest, now: int) -> int:
         """ns that an attempt may take: less than what is left of the deadline where a retry may follow."""
--- a/damsonpick/proxy/table_cache.py
+++ b/damsonpick/proxy/table_cache.py
@@ -13,7 +13,8 @@
 
 import xxhash
 
-from damsonpick.proxy.received_state import Holdings
+from damsonpick.proxy.received_resources import ReceivedResource
+from damsonpick.proxy.received_state import ReceivedState
 
 FORMAT = 1
 
@@ -46,8 +47,8 @@
         os.close(folder)
 
 
-def load(path: Path, holdings: Holdings) -> int:
-    """Fill holdings from a file; returns how many resources there were, 0 if there is no file.
+def load(path: Path, received_state: ReceivedState) -> int:
+    """Apply the resources of a file; returns how many resources there were, 0 if there is no file.
 
     Raises:
         TableCacheError: checksum, form or a resource is wrong; nothing is taken.
@@ -63,15 +64,16 @@
         if kept["format"] != FORMAT:
             raise TableCacheError(f"{path}: format {kept['format']}, this program reads {FORMAT}")
         found = {
-            kind: [(n, v, base64.b64decode(b)) for n, (v, b) in rows.items()] for kind, rows in kept["types"].items()
+            kind: [ReceivedResource(name, version, base64.b64decode(body)) for name, (version, body) in rows.items()]
+            for kind, rows in kept["types"].items()
         }
-        trial = Holdings()
+        trial = ReceivedState()
         for kind, rows in found.items():
-            trial.take(kind, rows, [])
+            trial.apply(kind, rows, [])
     except TableCacheError:
         raise
     except Exception as error:
         raise TableCacheError(f"{path}: cannot be read ({error!r}); the proxy starts without tables") from None
     for kind, rows in found.items():
-        holdings.take(kind, rows, [])
+        received_state.apply(kind, rows, [])
     return sum(map(len, found.values()))
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -1,154 +1,211 @@
-"""A proxy's streams to its pilots: delta xDS in, sums out by LRS. A thin shell; holdings decide."""
+"""A proxy's streams to the control service: ADS for tables, LRS for load reports. It moves messages, no more."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
 
 import anyio
 import grpc
 from envoy.service.discovery.v3 import ads_pb2_grpc
 from envoy.service.load_stats.v3 import lrs_pb2_grpc
+from structlog.typing import FilteringBoundLogger
 
 from damsonpick.protocols.shared import grpc_stream
 from damsonpick.protocols.xds import load_stats
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
-from damsonpick.proxy.received_state import Asker, Bad, Holdings
+from damsonpick.proxy.ads_client import AdsClient, ParsedResponse, Response
+from damsonpick.proxy.received_resources import ReceivedResource
+from damsonpick.proxy.received_state import ReceivedState
+from damsonpick.proxy.response_errors import ResponseRejectedError
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
+from damsonpick.state.published_tables import ROUTES
 
-OPTIONS = [
+CHANNEL_OPTIONS = [
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.keepalive_time_ms", 10000),
     ("grpc.keepalive_timeout_ms", 10000),
 ]
+CONNECT_CHECK_PERIOD_S = 0.05
 
 
-class Follower:
-    """Follows one pilot at a time, the next one when a stream breaks.
+@dataclass(slots=True)
+class WatchCallbacks:
+    """What a watch client asks of its owner and tells it.
 
-    Args:
-        name, zone: node id and locality.
-        pilots: addresses to try now, in order.
-        holdings: what is filled.
-        took: called with type, names that changed, bodies and names removed.
-        said: called with what passed, for records.
-        counts: hands over the sums since it was last called.
+    Attributes:
+        addresses: the control service's, to be tried now, in order.
+        resources_applied: called with type URL, changed resources and names that are gone.
+        take_counts: the counts by slice since the last call.
+        record: called with the name and fields of an event, for rehearsals.
+        may_connect: whether the control service may be connected to; a stream ends when it may not any longer.
+        read_pause: true seconds to wait before a response is read.
+    """
+
+    addresses: Callable[[], list[str]]
+    resources_applied: Callable[[str, list[ReceivedResource], list[str]], None]
+    take_counts: Callable[[], dict[int, load_stats.SliceCounts]]
+    record: Callable[..., None]
+    may_connect: Callable[[], bool] = lambda: True
+    read_pause: Callable[[], float] = lambda: 0.0
+
+
+class WatchClient:
+    """Watches one instance of the control service at a time, the next one when a stream breaks.
+
+    Attributes:
+        callbacks: may be replaced one by one.
+        connected: the tables of the present stream have been requested.
+        report_delay: ns by which load reports are held back, for rehearsals.
     """
 
     def __init__(
         self,
         name: str,
         zone: str,
-        pilots: Callable[[], list[str]],
-        holdings: Holdings,
+        received_state: ReceivedState,
+        callbacks: WatchCallbacks,
         clock: Clock,
         backoff: Backoff,
-        took: Callable[..., None],
-        counts: Callable[[], dict[int, load_stats.SliceCounts]],
-        said: Callable[..., None],
-        log: Any,
+        log: FilteringBoundLogger,
         delta: bool = True,
     ) -> None:
-        self.name, self.zone, self.pilots, self.holdings, self.clock = name, zone, pilots, holdings, clock
-        self.backoff, self.took, self.counts, self.said, self.log = backoff, took, counts, said, log
-        self.delta, self.seen, self.linked = delta, False, False
-        self.version: dict[str, str] = {}  # of the last response taken, by type
-        self.may_dial: Callable[[], bool] = lambda: True
-        self.pause: Callable[[], float] = lambda: 0.0  # real s to stand still before a response is read
+        """Prepare a client; `run` connects it.
+
+        Args:
+            name: node id.
+            zone: locality.
+            received_state: responses are applied to it.
+            callbacks: the owner's.
+            clock: times load reports.
+            backoff: delays between connections.
+            log: logger.
+            delta: whether the incremental variant is spoken.
+        """
+        self.name = name
+        self.zone = zone
+        self.received_state = received_state
+        self.callbacks = callbacks
+        self.delta = delta
+        self.connected = False
         self.report_delay = 0
+        self._clock = clock
+        self._backoff = backoff
+        self._log = log
+        self._was_connected = False  # by any stream so far
+        self._version_info: dict[str, str] = {}  # of the last applied response, by type URL
 
     async def run(self) -> None:
-        """For ever; what is held stays in force while no pilot answers."""
-        turn = 0
+        """Watch for ever; what was received stays in force while the control service cannot be reached."""
+        attempts = 0
         while True:
-            known = self.pilots()
-            if known and self.may_dial():
-                address, turn = known[turn % len(known)], turn + 1
-                why = "ended"
-                try:
-                    await grpc_stream.guarded(self._session(address))
-                except* grpc_stream.StreamEndedError as group:
-                    why = str(group.exceptions[0])
-                if self.linked:
-                    self.linked = False
-                    self.log.warning("pilot_lost", pilot=address, why=why, tables="the last good ones stay")
-                    self.said("stream", up=False)
-            await anyio.sleep(self.backoff.failed() / self.clock.rate)
-
-    async def _session(self, address: str) -> None:
-        async with grpc.aio.insecure_channel(address, OPTIONS) as channel:
+            addresses = self.callbacks.addresses()
+            if addresses and self.callbacks.may_connect():
+                await self._watch(addresses[attempts % len(addresses)])
+                attempts += 1
+            await anyio.sleep(self._backoff.failed() / self._clock.rate)
+
+    async def _watch(self, address: str) -> None:
+        """Watch one instance until its stream ends."""
+        reason = "ended"
+        try:
+            await grpc_stream.guarded(self._stream(address))
+        except* grpc_stream.StreamEndedError as group:
+            reason = str(group.exceptions[0])
+        if self.connected:
+            self.connected = False
+            self._log.warning("pilot_disconnected", pilot=address, reason=reason, tables="the last good ones stay")
+            self.callbacks.record("stream", up=False)
+
+    async def _stream(self, address: str) -> None:
+        async with grpc.aio.insecure_channel(address, CHANNEL_OPTIONS) as channel:
             stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
             call = stub.DeltaAggregatedResources() if self.delta else stub.StreamAggregatedResources()
-            asker = Asker(self.holdings, self.name, self.zone, self.delta)
+            ads = AdsClient(self.received_state, self.name, self.zone, self.delta)
             if not self.delta:
-                self.holdings.begin()
-            await grpc_stream.write(call, asker.opening(CDS, [], self.version.get(CDS, "")))
-            if self.holdings.versions[CDS] and self.delta:  # a pilot that has nothing new of clusters says nothing
-                await self._found(call, asker, address)
+                self.received_state.start_sotw_stream()
+            await grpc_stream.write(call, ads.subscribe(CDS, [], self._version_info.get(CDS, "")))
+            if self.delta and self.received_state.versions[CDS]:  # clusters that are unchanged are not answered
+                await self._request_tables(call, ads, address)
             async with anyio.create_task_group() as group:
-                group.start_soon(self._report, channel)
-                group.start_soon(self._watch, group.cancel_scope)
-                await self._read(call, asker, address)
+                group.start_soon(self._send_reports, channel)
+                group.start_soon(self._end_when_disallowed, group.cancel_scope)
+                await self._read_responses(call, ads, address)
 
-    async def _watch(self, scope: anyio.CancelScope) -> None:
-        while self.may_dial():
-            await anyio.sleep(0.05)
+    async def _end_when_disallowed(self, scope: anyio.CancelScope) -> None:
+        while self.callbacks.may_connect():
+            await anyio.sleep(CONNECT_CHECK_PERIOD_S)
         scope.cancel()
 
-    async def _read(self, call: Any, asker: Asker, address: str) -> None:
+    async def _read_responses(self, call: grpc.aio.StreamStreamCall, ads: AdsClient, address: str) -> None:
         while True:
             response = await grpc_stream.read(call)
-            if (wait := self.pause()) > 0:
-                await anyio.sleep(wait)
-            kind, resources, removed = asker.read(response)
-            bad = ""
-            try:
-                removed = [*removed, *self.holdings.take(kind, resources, removed, asker.stated(response))]
-                self.version[kind] = response.system_version_info if self.delta else response.version_info
-                self.took(kind, resources, removed)
-            except Bad as error:
-                bad = str(error)
-                self.log.warning("table_refused", why=bad)
-            self.said("got", type=kind, nonce=response.nonce, resources=resources, removed=removed, nack=bad)
-            await grpc_stream.write(call, asker.verdict(response, bad))
-            if kind == CDS and not self.linked:
-                await self._found(call, asker, address)
-            elif kind == CDS:
-                await self._more(call, asker, [n for n, *_ in resources])
-
-    async def _found(self, call: Any, asker: Asker, address: str) -> None:
-        """Clusters are known: ask for their tables and the routes."""
-        await grpc_stream.write(
-            call, asker.opening(EDS, sorted(self.holdings.versions[CDS]), self.version.get(EDS, ""))
+            pause_s = self.callbacks.read_pause()
+            if pause_s > 0:
+                await anyio.sleep(pause_s)
+            parsed = ads.parse(response)
+            error_text = self._apply(response, parsed)
+            await grpc_stream.write(call, ads.acknowledge(response, error_text))
+            if parsed.type_url == CDS:
+                if self.connected:
+                    await self._request_new_tables(call, ads, [resource.name for resource in parsed.resources])
+                else:
+                    await self._request_tables(call, ads, address)
+
+    def _apply(self, response: Response, parsed: ParsedResponse) -> str:
+        """Apply a response; returns why it is rejected, '' if it is not."""
+        removed = parsed.removed
+        error_text = ""
+        try:
+            replaced = self.received_state.apply(parsed.type_url, parsed.resources, removed, parsed.statement)
+            removed = [*removed, *replaced]
+            self._version_info[parsed.type_url] = response.system_version_info if self.delta else response.version_info
+            self.callbacks.resources_applied(parsed.type_url, parsed.resources, removed)
+        except ResponseRejectedError as error:
+            error_text = str(error)
+            self._log.warning("response_rejected", reason=error_text)
+        self.callbacks.record(
+            "got",
+            type=parsed.type_url,
+            nonce=response.nonce,
+            resources=parsed.resources,
+            removed=removed,
+            nack=error_text,
         )
-        await grpc_stream.write(call, asker.opening(RDS, ["routes"], self.version.get(RDS, "")))
-        self.linked = True
-        self.backoff.succeeded()
-        self.log.info("pilot_found", pilot=address)
-        self.said("stream", up=True, zone=self.zone, fresh=not self.seen)
-        self.seen = True
-
-    async def _more(self, call: Any, asker: Asker, clusters: list[str]) -> None:
-        """Tables of clusters that are new on this stream."""
-        known = set(asker.asked.get(EDS, []))
-        if new := [n for n in clusters if n not in known]:
-            await grpc_stream.write(call, asker.also(EDS, new))
-
-    async def _report(self, channel: Any) -> None:
+        return error_text
+
+    async def _request_tables(self, call: grpc.aio.StreamStreamCall, ads: AdsClient, address: str) -> None:
+        """Subscribe to the tables of all known clusters and to the routes."""
+        clusters = sorted(self.received_state.versions[CDS])
+        await grpc_stream.write(call, ads.subscribe(EDS, clusters, self._version_info.get(EDS, "")))
+        await grpc_stream.write(call, ads.subscribe(RDS, [ROUTES], self._version_info.get(RDS, "")))
+        self.connected = True
+        self._backoff.succeeded()
+        self._log.info("pilot_connected", pilot=address)
+        self.callbacks.record("stream", up=True, zone=self.zone, fresh=not self._was_connected)
+        self._was_connected = True
+
+    async def _request_new_tables(self, call: grpc.aio.StreamStreamCall, ads: AdsClient, clusters: list[str]) -> None:
+        """Subscribe to the tables of clusters that are new on this stream."""
+        known = set(ads.subscribed.get(EDS, []))
+        new = [name for name in clusters if name not in known]
+        if new:
+            await grpc_stream.write(call, ads.subscribe_more(EDS, new))
+
+    async def _send_reports(self, channel: grpc.aio.Channel) -> None:
+        """Send load reports as often as the control service asks for."""
         call = lrs_pb2_grpc.LoadReportingServiceStub(channel).StreamLoadStats()
-        first = load_stats.write(1, {})
-        first.node.id, first.node.locality.zone = self.name, self.zone
-        del first.cluster_stats[:]
-        await grpc_stream.write(call, first)
-        wanted = await grpc_stream.read(call)
-        self.counts()
-        since = self.clock.now()
+        await grpc_stream.write(call, load_stats.introduction(self.name, self.zone))
+        subscription = await grpc_stream.read(call)
+        period = subscription.load_reporting_interval.ToNanoseconds()
+        self.callbacks.take_counts()  # of the time without a stream
+        reported_at = self._clock.now()
         while True:
-            await anyio.sleep(self.clock.seconds(wanted.load_reporting_interval.ToNanoseconds()))
-            now = self.clock.now()
-            report = load_stats.write(now - since, self.counts())
-            since = now
+            await anyio.sleep(self._clock.seconds(period))
+            now = self._clock.now()
+            report = load_stats.write(now - reported_at, self.callbacks.take_counts())
+            reported_at = now
             if self.report_delay:
-                await anyio.sleep(self.clock.seconds(self.report_delay))
+                await anyio.sleep(self._clock.seconds(self.report_delay))
             await grpc_stream.write(call, report)
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -10,7 +10,7 @@
 from damsonpick.protocols.sasp.client import Client, SaspError, connect
 from damsonpick.protocols.sasp.layout import Group, LbFlag, MembersOf, Register, Sender, SendWeights, WeightsOf, member
 from damsonpick.protocols.xds.names import EDS
-from damsonpick.proxy.received_state import Table
+from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedTable
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
@@ -105,14 +105,16 @@
         shown = {}
         for group, weights in groups:
             unit = group.name.decode()
-            lines = dict(self.holdings.tables[unit].lines) if unit in self.holdings.tables else {}
+            table = self.received_state.tables.get(unit)
+            entries = dict(table.entries) if table else {}
             for w in weights:  # a push may tell of some members alone
-                lines.pop(w.member.endpoint, None)
+                entries.pop(w.member.endpoint, None)
                 if w.weight:
-                    lines[w.member.endpoint] = (w.weight, self.members.get(w.member.endpoint, ""))
-            self.holdings.tables[unit] = Table(lines, {})
+                    entries[w.member.endpoint] = ReceivedEntry(w.weight, self.members.get(w.member.endpoint, ""))
+            self.received_state.tables[unit] = ReceivedTable(entries, {})
             self.count += 1
-            shown[unit] = {"v": str(self.count), "lines": {n: w for n, (w, _) in lines.items()}, "levels": {}}
+            weights_shown = {endpoint: entry.weight for endpoint, entry in entries.items()}
+            shown[unit] = {"v": str(self.count), "lines": weights_shown, "levels": {}}
         if shown:
             self.changed.set()
             self.changed = anyio.Event()
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -135,7 +135,9 @@
         kind = self.kinds[drawn["name"]]
         start = self.clock.now()
         rid = f"r{self.part}-{number}"
-        cluster = f"slice/{at}" if at >= 0 else gateway.holdings.clusters.get((kind.name, gateway.zone), "slice/-1")
+        cluster = (
+            f"slice/{at}" if at >= 0 else gateway.received_state.clusters.get((kind.name, gateway.zone), "slice/-1")
+        )
         good, how = await gateway.serve(rid, kind, cluster, work)
         again = how in ("refused", "no server", "never ran") or kind.effect == "read_like"
         if not good and again and self.clock.now() - start < kind.deadline / 2:
@@ -178,7 +180,7 @@
             self.demand.factor = order["factor"]
         elif what == "refuse":
             for name in names:
-                self.gateways[name].holdings.refuse = set(order["resources"])
+                self.gateways[name].received_state.rejected_names = set(order["resources"])
         else:
             raise ValueError(f"unknown order {what!r}")
 
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -11,8 +11,8 @@
 
 from damsonpick.protocols.xds import load_stats
 from damsonpick.protocols.xds.names import EDS, slice_of
-from damsonpick.proxy.received_state import Holdings
-from damsonpick.proxy.watch_client import Follower
+from damsonpick.proxy.received_state import ReceivedState
+from damsonpick.proxy.watch_client import WatchCallbacks, WatchClient
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from damsonpick.testing.fakes import http
@@ -25,14 +25,19 @@
 QUIET = structlog.wrap_logger(None, processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
 
 
-def shown(holdings: Holdings, kind: str, nonce: str, resources: list, removed: list[str], bad: str) -> dict[str, Any]:
+def shown(
+    received_state: ReceivedState, kind: str, nonce: str, resources: list, removed: list[str], bad: str
+) -> dict[str, Any]:
     """A response as the rule checker reads it."""
     found: dict[str, Any] = {}
     for name, version, _ in resources:
         found[name] = {"v": version}
         if kind == EDS and not bad:
-            table = holdings.tables[name]
-            found[name] |= {"lines": {n: w for n, (w, _) in table.lines.items()}, "levels": table.levels}
+            table = received_state.tables[name]
+            found[name] |= {
+                "lines": {endpoint: entry.weight for endpoint, entry in table.entries.items()},
+                "levels": table.levels,
+            }
     return {"type": kind.rpartition(".")[2], "nonce": nonce, "res": found, "removed": removed, "nack": bad}
 
 
@@ -84,40 +89,35 @@
     ) -> None:
         self.name, self.zone, self.kinds = name, zone, kinds
         self.clock, self.record, self.links, self.rng = clock, record, links, rng
-        self.holdings, self.picker = Holdings(), Picker(rng)
+        self.received_state, self.picker = ReceivedState(), Picker(rng)
         self.pools: dict[str, list[http.Wire]] = {}
         self.counts: dict[int, load_stats.SliceCounts] = {}
         self.changed = anyio.Event()
         self.stalled_until = self.read_delay = 0  # ns
-        self.follower = Follower(
-            name,
-            zone,
-            lambda: [address] if (address := dial()) else [],
-            self.holdings,
-            clock,
-            Backoff(rng, 0.1, 1.0),
-            self._took,
-            self._sums,
-            self._said,
-            QUIET,
-            delta,
+        callbacks = WatchCallbacks(
+            addresses=lambda: [address] if (address := dial()) else [],
+            resources_applied=self._took,
+            take_counts=self._sums,
+            record=self._said,
+            may_connect=lambda: links.to_pilot(name, zone),
+            read_pause=lambda: clock.seconds(max(self.stalled_until - clock.now(), 0) + self.read_delay),
         )
-        self.follower.may_dial = lambda: links.to_pilot(name, zone)
-        self.follower.pause = lambda: clock.seconds(max(self.stalled_until - clock.now(), 0) + self.read_delay)
+        backoff = Backoff(rng, 0.1, 1.0)
+        self.watch_client = WatchClient(name, zone, self.received_state, callbacks, clock, backoff, QUIET, delta)
 
     # -- the pilot
 
     @property
     def report_delay(self) -> int:
-        return self.follower.report_delay
+        return self.watch_client.report_delay
 
     @report_delay.setter
     def report_delay(self, ns: int) -> None:
-        self.follower.report_delay = ns
+        self.watch_client.report_delay = ns
 
     async def follow(self) -> None:
         """Keep a stream to the pilot, for ever."""
-        await self.follower.run()
+        await self.watch_client.run()
 
     def _took(self, kind: str, resources: list, removed: list[str]) -> None:
         self.changed.set()
@@ -130,7 +130,7 @@
     def _said(self, event: str, **details: Any) -> None:
         if event == "got":
             details = shown(
-                self.holdings,
+                self.received_state,
                 details["type"],
                 details["nonce"],
                 details["resources"],
@@ -150,7 +150,7 @@
         """Forward one request; returns whether it was answered, and how it ended."""
         start = self.clock.now()
         counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
-        if self.rng.random() >= self.holdings.level(cluster, kind.name):
+        if self.rng.random() >= self.received_state.admission_level(cluster, kind.name):
             counts.count_dropped(kind.name)
             return False, "refused"
         counts.count_admitted(kind.name)
@@ -163,7 +163,7 @@
 
     async def _tries(self, rid: str, kind: Kind, cluster: str, work: float, end: int) -> tuple[bool, str]:
         tried: set[str] = set()
-        most = self.holdings.retry(cluster, kind.name)[1]
+        most = self.received_state.retries_of(cluster, kind.name).limit
         how = "no server"
         for number in range(most + 1):
             server = await self._choose(cluster, tried, end, number)
@@ -173,7 +173,7 @@
             how = await self._try(rid, kind, cluster, server, work, end)
             if how == "ok":
                 return True, how
-            conditions = self.holdings.retry(cluster, kind.name)[0]
+            conditions = self.received_state.retries_of(cluster, kind.name).conditions
             if not ((how == "never ran" and NEVER_RAN in conditions) or ANY in conditions):
                 return False, how
         return False, how
@@ -182,7 +182,7 @@
         """A server; the first try waits a little for a table with a line, then is given up."""
         until = min(end, self.clock.now() + HOLD) if number == 0 else 0
         while True:
-            server = self.picker.pick(self.clock.now(), self.holdings.open_lines(cluster), tried)
+            server = self.picker.pick(self.clock.now(), self.received_state.available_entries(cluster), tried)
             left = until - self.clock.now()
             if server is not None or left <= 0:
                 return server
@@ -191,14 +191,15 @@
 
     async def _try(self, rid: str, kind: Kind, cluster: str, server: str, work: float, end: int) -> str:
         start = self.clock.now()
-        zone = self.holdings.open_lines(cluster).get(server, (0, ""))[1]
+        entry = self.received_state.available_entries(cluster).get(server)
+        zone = entry.zone if entry else ""
         self.record.put("try", gw=self.name, id=rid, kind=kind.name, slice=slice_of(cluster), server=server)
         self.picker.sent(server)
         how = "too late"
         with anyio.move_on_after(self.clock.seconds(end - start)):
             how = await self._exchange(rid, kind, cluster, server, zone, work)
         now, good = self.clock.now(), how == "ok"
-        self.picker.ended(now, server, good, self.holdings.strikes)
+        self.picker.ended(now, server, good, self.received_state.ejection_failures)
         counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
         counts.count_attempt(zone, server, good, (now - start) / 1e6)
         return how
--- a/damsonpick/testing/fakes/proxied.py
+++ b/damsonpick/testing/fakes/proxied.py
@@ -40,22 +40,23 @@
             classes={k.name: RequestClass(deadline=k.deadline, aim=k.aim, effect=k.effect) for k in kinds.values()},
         )
         self.proxy = Proxy(settings, QUIET, self._said, rng.random(), delta)
-        self.proxy.follower.pilots = lambda: [address] if (address := dial()) else []
-        self.proxy.follower.may_dial = lambda: links.to_pilot(name, zone)
-        self.proxy.follower.pause = self._pause
+        callbacks = self.proxy.watch_client.callbacks
+        callbacks.addresses = lambda: [address] if (address := dial()) else []
+        callbacks.may_connect = lambda: links.to_pilot(name, zone)
+        callbacks.read_pause = self._pause
         self.proxy.requests.connector.reaches = lambda other: not other or links.joined(zone, other)
         self.proxy.requests.stall = lambda: clock.seconds(self.stalled_until - clock.now())
-        self.holdings = self.proxy.router.holdings
+        self.received_state = self.proxy.router.received_state
         self.stalled_until = self.read_delay = 0
         self.wires: list[http.Wire] = []
 
     @property
     def report_delay(self) -> int:
-        return self.proxy.follower.report_delay
+        return self.proxy.watch_client.report_delay
 
     @report_delay.setter
     def report_delay(self, ns: int) -> None:
-        self.proxy.follower.report_delay = ns
+        self.proxy.watch_client.report_delay = ns
 
     def _pause(self) -> float:
         return self.clock.seconds(max(self.stalled_until - self.clock.now(), 0) + self.read_delay)
@@ -63,7 +64,7 @@
     def _said(self, event: str, **details: Any) -> None:
         if event == "got":
             details = shown(
-                self.holdings,
+                self.received_state,
                 details["type"],
                 details["nonce"],
                 details["resources"],
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -9,8 +9,8 @@
 import anyio
 import structlog
 
-from damsonpick.proxy.received_state import Holdings
-from damsonpick.proxy.watch_client import Follower
+from damsonpick.proxy.received_state import ReceivedState
+from damsonpick.proxy.watch_client import WatchCallbacks, WatchClient
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
 from tests.pilots import Pilot
@@ -23,7 +23,7 @@
     """A gateway that follows the pilot and remembers what it was sent."""
 
     def __init__(self, folder, name, zone="a", delta=True):
-        self.name, self.zone, self.holdings, self.got = name, zone, Holdings(), []
+        self.name, self.zone, self.received_state, self.got = name, zone, ReceivedState(), []
         log = structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()])
 
         def pilots():
@@ -31,19 +31,9 @@
                 return ["127.0.0.1:" + (folder / "port").read_text().strip()]
             return []
 
-        self.follower = Follower(
-            name,
-            zone,
-            pilots,
-            self.holdings,
-            Clock(),
-            Backoff(random.Random(name), 0.02, 0.2),
-            lambda *a: None,
-            lambda: {},
-            self._said,
-            log,
-            delta,
-        )
+        callbacks = WatchCallbacks(pilots, lambda *a: None, lambda: {}, self._said)
+        backoff = Backoff(random.Random(name), 0.02, 0.2)
+        self.watch_client = WatchClient(name, zone, self.received_state, callbacks, Clock(), backoff, log, delta)
 
     def _said(self, event, **details):
         if event == "got":
@@ -59,7 +49,7 @@
     try:
         async with anyio.create_task_group() as group:
             for gate in made:
-                group.start_soon(gate.follower.run)
+                group.start_soon(gate.watch_client.run)
             yield pilot, made
             group.cancel_scope.cancel()
     finally:
@@ -99,7 +89,11 @@
 
 
 def weights(gate):
-    return {n: {x: w for x, (w, _) in t.lines.items()} for n, t in gate.holdings.tables.items() if n != "fleet"}
+    return {
+        n: {x: entry.weight for x, entry in t.entries.items()}
+        for n, t in gate.received_state.tables.items()
+        if n != "fleet"
+    }
 
 
 async def not_bare(look):
--- a/tests/test_learned_pilot.py
+++ b/tests/test_learned_pilot.py
@@ -128,10 +128,18 @@
         )
 
     def reach(self, name):
-        return [(g.name, n) for g in self.gates for n in g.holdings.tables if name in g.holdings.open_lines(n)]
+        return [
+            (g.name, n)
+            for g in self.gates
+            for n in g.received_state.tables
+            if name in g.received_state.available_entries(n)
+        ]
 
     def usable(self):
-        return all(g.follower.linked and all(g.holdings.open_lines(f"slice/{n}") for n in range(6)) for g in self.gates)
+        return all(
+            g.watch_client.connected and all(g.received_state.available_entries(f"slice/{n}") for n in range(6))
+            for g in self.gates
+        )
 
     def tries(self, name, since=0):
         lines = (json.loads(x) for x in (self.folder / "record.jsonl").read_text().splitlines())
@@ -215,8 +223,8 @@
     async with world(tmp_path, gates=3) as (pilot, gates):
         await true(lambda: all(len(weights(g)) == 6 for g in gates))
         pilot.list(s1="in_service", s2="in_service", s3="terminating")
-        await true(lambda: all("127.0.0.1:9003" in g.holdings.tables["fleet"].lines for g in gates))
-        before = [g.holdings.versions for g in gates]
+        await true(lambda: all("127.0.0.1:9003" in g.received_state.tables["fleet"].entries for g in gates))
+        before = [g.received_state.versions for g in gates]
         pilot.stop(signal.SIGKILL)
         for gate in gates:
             gate.got.clear()
@@ -224,7 +232,7 @@
         await true(lambda: len(pilot.log("gateway_joined")) >= 6)
         await anyio.sleep(0.3)  # what a pilot that forgot would have sent by now
         assert not any("fleet" in {n for n, *_ in d["resources"]} for g in gates for _, d in g.got)
-        assert [g.holdings.versions for g in gates] == before
+        assert [g.received_state.versions for g in gates] == before
 
 
 async def test_two_pilots_on_one_folder_the_second_is_told_and_the_first_goes_on(tmp_path):
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -14,7 +14,7 @@
 from damsonpick.proxy import messages as http
 from damsonpick.proxy import table_cache
 from damsonpick.proxy.pool import ConnectionPool
-from damsonpick.proxy.received_state import Holdings
+from damsonpick.proxy.received_state import ReceivedState
 from fuzz.http_messages import check
 
 SECOND = 1_000_000_000
@@ -184,24 +184,25 @@
 
 def test_kept_tables_come_back_and_damaged_ones_are_refused(tmp_path):
     path, bodies = tmp_path / "p.tables", filled()
-    assert table_cache.load(path, Holdings()) == 0
+    assert table_cache.load(path, ReceivedState()) == 0
     table_cache.save(path, bodies)
-    holdings = Holdings()
-    assert table_cache.load(path, holdings) == 2 and holdings.tables["slice/1"].lines == {"127.0.0.1:2": (2000, "a")}
+    received_state = ReceivedState()
+    assert table_cache.load(path, received_state) == 2
+    assert received_state.tables["slice/1"].entries == {"127.0.0.1:2": (2000, "a")}
     whole_file = path.read_bytes()
     rng = random.Random(4)
     for _ in range(60):
         data = bytearray(whole_file)
         data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
         path.write_bytes(data)
-        fresh = Holdings()
+        fresh = ReceivedState()
         with pytest.raises(table_cache.TableCacheError):
             table_cache.load(path, fresh)
         assert not fresh.tables
     for size in (0, 1, 17, len(whole_file) - 1):
         path.write_bytes(whole_file[:size])
         with pytest.raises(table_cache.TableCacheError):
-            table_cache.load(path, Holdings())
+            table_cache.load(path, ReceivedState())
     assert os.listdir(tmp_path) == ["p.tables"]
 
 
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -15,7 +15,8 @@
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.proxy.load_balancer import Policy
 from damsonpick.proxy.program import Proxy
-from damsonpick.proxy.received_state import Table
+from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedResource, ReceivedTable
+from damsonpick.proxy.retry_policy import PublishedRetries
 from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
 
 pytestmark = pytest.mark.anyio
@@ -80,15 +81,15 @@
         self.proxy, self.group = proxy, group
 
     def table(self, lines, levels=None, fleet=(), name="slice/0"):
-        holdings = self.proxy.router.holdings
-        holdings.tables[name] = Table({n: (w, "a") for n, w in lines.items()}, levels or {})
-        holdings.tables["fleet"] = Table({n: (1000, "a") for n in fleet}, {})
-        holdings.clusters = {("page", "a"): "slice/0", ("write", "a"): "slice/0"}
-        self.proxy.apply_resources(EDS, [(name, "1", b""), ("fleet", "1", b"")], [])
+        received_state = self.proxy.router.received_state
+        received_state.tables[name] = ReceivedTable({n: ReceivedEntry(w, "a") for n, w in lines.items()}, levels or {})
+        received_state.tables["fleet"] = ReceivedTable({n: ReceivedEntry(1000, "a") for n in fleet}, {})
+        received_state.clusters = {("page", "a"): "slice/0", ("write", "a"): "slice/0"}
+        self.proxy.apply_resources(EDS, [ReceivedResource(name, "1", b""), ReceivedResource("fleet", "1", b"")], [])
 
     def retry(self, conditions, most=1):
         for kind in ("page", "write"):
-            self.proxy.router.holdings.retries[kind, "slice/0"] = (conditions, most)
+            self.proxy.router.received_state.retries[kind, "slice/0"] = PublishedRetries(conditions, most)
 
     async def client(self):
         return await anyio.connect_tcp("127.0.0.1", self.proxy.port)
@@ -245,7 +246,7 @@
         hung, good = await Server(*["hang"] * 50).start(w.group), await Server().start(w.group)
         w.table({hung.name: 1000}, name="slice/1")
         w.table({good.name: 1000})
-        w.proxy.router.holdings.clusters["write", "a"] = "slice/1"
+        w.proxy.router.received_state.clusters["write", "a"] = "slice/1"
         statuses: list[int] = []
 
         async def stuck():
@@ -419,7 +420,7 @@
         slow, good = await Server(*[pour] * 3).start(w.group), await Server().start(w.group)
         w.table({slow.name: 1000}, name="slice/1")
         w.table({good.name: 1000})
-        w.proxy.router.holdings.clusters["write", "a"] = "slice/1"
+        w.proxy.router.received_state.clusters["write", "a"] = "slice/1"
         lazy = await w.client()
         await lazy.send(b"GET / HTTP/1.1\r\nHost: x\r\nx-damson-class: write\r\n\r\n")
         gone = await w.client()
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -120,7 +120,7 @@
         assert reply.code == Code.OK and reply.interval >= 1
         assert all(w.weight > 0 and w.flags & WeightFlag.CONTACT for w in told(reply).values())
         made.pilot.list(s1="in_service", s2="in_service", s3="terminating")
-        await true(lambda: all(name(3) not in g.holdings.open_lines(n) for g in gates for n in weights(g)))
+        await true(lambda: all(name(3) not in g.received_state.available_entries(n) for g in gates for n in weights(g)))
         after = told(await client.weights(b"web"))
         assert after[name(3)].weight == 0 and after[name(3)].flags & WeightFlag.QUIESCE
         assert after[name(1)].weight > 0 and after[name(2)].weight > 0
@@ -152,7 +152,7 @@
         await client.register(b"web", ALL)
 
         def reached():
-            return any(name(2) in g.holdings.open_lines(n) for g in gates for n in weights(g))
+            return any(name(2) in g.received_state.available_entries(n) for g in gates for n in weights(g))
 
         assert reached()
         assert (await client.ask(states(MemberFlag.QUIESCE))).code == Code.OK
@@ -167,7 +167,7 @@
         await client.ask(states(MemberFlag.QUIESCE))
         made.pilot.list(s1="in_service", s2="in_service", s3="in_service")
         await settled(client, lambda w: w[name(2)].weight == 0 and not w[name(3)].flags & WeightFlag.QUIESCE, b"web")
-        await not_bare(lambda: all(g.holdings.open_lines(n) for g in gates for n in weights(g)))
+        await not_bare(lambda: all(g.received_state.available_entries(n) for g in gates for n in weights(g)))
         assert not reached()
         await client.ask(states(MemberFlag(0)))
         await settled(client, lambda w: not w[name(2)].flags & WeightFlag.QUIESCE, b"web")
@@ -288,7 +288,7 @@
             assert reply.code == Code.OK
             made.pilot.list(s1="in_service", s2="in_service", s3="terminating")
             with anyio.fail_after(2.2):
-                while any(name(3) in g.holdings.open_lines(n) for g in gates for n in weights(g)):
+                while any(name(3) in g.received_state.available_entries(n) for g in gates for n in weights(g)):
                     await anyio.sleep(0.02)
             assert told(await client.weights(b"web"))[name(3)].weight == 0
             await true(lambda: [e["why"] for e in made.pilot.log("balancer_left")] == ["it does not read"])
@@ -401,7 +401,7 @@
             await client.hello()
             assert (await client.weights(b"web")).code == Code.UNKNOWN_GROUP
             assert await client.register(b"web", ALL) == Code.OK
-        await true(lambda: all(g.follower.linked for g in gates))
+        await true(lambda: all(g.watch_client.connected for g in gates))
 
 
 async def test_without_any_gateway_that_reports_a_server_that_returns_gets_its_part_by_capacity(tmp_path):
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -20,7 +20,8 @@
 from damsonpick import interface as api
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.proxy import table_cache
-from damsonpick.proxy.received_state import Holdings, Table
+from damsonpick.proxy.received_resources import ReceivedTable
+from damsonpick.proxy.received_state import ReceivedState
 from damsonpick.state.history import rollback
 from damsonpick.state.history.database import HistoryDatabase
 from damsonpick.state.history.history import Retention
@@ -352,21 +353,22 @@
 
 
 def test_proxy_tables_are_read(fixture_copy):
-    held = Holdings()
+    held = ReceivedState()
     assert table_cache.load(fixture_copy("proxy-tables-1"), held) == 9
     assert held.versions == RESOURCE_VERSIONS
     assert held.tables == {
-        "fleet": Table({D: (1000, "b")}, {"page": 0.75}),
-        "slice/0": Table({A: (1000, "a"), B: (250, "b")}, {}),
-        "slice/1": Table({}, {}),
-        "slice/2": Table({"::1:9003": (2500, "a")}, {"tally": 0.125}),
+        "fleet": ReceivedTable({D: (1000, "b")}, {"page": 0.75}),
+        "slice/0": ReceivedTable({A: (1000, "a"), B: (250, "b")}, {}),
+        "slice/1": ReceivedTable({}, {}),
+        "slice/2": ReceivedTable({"::1:9003": (2500, "a")}, {"tally": 0.125}),
     }
     assert held.retries == {
         ("page", ""): ("connect-failure,refused-stream", 1),
         ("tally", ""): ("connect-failure,refused-stream,5xx,reset", 2),
         ("tally", "slice/2"): ("connect-failure,refused-stream,5xx,reset", 1),
     }
-    assert held.picks == dict.fromkeys(("fleet", "slice/0", "slice/1", "slice/2"), 1) and held.strikes == 5
+    assert held.balancing_policies == dict.fromkeys(("fleet", "slice/0", "slice/1", "slice/2"), 1)
+    assert held.ejection_failures == 5
 
 
 def test_proxy_tables_are_written_in_the_same_bytes(tmp_path):
--- a/tests/test_versions_pilot.py
+++ b/tests/test_versions_pilot.py
@@ -65,7 +65,8 @@
 
 async def _withdrawn(gates, name):
     return all(
-        name in g.holdings.tables["fleet"].lines or all(name not in t for t in weights(g).values()) for g in gates
+        name in g.received_state.tables["fleet"].entries or all(name not in t for t in weights(g).values())
+        for g in gates
     )
 
 
@@ -86,7 +87,7 @@
     async with world(tmp_path, gates=2) as (pilot, gates):
         await settled(pilot, gates)
         victim = gates[0]
-        victim.holdings._hold(EDS, "slice/2", "f" * 16)  # it believes in a copy that nobody sent
+        victim.received_state._set_version(EDS, "slice/2", "f" * 16)  # it believes in a copy that nobody sent
         victim.got.clear()
         pilot.list(s1="in_service", s2="in_service", s3="terminating")
         await soon(lambda: _repaired(victim))
@@ -98,15 +99,17 @@
 
 
 async def _repaired(gate):
-    return gate.holdings.versions[EDS]["slice/2"] != "f" * 16
+    return gate.received_state.versions[EDS]["slice/2"] != "f" * 16
 
 
 async def test_half_of_the_gateways_refuse_a_table_and_the_rest_are_spared(tmp_path):
     async with world(tmp_path, gates=4) as (pilot, gates):
         await settled(pilot, gates)
         for gate in gates[:2]:
-            gate.holdings.refuse = {f"slice/{k}" for k in range(6)}
-        gates[2].follower.pause = gates[3].follower.pause = lambda: 0.5  # they read later than the others refuse
+            gate.received_state.rejected_names = {f"slice/{k}" for k in range(6)}
+        gates[2].watch_client.callbacks.read_pause = gates[3].watch_client.callbacks.read_pause = lambda: (
+            0.5
+        )  # they read later than the others refuse
         before = weights(gates[3])
         pilot.list(s1="in_service", s2="in_service", s3="terminating")
         await soon(lambda: _logged(pilot, "rollout_stopped"))
@@ -176,7 +179,7 @@
 
 
 async def _in_again(gates):
-    return not any(g.holdings.tables["fleet"].lines for g in gates)
+    return not any(g.received_state.tables["fleet"].entries for g in gates)
 
 
 async def _newer(pilot, number):
@@ -192,12 +195,14 @@
         second = (await say(pilot, "list"))["newest"]
         pilot.list(s1="in_service", s2="in_service", s3="in_service")
         await soon(lambda: _in_again(gates))
-        gates[0].follower.pause = lambda: 0.4  # newer deltas are in flight to it when the next rollback comes
+        gates[0].watch_client.callbacks.read_pause = lambda: (
+            0.4
+        )  # newer deltas are in flight to it when the next rollback comes
         await say(pilot, "rollback", str(first))
         await say(pilot, "rollback", str(second))
         back = await say(pilot, "rollback", str(first))
         assert back["done"] and back["same"] in (True, False)
-        gates[0].follower.pause = lambda: 0.0
+        gates[0].watch_client.callbacks.read_pause = lambda: 0.0
         await settled(pilot, gates)
         assert weights(gates[0]) == weights(gates[1]) == weights(gates[2])
         assert (await say(pilot, "list"))["pinned"] == first
@@ -208,11 +213,11 @@
         await settled(pilot, gates)
         stranger = Gate(tmp_path, "stranger", "b")
         for n in range(6):  # versions that this pilot never made, one name that it does not have
-            stranger.holdings._hold(EDS, f"slice/{n}", f"{n:016x}")
+            stranger.received_state._set_version(EDS, f"slice/{n}", f"{n:016x}")
         for kind in (CDS, EDS):
-            stranger.holdings._hold(kind, "slice/99", "9" * 16)
+            stranger.received_state._set_version(kind, "slice/99", "9" * 16)
         async with anyio.create_task_group() as group:
-            group.start_soon(stranger.follower.run)
+            group.start_soon(stranger.watch_client.run)
             held = await settled(pilot, [*gates, stranger])
             assert {g["gateway"] for g in held["gateways"]} == {"g0", "g1", "stranger"}
             assert weights(stranger) == weights(gates[0])
@@ -332,7 +337,7 @@
     async with world(tmp_path, gates=2, delta=False) as (pilot, gates):
         await settled(pilot, gates)
         victim = gates[0]
-        victim.holdings._hold(EDS, "slice/2", "f" * 16)
+        victim.received_state._set_version(EDS, "slice/2", "f" * 16)
         pilot.list(s1="in_service", s2="in_service", s3="terminating")
         await soon(lambda: _repaired(victim))
         await settled(pilot, gates)
@@ -349,7 +354,7 @@
         pilot.list(s1="in_service", s2="in_service", s3="in_service")
         await soon(lambda: _in_again(gates))
         for gate in gates:
-            gate.follower.may_dial = lambda: False  # the rollback does not reach them
+            gate.watch_client.callbacks.may_connect = lambda: False  # the rollback does not reach them
         await soon(lambda: _nobody(pilot))
         await say(pilot, "rollback", str(first))
         pilot.stop(signal.SIGKILL)
@@ -357,11 +362,11 @@
         pilot.list(**{f"s{k}": "terminating" if moved.endswith(str(k)) else "in_service" for k in (1, 2, 3)})
         await soon(lambda: _logged(pilot, "list_applied"))
         for gate in gates:
-            gate.follower.may_dial = lambda: True
+            gate.watch_client.callbacks.may_connect = lambda: True
         with anyio.fail_after(2.2):  # the grace of a drain
-            while any(moved in g.holdings.open_lines(n) for g in gates for n in g.holdings.tables):
+            while any(moved in g.received_state.available_entries(n) for g in gates for n in g.received_state.tables):
                 await anyio.sleep(0.02)
-        await not_bare(lambda: all(g.holdings.open_lines(n) for g in gates for n in before))
+        await not_bare(lambda: all(g.received_state.available_entries(n) for g in gates for n in before))
 
 
 async def _nobody(pilot):
--- a/tests/test_versions_protocol.py
+++ b/tests/test_versions_protocol.py
@@ -5,7 +5,7 @@
 import pytest
 
 from damsonpick.protocols.xds.rejections import RejectionHandler
-from damsonpick.proxy.received_state import Holdings
+from damsonpick.proxy.received_state import ReceivedState
 from tests.versions_model import explore
 
 
@@ -15,7 +15,7 @@
 
 
 def test_a_gateway_that_does_not_check_is_found_out(monkeypatch):
-    monkeypatch.setattr(Holdings, "_check", lambda *a: None)
+    monkeypatch.setattr(ReceivedState, "_verify", lambda *a: None)
     with pytest.raises(AssertionError, match=r"wrong base|does not hold|acknowledged"):
         explore(6)
 
--- a/tests/versions_model.py
+++ b/tests/versions_model.py
@@ -1,4 +1,4 @@
-"""An explicit-state explorer of the version protocol, run on the real session and the real holdings.
+"""An explicit-state explorer of the version protocol, run on the real session and the real received state.
 
 One pilot's stream and one gateway, two tables of three contents each, messages in order on a stream that may break at
 any point. Every action is tried in every state up to a depth; states seen before are not gone into again.
@@ -21,7 +21,9 @@
 from damsonpick.protocols.xds.delta_session import DeltaSession
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.protocols.xds.resources import Resource
-from damsonpick.proxy.received_state import Asker, Bad, Holdings
+from damsonpick.proxy.ads_client import AdsClient
+from damsonpick.proxy.received_state import ReceivedState
+from damsonpick.proxy.response_errors import ResponseRejectedError
 
 NAMES = ("slice/0", "slice/1")
 CONTENTS = 3
@@ -60,14 +62,14 @@
     """Both ends and what lies between them."""
 
     def __init__(self):
-        self.catalogue, self.holdings = Catalogue(), Holdings()
+        self.catalogue, self.received_state = Catalogue(), ReceivedState()
         self.corrupted = self.faults = 0
         self.connect()
 
     def connect(self):
         self.session = DeltaSession(self.catalogue, 1)
-        self.asker = Asker(self.holdings, "gw", "a", True)
-        self.down, self.up = [], [self.asker.opening(EDS, list(NAMES))]
+        self.ads = AdsClient(self.received_state, "gw", "a", True)
+        self.down, self.up = [], [self.ads.subscribe(EDS, list(NAMES))]
 
     def copy(self):
         return copy.deepcopy(self, {id(r): r for r in POOL.values()})
@@ -90,11 +92,11 @@
         )
         return (
             tuple(self.catalogue.at.items()),
-            tuple(sorted(self.holdings.versions[EDS].items())),
+            tuple(sorted(self.received_state.versions[EDS].items())),
             told,
             tuple((m.control_plane.identifier, tuple((r.name, r.version) for r in m.resources)) for m, _ in self.down),
             tuple((bool(m.response_nonce), m.error_detail.message) for m in self.up),
-            tuple(sorted(self.holdings.refuse)),
+            tuple(sorted(self.received_state.rejected_names)),
         )
 
     # -- actions
@@ -113,14 +115,14 @@
 
     def deliver(self):
         message, expected = self.down.pop(0)
-        kind, resources, removed = self.asker.read(message)
+        parsed = self.ads.parse(message)
         bad = ""
         try:
-            self.holdings.take(kind, resources, removed, self.asker.stated(message))
-        except Bad as error:
+            self.received_state.apply(*parsed)
+        except ResponseRejectedError as error:
             bad = str(error)
-        self.up.append(self.asker.verdict(message, bad))
-        assert bad or self.holdings.versions[EDS] == expected, "a delta was applied to the wrong base"
+        self.up.append(self.ads.acknowledge(message, bad))
+        assert bad or self.received_state.versions[EDS] == expected, "a delta was applied to the wrong base"
 
     def answer(self):
         self.session.receive(0, self.up.pop(0))
@@ -133,20 +135,20 @@
             and not self.up
         ):
             for name, version in watch.acknowledged.items():
-                assert self.holdings.versions[EDS].get(name) == version, "an acknowledged version was lost"
+                assert self.received_state.versions[EDS].get(name) == version, "an acknowledged version was lost"
 
     def corrupt(self, name):
         """The gateway's copy is of another content than it should be, and it believes in it."""
-        have = self.holdings.versions[EDS].get(name)
+        have = self.received_state.versions[EDS].get(name)
         other = next(POOL[name, k].version for k in range(CONTENTS) if POOL[name, k].version != have)
-        self.holdings._hold(EDS, name, other)
+        self.received_state._set_version(EDS, name, other)
         self.corrupted += 1
 
     def lose(self):
         self.connect()
 
     def refuse(self, name):
-        self.holdings.refuse ^= {name}
+        self.received_state.rejected_names ^= {name}
 
     def actions(self, faults):
         found = [("publish", n) for n in NAMES]
@@ -158,7 +160,7 @@
             found.append(("answer",))
         if self.faults < faults:
             found += [("lose",), ("refuse", NAMES[0])]
-            found += [("corrupt", n) for n in NAMES if n in self.holdings.versions[EDS]]
+            found += [("corrupt", n) for n in NAMES if n in self.received_state.versions[EDS]]
         return found
 
     def do(self, action):
@@ -170,7 +172,7 @@
     """Faults stop: within bounds everything must come to rest with the gateway holding what is published.
 
     A copy that went wrong on the gateway is found at the next delta, so one is published."""
-    state.holdings.refuse = set()
+    state.received_state.rejected_names = set()
     for name in NAMES:
         state.publish(name)
         watch = state.session.watches.get(EDS)
@@ -193,9 +195,9 @@
     watch = state.session.watches[EDS]
     for name, version in watch.rejected.items():
         if want[name] == version:
-            want[name] = state.holdings.versions[EDS].get(name)  # it would not take this content: it need not
+            want[name] = state.received_state.versions[EDS].get(name)  # it would not take this content: it need not
     held = {n: v for n, v in want.items() if v}
-    assert state.holdings.versions[EDS] == held, "the gateway does not hold what is published"
+    assert state.received_state.versions[EDS] == held, "the gateway does not hold what is published"
 
 
 def explore(depth, faults=2):
