--- a/damsonpick/proxy/admission.py
+++ b/damsonpick/proxy/admission.py
@@ -15,13 +15,14 @@
 
 
 class Admission:
-    """Admits a share of the clients of each class.
-
-    Args:
-        seed: differs by proxy, so that the same clients are not rejected everywhere.
-    """
+    """Admits a share of the clients of each class."""
 
     def __init__(self, seed: int) -> None:
+        """Begin without requests.
+
+        Args:
+            seed: differs by proxy, so that the same clients are not rejected everywhere.
+        """
         self.seed = seed
         self._offset_ns = seed % DRAW_PERIOD_NS
 
--- a/damsonpick/proxy/client.py
+++ b/damsonpick/proxy/client.py
@@ -22,15 +22,16 @@
 
 
 class Client:
-    """One client connection.
-
-    Args:
-        stream: the open socket.
-        limits: of sizes.
-        timeouts: of waits.
-    """
+    """One client connection."""
 
     def __init__(self, stream: Stream, limits: Limits, timeouts: ClientTimeouts) -> None:
+        """Take over an accepted connection.
+
+        Args:
+            stream: the open socket.
+            limits: of sizes.
+            timeouts: of waits.
+        """
         self.stream = stream
         self.limits = limits
         self.timeouts = timeouts
--- a/damsonpick/proxy/load_balancer.py
+++ b/damsonpick/proxy/load_balancer.py
@@ -28,13 +28,14 @@
 
 
 class WeightedTable:
-    """The servers of one table, prepared for drawing by weight in logarithmic time.
-
-    Args:
-        weights: weight by server; those without a positive weight are left out.
-    """
+    """The servers of one table, prepared for drawing by weight in logarithmic time."""
 
     def __init__(self, weights: Mapping[str, float]) -> None:
+        """Prepare a table.
+
+        Args:
+            weights: weight by server; those without a positive weight are left out.
+        """
         positive = {name: weight for name, weight in weights.items() if weight > 0}
         self.names = list(positive)
         self.weights = list(positive.values())
@@ -62,13 +63,7 @@
 
 
 class LoadBalancer:
-    """Picks servers and keeps this proxy's own view of them.
-
-    Args:
-        rng: random draws.
-        policy: how servers are picked.
-        ejection_failures: consecutive failures that eject a server; 0: none is ejected.
-    """
+    """Picks servers and keeps this proxy's own view of them."""
 
     def __init__(
         self,
@@ -76,6 +71,13 @@
         policy: Policy = Policy.POWER_OF_TWO,
         ejection_failures: int = CONSECUTIVE_FAILURES,
     ) -> None:
+        """Begin without a view of any server.
+
+        Args:
+            rng: random draws.
+            policy: how servers are picked.
+            ejection_failures: consecutive failures that eject a server; 0: none is ejected.
+        """
         self.rng = rng
         self.policy = policy
         self.ejection_failures = ejection_failures
--- a/damsonpick/proxy/messages.py
+++ b/damsonpick/proxy/messages.py
@@ -31,6 +31,7 @@
 HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 ORDINARY_HEAD = re.compile(rb"[^\r\n\0]+\r\n(?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[^\r\n\0]*\r\n)*\r\n")
 BARE_LINE_END_TEXT = "a bare CR or LF stands in the head; end lines with CR LF"
+MAX_LENGTH_DIGITS = 18  # of content-length
 METHODS_WITHOUT_BODY = (b"GET", b"HEAD", b"OPTIONS")
 REASON_PHRASES = {
     200: b"OK",
@@ -50,6 +51,7 @@
     """A message that this proxy does not accept; `status` is the answer to its sender."""
 
     def __init__(self, text: str, status: int = 400) -> None:
+        """Compose an error with the text and the status of the answer."""
         super().__init__(text)
         self.status = status
 
@@ -86,14 +88,15 @@
 
 
 class Reader:
-    """Turns bytes into Head, Body and End; one for each connection and direction.
-
-    Args:
-        requests: whether it reads requests; otherwise answers.
-        max_head_bytes: bytes of a head.
-    """
+    """Turns bytes into Head, Body and End; one for each connection and direction."""
 
     def __init__(self, requests: bool, max_head_bytes: int = 16_384) -> None:
+        """Begin before the first message.
+
+        Args:
+            requests: whether it reads requests; otherwise answers.
+            max_head_bytes: bytes of a head.
+        """
         self.requests, self.max_head_bytes = requests, max_head_bytes
         self.parser = httptools.HttpRequestParser(self) if requests else httptools.HttpResponseParser(self)
         self.events: list[Head | Body | End] = []
@@ -215,30 +218,24 @@
         self._parse(head)
 
     def _check_head_lines(self, head: bytes) -> None:
+        """Check the headers of a complete head one by one.
+
+        Raises:
+            HttpProtocolError: a line is malformed or the framing of the body is ambiguous.
+        """
         if BARE_LINE_END.search(head):
             raise HttpProtocolError(BARE_LINE_END_TEXT)
         if FOLDED_LINE.search(head):
             raise HttpProtocolError("a header is folded over lines; write it on one")
-        lengths, codings = [], []
+        lengths: list[bytes] = []
+        codings: list[bytes] = []
         for line in head.split(b"\r\n")[1:-2]:
-            name, colon, value = line.partition(b":")
-            if not colon or not HEADER_NAME.match(name):
-                raise HttpProtocolError(
-                    "a header has no proper name; write name: value without white space before the colon"
-                )
-            if b"\0" in value:
-                raise HttpProtocolError("a header holds a zero byte")
-            low = name.lower()
-            if low == b"content-length":
+            name, value = _split_header(line)
+            if name == b"content-length":
                 lengths.append(value.strip())
-            elif low == b"transfer-encoding":
+            elif name == b"transfer-encoding":
                 codings.append(value.strip().lower())
-        if len(lengths) > 1 or (lengths and codings):
-            raise HttpProtocolError("the length of the body is stated twice; state it once")
-        if lengths and not (lengths[0].isdigit() and len(lengths[0]) < 19):
-            raise HttpProtocolError("content-length is no number")
-        if codings and codings != [b"chunked"]:
-            raise HttpProtocolError("transfer-encoding is not chunked alone", 501)
+        _check_framing(lengths, codings)
 
     def _parse(self, data: bytes) -> None:
         try:
@@ -331,3 +328,31 @@
     """A complete answer of the proxy itself, in plain text."""
     body = text.encode() + b"\n"
     return answer_bytes(status, [(b"content-type", b"text/plain"), *(headers or [])], len(body), close) + body
+
+
+def _split_header(line: bytes) -> tuple[bytes, bytes]:
+    """The lower-case name and the value of a header.
+
+    Raises:
+        HttpProtocolError: the line is no header.
+    """
+    name, colon, value = line.partition(b":")
+    if not colon or not HEADER_NAME.match(name):
+        raise HttpProtocolError("a header has no proper name; write name: value without white space before the colon")
+    if b"\0" in value:
+        raise HttpProtocolError("a header holds a zero byte")
+    return name.lower(), value
+
+
+def _check_framing(lengths: list[bytes], codings: list[bytes]) -> None:
+    """Check that content-length and transfer-encoding headers state the length of a body once.
+
+    Raises:
+        HttpProtocolError: they do not.
+    """
+    if len(lengths) > 1 or (lengths and codings):
+        raise HttpProtocolError("the length of the body is stated twice; state it once")
+    if lengths and not (lengths[0].isdigit() and len(lengths[0]) <= MAX_LENGTH_DIGITS):
+        raise HttpProtocolError("content-length is no number")
+    if codings and codings != [b"chunked"]:
+        raise HttpProtocolError("transfer-encoding is not chunked alone", 501)
--- a/damsonpick/proxy/pool.py
+++ b/damsonpick/proxy/pool.py
@@ -27,6 +27,11 @@
     """What one server has. `open` counts connections in use or being opened."""
 
     def __init__(self, tokens: float) -> None:
+        """Begin without connections.
+
+        Args:
+            tokens: connections that may be opened at once.
+        """
         self.idle: deque[tuple[int, Connection]] = deque()  # since when (ns); newest last
         self.open = 0
         self.waiting: deque[Waiter] = deque()
@@ -35,16 +40,17 @@
 
 
 class ConnectionPool(Generic[Connection, Waiter]):
-    """Connections of one proxy to all servers.
-
-    Args:
-        per_server: connections to one server.
-        waiting: requests that may wait for a connection to one server.
-        opening_rate: new connections a second to one server.
-        idle_ns: how long an idle connection is kept.
-    """
+    """Connections of one proxy to all servers."""
 
     def __init__(self, per_server: int, waiting: int, opening_rate: float, idle_ns: int) -> None:
+        """Begin without connections.
+
+        Args:
+            per_server: connections to one server.
+            waiting: requests that may wait for a connection to one server.
+            opening_rate: new connections a second to one server.
+            idle_ns: how long an idle connection is kept.
+        """
         self.per_server = per_server
         self.max_waiting = waiting
         self.opening_rate = opening_rate
--- a/damsonpick/proxy/retry_policy.py
+++ b/damsonpick/proxy/retry_policy.py
@@ -32,14 +32,15 @@
 
 
 class RetryBudget:
-    """Retries that this proxy may make, earned by admitted requests.
-
-    Args:
-        per_request: retries that one request earns.
-        limit: the most retries that are saved up; a new budget starts with them.
-    """
+    """Retries that this proxy may make, earned by admitted requests."""
 
     def __init__(self, per_request: float = RETRIES_PER_REQUEST, limit: float = MAX_SAVED_RETRIES) -> None:
+        """Begin with a full budget.
+
+        Args:
+            per_request: retries that one request earns.
+            limit: the most retries that are saved up; a new budget starts with them.
+        """
         self.per_request = per_request
         self.limit = limit
         self.saved = limit
--- a/damsonpick/proxy/server_connector.py
+++ b/damsonpick/proxy/server_connector.py
@@ -20,15 +20,16 @@
 
 
 class ServerConnector:
-    """Hands out connections to servers and takes them back.
-
-    Args:
-        limits: sizes, numbers and times.
-        router: says whether a server may still be used.
-        clock: the proxy's.
-    """
+    """Hands out connections to servers and takes them back."""
 
     def __init__(self, limits: Limits, router: Router, clock: Clock) -> None:
+        """Begin without connections.
+
+        Args:
+            limits: sizes, numbers and times.
+            router: says whether a server may still be used.
+            clock: the proxy's.
+        """
         self.limits = limits
         self.router = router
         self.clock = clock
--- a/damsonpick/proxy/stream.py
+++ b/damsonpick/proxy/stream.py
@@ -32,6 +32,7 @@
     __slots__ = ("armed_for", "future", "loop", "timer", "until")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Begin without a waiter on an event loop."""
         self.loop = loop
         self.until = 0.0
         self.armed_for = 0.0
@@ -87,15 +88,16 @@
 
 
 class Stream(asyncio.Protocol):
-    """One connection.
-
-    Args:
-        on_connected: called with the stream once it is open.
-    """
+    """One connection."""
 
     transport: asyncio.Transport
 
     def __init__(self, on_connected: Callable[[Stream], object] | None = None) -> None:
+        """Begin before the connection is open.
+
+        Args:
+            on_connected: called with the stream once it is open.
+        """
         self.on_connected = on_connected
         self.on_peer_closed: Callable[[], None] | None = None  # in order or not
         self.data = b""  # received and not yet taken
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -25,15 +25,16 @@
 
 
 class AttemptError(Exception):
-    """An attempt that brought no answer to forward.
-
-    Args:
-        execution: whether the server may have executed the request.
-        reason: for the client and the log.
-        answer: the server's own answer, if there was one.
-    """
+    """An attempt that brought no answer to forward."""
 
     def __init__(self, execution: Execution, reason: str, answer: FailedAnswer | None = None) -> None:
+        """Compose an error.
+
+        Args:
+            execution: whether the server may have executed the request.
+            reason: for the client and the log.
+            answer: the server's own answer, if there was one.
+        """
         super().__init__(reason)
         self.execution = execution
         self.reason = reason
@@ -41,16 +42,17 @@
 
 
 class UpstreamConnection:
-    """One connection to a server.
-
-    Args:
-        stream: the open socket.
-        max_head_bytes: of an answer.
-    """
+    """One connection to a server."""
 
     __slots__ = ("reader", "stream")
 
     def __init__(self, stream: Stream, max_head_bytes: int) -> None:
+        """Take over an open socket.
+
+        Args:
+            stream: the open socket.
+            max_head_bytes: of an answer.
+        """
         self.stream = stream
         self.reader = http.Reader(False, max_head_bytes)
 
@@ -64,16 +66,7 @@
 
 
 class UpstreamRequest:
-    """Sends one request and forwards its answer.
-
-    Args:
-        limits: of sizes.
-        client: where the body comes from and the answer goes to.
-        connection: to the server.
-        head: of the request.
-        left_ms: of the deadline, for the server to know.
-        closing: no request follows on the client's connection.
-    """
+    """Sends one request and forwards its answer."""
 
     def __init__(
         self,
@@ -84,6 +77,16 @@
         left_ms: int,
         closing: bool,
     ) -> None:
+        """Prepare a request; nothing is sent yet.
+
+        Args:
+            limits: of sizes.
+            client: where the body comes from and the answer goes to.
+            connection: to the server.
+            head: of the request.
+            left_ms: of the deadline, for the server to know.
+            closing: no request follows on the client's connection.
+        """
         self.limits = limits
         self.client = client
         self.connection = connection
