--- a/damsonpick/proxy/received_resources.py
+++ b/damsonpick/proxy/received_resources.py
@@ -61,10 +61,14 @@
     assignment = endpoint_pb2.ClusterLoadAssignment.FromString(body)
     entries = {}
     for locality in assignment.endpoints:
+        zone = locality.locality.zone
+        by_weight: dict[int, ReceivedEntry] = {}  # equal entries share one object: tables are large
         for entry in locality.lb_endpoints:
             address = entry.endpoint.address.socket_address
-            name = f"{address.address}:{address.port_value}"
-            entries[name] = ReceivedEntry(entry.load_balancing_weight.value, locality.locality.zone)
+            weight = entry.load_balancing_weight.value
+            if weight not in by_weight:
+                by_weight[weight] = ReceivedEntry(weight, zone)
+            entries[f"{address.address}:{address.port_value}"] = by_weight[weight]
     levels = {}
     for drop in assignment.policy.drop_overloads:
         denominator = PERCENTAGE_DENOMINATORS[drop.drop_percentage.denominator]
