--- a/tests/versions_model.py
+++ b/tests/versions_model.py
@@ -1,4 +1,4 @@
-"""An explicit-state explorer of the version protocol, run on the real session and the real holdings.
+"""An explicit-state explorer of the version protocol, run on the real session and the real received state.
 
 One pilot's stream and one gateway, two tables of three contents each, messages in order on a stream that may break at
 any point. Every action is tried in every state up to a depth; states seen before are not gone into again.
@@ -18,10 +18,12 @@
 from google.protobuf import any_pb2
 
 from damsonpick.protocols.shared.session import CoveredChanges
+from damsonpick.protocols.xds.delta_session import DeltaSession
 from damsonpick.protocols.xds.names import CDS, EDS, RDS
 from damsonpick.protocols.xds.resources import Resource
-from damsonpick.protocols.xds.session import DeltaSession
-from damsonpick.proxy.received_state import Asker, Bad, Holdings
+from damsonpick.proxy.ads_client import AdsClient
+from damsonpick.proxy.received_state import ReceivedState
+from damsonpick.proxy.response_errors import ResponseRejectedError
 
 NAMES = ("slice/0", "slice/1")
 CONTENTS = 3
@@ -49,7 +51,7 @@
         self.published = SimpleNamespace(seq=0)
 
     @property
-    def by(self):
+    def by_type(self):
         return {CDS: {}, EDS: {n: POOL[n, k] for n, k in self.at.items()}, RDS: {}}
 
     def get(self, kind, name):
@@ -60,14 +62,14 @@
     """Both ends and what lies between them."""
 
     def __init__(self):
-        self.catalogue, self.holdings = Catalogue(), Holdings()
+        self.catalogue, self.received_state = Catalogue(), ReceivedState()
         self.corrupted = self.faults = 0
         self.connect()
 
     def connect(self):
         self.session = DeltaSession(self.catalogue, 1)
-        self.asker = Asker(self.holdings, "gw", "a", True)
-        self.down, self.up = [], [self.asker.opening(EDS, list(NAMES))]
+        self.ads = AdsClient(self.received_state, "gw", "a", True)
+        self.down, self.up = [], [self.ads.subscribe(EDS, list(NAMES))]
 
     def copy(self):
         return copy.deepcopy(self, {id(r): r for r in POOL.values()})
@@ -78,23 +80,23 @@
             ()
             if watch is None
             else (
-                tuple(sorted(watch.sent.items())),
-                tuple(sorted(watch.held.items())),
-                tuple(sorted(watch.due)),
-                tuple(tuple(sorted(f.versions.items())) for f in watch.flights.values()),
-                None if watch.repair is None else len(watch.repair),
+                tuple(sorted(watch.expected.items())),
+                tuple(sorted(watch.acknowledged.items())),
+                tuple(sorted(watch.pending)),
+                tuple(tuple(sorted(response.versions.items())) for response in watch.in_flight.values()),
+                None if watch.ranges_to_replace is None else len(watch.ranges_to_replace),
                 watch.repairs,
-                tuple(map(tuple, watch.apart)),
+                tuple(map(tuple, watch.isolated_batches)),
                 tuple(sorted(watch.rejected.items())),
             )
         )
         return (
             tuple(self.catalogue.at.items()),
-            tuple(sorted(self.holdings.versions[EDS].items())),
+            tuple(sorted(self.received_state.versions[EDS].items())),
             told,
             tuple((m.control_plane.identifier, tuple((r.name, r.version) for r in m.resources)) for m, _ in self.down),
             tuple((bool(m.response_nonce), m.error_detail.message) for m in self.up),
-            tuple(sorted(self.holdings.refuse)),
+            tuple(sorted(self.received_state.rejected_names)),
         )
 
     # -- actions
@@ -108,39 +110,45 @@
         response = self.session.compose(self.catalogue.published.seq)
         if response is not None:
             message = discovery_pb2.DeltaDiscoveryResponse.FromString(response)
-            self.down.append((message, dict(self.session.watches[EDS].sent)))
+            self.down.append((message, dict(self.session.watches[EDS].expected)))
         return response is not None
 
     def deliver(self):
         message, expected = self.down.pop(0)
-        kind, resources, removed = self.asker.read(message)
+        parsed = self.ads.parse(message)
         bad = ""
         try:
-            self.holdings.take(kind, resources, removed, self.asker.stated(message))
-        except Bad as error:
+            self.received_state.apply(*parsed)
+        except ResponseRejectedError as error:
             bad = str(error)
-        self.up.append(self.asker.verdict(message, bad))
-        assert bad or self.holdings.versions[EDS] == expected, "a delta was applied to the wrong base"
+        self.up.append(self.ads.acknowledge(message, bad))
+        assert bad or self.received_state.versions[EDS] == expected, "a delta was applied to the wrong base"
 
     def answer(self):
         self.session.receive(0, self.up.pop(0))
         watch = self.session.watches[EDS]
-        if not self.corrupted and not watch.flights and watch.repair is None and not self.down and not self.up:
-            for name, version in watch.held.items():
-                assert self.holdings.versions[EDS].get(name) == version, "an acknowledged version was lost"
+        if (
+            not self.corrupted
+            and not watch.in_flight
+            and watch.ranges_to_replace is None
+            and not self.down
+            and not self.up
+        ):
+            for name, version in watch.acknowledged.items():
+                assert self.received_state.versions[EDS].get(name) == version, "an acknowledged version was lost"
 
     def corrupt(self, name):
         """The gateway's copy is of another content than it should be, and it believes in it."""
-        have = self.holdings.versions[EDS].get(name)
+        have = self.received_state.versions[EDS].get(name)
         other = next(POOL[name, k].version for k in range(CONTENTS) if POOL[name, k].version != have)
-        self.holdings._hold(EDS, name, other)
+        self.received_state._set_version(EDS, name, other)
         self.corrupted += 1
 
     def lose(self):
         self.connect()
 
     def refuse(self, name):
-        self.holdings.refuse ^= {name}
+        self.received_state.rejected_names ^= {name}
 
     def actions(self, faults):
         found = [("publish", n) for n in NAMES]
@@ -152,7 +160,7 @@
             found.append(("answer",))
         if self.faults < faults:
             found += [("lose",), ("refuse", NAMES[0])]
-            found += [("corrupt", n) for n in NAMES if n in self.holdings.versions[EDS]]
+            found += [("corrupt", n) for n in NAMES if n in self.received_state.versions[EDS]]
         return found
 
     def do(self, action):
@@ -164,11 +172,11 @@
     """Faults stop: within bounds everything must come to rest with the gateway holding what is published.
 
     A copy that went wrong on the gateway is found at the next delta, so one is published."""
-    state.holdings.refuse = set()
+    state.received_state.rejected_names = set()
     for name in NAMES:
         state.publish(name)
         watch = state.session.watches.get(EDS)
-        if watch is not None and watch.sent.get(name) == POOL[name, state.catalogue.at[name]].version:
+        if watch is not None and watch.expected.get(name) == POOL[name, state.catalogue.at[name]].version:
             state.publish(name)  # the same as before would be no delta
     state.catalogue.stopped.clear()
     for _ in range(60):
@@ -187,9 +195,9 @@
     watch = state.session.watches[EDS]
     for name, version in watch.rejected.items():
         if want[name] == version:
-            want[name] = state.holdings.versions[EDS].get(name)  # it would not take this content: it need not
+            want[name] = state.received_state.versions[EDS].get(name)  # it would not take this content: it need not
     held = {n: v for n, v in want.items() if v}
-    assert state.holdings.versions[EDS] == held, "the gateway does not hold what is published"
+    assert state.received_state.versions[EDS] == held, "the gateway does not hold what is published"
 
 
 def explore(depth, faults=2):
