--- a/benchmarks/sasp.py
+++ b/benchmarks/sasp.py
@@ -2,11 +2,11 @@
 
     python -m benchmarks.sasp --out benchmarks/sasp.json
 
-`polls`: one session against the desk, no sockets, 60 members, 1 to 1,000 groups; `made anew` is the baseline: a reply
-whose advice and text are made for that poll alone. `storm`: a pilot's process, 500 balancers in another that poll as
-fast as they are answered, and one that takes pushes: from the list's change (its file is looked at every 20 ms) to the
-push, and to an xDS gateway's withdrawal, against the same without the storm. `sessions`: memory and CPU of the pilot
-with 500 idle sessions.
+`polls`: one session against the advisor, no sockets, 60 members, 1 to 1,000 groups; `made anew` is the baseline: a
+reply whose advice and text are made for that poll alone. `storm`: a pilot's process, 500 balancers in another that poll
+as fast as they are answered, and one that takes pushes: from the list's change (its file is looked at every 20 ms) to
+the push, and to an xDS gateway's withdrawal, against the same without the storm. `sessions`: memory and CPU of the
+pilot with 500 idle sessions.
 """
 
 from __future__ import annotations
@@ -29,12 +29,13 @@
 import psutil
 
 from damsonpick.protocols.sasp import codec
+from damsonpick.protocols.sasp.advisor import WeightAdvisor
 from damsonpick.protocols.sasp.client import connect
 from damsonpick.protocols.sasp.layout import GetWeights, Group, LbFlag, MembersOf, Message, Sender, member
-from damsonpick.protocols.sasp.pacing import Meter, Pace
-from damsonpick.protocols.sasp.registry import Limits, Registry
-from damsonpick.protocols.sasp.session import Desk, SaspSession
-from damsonpick.protocols.sasp.weights import Known
+from damsonpick.protocols.sasp.pacing import MessageRateLimiter, PollPacer
+from damsonpick.protocols.sasp.registry import AccessLevel, Limits, Registry
+from damsonpick.protocols.sasp.session import SaspSession
+from damsonpick.protocols.sasp.weights import MemberStatus
 from damsonpick.state.published_tables import PublishedTables
 from tests.gates import Gate
 from tests.pilots import Pilot, name
@@ -52,17 +53,17 @@
     registry = Registry(
         Limits(2000, 1000),
         lambda text: "fleet" if text == b"all" else f"slices {int(text) % 400}",
-        lambda lb: "register",
+        lambda lb: AccessLevel.REGISTER,
     )
-    desk = Desk(
+    advisor = WeightAdvisor(
         published,
         registry,
-        Pace(random.Random(1)),
+        PollPacer(random.Random(1)),
         lambda n: 1.0 + n % 5,
-        lambda n: Known(True, True, True),
+        lambda n: MemberStatus(True, True, True),
         lambda: 0.0,
     )
-    session = SaspSession(desk, lambda lb: "a", Meter(1e9))
+    session = SaspSession(advisor, lambda lb: "a", MessageRateLimiter(1e9))
     listed = tuple(member(name(k)) for k in range(1, MEMBERS + 1))
     keys = [Group(b"lb", b"all")] if groups == 1 else [Group(b"lb", b"%d" % n) for n in range(groups)]
     registry.register(session, Sender.BALANCER, [MembersOf(k, listed) for k in keys])
@@ -72,9 +73,7 @@
         count, start = 0, time.process_time()
         while time.process_time() - start < seconds:
             if how == "made anew":
-                desk.made.clear()
-                desk.kept.clear()
-                desk.texts.clear()
+                advisor.clear_caches()
             size = len(session.receive(NOW, request))
             count += 1
         found[how] = count / (time.process_time() - start)
@@ -187,9 +186,9 @@
     listed(pilot, 0)
     await anyio.to_thread.run_sync(pilot.start)
     try:
-        while not pilot.log("sasp_open"):
+        while not pilot.log("sasp_opened"):
             await anyio.sleep(0.05)
-        address = f"127.0.0.1:{pilot.log('sasp_open')[0]['port']}"
+        address = f"127.0.0.1:{pilot.log('sasp_opened')[0]['port']}"
         of = psutil.Process(pilot.process.pid)
         await anyio.sleep(1)
         empty, idle = of.memory_info().rss, cpu(of)
--- a/damsonpick/cli/pilot.py
+++ b/damsonpick/cli/pilot.py
@@ -66,7 +66,7 @@
         parts: factories handed to `Pilot` as they are.
     """
     from damsonpick.controller.daemon import Pilot
-    from damsonpick.protocols.sasp.server import FrontError
+    from damsonpick.protocols.sasp.errors import ListenError
     from damsonpick.runtime import port_files
     from damsonpick.runtime.logs import configure
     from damsonpick.state.learned.errors import LockError
@@ -86,7 +86,7 @@
 
     try:
         anyio.run(serve_until_signal)
-    except (StoreError, LockError, FrontError) as error:
+    except (StoreError, LockError, ListenError) as error:
         fail(str(error), EXIT_WRONG_INPUT)
     except (RuntimeError, OSError) as error:
         fail(
--- a/damsonpick/cli/sasp.py
+++ b/damsonpick/cli/sasp.py
@@ -85,7 +85,7 @@
 
 def _require_success(code: int) -> None:
     if code:
-        raise RefusedError(sasp_client.words(code))
+        raise RefusedError(sasp_client.describe_code(code))
 
 
 address = click.argument("address")
@@ -113,7 +113,7 @@
             reply = await client.weights(name.encode())
             _print_weights(reply.groups, as_json)
             if not as_json:
-                click.echo(f"{sasp_client.words(reply.code)}; ask again in {reply.interval} s")
+                click.echo(f"{sasp_client.describe_code(reply.code)}; ask again in {reply.interval} s")
             await client.deregister(name.encode())
             return EXIT_NO if reply.code else 0
 
--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -251,7 +251,7 @@
     def _list_changed(self) -> None:
         """Tables that the solver assigns follow a change of the endpoint list at once, and so does SASP advice."""
         if self.sasp is not None:
-            self.sasp.learn()
+            self.sasp.update_statuses()
         if self.settings.solved:
             self.engine.step(self.clock.now())
             self.solver_task.advise_at_once()
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -58,7 +58,7 @@
         """Serve while the block runs, and end in order after it.
 
         Raises:
-            FrontError: the SASP address cannot be opened.
+            ListenError: the SASP address cannot be opened.
             RuntimeError: the xDS address cannot be opened.
         """
         components = self.components
--- /dev/null
+++ b/damsonpick/protocols/sasp/advisor.py
@@ -0,0 +1,229 @@
+"""Advice on registered groups, shared by all sessions: computed and encoded once for all that may use it. Sans I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from damsonpick.protocols.sasp import codec, weights
+from damsonpick.protocols.sasp.layout import Member, Weight
+from damsonpick.protocols.sasp.pacing import PollPacer
+from damsonpick.protocols.sasp.registry import MemberSnapshot, RegisteredGroup, Registry
+from damsonpick.protocols.sasp.weights import Advice, Exclusions, MemberStatus
+from damsonpick.settings.units import slice_numbers
+from damsonpick.state.published_tables import FLEET, PublishedTables, slice_unit
+
+NS_PER_S = 1_000_000_000
+SHARES_PERIOD_NS = 2 * NS_PER_S  # for which shares of several slices are kept while no table changes: load moves slowly
+FLEET_COVERAGE = "fleet"  # of groups that stand for all slices
+MAX_CACHED_ADVICE = 20_000  # groups' advice
+MAX_CACHED_ENTRIES = 100_000  # encoded weight entries
+
+
+class AdviceKey(NamedTuple):
+    """Groups with the same coverage and the same members get the same advice.
+
+    Attributes:
+        coverage: what they stand for.
+        snapshot_id: identity of the snapshot of their members.
+    """
+
+    coverage: str
+    snapshot_id: int
+
+
+class SharesVersion(NamedTuple):
+    """What shares depend on: as long as it stays, so do they.
+
+    Attributes:
+        fleet_seq: sequence number of the last change of the fleet.
+        tables_seq: of the last change of a covered table.
+        period: number of the period in which load was read; 0 where load does not matter.
+    """
+
+    fleet_seq: int
+    tables_seq: int
+    period: int
+
+
+class AdviceVersion(NamedTuple):
+    """What advice depends on, beside the group's members."""
+
+    shares: SharesVersion
+    status_revision: int
+
+
+class CachedShares(NamedTuple):
+    """Shares by endpoint, and what they depend on."""
+
+    version: SharesVersion
+    shares: dict[str, float]
+
+
+class CachedAdvice(NamedTuple):
+    """Advice by endpoint with its encoded weight entries, and what it depends on."""
+
+    snapshot: tuple[MemberSnapshot, ...]
+    version: AdviceVersion
+    advice: dict[str, Advice]
+    entries: bytes
+
+
+class GroupAdvice(NamedTuple):
+    """Advice on a group.
+
+    Attributes:
+        advice: by endpoint; the same object as long as nothing of it changes.
+        encoded: the group of weights as it goes on the wire.
+    """
+
+    advice: dict[str, Advice]
+    encoded: bytes
+
+
+class EncodedMembers(NamedTuple):
+    """A group of weights on the wire, and how many members are in it."""
+
+    size: int
+    encoded: bytes
+
+
+def _no_capacities() -> dict[str, float]:
+    return {}
+
+
+@dataclass(slots=True, eq=False)
+class WeightAdvisor:
+    """Computes what load balancers are told of their groups.
+
+    Args:
+        published: the tables.
+        registry: all registrations.
+        pacer: chooses the interval between polls.
+        load_of: requests a second of a slice.
+        status_of: what is known of an endpoint.
+        queue_fill: share of the send queue's limit that waits.
+        fallback_capacities: capacities by endpoint while no load report comes in, else empty. Without reports the
+            tables stand still, and an endpoint that returns would not get an entry.
+    """
+
+    published: PublishedTables
+    registry: Registry
+    pacer: PollPacer
+    load_of: Callable[[int], float]
+    status_of: Callable[[str], MemberStatus]
+    queue_fill: Callable[[], float]
+    fallback_capacities: Callable[[], dict[str, float]] = _no_capacities
+    _shares: dict[str, CachedShares] = field(default_factory=dict, init=False)  # by coverage
+    _advice: dict[AdviceKey, CachedAdvice] = field(default_factory=dict, init=False)
+    _entries: dict[tuple[Member, int, Advice], bytes] = field(default_factory=dict, init=False)  # by member and state
+    _units: dict[str, dict[str, None]] = field(default_factory=dict, init=False)  # by coverage
+    _status_revision: int = field(default=0, init=False)
+    _last_seq: int = field(default=0, init=False)  # of the tables, when they were last looked at
+
+    def clear_caches(self) -> None:
+        """Forget what was computed; the next advice is computed anew."""
+        self._shares.clear()
+        self._advice.clear()
+        self._entries.clear()
+
+    def note_status_change(self) -> None:
+        """What `status_of` returns has changed."""
+        self._status_revision += 1
+
+    def poll_interval(self, now: int) -> int:
+        """Seconds after which a load balancer should poll again."""
+        return self.pacer.next_interval(now, self.registry.session_count(), self.queue_fill())
+
+    def covered_units(self, coverage: str) -> Mapping[str, None]:
+        """Units of the tables that a group with this coverage stands for, in the order of the tables."""
+        if coverage not in self._units:
+            self._units[coverage] = dict.fromkeys(slice_unit(number) for number in self._covered_slices(coverage))
+        return self._units[coverage]
+
+    def _covered_slices(self, coverage: str) -> list[int]:
+        kind, _, rest = coverage.partition(" ")
+        if kind == "slices":
+            return slice_numbers(coverage)
+        if kind == "class":
+            classes = self.published.classes
+            return list(range(classes.index(rest), self.published.slices, len(classes)))
+        return list(range(self.published.slices))
+
+    def _current_shares(self, now: int, coverage: str) -> CachedShares:
+        """Shares over what is covered; computed anew only if something they depend on has changed."""
+        if self.published.seq != self._last_seq:
+            self._last_seq = self.published.seq
+            self.pacer.note_change(now)
+        version = self._shares_version(now, coverage)
+        cached = self._shares.get(coverage)
+        if cached is None or cached.version != version:
+            cached = CachedShares(version, self._compute_shares(coverage))
+            self._shares[coverage] = cached
+        return cached
+
+    def _shares_version(self, now: int, coverage: str) -> SharesVersion:
+        changed = self.published.changed
+        units = self.covered_units(coverage)
+        tables_seq = max((changed[unit] for unit in units), default=0)
+        # Load weighs slices against each other, so it moves nothing where there is but one.
+        period = now // SHARES_PERIOD_NS if len(units) > 1 else 0
+        return SharesVersion(changed[FLEET], tables_seq, period)
+
+    def _compute_shares(self, coverage: str) -> dict[str, float]:
+        if coverage == FLEET_COVERAGE:  # a single slice stays where its table has it
+            shares = weights.capacity_shares(self.fallback_capacities(), self.published.withdrawn)
+            if shares:
+                return shares
+        return weights.traffic_shares(self.published, self._covered_slices(coverage), self.load_of)
+
+    def advise(self, now: int, group: RegisteredGroup) -> GroupAdvice:
+        """Advice on a group at `now` (ns)."""
+        cached_shares = self._current_shares(now, group.coverage)
+        version = AdviceVersion(cached_shares.version, self._status_revision)
+        key = AdviceKey(group.coverage, id(group.snapshot))
+        cached = self._advice.get(key)
+        if cached is not None and cached.snapshot is not group.snapshot:
+            cached = None  # the identity was used again for another object
+        if cached is None or cached.version != version:
+            cached = self._compute_advice(group, version, cached_shares.shares, cached)
+            if len(self._advice) > MAX_CACHED_ADVICE:
+                self._advice.clear()
+            self._advice[key] = cached
+        return GroupAdvice(cached.advice, codec.write_weights_of(group.key, len(group.snapshot), cached.entries))
+
+    def _compute_advice(
+        self, group: RegisteredGroup, version: AdviceVersion, shares: dict[str, float], former: CachedAdvice | None
+    ) -> CachedAdvice:
+        snapshot = group.snapshot
+        exclusions = Exclusions(
+            withdrawn=self.published.withdrawn,
+            quiesced=[row.member.endpoint for row in snapshot if row.quiesced],
+            self_registered=[row.member.endpoint for row in snapshot if row.self_registered],
+        )
+        endpoints = dict.fromkeys(row.member.endpoint for row in snapshot)
+        advice = weights.advise(shares, endpoints, self.status_of, exclusions)
+        if former is not None and former.advice == advice:
+            return CachedAdvice(snapshot, version, former.advice, former.entries)
+        entries = b"".join(self._encode(row.member, row.state, advice[row.member.endpoint]) for row in snapshot)
+        return CachedAdvice(snapshot, version, advice, entries)
+
+    def encode_changed(
+        self, group: RegisteredGroup, before: Mapping[str, Advice], after: Mapping[str, Advice]
+    ) -> EncodedMembers:
+        """The members of a group whose advice has changed."""
+        entries = []
+        for row in group.snapshot:
+            new = after[row.member.endpoint]
+            if before.get(row.member.endpoint) != new:
+                entries.append(self._encode(row.member, row.state, new))
+        return EncodedMembers(len(entries), codec.write_weights_of(group.key, len(entries), b"".join(entries)))
+
+    def _encode(self, member: Member, state: int, advice: Advice) -> bytes:
+        key = (member, state, advice)
+        if key not in self._entries:
+            if len(self._entries) > MAX_CACHED_ENTRIES:
+                self._entries.clear()
+            self._entries[key] = codec.write_weight(Weight(member, state, advice.flags, advice.weight))
+        return self._entries[key]
--- a/damsonpick/protocols/sasp/client.py
+++ b/damsonpick/protocols/sasp/client.py
@@ -1,4 +1,4 @@
-"""A balancer's half of SASP on anyio: requests with their replies, pushes to a callback."""
+"""The load balancer's side of SASP on anyio: requests with their replies, pushes to a callback."""
 
 from __future__ import annotations
 
@@ -12,82 +12,122 @@
 from damsonpick.protocols.sasp import layout as sasp
 from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MembersOf, Sender
 
+READ_BYTES = 65_536
+
 
 class SaspError(Exception):
     """The manager cannot be asked, or refuses; the text says why."""
 
 
 class Client:
-    """One session. Args: lb: the balancer's identifier; pushed: called with what is sent unasked."""
+    """One session.
+
+    Args:
+        stream: the connection.
+        lb: the load balancer's identifier.
+        on_push: called with each push.
+
+    Attributes:
+        ended: set when the stream has ended.
+    """
 
-    def __init__(self, stream: SocketStream, lb: bytes, pushed: Callable[[sasp.SendWeights], None]) -> None:
-        self.stream, self.lb, self.pushed = stream, lb, pushed
-        self.number = 0
-        self.waits: dict[int, anyio.Event] = {}
-        self.replies: dict[int, sasp.Body] = {}
+    def __init__(self, stream: SocketStream, lb: bytes, on_push: Callable[[sasp.SendWeights], None]) -> None:
+        """Begin without requests; `read` must run in a task of its own."""
+        self.stream = stream
+        self.lb = lb
+        self.on_push = on_push
         self.ended = anyio.Event()
-        self.lock = anyio.Lock()
+        self._number = 0  # message id of the last request
+        self._waiting: dict[int, anyio.Event] = {}  # by message id
+        self._replies: dict[int, sasp.Body] = {}  # by message id
+        self._write_lock = anyio.Lock()
 
     async def read(self) -> None:
-        """Until the stream ends."""
+        """Read messages until the stream ends.
+
+        Raises:
+            SaspFormatError: the manager sent bytes that are no SASP.
+        """
         splitter = codec.Splitter()
         try:
             while True:
-                for frame in splitter.feed(await self.stream.receive(65_536)):
-                    message = codec.decode(frame)
-                    if isinstance(message.body, sasp.SendWeights):
-                        self.pushed(message.body)
-                    elif message.number in self.waits:
-                        self.replies[message.number] = message.body
-                        self.waits.pop(message.number).set()
+                for frame in splitter.feed(await self.stream.receive(READ_BYTES)):
+                    self._dispatch(codec.decode(frame))
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         finally:
             self.ended.set()
-            for wait in self.waits.values():
-                wait.set()
+            for event in self._waiting.values():
+                event.set()
+
+    def _dispatch(self, message: sasp.Message) -> None:
+        if isinstance(message.body, sasp.SendWeights):
+            self.on_push(message.body)
+        elif message.number in self._waiting:
+            self._replies[message.number] = message.body
+            self._waiting.pop(message.number).set()
 
     async def ask(self, body: sasp.Body) -> sasp.Body:
-        """The reply to a request.
+        """Send a request; returns the reply.
 
         Raises:
             SaspError: the stream ended first.
         """
-        self.number += 1
-        number, event = self.number, anyio.Event()
-        self.waits[number] = event
+        self._number += 1
+        number = self._number
+        event = anyio.Event()
+        self._waiting[number] = event
         try:
-            async with self.lock:
+            async with self._write_lock:
                 await self.stream.send(codec.encode(sasp.Message(number, body)))
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
             raise SaspError(f"the stream broke ({error!r})") from None
         if self.ended.is_set():
             event.set()
         await event.wait()
-        if number not in self.replies:
+        if number not in self._replies:
             raise SaspError("the manager ended the stream before it answered")
-        return self.replies.pop(number)
+        return self._replies.pop(number)
+
+    async def _ask_for_code(self, body: sasp.Body) -> int:
+        reply = await self.ask(body)
+        if not isinstance(reply, sasp.Reply):
+            raise SaspError(f"the manager answered {type(body).__name__} with {type(reply).__name__}")
+        return reply.code
 
     async def hello(self, flags: int = 0, health: int = 127) -> int:
-        """Make the balancer known; returns the code."""
-        return (await self.ask(sasp.SetLbState(self.lb, health, LbFlag(flags)))).code
+        """Make the load balancer known with `LbFlag` flags; returns the reply code."""
+        return await self._ask_for_code(sasp.SetLbState(self.lb, health, LbFlag(flags)))
 
     async def register(self, name: bytes, members: list[Member], sender: Sender = Sender.BALANCER) -> int:
+        """Register members of a group; returns the reply code."""
         body = sasp.Register(sender, (MembersOf(Group(self.lb, name), tuple(members)),))
-        return (await self.ask(body)).code
+        return await self._ask_for_code(body)
 
     async def deregister(self, name: bytes) -> int:
-        """A whole group; returns the code."""
+        """Deregister a whole group; returns the reply code."""
         body = sasp.Deregister(Sender.BALANCER, 0, (MembersOf(Group(self.lb, name), ()),))
-        return (await self.ask(body)).code
+        return await self._ask_for_code(body)
 
     async def weights(self, *names: bytes) -> sasp.WeightsReply:
-        return await self.ask(sasp.GetWeights(tuple(Group(self.lb, n) for n in names)))
+        """Poll the weights of groups; no names: all groups of the load balancer.
+
+        Raises:
+            SaspError: the stream ended first, or the reply is of another kind.
+        """
+        reply = await self.ask(sasp.GetWeights(tuple(Group(self.lb, name) for name in names)))
+        if not isinstance(reply, sasp.WeightsReply):
+            raise SaspError(f"the manager answered a poll with {type(reply).__name__}")
+        return reply
+
+
+def _ignore_push(body: sasp.SendWeights) -> None:
+    del body
 
 
 @asynccontextmanager
 async def connect(
-    address: str, lb: bytes, pushed: Callable[[sasp.SendWeights], None] = lambda body: None
+    address: str, lb: bytes, on_push: Callable[[sasp.SendWeights], None] = _ignore_push
 ) -> AsyncIterator[Client]:
     """A session with the manager at an address such as 127.0.0.1:3860.
 
@@ -100,7 +140,7 @@
     except OSError as error:
         raise SaspError(f"{address}: no manager answers ({error}); check [sasp] listen of the pilot") from None
     async with stream, anyio.create_task_group() as group:
-        client = Client(stream, lb, pushed)
+        client = Client(stream, lb, on_push)
         group.start_soon(client.read)
         try:
             yield client
@@ -108,8 +148,8 @@
             group.cancel_scope.cancel()
 
 
-def words(code: int) -> str:
-    """A reply code for people."""
+def describe_code(code: int) -> str:
+    """A reply code as words for people."""
     try:
         return Code(code).name.lower().replace("_", " ")
     except ValueError:
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -1,127 +1,200 @@
 """SASP messages to bytes and back, and the framing of a byte stream. Sans I/O.
 
 Nothing is allocated for what a length or a count claims, only for bytes that are there. A message whose frame is right
-and whose content is not leaves the stream usable and is answered NOT_UNDERSTOOD; a frame that lies ends it, as nothing
-after it can be found.
+and whose content is not leaves the stream usable and is answered NOT_UNDERSTOOD; a frame with a wrong header ends the
+stream, as nothing after it can be found.
 """
 
 from __future__ import annotations
 
 import struct
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Sequence
+from typing import Any, TypeVar
 
 from damsonpick.protocols.sasp import layout as sasp
 from damsonpick.protocols.sasp.layout import Kind
 
-HEAD = struct.Struct(">HHBiI")
-PART = struct.Struct(">HH")
-MEMBER = struct.Struct(">BH16sB")
-LARGEST = 1_048_576  # bytes of a message
+HEADER = struct.Struct(">HHBiI")  # type, length, version, message length, message id
+COMPONENT = struct.Struct(">HH")  # type, length
+MEMBER = struct.Struct(">BH16sB")  # protocol, port, address, length of the label
+WEIGHT_TAIL = struct.Struct(">BBH")  # state, flags, weight
+STATE_TAIL = struct.Struct(">BB")  # state, flags
+COUNT = struct.Struct(">H")
+REPLY_HEAD = struct.Struct(">BH")  # code, interval
+MAX_COMPONENT_BYTES = 0xFFFF
+MAX_NAME_BYTES = 255
+MAX_MESSAGE_BYTES = 1_048_576
+KNOWN_WEIGHT_FLAGS = 0x0F
+KNOWN_MEMBER_FLAGS = 0x01
+KNOWN_LB_FLAGS = 0x07
+KNOWN_SENDER_FLAGS = 0x01
+# Bytes that a component has at least, its own head included.
+MIN_MEMBER_BYTES = 24
+MIN_GROUP_BYTES = 6
+MIN_WEIGHT_BYTES = 32
+MIN_STATE_BYTES = 30
+MIN_GROUP_OF_BYTES = 12  # a group with its rows, none of them there
 
+T = TypeVar("T")
 
-class FrameError(ValueError):
-    """The stream cannot be followed any more; the text says where."""
 
+class SaspFormatError(ValueError):
+    """Bytes that are not as the protocol has them."""
 
-class NotUnderstood(ValueError):
-    """A message whose frame is right and whose content is not. `kind` is its type, if that could be read."""
+
+class FrameError(SaspFormatError):
+    """The stream cannot be followed any more; the text says what its header claims."""
+
+
+class MessageError(SaspFormatError):
+    """A message whose frame is right and whose content is not."""
 
     def __init__(self, text: str, number: int = 0, kind: int = 0) -> None:
+        """Name what is wrong, the message id, and the type of the message (0: it could not be read)."""
         super().__init__(text)
-        self.number, self.kind = number, kind
+        self.number = number
+        self.kind = kind
 
 
 # -- writing
 
 
-def _part(kind: int, body: bytes) -> bytes:
-    size = PART.size + len(body)
-    if size > 0xFFFF:
+def _component(kind: int, body: bytes) -> bytes:
+    size = COMPONENT.size + len(body)
+    if size > MAX_COMPONENT_BYTES:
         raise ValueError(f"component 0x{kind:04x} has {size} bytes, a length holds at most 65535: split the group")
-    return PART.pack(kind, size) + body
+    return COMPONENT.pack(kind, size) + body
+
+
+def _name(name: bytes) -> bytes:
+    if len(name) > MAX_NAME_BYTES:
+        raise ValueError(f"{name[:20]!r}... has {len(name)} bytes, a name holds at most 255")
+    return bytes((len(name),)) + name
+
+
+def write_member(member: sasp.Member) -> bytes:
+    """A member component (RFC 4678, 5.1).
+
+    Raises:
+        ValueError: its label is longer than 255 bytes.
+    """
+    label = member.label
+    if len(label) > MAX_NAME_BYTES:
+        raise ValueError(f"the label of {member.endpoint} has {len(label)} bytes, at most 255 fit")
+    return _component(sasp.MEMBER, MEMBER.pack(member.protocol, member.port, member.address, len(label)) + label)
+
+
+def write_group(group: sasp.Group) -> bytes:
+    """A group component.
+
+    Raises:
+        ValueError: one of its names is longer than 255 bytes.
+    """
+    return _component(sasp.GROUP, _name(group.lb) + _name(group.name))
 
 
-def _text(text: bytes) -> bytes:
-    if len(text) > 255:
-        raise ValueError(f"{text[:20]!r}... has {len(text)} bytes, a name holds at most 255")
-    return bytes((len(text),)) + text
+def write_weight(weight: sasp.Weight) -> bytes:
+    """A weight entry with its member."""
+    tail = WEIGHT_TAIL.pack(weight.state, weight.flags, weight.weight)
+    return _component(sasp.WEIGHT, write_member(weight.member) + tail)
 
 
-def write_member(m: sasp.Member) -> bytes:
-    if len(m.label) > 255:
-        raise ValueError(f"the label of {m.endpoint} has {len(m.label)} bytes, at most 255 fit")
-    return _part(sasp.MEMBER, MEMBER.pack(m.protocol, m.port, m.address, len(m.label)) + m.label)
+def _write_state(state: sasp.MemberState) -> bytes:
+    return _component(sasp.STATE, write_member(state.member) + STATE_TAIL.pack(state.state, state.flags))
 
 
-def write_group(g: sasp.Group) -> bytes:
-    return _part(sasp.GROUP, _text(g.lb) + _text(g.name))
+def _write_group_of(kind: int, group: sasp.Group, rows: Sequence[bytes]) -> bytes:
+    return _component(kind, COUNT.pack(len(rows)) + write_group(group) + b"".join(rows))
 
 
-def write_weight(w: sasp.Weight) -> bytes:
-    return _part(sasp.WEIGHT, write_member(w.member) + struct.pack(">BBH", w.state, w.flags, w.weight))
+def write_weights_of(group: sasp.Group, count: int, entries: bytes) -> bytes:
+    """A group of weights.
 
+    Args:
+        group: the group.
+        count: number of entries.
+        entries: as `write_weight` gave them, one after the other.
 
-def _write_state(s: sasp.MemberState) -> bytes:
-    return _part(sasp.STATE, write_member(s.member) + struct.pack(">BB", s.state, s.flags))
+    Raises:
+        ValueError: it is longer than a component may be.
+    """
+    return _component(sasp.WEIGHTS_OF, COUNT.pack(count) + write_group(group) + entries)
 
 
-def _write_of(kind: int, group: sasp.Group, rows: list[bytes]) -> bytes:
-    return _part(kind, struct.pack(">H", len(rows)) + write_group(group) + b"".join(rows))
+def write_groups(groups: Sequence[bytes]) -> bytes:
+    """The count of some encoded groups, and the groups: the body of a push."""
+    return COUNT.pack(len(groups)) + b"".join(groups)
 
 
-def write_weights_of(group: sasp.Group, count: int, rows: bytes) -> bytes:
-    """A group of weights from so many entries that are encoded already."""
-    return _part(sasp.WEIGHTS_OF, struct.pack(">H", count) + write_group(group) + rows)
+def write_weights_reply(code: int, interval: int, groups: Sequence[bytes]) -> bytes:
+    """The body of Get Weights Reply (RFC 4678, 6.3) from encoded groups; `interval` in seconds."""
+    return REPLY_HEAD.pack(code, interval) + write_groups(groups)
 
 
-def _members_of(groups: tuple[sasp.MembersOf, ...]) -> bytes:
-    return struct.pack(">H", len(groups)) + b"".join(
-        _write_of(sasp.MEMBERS_OF, g.group, [write_member(m) for m in g.members]) for g in groups
-    )
+def _members_of(groups: Sequence[sasp.MembersOf]) -> bytes:
+    encoded = []
+    for group, members in groups:
+        encoded.append(_write_group_of(sasp.MEMBERS_OF, group, [write_member(member) for member in members]))
+    return write_groups(encoded)
 
 
-def _weights_of(groups: tuple[sasp.WeightsOf, ...]) -> bytes:
-    return struct.pack(">H", len(groups)) + b"".join(
-        _write_of(sasp.WEIGHTS_OF, g.group, [write_weight(w) for w in g.weights]) for g in groups
-    )
+def _weights_of(groups: Sequence[sasp.WeightsOf]) -> list[bytes]:
+    encoded = []
+    for group, weights in groups:
+        encoded.append(_write_group_of(sasp.WEIGHTS_OF, group, [write_weight(weight) for weight in weights]))
+    return encoded
 
 
-def _body(body: sasp.Body) -> tuple[int, bytes]:
+def _states_of(groups: Sequence[sasp.StatesOf]) -> bytes:
+    encoded = []
+    for group, states in groups:
+        encoded.append(_write_group_of(sasp.STATES_OF, group, [_write_state(state) for state in states]))
+    return write_groups(encoded)
+
+
+def _write_body(body: sasp.Body) -> tuple[int, bytes]:
+    """Type and content of a message."""
+    kind: int
     match body:
         case sasp.Register(sender, groups):
-            return Kind.REGISTER, bytes((sender,)) + _members_of(groups)
+            kind, content = Kind.REGISTER, bytes((sender,)) + _members_of(groups)
         case sasp.Deregister(sender, reason, groups):
-            return Kind.DEREGISTER, bytes((sender, reason)) + _members_of(groups)
-        case sasp.GetWeights(groups):
-            return Kind.GET_WEIGHTS, struct.pack(">H", len(groups)) + b"".join(map(write_group, groups))
-        case sasp.WeightsReply(code, interval, groups):
-            return Kind.GET_WEIGHTS_REPLY, struct.pack(">BH", code, interval) + _weights_of(groups)
-        case sasp.SendWeights(groups):
-            return Kind.SEND_WEIGHTS, _weights_of(groups)
+            kind, content = Kind.DEREGISTER, bytes((sender, reason)) + _members_of(groups)
+        case sasp.GetWeights(keys):
+            kind, content = Kind.GET_WEIGHTS, write_groups([write_group(key) for key in keys])
+        case sasp.WeightsReply(code, interval, weights):
+            kind, content = Kind.GET_WEIGHTS_REPLY, write_weights_reply(code, interval, _weights_of(weights))
+        case sasp.SendWeights(weights):
+            kind, content = Kind.SEND_WEIGHTS, write_groups(_weights_of(weights))
         case sasp.SetLbState(lb, health, flags):
-            return Kind.SET_LB_STATE, _text(lb) + bytes((health, flags))
-        case sasp.SetMemberState(sender, groups):
-            return Kind.SET_MEMBER_STATE, bytes((sender,)) + struct.pack(">H", len(groups)) + b"".join(
-                _write_of(sasp.STATES_OF, g.group, [_write_state(s) for s in g.states]) for g in groups
-            )
+            kind, content = Kind.SET_LB_STATE, _name(lb) + bytes((health, flags))
+        case sasp.SetMemberState(sender, states):
+            kind, content = Kind.SET_MEMBER_STATE, bytes((sender,)) + _states_of(states)
         case sasp.Reply(kind, code):
-            return kind, bytes((code,))
-    raise TypeError(f"{body!r} is no SASP message")
+            content = bytes((code,))
+        case _:
+            raise TypeError(f"{body!r} is no SASP message")
+    return kind, content
 
 
 def frame(number: int, kind: int, body: bytes) -> bytes:
-    """A message round a body that is encoded already. A length above 65535 does not fit the message's own component:
-    the message length of the header tells it all the same, and the component's says 65535."""
-    size = PART.size + len(body)
-    return (
-        HEAD.pack(sasp.HEADER, sasp.HEADER_SIZE, sasp.VERSION, sasp.HEADER_SIZE + size, number)
-        + PART.pack(kind, min(size, 0xFFFF))
-        + body
-    )
+    """A message around an encoded body.
+
+    A length above 65535 does not fit the message's own component: the message length of the header tells it all the
+    same, and the component's says 65535.
+    """
+    size = COMPONENT.size + len(body)
+    header = HEADER.pack(sasp.HEADER, sasp.HEADER_SIZE, sasp.VERSION, sasp.HEADER_SIZE + size, number)
+    return header + COMPONENT.pack(kind, min(size, MAX_COMPONENT_BYTES)) + body
 
 
 def encode(message: sasp.Message) -> bytes:
-    kind, body = _body(message.body)
+    """A message as one frame.
+
+    Raises:
+        ValueError: a name or a group is longer than its length can tell.
+    """
+    kind, body = _write_body(message.body)
     return frame(message.number, kind, body)
 
 
@@ -129,174 +202,264 @@
 
 
 class Reader:
-    """A walk over the bytes of one component; reads past its end are NotUnderstood."""
+    """Reads the bytes of one component from front to back.
+
+    Every method raises MessageError where the bytes are not as the protocol has them.
+
+    Args:
+        data: the bytes after the component's head.
+        what: name of the component in errors.
+    """
 
     def __init__(self, data: memoryview, what: str) -> None:
-        self.data, self.at, self.what = data, 0, what
+        """Begin at the front."""
+        self.data = data
+        self.position = 0
+        self.what = what
 
-    def take(self, count: int) -> memoryview:
-        if self.at + count > len(self.data):
-            raise NotUnderstood(f"{self.what}: {count} bytes are read at {self.at}, there are {len(self.data)}")
-        self.at += count
-        return self.data[self.at - count : self.at]
+    @property
+    def remaining(self) -> int:
+        """Bytes that were not read yet."""
+        return len(self.data) - self.position
 
-    def unpack(self, form: struct.Struct) -> tuple:
+    def take(self, count: int) -> memoryview:
+        """The next bytes."""
+        if count > self.remaining:
+            raise MessageError(f"{self.what}: {count} bytes are read at {self.position}, there are {len(self.data)}")
+        self.position += count
+        return self.data[self.position - count : self.position]
+
+    def unpack(self, form: struct.Struct) -> tuple[Any, ...]:
+        """The next fields."""
         return form.unpack(self.take(form.size))
 
     def byte(self) -> int:
+        """The next byte as a number."""
         return self.take(1)[0]
 
     def short(self) -> int:
+        """The next two bytes as a number."""
         return int.from_bytes(self.take(2), "big")
 
-    def text(self) -> bytes:
+    def name(self) -> bytes:
+        """The next name, with its length before it."""
         return bytes(self.take(self.byte()))
 
-    def part(self, kind: int) -> Reader:
-        """The next component, which must be of a kind."""
-        found, size = self.unpack(PART)
+    def component(self, kind: int) -> Reader:
+        """The next component, which must be of a type."""
+        found, size = self.unpack(COMPONENT)
         if found != kind:
-            raise NotUnderstood(f"{self.what}: component 0x{found:04x} where 0x{kind:04x} belongs")
-        if size < PART.size:
-            raise NotUnderstood(
-                f"{self.what}: component 0x{kind:04x} says it has {size} bytes, its head alone has {PART.size}"
+            raise MessageError(f"{self.what}: component 0x{found:04x} where 0x{kind:04x} belongs")
+        if size < COMPONENT.size:
+            raise MessageError(
+                f"{self.what}: component 0x{kind:04x} says it has {size} bytes, its head alone has {COMPONENT.size}"
             )
-        return Reader(self.take(size - PART.size), f"component 0x{kind:04x}")
+        return Reader(self.take(size - COMPONENT.size), f"component 0x{kind:04x}")
 
-    def each(self, count: int, least: int, read: Callable[[Reader], object]) -> tuple:
+    def rows(self, count: int, min_row_bytes: int, read_row: Callable[[Reader], T]) -> tuple[T, ...]:
         """So many rows. A count that the bytes left cannot hold is refused before anything is made for it."""
-        if count * least > len(self.data) - self.at:
-            raise NotUnderstood(f"{self.what}: {count} rows are counted, {len(self.data) - self.at} bytes are left")
-        return tuple(read(self) for _ in range(count))
+        if count * min_row_bytes > self.remaining:
+            raise MessageError(f"{self.what}: {count} rows are counted, {self.remaining} bytes are left")
+        return tuple(read_row(self) for _ in range(count))
+
+    def counted_rows(self, min_row_bytes: int, read_row: Callable[[Reader], T]) -> tuple[T, ...]:
+        """Rows with their count before them."""
+        return self.rows(self.short(), min_row_bytes, read_row)
 
     def end(self) -> None:
-        if self.at != len(self.data):
-            raise NotUnderstood(f"{self.what}: {len(self.data) - self.at} bytes are left over")
+        """Nothing may be left."""
+        if self.remaining:
+            raise MessageError(f"{self.what}: {self.remaining} bytes are left over")
+
+
+def _read_member(reader: Reader) -> sasp.Member:
+    component = reader.component(sasp.MEMBER)
+    protocol, port, address, label_bytes = component.unpack(MEMBER)
+    member = sasp.Member(protocol, port, address, bytes(component.take(label_bytes)))
+    component.end()
+    return member
+
+
+def _read_group(reader: Reader) -> sasp.Group:
+    component = reader.component(sasp.GROUP)
+    group = sasp.Group(lb=component.name(), name=component.name())
+    component.end()
+    return group
+
+
+def _read_weight(reader: Reader) -> sasp.Weight:
+    component = reader.component(sasp.WEIGHT)
+    member = _read_member(component)
+    state, flags, weight = component.unpack(WEIGHT_TAIL)
+    component.end()
+    return sasp.Weight(member, state, sasp.WeightFlag(flags & KNOWN_WEIGHT_FLAGS), weight)
+
+
+def _read_state(reader: Reader) -> sasp.MemberState:
+    component = reader.component(sasp.STATE)
+    member = _read_member(component)
+    state, flags = component.unpack(STATE_TAIL)
+    component.end()
+    return sasp.MemberState(member, state, sasp.MemberFlag(flags & KNOWN_MEMBER_FLAGS))
 
 
-def _member(reader: Reader) -> sasp.Member:
-    part = reader.part(sasp.MEMBER)
-    protocol, port, address, size = part.unpack(MEMBER)
-    made = sasp.Member(protocol, port, address, bytes(part.take(size)))
-    part.end()
-    return made
+def _read_group_of(
+    reader: Reader, kind: int, min_row_bytes: int, read_row: Callable[[Reader], T]
+) -> tuple[sasp.Group, tuple[T, ...]]:
+    """A group with its rows, whose count stands before the group."""
+    component = reader.component(kind)
+    count = component.short()
+    group = _read_group(component)
+    rows = component.rows(count, min_row_bytes, read_row)
+    component.end()
+    return group, rows
 
 
-def _group(reader: Reader) -> sasp.Group:
-    part = reader.part(sasp.GROUP)
-    made = sasp.Group(part.text(), part.text())
-    part.end()
-    return made
+def _read_members_of(reader: Reader) -> sasp.MembersOf:
+    return sasp.MembersOf(*_read_group_of(reader, sasp.MEMBERS_OF, MIN_MEMBER_BYTES, _read_member))
 
 
-def _weight(reader: Reader) -> sasp.Weight:
-    part = reader.part(sasp.WEIGHT)
-    made = sasp.Weight(_member(part), part.byte(), sasp.WeightFlag(part.byte() & 0x0F), part.short())
-    part.end()
-    return made
+def _read_weights_of(reader: Reader) -> sasp.WeightsOf:
+    return sasp.WeightsOf(*_read_group_of(reader, sasp.WEIGHTS_OF, MIN_WEIGHT_BYTES, _read_weight))
 
 
-def _state(reader: Reader) -> sasp.MemberState:
-    part = reader.part(sasp.STATE)
-    made = sasp.MemberState(_member(part), part.byte(), sasp.MemberFlag(part.byte() & 0x01))
-    part.end()
-    return made
+def _read_states_of(reader: Reader) -> sasp.StatesOf:
+    return sasp.StatesOf(*_read_group_of(reader, sasp.STATES_OF, MIN_STATE_BYTES, _read_state))
 
 
-LEAST = {sasp.MEMBER: 24, sasp.GROUP: 6, sasp.WEIGHT: 32, sasp.STATE: 30, sasp.MEMBERS_OF: 12}  # bytes of a row
+def _read_sender(reader: Reader) -> sasp.Sender:
+    return sasp.Sender(reader.byte() & KNOWN_SENDER_FLAGS)
 
 
-def _of(kind: int, row: int, read: Callable[[Reader], object], make: Callable) -> Callable[[Reader], object]:
-    def one(reader: Reader) -> object:
-        part = reader.part(kind)
-        count = part.short()
-        group = _group(part)
-        made = make(group, part.each(count, LEAST[row], read))
-        part.end()
-        return made
+def _read_register(reader: Reader) -> sasp.Register:
+    sender = _read_sender(reader)
+    return sasp.Register(sender, reader.counted_rows(MIN_GROUP_OF_BYTES, _read_members_of))
 
-    return one
 
+def _read_deregister(reader: Reader) -> sasp.Deregister:
+    sender = _read_sender(reader)
+    reason = reader.byte()
+    return sasp.Deregister(sender, reason, reader.counted_rows(MIN_GROUP_OF_BYTES, _read_members_of))
 
-_members = _of(sasp.MEMBERS_OF, sasp.MEMBER, _member, sasp.MembersOf)
-_weights = _of(sasp.WEIGHTS_OF, sasp.WEIGHT, _weight, sasp.WeightsOf)
-_states = _of(sasp.STATES_OF, sasp.STATE, _state, sasp.StatesOf)
 
+def _read_get_weights(reader: Reader) -> sasp.GetWeights:
+    return sasp.GetWeights(reader.counted_rows(MIN_GROUP_BYTES, _read_group))
 
-def _rows(reader: Reader, read: Callable[[Reader], object], least: int = 12) -> tuple:
-    return reader.each(reader.short(), least, read)
 
+def _read_weights_reply(reader: Reader) -> sasp.WeightsReply:
+    code, interval = reader.unpack(REPLY_HEAD)
+    return sasp.WeightsReply(code, interval, reader.counted_rows(MIN_GROUP_OF_BYTES, _read_weights_of))
 
-READ: dict[int, Callable[[Reader], sasp.Body]] = {
-    Kind.REGISTER: lambda r: sasp.Register(sasp.Sender(r.byte() & 1), _rows(r, _members)),
-    Kind.DEREGISTER: lambda r: sasp.Deregister(sasp.Sender(r.byte() & 1), r.byte(), _rows(r, _members)),
-    Kind.GET_WEIGHTS: lambda r: sasp.GetWeights(_rows(r, _group, LEAST[sasp.GROUP])),
-    Kind.GET_WEIGHTS_REPLY: lambda r: sasp.WeightsReply(r.byte(), r.short(), _rows(r, _weights)),
-    Kind.SEND_WEIGHTS: lambda r: sasp.SendWeights(_rows(r, _weights)),
-    Kind.SET_LB_STATE: lambda r: sasp.SetLbState(r.text(), r.byte(), sasp.LbFlag(r.byte() & 7)),
-    Kind.SET_MEMBER_STATE: lambda r: sasp.SetMemberState(sasp.Sender(r.byte() & 1), _rows(r, _states)),
-} | {
-    kind: (lambda r, k=kind: sasp.Reply(k, r.byte()))
-    for kind in (Kind.REGISTER_REPLY, Kind.DEREGISTER_REPLY, Kind.SET_LB_STATE_REPLY, Kind.SET_MEMBER_STATE_REPLY)
+
+def _read_send_weights(reader: Reader) -> sasp.SendWeights:
+    return sasp.SendWeights(reader.counted_rows(MIN_GROUP_OF_BYTES, _read_weights_of))
+
+
+def _read_set_lb_state(reader: Reader) -> sasp.SetLbState:
+    lb = reader.name()
+    health = reader.byte()
+    return sasp.SetLbState(lb, health, sasp.LbFlag(reader.byte() & KNOWN_LB_FLAGS))
+
+
+def _read_set_member_state(reader: Reader) -> sasp.SetMemberState:
+    sender = _read_sender(reader)
+    return sasp.SetMemberState(sender, reader.counted_rows(MIN_GROUP_OF_BYTES, _read_states_of))
+
+
+BODY_READERS: dict[int, Callable[[Reader], sasp.Body]] = {
+    Kind.REGISTER: _read_register,
+    Kind.DEREGISTER: _read_deregister,
+    Kind.GET_WEIGHTS: _read_get_weights,
+    Kind.GET_WEIGHTS_REPLY: _read_weights_reply,
+    Kind.SEND_WEIGHTS: _read_send_weights,
+    Kind.SET_LB_STATE: _read_set_lb_state,
+    Kind.SET_MEMBER_STATE: _read_set_member_state,
 }
+CODE_REPLIES = frozenset(
+    (Kind.REGISTER_REPLY, Kind.DEREGISTER_REPLY, Kind.SET_LB_STATE_REPLY, Kind.SET_MEMBER_STATE_REPLY)
+)
+
+
+def _read_body(kind: int, reader: Reader) -> sasp.Body:
+    if kind in CODE_REPLIES:
+        body: sasp.Body = sasp.Reply(Kind(kind), reader.byte())
+    elif kind in BODY_READERS:
+        body = BODY_READERS[kind](reader)
+    else:
+        raise MessageError(f"message type 0x{kind:04x} is unknown")
+    reader.end()
+    return body
+
+
+def _check_size(kind: int, size: int, available: int) -> None:
+    """Whether the length of a message's component fits that of its header."""
+    is_known = kind in CODE_REPLIES or kind in BODY_READERS
+    if is_known and size != min(available, MAX_COMPONENT_BYTES):
+        raise MessageError(f"message 0x{kind:04x} says it has {size} bytes, the header leaves {available}")
 
 
 def decode(data: bytes) -> sasp.Message:
     """One whole frame.
 
     Raises:
-        NotUnderstood: its content is not as the protocol has it; it holds number and type for the reply.
+        MessageError: its content is not as the protocol has it; it holds message id and type for the reply.
     """
-    _, _, version, _, number = HEAD.unpack_from(data)
+    _, _, version, _, number = HEADER.unpack_from(data)
     kind = 0
     try:
         if version != sasp.VERSION:
-            raise NotUnderstood(f"version {version}, this is a manager of version {sasp.VERSION}")
+            raise MessageError(f"version {version}, this is a manager of version {sasp.VERSION}")
         reader = Reader(memoryview(data)[sasp.HEADER_SIZE :], "the message")
-        kind, size = reader.unpack(PART)
-        if kind not in READ:
-            raise NotUnderstood(f"message type 0x{kind:04x} is unknown")
-        rest = len(data) - sasp.HEADER_SIZE
-        if size != min(rest, 0xFFFF):
-            raise NotUnderstood(f"message 0x{kind:04x} says it has {size} bytes, the header leaves {rest}")
-        body = READ[kind](reader)
-        reader.end()
-    except NotUnderstood as error:
-        raise NotUnderstood(str(error), number, kind) from None
+        kind, size = reader.unpack(COMPONENT)
+        _check_size(kind, size, len(data) - sasp.HEADER_SIZE)
+        body = _read_body(kind, reader)
+    except MessageError as error:
+        raise MessageError(str(error), number, kind) from None
     return sasp.Message(number, body)
 
 
 class Splitter:
-    """Cuts a byte stream into frames, whatever the pieces it comes in."""
+    """Cuts a byte stream into frames, wherever its reads end.
+
+    Args:
+        max_message_bytes: a longer message ends the stream.
+    """
 
-    def __init__(self, largest: int = LARGEST) -> None:
-        self.largest, self.data = largest, bytearray()
+    def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
+        """Begin with an empty buffer."""
+        self.max_message_bytes = max_message_bytes
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
         """Whole frames that are there by now.
 
         Raises:
-            FrameError: a head that is none, or a length that cannot be.
+            FrameError: a header that is none, or a length that cannot be.
         """
-        self.data += data
-        while (size := self._size()) is not None and len(self.data) >= size:
-            whole = bytes(self.data[:size])
-            del self.data[:size]
+        self.buffer += data
+        while True:
+            size = self._frame_bytes()
+            if size is None or len(self.buffer) < size:
+                return
+            whole = bytes(self.buffer[:size])
+            del self.buffer[:size]
             yield whole
 
-    def _size(self) -> int | None:
-        """Bytes of the frame at the front; None: not known yet. Each field is judged as soon as it is there."""
-        if len(self.data) >= 4:
-            kind, own = PART.unpack_from(self.data)
-            if kind != sasp.HEADER or own != sasp.HEADER_SIZE:
+    def _frame_bytes(self) -> int | None:
+        """Bytes of the frame at the front; None: not known yet. Each field is checked as soon as it is there."""
+        if len(self.buffer) >= COMPONENT.size:
+            kind, header_bytes = COMPONENT.unpack_from(self.buffer)
+            if kind != sasp.HEADER or header_bytes != sasp.HEADER_SIZE:
                 raise FrameError(
-                    f"a message begins with 0x{kind:04x} of {own} bytes, not with a SASP header of {sasp.HEADER_SIZE}"
+                    f"a message begins with 0x{kind:04x} of {header_bytes} bytes, "
+                    f"not with a SASP header of {sasp.HEADER_SIZE}"
                 )
-        if len(self.data) < sasp.HEADER_SIZE:
+        if len(self.buffer) < sasp.HEADER_SIZE:
             return None
-        size = HEAD.unpack_from(self.data)[3]
-        if not sasp.HEADER_SIZE + PART.size <= size <= self.largest:
+        size = HEADER.unpack_from(self.buffer)[3]
+        smallest = sasp.HEADER_SIZE + COMPONENT.size
+        if not smallest <= size <= self.max_message_bytes:
             raise FrameError(
-                f"a message says it has {size} bytes; from {sasp.HEADER_SIZE + PART.size} to {self.largest} are taken"
+                f"a message says it has {size} bytes; from {smallest} to {self.max_message_bytes} are taken"
             )
         return size
--- a/damsonpick/protocols/sasp/layout.py
+++ b/damsonpick/protocols/sasp/layout.py
@@ -1,6 +1,6 @@
-"""Numbers and components of SASP version 1 (RFC 4678). Types only.
+"""Numbers, messages and components of SASP version 1 (RFC 4678). Types only.
 
-All figures are big-endian. A component is a type (2 bytes), a length (2 bytes, its own head included) and its fields.
+All numbers are big-endian. A component is a type (2 bytes), a length (2 bytes, its own head included) and its fields.
 """
 
 from __future__ import annotations
@@ -10,16 +10,25 @@
 from typing import NamedTuple
 
 VERSION = 1
-PORT = 3860  # registered for sasp
 HEADER = 0x2010
-HEADER_SIZE = 13  # type, length, version, message length, message id
-MEMBER, GROUP, WEIGHT, STATE = 0x3010, 0x3011, 0x3012, 0x3013
-MEMBERS_OF, WEIGHTS_OF, STATES_OF = 0x4010, 0x4011, 0x4012
-MOST_WEIGHT = 65_535
+HEADER_SIZE = 13  # bytes: type, length, version, message length, message id
+MAX_WEIGHT = 65_535
+IPV4_COMPATIBLE_PREFIX = bytes(12)
+IPV4_MAPPED_PREFIX = b"\0" * 10 + b"\xff\xff"
+TCP = 6  # IANA protocol number
+
+# Types of components.
+MEMBER = 0x3010
+GROUP = 0x3011
+WEIGHT = 0x3012
+STATE = 0x3013
+MEMBERS_OF = 0x4010
+WEIGHTS_OF = 0x4011
+STATES_OF = 0x4012
 
 
 class Kind(IntEnum):
-    """Messages."""
+    """Types of messages."""
 
     REGISTER = 0x1010
     REGISTER_REPLY = 0x1015
@@ -53,7 +62,7 @@
 
 
 class LbFlag(IntFlag):
-    """Set LB State."""
+    """Flags of Set LB State."""
 
     PUSH = 0x01  # weights are to be sent without being asked for
     TRUST = 0x02  # members may register and set states themselves
@@ -61,61 +70,74 @@
 
 
 class Sender(IntFlag):
-    """Who speaks in registrations and member states."""
+    """Who sends registrations and member states: without BALANCER, the member itself."""
 
     BALANCER = 0x01
 
 
 class WeightFlag(IntFlag):
+    """Flags of a weight entry."""
+
     CONTACT = 0x01  # the manager could contact the member
     QUIESCE = 0x02  # no new work is to go there
     REGISTERED = 0x04  # it registered itself
-    CONFIDENT = 0x08  # the weight rests on evidence
+    CONFIDENT = 0x08  # the weight rests on recent load reports
 
 
 class MemberFlag(IntFlag):
-    QUIESCE = 0x01
+    """Flags of a member state."""
+
+    QUIESCE = 0x01  # no new work is to go there
 
 
 class Member(NamedTuple):
     """A member of a group."""
 
-    protocol: int  # IANA protocol number; 6 is TCP
+    protocol: int  # IANA protocol number
     port: int
     address: bytes  # 16 bytes; an IPv4 address as ::ffff:a.b.c.d
     label: bytes = b""
 
     @property
     def endpoint(self) -> str:
-        """As server lists write it. The mapped and the older compatible form of IPv4 are the same endpoint."""
+        """As endpoint lists write it. The mapped and the older compatible form of IPv4 are the same endpoint."""
         ip = ipaddress.IPv6Address(self.address)
-        four = ip.ipv4_mapped
-        if four is None and self.address[:12] == bytes(12) and self.address[12:14] != b"\0\0":
-            four = ipaddress.IPv4Address(self.address[12:])
-        return f"{four}:{self.port}" if four is not None else f"[{ip}]:{self.port}"
+        ipv4 = ip.ipv4_mapped
+        is_compatible = self.address[:12] == IPV4_COMPATIBLE_PREFIX and self.address[12:14] != b"\0\0"
+        if ipv4 is None and is_compatible:
+            ipv4 = ipaddress.IPv4Address(self.address[12:])
+        return f"{ipv4}:{self.port}" if ipv4 is not None else f"[{ip}]:{self.port}"
 
 
-def member(endpoint: str, protocol: int = 6, label: bytes = b"") -> Member:
-    """The member of an endpoint such as 127.0.0.1:9001 or [::1]:9001."""
+def member(endpoint: str, protocol: int = TCP, label: bytes = b"") -> Member:
+    """The member of an endpoint such as 127.0.0.1:9001 or [::1]:9001.
+
+    Raises:
+        ValueError: the endpoint is no address with a port.
+    """
     host, _, port = endpoint.rpartition(":")
     ip = ipaddress.ip_address(host.strip("[]"))
-    packed = ip.packed if ip.version == 6 else b"\0" * 10 + b"\xff\xff" + ip.packed
+    packed = ip.packed if ip.version == 6 else IPV4_MAPPED_PREFIX + ip.packed
     return Member(protocol, int(port), packed, label)
 
 
 class Group(NamedTuple):
-    """Which group of which balancer."""
+    """A group's name, and the identifier of its load balancer."""
 
     lb: bytes
     name: bytes
 
 
 class MembersOf(NamedTuple):
+    """A group with some of its members."""
+
     group: Group
     members: tuple[Member, ...]
 
 
 class Weight(NamedTuple):
+    """A weight entry."""
+
     member: Member
     state: int  # opaque, as the member set it
     flags: WeightFlag
@@ -123,28 +145,36 @@
 
 
 class WeightsOf(NamedTuple):
+    """A group with weights of its members."""
+
     group: Group
     weights: tuple[Weight, ...]
 
 
 class MemberState(NamedTuple):
+    """The state of a member."""
+
     member: Member
     state: int
     flags: MemberFlag
 
 
 class StatesOf(NamedTuple):
+    """A group with states of its members."""
+
     group: Group
     states: tuple[MemberState, ...]
 
 
 class Register(NamedTuple):
+    """Registration (6.1)."""
+
     sender: Sender
     groups: tuple[MembersOf, ...]
 
 
 class Deregister(NamedTuple):
-    """No groups: all of the sender's; a group without members: the whole group."""
+    """Deregistration (6.2); no groups: all of the sender's; a group without members: the whole group."""
 
     sender: Sender
     reason: int
@@ -152,32 +182,42 @@
 
 
 class GetWeights(NamedTuple):
+    """Get Weights (6.3); no groups: all of the sender's."""
+
     groups: tuple[Group, ...]
 
 
 class WeightsReply(NamedTuple):
+    """Get Weights Reply (6.3)."""
+
     code: int
     interval: int  # s until the next request is advised
     groups: tuple[WeightsOf, ...]
 
 
 class SendWeights(NamedTuple):
+    """Send Weights (6.4): a push."""
+
     groups: tuple[WeightsOf, ...]
 
 
 class SetLbState(NamedTuple):
+    """Set LB State (6.5)."""
+
     lb: bytes
     health: int  # 0 to 127, worst to best
     flags: LbFlag
 
 
 class SetMemberState(NamedTuple):
+    """Set Member State (6.6)."""
+
     sender: Sender
     groups: tuple[StatesOf, ...]
 
 
 class Reply(NamedTuple):
-    """A reply that holds a code alone; `kind` says to what."""
+    """A reply that holds a code alone; `kind` says which."""
 
     kind: Kind
     code: int
@@ -187,5 +227,7 @@
 
 
 class Message(NamedTuple):
+    """One message."""
+
     number: int  # message id; a reply has that of its request
     body: Body
--- /dev/null
+++ b/damsonpick/protocols/sasp/member_source.py
@@ -0,0 +1,57 @@
+"""Registered members as a source of the endpoint list."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from damsonpick import interface as api
+from damsonpick.protocols.sasp.fleet import Controller
+from damsonpick.protocols.sasp.registry import Registry
+
+DEFAULT_WEIGHT = 1.0  # of an endpoint that the list does not know
+
+
+class MemberSource:
+    """Hands the members of load balancers with full access to the endpoint list whenever they change.
+
+    Args:
+        registry: all registrations.
+        controller: its endpoint list tells zone, weight and start of endpoints that it knows.
+        default_zone: of endpoints that it does not know.
+        receive: takes the members as list entries; a quiesced member as terminating.
+    """
+
+    def __init__(
+        self,
+        registry: Registry,
+        controller: Controller,
+        default_zone: str,
+        receive: Callable[[list[api.EndpointEntry]], None],
+    ) -> None:
+        """Begin with no members."""
+        self.registry = registry
+        self.controller = controller
+        self.default_zone = default_zone
+        self.receive = receive
+        self._revision = 0  # of the registry, when it was last read
+        self._quiesced: dict[str, bool] = {}  # by endpoint, as it was last handed over
+
+    def update(self) -> None:
+        """Hand over the members if they have changed since the last call."""
+        if self.registry.revision == self._revision:
+            return
+        self._revision = self.registry.revision
+        quiesced = self.registry.endpoints()
+        if quiesced == self._quiesced:
+            return
+        self._quiesced = quiesced
+        self.receive([self._entry(endpoint, is_quiesced) for endpoint, is_quiesced in quiesced.items()])
+
+    def _entry(self, endpoint: str, is_quiesced: bool) -> api.EndpointEntry:
+        endpoint_list = self.controller.endpoint_list
+        zone = endpoint_list.known_zones.get(endpoint, self.default_zone)
+        state: api.EndpointStatus = "terminating" if is_quiesced else "in_service"
+        known = endpoint_list.entries.get(endpoint)
+        if known is None:
+            return api.EndpointEntry(endpoint, zone, state, DEFAULT_WEIGHT, 0)
+        return api.EndpointEntry(endpoint, zone, state, known.weight, known.started)
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -1,348 +1,328 @@
-"""The SASP front's shell: TCP sessions on anyio. Decisions are the session's, the registry's and the desk's."""
+"""The SASP server: TCP sessions on anyio. Decisions are the session's, the registry's and the advisor's."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any, Protocol
+from collections import Counter
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass, field
+from typing import Any
 
 import anyio
-from anyio.abc import SocketAttribute, SocketStream
+import structlog
+from anyio.abc import Listener, SocketAttribute, SocketStream
 
 from damsonpick import interface as api
-from damsonpick.decisions.planner import Planner
-from damsonpick.protocols.sasp import codec, weights
+from damsonpick.protocols.sasp import codec
+from damsonpick.protocols.sasp.access import AccessPolicy
+from damsonpick.protocols.sasp.advisor import WeightAdvisor
+from damsonpick.protocols.sasp.errors import ListenError
+from damsonpick.protocols.sasp.fleet import Controller, Fleet
 from damsonpick.protocols.sasp.layout import LbFlag
-from damsonpick.protocols.sasp.pacing import Meter, Pace
+from damsonpick.protocols.sasp.member_source import MemberSource
+from damsonpick.protocols.sasp.operator_view import describe_registry
+from damsonpick.protocols.sasp.pacing import MessageRateLimiter, PollPacer
 from damsonpick.protocols.sasp.registry import Limits, Registry
-from damsonpick.protocols.sasp.session import Desk, SaspSession
-from damsonpick.protocols.shared.send_queue import PendingChanges
+from damsonpick.protocols.sasp.session import SaspSession
+from damsonpick.protocols.sasp.weights import MemberStatus
+from damsonpick.protocols.shared.session import Session
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.runtime.clock import Clock
 from damsonpick.settings.model import PilotSettings
-from damsonpick.state.endpoint_list.validation import EndpointList
-from damsonpick.state.published_tables import PublishedTables
 
-CHUNK = 65_536
-AT_ONCE = 4  # messages worked on between two turns of the loop: a crowd of polls holds up no push
-LOOK = 1.0  # s between looks at what only time changes
-SHARE = 0.05  # of the channel's limit that advice without a change of the tables may take in one look, all sessions
-IDLE = PendingChanges()
-SILENT = 60_000_000_000  # ns without any report after which advice goes by capacity
-HEARD = 10_000_000_000  # ns within which evidence counts as lately
+PEER_LEFT = "the peer left"
+READ_BYTES = 65_536
+MAX_CONCURRENT_REQUESTS = 4  # worked on between two turns of the event loop: a burst of polls delays no push
+REFRESH_INTERVAL_S = 1.0  # between looks at what only time changes
+UNSENT_ADVICE_SHARE = 0.05  # of the send queue's limit that all sessions may take in one look without a table change
 
 
-class Controller(Protocol):
-    """What the server reads of the controller that owns it."""
+@dataclass(slots=True, eq=False)
+class Connection:
+    """One TCP connection with its session.
 
-    planner: Planner | None  # None while it is being restarted
-    published: PublishedTables
-    endpoint_list: EndpointList
+    Attributes:
+        stream: the connection.
+        session: its state machine.
+        write_lock: held while a reply or a push is written.
+        push_ready: set when the session may have something to push.
+        end_reason: why it ended.
+    """
 
-
-class FrontError(Exception):
-    """The front cannot be opened; the text names setting and remedy."""
+    stream: SocketStream
+    session: SaspSession
+    write_lock: anyio.Lock = field(default_factory=anyio.Lock)
+    push_ready: anyio.Event = field(default_factory=anyio.Event)
+    end_reason: str = PEER_LEFT
 
 
 class SaspServer:
-    """Args: settings, hub, engine, clock of one pilot; stir: wakes its loop; feed: takes what members say of themselves
-    as list entries; log: structlog."""
+    """Serves load balancers.
+
+    Args:
+        settings: the pilot's settings.
+        session_manager: keeps all sessions in step with what is published.
+        controller: whose state is read.
+        clock: the pilot's clock.
+        notify: wakes the controller's loop.
+        receive_members: takes registered members as entries of the endpoint list.
+        log: structured log.
+
+    Attributes:
+        port: where it listens; 0: not yet.
+    """
 
     def __init__(
         self,
         settings: PilotSettings,
         session_manager: SessionManager,
-        engine: Controller,
+        controller: Controller,
         clock: Clock,
-        stir: Callable[[], None],
-        feed: Callable[[list[api.EndpointEntry]], None],
-        log: Any,
+        notify: Callable[[], None],
+        receive_members: Callable[[list[api.EndpointEntry]], None],
+        log: structlog.typing.FilteringBoundLogger,
     ) -> None:
-        self.settings, self.session_manager, self.engine, self.clock = settings, session_manager, engine, clock
-        self.stir, self.feed, self.log = stir, feed, log
-        s = settings.sasp
-        self.registry = Registry(Limits(s.groups, s.members), self._covers, self._rights)
-        self.desk = Desk(
-            engine.published,
-            self.registry,
-            Pace(random.Random(settings.pilot.seed)),
-            self._heat,
-            self._known,
-            lambda: session_manager.send_queue.waiting() / session_manager.send_queue.limit,
-            self._blind,
+        """Prepare; `open` listens."""
+        self.settings = settings
+        self.session_manager = session_manager
+        self.clock = clock
+        self.notify = notify
+        self.log = log
+        self.access = AccessPolicy(settings)
+        self.fleet = Fleet(controller, clock)
+        limits = Limits(settings.sasp.groups, settings.sasp.members)
+        self.registry = Registry(limits, self.access.coverage_of, self.access.access_of)
+        self.member_source = MemberSource(self.registry, controller, settings.pilot.zone, receive_members)
+        self.advisor = WeightAdvisor(
+            published=controller.published,
+            registry=self.registry,
+            pacer=PollPacer(random.Random(settings.pilot.seed)),
+            load_of=self.fleet.load_of,
+            status_of=self.fleet.status_of,
+            queue_fill=self._queue_fill,
+            fallback_capacities=self.fleet.fallback_capacities,
         )
-        self.streams: dict[SaspSession, anyio.Event] = {}
-        self.addresses: dict[str, int] = {}
-        self.turn = anyio.Semaphore(AT_ONCE)
         self.port = 0
-        self.listener: anyio.abc.Listener | None = None
-        self.fed: dict[str, bool] = {}
-        self.stamp = 0
-        self.about: dict[str, weights.Known] = {}
-
-    # -- what the desk asks
-
-    def _covers(self, name: bytes) -> str | None:
-        text = name.decode("utf-8", "replace")
-        named = self.settings.sasp_groups.get(text)
-        if named is not None:
-            return named.covers
-        kind, _, number = text.partition("/")
-        if kind == "slice" and number.isdigit() and int(number) < self.settings.table_count():
-            return f"slices {int(number)}"
-        return "fleet" if self.settings.sasp.default_coverage == "fleet" else None
-
-    def _rights(self, lb: bytes) -> str:
-        named = self.settings.sasp_balancers.get(lb.decode("utf-8", "replace"))
-        return named.rights if named is not None else self.settings.sasp.default_rights
-
-    def _zone(self, lb: bytes) -> str:
-        named = self.settings.sasp_balancers.get(lb.decode("utf-8", "replace"))
-        return named.zone if named is not None and named.zone else self.settings.pilot.zone
-
-    def _heat(self, number: int) -> float:
-        piece = self.engine.planner.slices.get(number) if self.engine.planner else None
-        return piece.load if piece is not None else 0.01
-
-    def _blind(self) -> dict[str, float]:
-        planner = self.engine.planner
-        if planner is None or (planner.last_report_at and planner.now - planner.last_report_at < SILENT):
-            return {}
-        return {n: planner.capacity_of(ep) for n, ep in planner.endpoints.items() if not planner.is_unroutable(n)}
-
-    def _known(self, name: str) -> weights.Known:
-        entry = self.engine.endpoint_list.entries.get(name)
-        ep = self.engine.planner.endpoints.get(name) if self.engine.planner else None
-        lately = ep is not None and bool(ep.last_report_at) and self.clock.now() - ep.last_report_at < HEARD
-        return weights.Known(entry is not None, entry is not None and entry.state == "in_service", lately)
-
-    # -- life
+        self._listener: Listener[SocketStream] | None = None
+        self._connections: dict[SaspSession, Connection] = {}
+        self._sessions_by_address: Counter[str] = Counter()
+        self._request_slots = anyio.Semaphore(MAX_CONCURRENT_REQUESTS)
+        self._statuses: dict[str, MemberStatus] = {}
+
+    def _queue_fill(self) -> float:
+        send_queue = self.session_manager.send_queue
+        return send_queue.waiting() / send_queue.limit
+
+    # -- life cycle
 
     async def open(self) -> None:
         """Listen.
 
         Raises:
-            FrontError: the address cannot be had.
+            ListenError: the address cannot be opened.
         """
         address = self.settings.sasp.listen
+        assert address is not None, "there is no server without an address"
         host, _, port = address.rpartition(":")
         try:
-            self.listener = await anyio.create_tcp_listener(local_host=host.strip("[]"), local_port=int(port))
+            self._listener = await anyio.create_tcp_listener(local_host=host.strip("[]"), local_port=int(port))
         except OSError as error:
-            raise FrontError(
-                f"[sasp] listen = {address}: cannot be opened ({error}); free the port or choose another"
-            ) from None
-        self.port = self.listener.extra(SocketAttribute.local_port)
-        self.log.info("sasp_open", port=self.port)
+            raise ListenError(address, error) from None
+        self.port = self._listener.extra(SocketAttribute.local_port)
+        self.log.info("sasp_opened", port=self.port)
 
     async def run(self) -> None:
-        """Serve until cancelled."""
-        async with self.listener, anyio.create_task_group() as group:
-            group.start_soon(self._look)
-            await self.listener.serve(self._serve)
-
-    async def _look(self) -> None:
-        """Registrations that expire, and advice that moves without a table: heat, evidence, the list."""
+        """Serve until cancelled; `open` comes first."""
+        assert self._listener is not None, "open first"
+        async with self._listener, anyio.create_task_group() as group:
+            group.start_soon(self._refresh_periodically)
+            await self._listener.serve(self._serve)
+
+    async def _refresh_periodically(self) -> None:
+        """Expire registrations, and offer advice that moves without a table: load, reports, the endpoint list."""
         while True:
-            await anyio.sleep(LOOK / self.clock.rate)
+            await anyio.sleep(REFRESH_INTERVAL_S / self.clock.rate)
             for lb in self.registry.expire(self.clock.now()):
-                self.log.info("sasp_forgotten", balancer=repr(lb))
-            self.changed()
-
-    def changed(self) -> None:
-        """Something beside the tables may have changed advice: what is news goes through the channel."""
-        self._feed()
-        self.learn()
-        for session in self.streams:
-            self._offer(session)
-
-    def learn(self) -> None:
-        """What is known of endpoints. Polls hear of a drain at once; pushes with the withdrawal that the module orders,
-        behind those to gateways, which are a line each."""
-        about = {n: self._known(n) for n in self.engine.endpoint_list.entries}
-        if about != self.about:
-            self.about = about
-            self.desk.listed += 1
-
-    def _offer(self, session: SaspSession) -> None:
+                self.log.info("balancer_expired", balancer=repr(lb))
+            self._refresh()
+
+    def _refresh(self) -> None:
+        """Something beside the tables may have changed advice."""
+        if self.settings.sasp.members_as_list:
+            self.member_source.update()
+        self.update_statuses()
+        for session in self._connections:
+            self._enqueue_unsent(session)
+
+    def update_statuses(self) -> None:
+        """Take over what is known of endpoints.
+
+        Polls hear of a drain at once. Pushes bring it with the withdrawal that the planner orders, behind those to
+        gateways, which are a single entry each.
+        """
+        statuses = self.fleet.statuses()
+        if statuses != self._statuses:
+            self._statuses = statuses
+            self.advisor.note_status_change()
+
+    def _enqueue_unsent(self, session: SaspSession) -> None:
+        if self._has_pending(session):
+            return  # its next message brings all that has changed by then
         now = self.clock.now()
-        send_queue = self.session_manager.send_queue
-        if send_queue.pending.get(
-            self.session_manager.by_session[session].number if session in self.session_manager.by_session else -1, IDLE
-        ).units:
-            return  # what waits for it is looked at when its turn comes
-        lines, urgent = session.news(now, max(1, int(SHARE * send_queue.limit / max(1, len(self.streams)))))
-        if lines:
-            self.session_manager.enqueue(now, session, lines, urgent)
-            self.stir()
-
-    def _feed(self) -> None:
-        if not self.settings.sasp.members_as_list or self.registry.stamp == self.stamp:
-            return
-        self.stamp = self.registry.stamp
-        said = self.registry.endpoints()
-        if said == self.fed:
-            return
-        self.fed = said
-        known = self.engine.endpoint_list
-        self.feed(
-            [
-                api.EndpointEntry(
-                    n,
-                    known.known_zones.get(n, self.settings.pilot.zone),
-                    "terminating" if quiesced else "in_service",
-                    known.entries[n].weight if n in known.entries else 1.0,
-                    known.entries[n].started if n in known.entries else 0,
-                )
-                for n, quiesced in said.items()
-            ]
-        )
-
-    def ring(self, sessions: list[Any]) -> None:
+        queue_limit = self.session_manager.send_queue.limit
+        max_entries = max(1, int(UNSENT_ADVICE_SHARE * queue_limit / max(1, len(self._connections))))
+        entries, urgent = session.unsent_advice(now, max_entries)
+        if entries:
+            self.session_manager.enqueue(now, session, entries, urgent)
+            self.notify()
+
+    def _has_pending(self, session: SaspSession) -> bool:
+        client = self.session_manager.by_session.get(session)
+        if client is None:
+            return False
+        pending = self.session_manager.send_queue.pending.get(client.number)
+        return pending is not None and bool(pending.units)
+
+    def ring(self, sessions: list[Session]) -> None:
         """Wake the writers of these sessions."""
         for session in sessions:
-            if session in self.streams:
-                self.streams[session].set()
+            if isinstance(session, SaspSession) and session in self._connections:
+                self._connections[session].push_ready.set()
+
+    def view(self) -> dict[str, Any]:
+        """Registrations, for operators."""
+        return describe_registry(self.registry, self.port, self.clock.now())
 
     # -- one connection
 
     async def _serve(self, stream: SocketStream) -> None:
         async with stream:
             address = str(stream.extra(SocketAttribute.remote_address)[0])
-            if self.addresses.get(address, 0) >= self.settings.sasp.sessions:
+            max_sessions = self.settings.sasp.sessions
+            if self._sessions_by_address[address] >= max_sessions:
                 self.log.warning(
-                    "sasp_refused",
+                    "sasp_session_refused",
                     address=address,
                     why="too many sessions from one address",
-                    limit=self.settings.sasp.sessions,
+                    limit=max_sessions,
                     remedy="[sasp] sessions",
                 )
                 return
-            self.addresses[address] = self.addresses.get(address, 0) + 1
-            session = SaspSession(self.desk, self._zone, Meter(self.settings.sasp.messages_per_second))
-            lock = anyio.Lock()  # replies and pushes share the stream
-            self.streams[session] = anyio.Event()
-            why = "the peer left"
-            try:
-                async with anyio.create_task_group() as group:
-                    group.start_soon(self._push, stream, session, lock)
-                    why = await self._read(stream, session, lock)
-                    group.cancel_scope.cancel()
-            except* (anyio.BrokenResourceError, anyio.ClosedResourceError, TimeoutError) as errors:
-                why = "it does not read" if errors.subgroup(TimeoutError) else "the stream broke"
-            except* Exception as errors:  # a fault of ours ends this session and nothing else
-                why = "a fault of the program"
-                self.log.error(
-                    "sasp_failed",
-                    balancer=session.node,
-                    error=repr(errors.exceptions[0]),
-                    remedy="send this to the maintainers",
-                    exc_info=errors.exceptions[0],
-                )
-            finally:
-                self._left(session, address, why)
-
-    def _left(self, session: SaspSession, address: str, why: str) -> None:
-        del self.streams[session]
-        self.addresses[address] -= 1
-        if not self.addresses[address]:
-            del self.addresses[address]
-        self.registry.leave(self.clock.now(), session)
-        if session in self.session_manager.by_session:
-            self.log.info("balancer_left", balancer=session.node, why=why)
-        self.session_manager.leave(session)
-        self.stir()
-
-    async def _read(self, stream: SocketStream, session: SaspSession, lock: anyio.Lock) -> str:
-        """Until the peer leaves or its stream cannot be followed; returns why."""
+            with self._connected(stream, address) as connection:
+                await self._serve_session(connection)
+
+    @contextmanager
+    def _connected(self, stream: SocketStream, address: str) -> Iterator[Connection]:
+        """A connection, known to the server while the context lasts."""
+        rate_limiter = MessageRateLimiter(self.settings.sasp.messages_per_second)
+        session = SaspSession(self.advisor, self.access.zone_of, rate_limiter)
+        connection = Connection(stream, session)
+        self._connections[session] = connection
+        self._sessions_by_address[address] += 1
+        try:
+            yield connection
+        finally:
+            del self._connections[session]
+            self._sessions_by_address[address] -= 1
+            if not self._sessions_by_address[address]:
+                del self._sessions_by_address[address]
+            self.registry.leave(self.clock.now(), session)
+            if session in self.session_manager.by_session:
+                self.log.info("balancer_left", balancer=session.node, why=connection.end_reason)
+            self.session_manager.leave(session)
+            self.notify()
+
+    async def _serve_session(self, connection: Connection) -> None:
+        """Read and push until the connection ends, and note why it did."""
+        try:
+            async with anyio.create_task_group() as group:
+                group.start_soon(self._push, connection)
+                connection.end_reason = await self._read(connection)
+                group.cancel_scope.cancel()
+        except* (anyio.BrokenResourceError, anyio.ClosedResourceError, TimeoutError) as errors:
+            connection.end_reason = "it does not read" if errors.subgroup(TimeoutError) else "the stream broke"
+        except* Exception as errors:  # a fault of this program ends this session and nothing else
+            connection.end_reason = "a fault of the program"
+            self.log.error(
+                "sasp_session_failed",
+                balancer=connection.session.node,
+                error=repr(errors.exceptions[0]),
+                remedy="send this to the maintainers",
+                exc_info=errors.exceptions[0],
+            )
+
+    async def _read(self, connection: Connection) -> str:
+        """Answer requests until the peer leaves or its stream cannot be followed; returns why."""
         splitter = codec.Splitter()
         while True:
             try:
-                data = await stream.receive(CHUNK)
+                data = await connection.stream.receive(READ_BYTES)
             except anyio.EndOfStream:
-                return "the peer left"
+                return PEER_LEFT
             try:
                 for frame in splitter.feed(data):
-                    async with self.turn:
-                        reply = self._handle(session, frame)
-                        await anyio.lowlevel.checkpoint()
-                    await self._send(stream, lock, reply)
-                    if (wait := session.meter.wait(self.clock.now())) > 0:
-                        await anyio.sleep(wait / self.clock.rate)
+                    await self._answer(connection, frame)
             except codec.FrameError as error:
-                self.log.warning("sasp_broken", balancer=session.node, why=str(error))
+                self.log.warning("sasp_frame_invalid", balancer=connection.session.node, why=str(error))
                 return str(error)
 
-    async def _send(self, stream: SocketStream, lock: anyio.Lock, data: bytes) -> None:
+    async def _answer(self, connection: Connection, frame: bytes) -> None:
+        session = connection.session
+        async with self._request_slots:
+            reply = self._handle(session, frame)
+            await anyio.lowlevel.checkpoint()
+        await self._send(connection, reply)
+        delay_s = session.rate_limiter.delay(self.clock.now())
+        if delay_s > 0:
+            await anyio.sleep(delay_s / self.clock.rate)
+
+    async def _send(self, connection: Connection, data: bytes) -> None:
         with anyio.fail_after(self.clock.seconds(self.settings.sasp.send_timeout)):
-            async with lock:
-                await stream.send(data)
+            async with connection.write_lock:
+                await connection.stream.send(data)
 
     def _handle(self, session: SaspSession, frame: bytes) -> bytes:
-        now, stamp, joined = self.clock.now(), self.registry.stamp, session.joined
-        reply = session.receive(now, frame)
-        if session.rejections:
-            self.log.warning("sasp_not_understood", balancer=session.node, why=session.rejections.pop("message"))
-        if session.joined and not joined:
-            self._joined(session)
-        if self.registry.stamp != stamp:
-            self.changed()
-        elif session.joined and not joined:
-            self._offer(session)
+        """The reply to a request, once all that follows from it is under way."""
+        revision = self.registry.revision
+        was_joined = session.joined
+        reply = session.receive(self.clock.now(), frame)
+        if session.decode_error:
+            self.log.warning("sasp_message_invalid", balancer=session.node, why=session.decode_error)
+        has_joined = session.joined and not was_joined
+        if has_joined:
+            self._join(session)
+        if self.registry.revision != revision:
+            self._refresh()
+        elif has_joined:
+            self._enqueue_unsent(session)
         return reply
 
-    def _joined(self, session: SaspSession) -> None:
+    def _join(self, session: SaspSession) -> None:
         client = self.session_manager.join(self.clock.now(), session)
         self.log.info(
             "balancer_joined",
             balancer=session.node,
             number=client.number,
             zone=session.zone,
-            pushes=bool(session.flags & LbFlag.PUSH),
+            pushes=session.accepts_pushes,
             trusts=bool(session.flags & LbFlag.TRUST),
             note="SASP acknowledges nothing: a drain binds it at its next poll or push",
         )
-        self.stir()
+        self.notify()
 
-    async def _push(self, stream: SocketStream, session: SaspSession, lock: anyio.Lock) -> None:
+    async def _push(self, connection: Connection) -> None:
+        session = connection.session
         while True:
-            await self.streams[session].wait()
-            self.streams[session] = anyio.Event()
-            while (push := session.compose(self.clock.now())) is not None:
-                self.session_manager.send_queue.charge(session.rows)
-                await self._send(stream, lock, push)
-                session.written()
+            await connection.push_ready.wait()
+            # A new event before composing: what is enqueued meanwhile wakes this task again.
+            connection.push_ready = anyio.Event()
+            push = session.compose(self.clock.now())
+            while push is not None:
+                self.session_manager.send_queue.charge(session.pushed_members)
+                await self._send(connection, push)
+                session.push_written()
+                push = session.compose(self.clock.now())
             self.session_manager.acknowledge(self.clock.now(), session)
             if self.session_manager.update_ready(session) or self.session_manager.events:
-                self.stir()
-
-    # -- questions
-
-    def view(self) -> dict[str, Any]:
-        """For operators."""
-        now = self.clock.now()
-        return {
-            "port": self.port,
-            "balancers": [
-                {
-                    "balancer": lb.decode("utf-8", "backslashreplace"),
-                    "health": b.health,
-                    "sessions": len(b.sessions),
-                    "pushes": any(f & LbFlag.PUSH for f in b.sessions.values()),
-                    "trusted": self.registry.trusts(lb),
-                    "groups": {
-                        g.key.name.decode("utf-8", "backslashreplace"): {
-                            "covers": g.covers,
-                            "members": len(g.members),
-                            "quiesced": [m.endpoint for m, e in g.members.items() if e.quiesced],
-                        }
-                        for g in b.groups.values()
-                    },
-                    "seen": max((s.seen for s in b.sessions), default=None),
-                    "last_told_s": round((now - max(s.acknowledged_at() for s in b.sessions)) / 1e9, 1)
-                    if any(s.acknowledged_at() for s in b.sessions)
-                    else None,
-                }
-                for lb, b in self.registry.balancers.items()
-            ],
-        }
+                self.notify()
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -1,346 +1,332 @@
-"""One SASP connection as a state machine, and the desk that all of them share. Sans I/O.
+"""One SASP connection as a state machine. Sans I/O.
 
-SASP has no acknowledgement. What stands in its place: a poll tells a balancer all there is, so it has seen what was
-published when it was answered; a push counts as seen once the peer's socket took it. Until then its mark is open, and
-the channel's books with it. A balancer that neither polls nor takes pushes is treated as holding what it was last told.
+SASP has no acknowledgement. What stands in its place: a poll tells a load balancer all there is, so it has seen what
+was published when it was answered; a push counts as seen once the peer's socket took it. Until then its sync token
+stays unacknowledged, and so do its entries in the send queue. A load balancer that neither polls nor takes pushes is
+treated as holding what it was last told.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Iterator, Mapping
+from collections.abc import Callable, Iterable, Iterator
+from typing import NamedTuple
 
 from damsonpick.protocols.sasp import codec, weights
 from damsonpick.protocols.sasp import layout as sasp
+from damsonpick.protocols.sasp.advisor import GroupAdvice, WeightAdvisor
 from damsonpick.protocols.sasp.layout import Code, Kind, LbFlag, Sender
-from damsonpick.protocols.sasp.pacing import Meter, Pace
-from damsonpick.protocols.sasp.registry import GroupOf, Registry
-from damsonpick.protocols.sasp.weights import Advice, Known
+from damsonpick.protocols.sasp.pacing import MessageRateLimiter
+from damsonpick.protocols.sasp.registry import RegisteredGroup
+from damsonpick.protocols.sasp.weights import Advice
 from damsonpick.protocols.shared.session import CoveredChanges, RejectedVersion, SeqRange
-from damsonpick.settings.units import slice_numbers
-from damsonpick.state.published_tables import FLEET, PublishedTables, slice_unit
-
-SECOND = 1_000_000_000
-FRESH = 2 * SECOND  # ns for which shares are kept while no table changes: heat moves slowly
-MOST_MADE = 20_000  # pieces of advice kept
-NEVER = 1 << 62
-REPLY = {
+from damsonpick.state.published_tables import FLEET
+
+NOTHING_UNACKNOWLEDGED = 1 << 62  # above all sequence numbers
+REPLY_KINDS: dict[int, Kind] = {
     Kind.REGISTER: Kind.REGISTER_REPLY,
     Kind.DEREGISTER: Kind.DEREGISTER_REPLY,
+    Kind.GET_WEIGHTS: Kind.GET_WEIGHTS_REPLY,
     Kind.SET_LB_STATE: Kind.SET_LB_STATE_REPLY,
     Kind.SET_MEMBER_STATE: Kind.SET_MEMBER_STATE_REPLY,
 }
 
 
-class Desk:
-    """What all sessions share: registrations, advice, texts made once.
+class ChangedGroup(NamedTuple):
+    """A group of which the peer should be told."""
 
-    Args:
-        published: the state.
-        registry, pace: see there.
-        heat: of a slice, requests a second.
-        known: what is known of an endpoint.
-        tables_of: the tables that a class or slices cover.
-        filled: part of the channel's limit that waits.
-        blind: capacities by endpoint while no gateway reports anything: rounds then stand still, and a server that
-            returns would never get a line; empty as soon as one does.
+    group: RegisteredGroup
+    advice: dict[str, Advice]
+    encoded: bytes
+
+
+class UnsentAdvice(NamedTuple):
+    """What a peer should be told though no table changed.
+
+    Attributes:
+        entries: a name for each changed entry, by unit.
+        urgent: a member has newly been quiesced.
     """
 
-    def __init__(
-        self,
-        published: PublishedTables,
-        registry: Registry,
-        pace: Pace,
-        heat: Callable[[int], float],
-        known: Callable[[str], Known],
-        filled: Callable[[], float],
-        blind: Callable[[], dict[str, float]] = dict,
-    ) -> None:
-        self.published, self.registry, self.pace, self.blind = published, registry, pace, blind
-        self.heat, self.known, self.filled = heat, known, filled
-        self.kept: dict[str, tuple[tuple, dict[str, float]]] = {}  # covers: (what it rests on, shares)
-        self.texts: dict[tuple[sasp.Member, int, Advice], bytes] = {}
-        self.made: dict[tuple[str, int], tuple[tuple, tuple, dict[str, Advice], bytes]] = {}
-        self.units: dict[str, dict[str, None]] = {}  # by what is covered
-        self.listed = 0  # grows when what is known of endpoints changes
-        self.seq = 0
-
-    def slices(self, covers: str) -> list[int]:
-        """Tables that a group covers."""
-        kind, _, rest = covers.partition(" ")
-        if kind == "slices":
-            return slice_numbers(covers)
-        if kind == "class":
-            count = len(self.published.classes)
-            return list(range(self.published.classes.index(rest), self.published.slices, count))
-        return list(range(self.published.slices))
-
-    def covered(self, covers: str) -> Mapping[str, None]:
-        """Units of what a group covers."""
-        if covers not in self.units:
-            self.units[covers] = dict.fromkeys(slice_unit(n) for n in self.slices(covers))
-        return self.units[covers]
-
-    def shares(self, now: int, covers: str) -> tuple[tuple, dict[str, float]]:
-        """Shares over what is covered, and what they rest on: a change elsewhere makes nothing anew, and heat moves
-        only what covers several slices."""
-        changed, units = self.published.changed, self.covered(covers)
-        if self.published.seq != self.seq:
-            self.seq = self.published.seq
-            self.pace.change(now)
-        rests = (changed[FLEET], max((changed[u] for u in units), default=0), now // FRESH if len(units) > 1 else 0)
-        kept = self.kept.get(covers)
-        if kept is None or kept[0] != rests:
-            capacities = self.blind() if covers == "fleet" else {}  # a slice stays where its table has it
-            found = weights.by_capacity(capacities, self.published.withdrawn) or weights.shares(
-                self.published, self.slices(covers), self.heat
-            )
-            kept = self.kept[covers] = rests, found
-        return kept
-
-    def advice(self, now: int, group: GroupOf) -> tuple[dict[str, Advice], bytes]:
-        """Advice on a group, and its text on the wire. Made once for all groups that cover the same and have the same
-        members; the same object as long as nothing of it changes."""
-        rests, share = self.shares(now, group.covers)
-        rests = (*rests, self.listed)
-        key = (group.covers, id(group.look))
-        made = self.made.get(key)
-        if made is None or made[0] is not group.look or made[1] != rests:
-            found = weights.advise(
-                share,
-                dict.fromkeys(m.endpoint for m, *_ in group.look),
-                self.known,
-                self.published.withdrawn,
-                [m.endpoint for m, _, quiesced, _ in group.look if quiesced],
-                [m.endpoint for m, _, _, own in group.look if own],
-            )
-            if made is not None and made[0] is group.look and made[2] == found:
-                found, text = made[2], made[3]
-            else:
-                text = b"".join(self._row(m, state, found[m.endpoint]) for m, state, *_ in group.look)
-            if len(self.made) > MOST_MADE:
-                self.made.clear()
-            made = self.made[key] = group.look, rests, found, text
-        return made[2], codec.write_weights_of(group.key, len(group.look), made[3])
-
-    def changed(self, group: GroupOf, before: Mapping[str, Advice], after: Mapping[str, Advice]) -> tuple[int, bytes]:
-        """The members of a group whose advice has changed: how many, and their text."""
-        rows = [
-            self._row(m, state, after[m.endpoint])
-            for m, state, *_ in group.look
-            if before.get(m.endpoint) != after[m.endpoint]
-        ]
-        return len(rows), codec.write_weights_of(group.key, len(rows), b"".join(rows))
-
-    def _row(self, member: sasp.Member, state: int, advice: Advice) -> bytes:
-        key = (member, state, advice)
-        if key not in self.texts:
-            if len(self.texts) > 100_000:
-                self.texts.clear()
-            self.texts[key] = codec.write_weight(sasp.Weight(member, state, advice.flags, advice.weight))
-        return self.texts[key]
+    entries: dict[str, set[str]]
+    urgent: bool
+
+
+class Subscription(NamedTuple):
+    """Units of all groups of a load balancer, at a revision of the registry."""
+
+    revision: int
+    units: frozenset[str]
 
 
 class SaspSession:
-    """One connection. Implements `fronts.session.Session` once its balancer has made itself known."""
+    """One connection. Implements `protocols.shared.session.Session` once its load balancer has made itself known.
 
-    variant, verifies_roots = "sasp", False
+    Args:
+        advisor: computes advice; shared by all sessions.
+        zone_of: the zone of a load balancer.
+        rate_limiter: of the messages of this session.
+
+    Attributes:
+        lb: identifier of the load balancer; empty: not known yet.
+        flags: as the load balancer last set them.
+        seen_seq: sequence number of the newest change that the peer was told of.
+        pushed_members: members in the last push.
+        decode_error: why the last message was not understood; empty: it was.
+    """
+
+    variant = "sasp"
+    verifies_roots = False
 
-    def __init__(self, desk: Desk, zone_of: Callable[[bytes], str], meter: Meter) -> None:
-        self.desk, self.zone_of, self.meter = desk, zone_of, meter
+    def __init__(
+        self, advisor: WeightAdvisor, zone_of: Callable[[bytes], str], rate_limiter: MessageRateLimiter
+    ) -> None:
+        """Begin with a load balancer that is not known."""
+        self.advisor = advisor
+        self.zone_of = zone_of
+        self.rate_limiter = rate_limiter
         self.lb = b""
-        self.node, self.zone, self.fresh = "", "", True
+        self.node = ""
+        self.zone = ""
+        self.fresh = True
         self.flags = LbFlag(0)
         self.rejected_ranges: list[SeqRange] = []
         self.rejections: dict[str, str] = {}
         self.newly_rejected: list[RejectedVersion] = []
-        self.told: dict[bytes, dict[str, Advice]] = {}  # by group: what its peer was last told
-        self.polled = self.pushed = self.seen = 0  # ns, ns, change number
-        self.interval = 0  # s that it was last asked to wait
-        self.pending: CoveredChanges | None = None  # a change that is to be pushed
-        self.stale: set[str] = set()  # units whose groups are to be looked at; FLEET: all
-        self.wanted: tuple[int, set[str]] = (-1, set())  # units of all its groups, at a stamp of the registry
-        self.writing = 0  # lowest change number of a push that the socket has not taken; 0: none
-        self.number = 0  # of the last message of ours
-        self.rows = 0  # members in the last push
+        self.decode_error = ""
+        self.seen_seq = 0
+        self.pushed_members = 0
+        self._last_advice: dict[bytes, dict[str, Advice]] = {}  # by group: what the peer was last told
+        self._polled_at = 0  # ns
+        self._pushed_at = 0  # ns
+        self._pending: CoveredChanges | None = None  # changes that are to be pushed
+        self._pending_units: set[str] = set()  # units whose groups may have changed; FLEET: all
+        self._subscription = Subscription(-1, frozenset())
+        self._writing_seq = 0  # lowest sequence number of a push that the socket has not taken; 0: none
+        self._push_number = 0  # message id of the last push
 
     # -- requests
 
     def receive(self, now: int, data: bytes) -> bytes:
         """The reply to one whole frame."""
+        self.decode_error = ""
         try:
             message = codec.decode(data)
-        except codec.NotUnderstood as error:
-            kind = REPLY.get(
-                error.kind, Kind.GET_WEIGHTS_REPLY if error.kind == Kind.GET_WEIGHTS else Kind.SET_LB_STATE_REPLY
-            )
-            self.rejections["message"] = str(error)
-            if kind is Kind.GET_WEIGHTS_REPLY:
-                return codec.encode(sasp.Message(error.number, sasp.WeightsReply(Code.NOT_UNDERSTOOD, 0, ())))
-            return codec.encode(sasp.Message(error.number, sasp.Reply(kind, Code.NOT_UNDERSTOOD)))
+        except codec.MessageError as error:
+            self.decode_error = str(error)
+            return _not_understood(error)
         return self._answer(now, message)
 
     def _answer(self, now: int, message: sasp.Message) -> bytes:
-        registry = self.desk.registry
+        registry = self.advisor.registry
         match message.body:
             case sasp.GetWeights(groups):
-                return self._weights(now, message.number, groups)
+                return self._answer_poll(now, message.number, groups)
             case sasp.SetLbState(lb, health, flags):
-                code = registry.set_lb(self, lb, health, flags) if lb == self.lb or not self.lb else Code.UNKNOWN_LB
-                if code == Code.OK:
-                    self._known(lb, flags)
-                kind = Kind.SET_LB_STATE
+                kind, code = Kind.SET_LB_STATE, self._set_lb(lb, health, flags)
             case sasp.Register(sender, groups):
-                code, kind = registry.register(self, sender, groups), Kind.REGISTER
-                if code == Code.OK and sender & Sender.BALANCER and groups:
-                    self._known(groups[0].group.lb, self.flags)
+                kind, code = Kind.REGISTER, self._register(sender, groups)
             case sasp.Deregister(sender, _, groups):
-                code, kind = registry.deregister(self, sender, groups), Kind.DEREGISTER
+                kind, code = Kind.DEREGISTER, registry.deregister(self, sender, groups)
             case sasp.SetMemberState(sender, groups):
-                code, kind = registry.set_states(sender, groups), Kind.SET_MEMBER_STATE
-            case _:  # a reply or a push: only we send those
-                code, kind = Code.NOT_UNDERSTOOD, Kind.SET_LB_STATE
-        return codec.encode(sasp.Message(message.number, sasp.Reply(REPLY[kind], code)))
+                kind, code = Kind.SET_MEMBER_STATE, registry.set_states(sender, groups)
+            case _:  # a reply or a push: only this side sends those
+                kind, code = Kind.SET_LB_STATE, Code.NOT_UNDERSTOOD
+        return codec.encode(sasp.Message(message.number, sasp.Reply(REPLY_KINDS[kind], code)))
+
+    def _set_lb(self, lb: bytes, health: int, flags: LbFlag) -> Code:
+        if self.lb and lb != self.lb:
+            return Code.UNKNOWN_LB
+        code = self.advisor.registry.set_lb(self, lb, health, flags)
+        if code == Code.OK:
+            self._identify(lb, flags)
+        return code
 
-    def _known(self, lb: bytes, flags: LbFlag) -> None:
+    def _register(self, sender: Sender, groups: tuple[sasp.MembersOf, ...]) -> Code:
+        code = self.advisor.registry.register(self, sender, groups)
+        if code == Code.OK and sender & Sender.BALANCER and groups:
+            self._identify(groups[0].group.lb, self.flags)
+        return code
+
+    def _identify(self, lb: bytes, flags: LbFlag) -> None:
         if not self.lb:
-            self.lb, self.node = lb, "sasp:" + lb.decode("utf-8", "backslashreplace")
+            self.lb = lb
+            self.node = "sasp:" + lb.decode("utf-8", "backslashreplace")
             self.zone = self.zone_of(lb)
         self.flags = flags
 
-    @property
-    def pushes(self) -> bool:
-        return bool(self.flags & LbFlag.PUSH)
-
-    def _weights(self, now: int, number: int, groups: tuple[sasp.Group, ...]) -> bytes:
-        """A poll. With NO_CHANGE, groups that say what they said are left out."""
-        if not groups and self.lb:
-            mine = self.desk.registry.balancers.get(self.lb)
-            groups = tuple(g.key for g in mine.groups.values()) if mine else ()
-        code, texts = Code.OK, []
-        if len(dict.fromkeys(groups)) != len(groups):
-            code, groups = Code.DUPLICATE_GROUP, ()
+    def _answer_poll(self, now: int, number: int, groups: tuple[sasp.Group, ...]) -> bytes:
+        """Get Weights Reply (RFC 4678, 6.3). With NO_CHANGE, groups whose advice is as last told are left out."""
+        if not groups:
+            groups = self._own_groups()
+        encoded_groups: list[bytes] = []
+        code = self._collect_weights(now, groups, encoded_groups)
+        if code == Code.OK:
+            self._polled_at = now
+            self.seen_seq = self.advisor.published.seq
+        else:
+            encoded_groups = []
+        interval = self.advisor.poll_interval(now)
+        return codec.frame(number, Kind.GET_WEIGHTS_REPLY, codec.write_weights_reply(code, interval, encoded_groups))
+
+    def _own_groups(self) -> tuple[sasp.Group, ...]:
+        """All groups of the load balancer."""
+        balancer = self.advisor.registry.balancers.get(self.lb) if self.lb else None
+        if balancer is None:
+            return ()
+        return tuple(group.key for group in balancer.groups.values())
+
+    def _collect_weights(self, now: int, groups: tuple[sasp.Group, ...], encoded_groups: list[bytes]) -> Code:
+        """Append the encoded weights of groups; stops at the first that cannot be had."""
+        if len(set(groups)) != len(groups):
+            return Code.DUPLICATE_GROUP
         for key in groups:
-            found = self.desk.registry.find(key)
-            if isinstance(found, Code):
-                code, texts = found, []
-                break
-            advice, text = self.desk.advice(now, found)
-            if self.flags & LbFlag.NO_CHANGE and self.told.get(key.name) == advice:
+            group = self.advisor.registry.find(key)
+            if isinstance(group, Code):
+                return group
+            current = self.advisor.advise(now, group)
+            if self.flags & LbFlag.NO_CHANGE and self._last_advice.get(key.name) == current.advice:
                 continue
-            self.told[key.name] = advice
-            texts.append(text)
-        if code == Code.OK:
-            self.polled, self.seen = now, self.desk.published.seq
-        desk = self.desk
-        self.interval = desk.pace.interval(
-            now, sum(len(b.sessions) for b in desk.registry.balancers.values()), desk.filled()
-        )
-        body = bytes((code,)) + self.interval.to_bytes(2, "big") + len(texts).to_bytes(2, "big") + b"".join(texts)
-        return codec.frame(number, Kind.GET_WEIGHTS_REPLY, body)
+            self._last_advice[key.name] = current.advice
+            encoded_groups.append(current.encoded)
+        return Code.OK
 
     # -- pushes
 
+    @property
+    def accepts_pushes(self) -> bool:
+        """Whether the load balancer asked for pushes."""
+        return bool(self.flags & LbFlag.PUSH)
+
     def compose(self, now: int) -> bytes | None:
-        """A push, or None: nothing it was not told, beyond noise."""
-        if self.pending is None or self.writing:
+        """The next push (Send Weights; RFC 4678, 6.4); None: nothing that the peer was not told, beyond noise."""
+        if self._pending is None or self._writing_seq:
             return None
-        due, self.pending = self.pending, None
-        stale, self.stale = self.stale, set()
-        texts, self.rows = [], 0
-        for group, advice, text in self._news(now, stale):
-            before = self.told.get(group.key.name)
-            if self.flags & LbFlag.NO_CHANGE and before is not None:
-                count, text = self.desk.changed(group, before, advice)
-            else:
-                count = len(group.look)
-            self.told[group.key.name] = advice
-            self.rows += count
-            texts.append(text)
-        self.seen = self.desk.published.seq
-        if not texts:
+        covered, self._pending = self._pending, None
+        units, self._pending_units = self._pending_units, set()
+        encoded_groups = []
+        self.pushed_members = 0
+        for changed in self._changed_groups(now, units):
+            encoded_groups.append(self._encode_push(changed))
+            self._last_advice[changed.group.key.name] = changed.advice
+        self.seen_seq = self.advisor.published.seq
+        if not encoded_groups:
             return None
-        self.pushed, self.writing = now, due.first_seq or 1
-        self.number += 1
-        body = len(texts).to_bytes(2, "big") + b"".join(texts)
-        return codec.frame(self.number, Kind.SEND_WEIGHTS, body)
-
-    def _news(self, now: int, stale: set[str]) -> Iterator[tuple[GroupOf, dict[str, Advice], bytes]]:
-        """Groups of which its peer should be told, beyond noise."""
-        balancer = self.desk.registry.balancers.get(self.lb)
+        self._pushed_at = now
+        self._writing_seq = covered.first_seq or 1
+        self._push_number += 1
+        return codec.frame(self._push_number, Kind.SEND_WEIGHTS, codec.write_groups(encoded_groups))
+
+    def _encode_push(self, changed: ChangedGroup) -> bytes:
+        """A group of weights: the changed members alone if the load balancer set NO_CHANGE, else all."""
+        before = self._last_advice.get(changed.group.key.name)
+        if not self.flags & LbFlag.NO_CHANGE or before is None:
+            self.pushed_members += len(changed.group.snapshot)
+            return changed.encoded
+        members = self.advisor.encode_changed(changed.group, before, changed.advice)
+        self.pushed_members += members.size
+        return members.encoded
+
+    def _changed_groups(self, now: int, units: set[str]) -> Iterator[ChangedGroup]:
+        """Groups within `units` of which the peer should be told, beyond noise."""
+        balancer = self.advisor.registry.balancers.get(self.lb)
         groups = balancer.groups if balancer else {}
-        for name in [n for n in self.told if n not in groups]:
-            del self.told[name]
+        for name in [name for name in self._last_advice if name not in groups]:
+            del self._last_advice[name]
         for group in groups.values():
-            units = self.desk.covered(group.covers)
-            if FLEET not in stale and not (
-                stale & units.keys() if len(stale) < len(units) else any(u in stale for u in units)
-            ):
+            covered = self.advisor.covered_units(group.coverage).keys()
+            if FLEET not in units and covered.isdisjoint(units):
                 continue
-            advice, text = self.desk.advice(now, group)
-            before = self.told.get(group.key.name)
-            if advice is not before and weights.matters(before or {}, advice):
-                yield group, advice, text
-
-    def news(self, now: int, most: int) -> tuple[dict[str, set[str]], bool]:
-        """What it should be told though no table changed, as lines by unit of about `most`, and whether a member has
-        newly been quiesced: that is never put off. The rest waits for the next look, or for its poll."""
-        if not self.pushes or self.pending is not None or self.writing:
-            return {}, False
-        lines: dict[str, set[str]] = {}
-        count, hurry = 0, False
-        for group, advice, _ in self._news(now, {FLEET}):
-            quiesced = weights.urgent(self.told.get(group.key.name, {}), advice)
-            if count >= most and not quiesced:
+            current: GroupAdvice = self.advisor.advise(now, group)
+            before = self._last_advice.get(group.key.name)
+            if current.advice is not before and weights.is_significant(before or {}, current.advice):
+                yield ChangedGroup(group, current.advice, current.encoded)
+
+    def unsent_advice(self, now: int, max_entries: int) -> UnsentAdvice:
+        """What the peer should be told though no table changed.
+
+        Args:
+            now: ns.
+            max_entries: about how many; newly quiesced members come all the same, the rest waits for the next call or
+                for the peer's poll.
+        """
+        entries: dict[str, set[str]] = {}
+        if not self.accepts_pushes or self._pending is not None or self._writing_seq:
+            return UnsentAdvice(entries, False)
+        count = 0
+        urgent = False
+        for group, advice, _ in self._changed_groups(now, {FLEET}):
+            name = group.key.name
+            newly_quiesced = weights.has_newly_quiesced(self._last_advice.get(name, {}), advice)
+            if count >= max_entries and not newly_quiesced:
                 continue
-            hurry |= quiesced and group.key.name in self.told
+            urgent |= newly_quiesced and name in self._last_advice
             count += len(advice)
-            unit = next(iter(self.desk.covered(group.covers)), FLEET)
-            lines.setdefault(unit, set()).update(f"{group.key.name!r} {n}" for n in advice)
-        return lines, hurry
+            unit = next(iter(self.advisor.covered_units(group.coverage)), FLEET)
+            entries.setdefault(unit, set()).update(f"{name!r} {endpoint}" for endpoint in advice)
+        return UnsentAdvice(entries, urgent)
 
-    def written(self) -> None:
+    def push_written(self) -> None:
         """The socket took the push."""
-        self.writing = 0
+        self._writing_seq = 0
 
-    # -- fronts.session.Session
+    # -- protocols.shared.session.Session
 
     @property
     def joined(self) -> bool:
+        """Whether the load balancer has made itself known."""
         return bool(self.lb)
 
     def subscribes_to(self, unit: str) -> bool:
-        """Pushes alone go through the channel; a poll costs no line, as the balancer pays for it by asking."""
-        if not self.flags & LbFlag.PUSH or self.lb not in self.desk.registry.balancers:
+        """Whether changes of a unit are pushed. Polls take no room in the send queue: the peer asks for them."""
+        registry = self.advisor.registry
+        if not self.accepts_pushes or self.lb not in registry.balancers:
             return False
         if unit == FLEET:
             return True
-        if self.wanted[0] != self.desk.registry.stamp:
-            groups = self.desk.registry.balancers[self.lb].groups.values()
-            self.wanted = self.desk.registry.stamp, {u for g in groups for u in self.desk.covered(g.covers)}
-        return unit in self.wanted[1]
+        if self._subscription.revision != registry.revision:
+            units: set[str] = set()
+            for group in registry.balancers[self.lb].groups.values():
+                units.update(self.advisor.covered_units(group.coverage))
+            self._subscription = Subscription(registry.revision, frozenset(units))
+        return unit in self._subscription.units
 
     def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
+        """Take units that have changed; they are merged with what waits for the next push."""
         first_seq = covered.first_seq
-        if self.pending is not None and self.pending.first_seq:
-            first_seq = min(first_seq, self.pending.first_seq)
-        self.pending = CoveredChanges(first_seq, covered.ordered_at, covered.entries)
-        self.stale.update(units)
+        if self._pending is not None and self._pending.first_seq:
+            first_seq = min(first_seq, self._pending.first_seq)
+        self._pending = CoveredChanges(first_seq, covered.ordered_at, covered.entries)
+        self._pending_units.update(units)
 
     def ready(self) -> bool:
-        return not self.writing
+        """Whether the socket has taken the last push."""
+        return not self._writing_seq
 
     def oldest_unacknowledged(self) -> int:
-        firsts = [n for n in (self.writing, self.pending.first_seq if self.pending else 0) if n]
-        return min(firsts, default=NEVER)
+        """The lowest sequence number that the peer was not told of, or a number above all."""
+        pending_seq = self._pending.first_seq if self._pending else 0
+        return min((seq for seq in (self._writing_seq, pending_seq) if seq), default=NOTHING_UNACKNOWLEDGED)
 
     def unacknowledged_messages(self) -> int:
-        return int(bool(self.writing))
+        """Pushes that the socket has not taken: 0 or 1."""
+        return int(bool(self._writing_seq))
 
     def acknowledged_versions(self) -> dict[str, str]:
+        """Empty: SASP tells no versions."""
         return {}
 
     def acknowledged_at(self) -> int:
-        return max(self.polled, self.pushed)
+        """When the peer was last told anything, ns; 0: never."""
+        return max(self._polled_at, self._pushed_at)
 
     def held_counts(self) -> dict[str, int]:
-        return {"groups": len(self.told)}
+        """Groups that the peer was told of."""
+        return {"groups": len(self._last_advice)}
+
+
+def _not_understood(error: codec.MessageError) -> bytes:
+    """The reply to a message that cannot be decoded; of the kind that its request asks for, if that is known."""
+    kind = REPLY_KINDS.get(error.kind, Kind.SET_LB_STATE_REPLY)
+    if kind is Kind.GET_WEIGHTS_REPLY:
+        return codec.encode(sasp.Message(error.number, sasp.WeightsReply(Code.NOT_UNDERSTOOD, 0, ())))
+    return codec.encode(sasp.Message(error.number, sasp.Reply(kind, Code.NOT_UNDERSTOOD)))
--- a/fuzz/sasp_messages.py
+++ b/fuzz/sasp_messages.py
@@ -13,10 +13,11 @@
 import sys
 
 from damsonpick.protocols.sasp import codec
-from damsonpick.protocols.sasp.pacing import Meter, Pace
-from damsonpick.protocols.sasp.registry import Limits, Registry
-from damsonpick.protocols.sasp.session import Desk, SaspSession
-from damsonpick.protocols.sasp.weights import Known
+from damsonpick.protocols.sasp.advisor import WeightAdvisor
+from damsonpick.protocols.sasp.pacing import MessageRateLimiter, PollPacer
+from damsonpick.protocols.sasp.registry import AccessLevel, Limits, Registry
+from damsonpick.protocols.sasp.session import SaspSession
+from damsonpick.protocols.sasp.weights import MemberStatus
 from damsonpick.protocols.shared.session import CoveredChanges
 from damsonpick.state.published_tables import PublishedTables
 
@@ -28,11 +29,16 @@
     published = PublishedTables(("page",), 2)
     published.restore(0, {"10.0.0.1:80": 1.0})
     published.restore(1, {"10.0.0.2:80": 2.0})
-    registry = Registry(Limits(20, 50), lambda name: None if name == b"no" else "fleet", lambda lb: "state")
-    desk = Desk(
-        published, registry, Pace(random.Random(1)), lambda n: 1.0, lambda n: Known(True, True, True), lambda: 0.0
+    registry = Registry(Limits(20, 50), lambda name: None if name == b"no" else "fleet", lambda lb: AccessLevel.STATE)
+    advisor = WeightAdvisor(
+        published,
+        registry,
+        PollPacer(random.Random(1)),
+        lambda n: 1.0,
+        lambda n: MemberStatus(True, True, True),
+        lambda: 0.0,
     )
-    return SaspSession(desk, lambda lb: "a", Meter(50))
+    return SaspSession(advisor, lambda lb: "a", MessageRateLimiter(50))
 
 
 def check(data: bytes) -> None:
@@ -45,7 +51,7 @@
         for piece in (data[1 : 1 + cut], data[1 + cut :]):
             for frame in splitter.feed(piece):
                 _one(made, frame)
-        assert len(splitter.data) <= len(data)
+        assert len(splitter.buffer) <= len(data)
     except codec.FrameError:
         return
 
@@ -58,16 +64,16 @@
     codec.decode(frames[0])
     try:
         message = codec.decode(frame)
-    except codec.NotUnderstood:
+    except codec.MessageError:
         return
     again = codec.encode(message)
     assert len(again) == len(frame) and codec.decode(again) == message
-    kept = sum(len(g.members) for b in made.desk.registry.balancers.values() for g in b.groups.values())
-    assert kept <= 20 * 50 * len(made.desk.registry.balancers)
+    kept = sum(len(g.members) for b in made.advisor.registry.balancers.values() for g in b.groups.values())
+    assert kept <= 20 * 50 * len(made.advisor.registry.balancers)
     made.enqueue(["slice/0"], CoveredChanges(3, NOW, 1))
     if (push := made.compose(NOW)) is not None:
         codec.decode(push)
-        made.written()
+        made.push_written()
 
 
 def main() -> None:
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -11,6 +11,7 @@
 from hypothesis import strategies as st
 
 from damsonpick.protocols.sasp import codec, weights
+from damsonpick.protocols.sasp.advisor import WeightAdvisor
 from damsonpick.protocols.sasp.layout import (
     Code,
     Deregister,
@@ -36,10 +37,15 @@
     WeightsReply,
     member,
 )
-from damsonpick.protocols.sasp.pacing import LEAST, MOST, Meter, Pace
-from damsonpick.protocols.sasp.registry import GONE, Limits, Registry
-from damsonpick.protocols.sasp.session import Desk, SaspSession
-from damsonpick.protocols.sasp.weights import Advice, Known
+from damsonpick.protocols.sasp.pacing import (
+    MAX_POLL_INTERVAL_S,
+    MIN_POLL_INTERVAL_S,
+    MessageRateLimiter,
+    PollPacer,
+)
+from damsonpick.protocols.sasp.registry import REGISTRATION_RETENTION_NS, AccessLevel, Limits, Registry
+from damsonpick.protocols.sasp.session import SaspSession
+from damsonpick.protocols.sasp.weights import Advice, Exclusions, MemberStatus
 from damsonpick.protocols.shared.session import CoveredChanges
 from damsonpick.state.published_tables import PublishedTables
 from fuzz import sasp_messages
@@ -172,7 +178,7 @@
     try:
         for frame in splitter.feed(bytes(data)):
             codec.decode(frame)
-    except (codec.FrameError, codec.NotUnderstood):
+    except (codec.FrameError, codec.MessageError):
         pass
 
 
@@ -182,7 +188,7 @@
     return bytes(data)
 
 
-@pytest.mark.parametrize("value", [0, 1, 16, 2**32 - 1, -1, -31, codec.LARGEST + 1, 2**31, 4 * 2**30 - 1])
+@pytest.mark.parametrize("value", [0, 1, 16, 2**32 - 1, -1, -31, codec.MAX_MESSAGE_BYTES + 1, 2**31, 4 * 2**30 - 1])
 def test_a_length_that_lies_ends_the_stream_before_anything_is_kept_for_it(value):
     splitter = codec.Splitter()
     with pytest.raises(codec.FrameError, match="bytes"):
@@ -191,7 +197,7 @@
 
 def test_a_length_that_is_short_by_one_is_not_understood_and_one_too_long_waits():
     good = codec.encode(Message(3, GetWeights((WEB,))))
-    with pytest.raises(codec.NotUnderstood) as caught:
+    with pytest.raises(codec.MessageError) as caught:
         codec.decode(next(codec.Splitter().feed(_length(len(good) - 1))))
     assert caught.value.number == 3 and caught.value.kind == Kind.GET_WEIGHTS
     assert not list(codec.Splitter().feed(_length(len(good) + 1)))
@@ -211,7 +217,7 @@
 def test_what_is_wrong_inside_is_named_with_the_number_of_the_request(place, value, said):
     data = bytearray(codec.encode(Message(3, GetWeights((WEB,)))))
     data[place] = value
-    with pytest.raises(codec.NotUnderstood, match=said) as caught:
+    with pytest.raises(codec.MessageError, match=said) as caught:
         codec.decode(bytes(data))
     assert caught.value.number == 3
 
@@ -225,9 +231,9 @@
 # -- registrations
 
 
-def registry(rights="state", **named):
+def registry(access=AccessLevel.STATE, **named):
     return Registry(
-        Limits(5, 3), lambda name: None if name == b"refused" else "fleet", lambda lb: named.get(lb.decode(), rights)
+        Limits(5, 3), lambda name: None if name == b"refused" else "fleet", lambda lb: named.get(lb.decode(), access)
     )
 
 
@@ -277,7 +283,7 @@
     made = registry()
     assert put(made, ONE, sender=Sender(0)) == Code.NO_BALANCER_YET
     made.set_lb("s", b"lb1", 1, LbFlag.TRUST)
-    assert put(made, ONE, sender=Sender(0), session="m") == Code.OK and made.find(WEB).members[ONE].own
+    assert put(made, ONE, sender=Sender(0), session="m") == Code.OK and made.find(WEB).members[ONE].self_registered
     made.set_lb("t", b"lb1", 1, LbFlag(0))
     quiesce = (StatesOf(WEB, (MemberState(ONE, 0, MemberFlag.QUIESCE),)),)
     assert made.set_states(Sender(0), quiesce) == Code.NOT_FROM_SENDER
@@ -290,7 +296,7 @@
     [("refuse", (0x11, 0x11, 0x11)), ("read", (0, 0x11, 0x11)), ("register", (0, 0, 0x11)), ("state", (0, 0, 0))],
 )
 def test_each_right_includes_those_before_it(rights, codes):
-    made = registry(rights)
+    made = registry(AccessLevel[rights.upper()])
     quiesce = (StatesOf(WEB, (MemberState(ONE, 0, MemberFlag.QUIESCE),)),)
     assert (made.set_lb("s", b"lb1", 1, LbFlag(0)), put(made, ONE), made.set_states(Sender.BALANCER, quiesce)) == codes
 
@@ -299,8 +305,8 @@
     made = registry()
     put(made, ONE)
     made.leave(NOW, "s")
-    assert not made.expire(NOW + GONE - 1) and made.find(WEB) != Code.UNKNOWN_LB
-    assert made.expire(NOW + GONE) == [b"lb1"] and made.find(WEB) == Code.UNKNOWN_LB
+    assert not made.expire(NOW + REGISTRATION_RETENTION_NS - 1) and made.find(WEB) != Code.UNKNOWN_LB
+    assert made.expire(NOW + REGISTRATION_RETENTION_NS) == [b"lb1"] and made.find(WEB) == Code.UNKNOWN_LB
 
 
 # -- weights
@@ -308,7 +314,7 @@
 
 @given(st.dictionaries(st.text(max_size=4), st.floats(0, 1e6), max_size=40))
 def test_whole_weights_keep_zero_and_order(found):
-    scaled = weights.scale(found)
+    scaled = weights.whole_weights(found)
     assert all(0 <= w <= 65535 for w in scaled.values())
     most = max(found.values(), default=0)
     for a in found:
@@ -320,7 +326,7 @@
 
 def test_even_the_smallest_and_the_closest_are_kept_apart():
     found = {f"s{k}": 1 + k * 1e-7 for k in range(200)} | {"tiny": 1e-12}
-    scaled = weights.scale(found)
+    scaled = weights.whole_weights(found)
     assert scaled["tiny"] == 1 and len(set(scaled.values())) == 201
     assert scaled["s199"] <= 65535
 
@@ -334,40 +340,51 @@
 
 def test_shares_are_what_the_tables_bring():
     made = published()
-    assert weights.shares(made, range(3), lambda n: [4.0, 2.0, 2.0][n]) == {"p": 1 / 8, "q": 5 / 8, "r": 2 / 8}
+    assert weights.traffic_shares(made, range(3), lambda n: [4.0, 2.0, 2.0][n]) == {"p": 1 / 8, "q": 5 / 8, "r": 2 / 8}
     made.withdrawn["q"] = 1
-    assert weights.shares(made, range(2), lambda n: 1.0) == {"p": 1.0}
-    assert weights.shares(made, range(2), lambda n: 0.0) == {"p": 1.0}
+    assert weights.traffic_shares(made, range(2), lambda n: 1.0) == {"p": 1.0}
+    assert weights.traffic_shares(made, range(2), lambda n: 0.0) == {"p": 1.0}
 
 
 def test_what_is_barred_weighs_nothing_and_is_quiesced():
-    about = {"p": Known(True, True, True), "q": Known(True, False, True), "r": Known(False, False, False)}
-    found = weights.advise({"p": 0.5, "q": 0.3, "r": 0.2}, "pqr", about.__getitem__, (), (), "p")
+    about = {
+        "p": MemberStatus(True, True, True),
+        "q": MemberStatus(True, False, True),
+        "r": MemberStatus(False, False, False),
+    }
+    found = weights.advise({"p": 0.5, "q": 0.3, "r": 0.2}, "pqr", about.__getitem__, Exclusions(self_registered="p"))
     assert found["p"].weight > 0 and found["p"].flags == WeightFlag.CONTACT | WeightFlag.REGISTERED | 8
     assert found["q"] == Advice(0, WeightFlag.QUIESCE | WeightFlag.CONFIDENT)
     assert found["r"] == Advice(0, WeightFlag.QUIESCE)
-    assert weights.advise({"p": 1.0}, "p", about.__getitem__, ("p",), (), ())["p"].weight == 0
-    assert weights.advise({"p": 1.0}, "p", about.__getitem__, (), ("p",), ())["p"].weight == 0
+    assert weights.advise({"p": 1.0}, "p", about.__getitem__, Exclusions(withdrawn=("p",)))["p"].weight == 0
+    assert weights.advise({"p": 1.0}, "p", about.__getitem__, Exclusions(quiesced=("p",)))["p"].weight == 0
 
 
 def test_noise_is_no_push_and_a_drain_always_is():
     before = {"p": Advice(1000, WeightFlag(0)), "q": Advice(500, WeightFlag(0))}
-    assert not weights.matters(before, before | {"p": Advice(1040, WeightFlag(0))})
-    assert weights.matters(before, before | {"p": Advice(1100, WeightFlag(0))})
-    assert weights.matters(before, before | {"p": Advice(1000, WeightFlag.QUIESCE)})
-    assert weights.matters(before, {"p": before["p"]})
+    assert not weights.is_significant(before, before | {"p": Advice(1040, WeightFlag(0))})
+    assert weights.is_significant(before, before | {"p": Advice(1100, WeightFlag(0))})
+    assert weights.is_significant(before, before | {"p": Advice(1000, WeightFlag.QUIESCE)})
+    assert weights.is_significant(before, {"p": before["p"]})
 
 
 # -- sessions
 
 
-def desk():
+def advisor():
     made = published()
-    return Desk(made, registry(), Pace(random.Random(1)), lambda n: 1.0, lambda n: Known(True, True, True), lambda: 0.0)
+    return WeightAdvisor(
+        made,
+        registry(),
+        PollPacer(random.Random(1)),
+        lambda n: 1.0,
+        lambda n: MemberStatus(True, True, True),
+        lambda: 0.0,
+    )
 
 
 def session(shared, lb=b"lb1", flags=LbFlag.PUSH, *names):
-    made = SaspSession(shared, lambda lb: "a", Meter(50))
+    made = SaspSession(shared, lambda lb: "a", MessageRateLimiter(50))
     made.receive(NOW, codec.encode(Message(1, SetLbState(lb, 1, flags))))
     for name in names or (b"web",):
         reply = made.receive(
@@ -390,7 +407,7 @@
 
 
 def test_a_poll_without_change_leaves_groups_out_where_that_was_asked_for():
-    shared = desk()
+    shared = advisor()
     made = session(shared, b"lb1", LbFlag.NO_CHANGE)
     assert len(ask(made, GetWeights((WEB,))).groups) == 1
     assert not ask(made, GetWeights((WEB,))).groups
@@ -400,41 +417,45 @@
 
 
 def test_a_push_tells_of_changed_members_alone_where_that_was_asked_for():
-    shared = desk()
+    shared = advisor()
     made = session(shared, b"lb1", LbFlag.PUSH | LbFlag.NO_CHANGE)
     made.enqueue(["fleet"], CoveredChanges(1, NOW, 1))
-    assert len(codec.decode(made.compose(NOW)).body.groups[0].weights) == 2 and made.rows == 2
-    made.written()
+    assert len(codec.decode(made.compose(NOW)).body.groups[0].weights) == 2 and made.pushed_members == 2
+    made.push_written()
     shared.registry.set_states(
         Sender.BALANCER, (StatesOf(WEB, (MemberState(member("1.1.1.1:1"), 0, MemberFlag.QUIESCE),)),)
     )
     made.enqueue(["slice/0"], CoveredChanges(2, NOW, 1))
     weights_ = codec.decode(made.compose(NOW)).body.groups[0].weights
-    assert [w.member.endpoint for w in weights_] == ["1.1.1.1:1"] and made.rows == 1
+    assert [w.member.endpoint for w in weights_] == ["1.1.1.1:1"] and made.pushed_members == 1
 
 
 def test_a_push_goes_once_and_waits_for_the_socket():
-    made = session(desk())
-    assert [len(x) for x in made.news(NOW, 9)[0].values()] == [2] and not made.news(NOW, 9)[1], "neither is barred"
+    made = session(advisor())
+    assert [len(x) for x in made.unsent_advice(NOW, 9)[0].values()] == [2] and not made.unsent_advice(NOW, 9)[1], (
+        "neither is barred"
+    )
     made.enqueue(["fleet"], CoveredChanges(1, NOW, 1))
     assert codec.decode(made.compose(NOW)).body.groups[0].group == WEB and not made.ready()
     made.enqueue(["slice/0"], CoveredChanges(5, NOW, 1))
     assert made.compose(NOW) is None and made.oldest_unacknowledged() == 1
-    made.written()
-    assert made.ready() and made.compose(NOW) is None and made.news(NOW, 9) == ({}, False), "nothing is different"
+    made.push_written()
+    assert made.ready() and made.compose(NOW) is None and made.unsent_advice(NOW, 9) == ({}, False), (
+        "nothing is different"
+    )
     assert made.oldest_unacknowledged() == 1 << 62
 
 
 def test_a_group_deleted_before_its_push_is_written_is_not_in_it():
-    made = session(desk(), b"lb1", LbFlag.PUSH, b"web", b"other")
+    made = session(advisor(), b"lb1", LbFlag.PUSH, b"web", b"other")
     made.enqueue(["slice/0"], CoveredChanges(1, NOW, 1))
     ask(made, Deregister(Sender.BALANCER, 0, (MembersOf(WEB, ()),)))
     assert [g.group.name for g in codec.decode(made.compose(NOW)).body.groups] == [b"other"]
 
 
 def test_what_cannot_be_answered_has_a_code():
-    shared = desk()
-    stranger = SaspSession(shared, lambda lb: "a", Meter(50))
+    shared = advisor()
+    stranger = SaspSession(shared, lambda lb: "a", MessageRateLimiter(50))
     assert ask(stranger, GetWeights((WEB,))).code == Code.UNKNOWN_LB
     made = session(shared)
     assert ask(made, GetWeights((WEB, WEB))).code == Code.DUPLICATE_GROUP
@@ -445,7 +466,7 @@
 
 
 def test_only_pushes_are_ordered_through_the_channel():
-    shared = desk()
+    shared = advisor()
     pusher, poller = session(shared), session(shared, b"lb2", LbFlag(0))
     assert pusher.subscribes_to("slice/1") and pusher.subscribes_to("fleet") and not pusher.subscribes_to("routes")
     assert not poller.subscribes_to("slice/1")
@@ -455,27 +476,27 @@
 
 
 def test_intervals_are_short_while_things_move_and_long_where_the_channel_is_full_or_a_crowd_asks():
-    made = Pace(random.Random(3))
+    made = PollPacer(random.Random(3))
 
     def mean(now, sessions, filled):
-        return sum(made.interval(now, sessions, filled) for _ in range(200)) / 200
+        return sum(made.next_interval(now, sessions, filled) for _ in range(200)) / 200
 
     assert 9 < mean(NOW, 10, 0.0) < 11
-    made.change(NOW)
+    made.note_change(NOW)
     assert 1 < mean(NOW + SECOND, 10, 0.0) < 3 < 5 < mean(NOW + SECOND, 10, 0.9) < 7
     assert mean(NOW + 60 * SECOND, 4000, 0.0) > 15
-    spread = {made.interval(NOW + 60 * SECOND, 10, 0.0) for _ in range(100)}
-    assert len(spread) >= 3 and min(spread) >= LEAST and max(spread) <= MOST
+    spread = {made.next_interval(NOW + 60 * SECOND, 10, 0.0) for _ in range(100)}
+    assert len(spread) >= 3 and min(spread) >= MIN_POLL_INTERVAL_S and max(spread) <= MAX_POLL_INTERVAL_S
 
 
 def test_a_session_that_asks_too_often_stands_still():
-    meter, now, waited = Meter(50), NOW, 0.0
+    meter, now, waited = MessageRateLimiter(50), NOW, 0.0
     for _ in range(300):
-        waited += meter.wait(now)
+        waited += meter.delay(now)
         now += SECOND // 1000
     assert waited > 0
-    slow = Meter(50)
-    assert not any(slow.wait(NOW + k * SECOND // 40) for k in range(500))
+    slow = MessageRateLimiter(50)
+    assert not any(slow.delay(NOW + k * SECOND // 40) for k in range(500))
 
 
 @pytest.mark.parametrize("path", sorted(Path("fuzz/corpus/sasp").iterdir()), ids=lambda p: p.name)
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -66,7 +66,7 @@
 
     @property
     def address(self):
-        return f"127.0.0.1:{self.pilot.log('sasp_open')[-1]['port']}"
+        return f"127.0.0.1:{self.pilot.log('sasp_opened')[-1]['port']}"
 
 
 @contextlib.asynccontextmanager
@@ -226,7 +226,7 @@
                 return sock.recv(100)
 
         assert await anyio.to_thread.run_sync(talk) == b""
-        await true(lambda: any("bytes" in e["why"] for e in made.pilot.log("sasp_broken")))
+        await true(lambda: any("bytes" in e["why"] for e in made.pilot.log("sasp_frame_invalid")))
         assert await client.register(b"web", ALL) == Code.OK
 
 
@@ -244,7 +244,7 @@
                 assert read(sock)[0].body.code == Code.OK
 
         await anyio.to_thread.run_sync(talk)
-        assert len(made.pilot.log("sasp_not_understood")) == 2
+        assert len(made.pilot.log("sasp_message_invalid")) == 2
 
 
 async def test_rights_are_refused_with_their_code(tmp_path):
@@ -384,7 +384,7 @@
         assert await client.register(b"wordy", wordy) == Code.OK
         more = [member(f"10.3.{k // 200}.{k % 200}:80", label=b"x" * 250) for k in range(100)]
         assert await client.register(b"wordy", more) == Code.INVALID_GROUP
-        assert len(told(await client.weights(b"wordy"))) == 200 and not made.pilot.log("sasp_failed")
+        assert len(told(await client.weights(b"wordy"))) == 200 and not made.pilot.log("sasp_session_failed")
 
 
 async def test_a_restart_drops_registrations_and_who_does_not_come_back_is_told_so(tmp_path):
