--- a/damsonpick/protocols/sasp/advisor.py
+++ b/damsonpick/protocols/sasp/advisor.py
@@ -47,15 +47,8 @@
     period: int
 
 
-class AdviceVersion(NamedTuple):
-    """What advice depends on, beside the group's members."""
-
-    shares: SharesVersion
-    status_revision: int
-
-
 class CachedShares(NamedTuple):
-    """Shares by endpoint, and what they depend on."""
+    """Shares by endpoint, and what they depend on; one object as long as that stays."""
 
     version: SharesVersion
     shares: dict[str, float]
@@ -65,7 +58,8 @@
     """Advice by endpoint with its encoded weight entries, and what it depends on."""
 
     snapshot: tuple[MemberSnapshot, ...]
-    version: AdviceVersion
+    shares: CachedShares
+    status_revision: int
     advice: dict[str, Advice]
     entries: bytes
 
@@ -180,21 +174,21 @@
 
     def advise(self, now: int, group: RegisteredGroup) -> GroupAdvice:
         """Advice on a group at `now` (ns)."""
-        cached_shares = self._current_shares(now, group.coverage)
-        version = AdviceVersion(cached_shares.version, self._status_revision)
+        shares = self._current_shares(now, group.coverage)
         key = AdviceKey(group.coverage, id(group.snapshot))
         cached = self._advice.get(key)
         if cached is not None and cached.snapshot is not group.snapshot:
             cached = None  # the identity was used again for another object
-        if cached is None or cached.version != version:
-            cached = self._compute_advice(group, version, cached_shares.shares, cached)
+        is_current = cached is not None and cached.shares is shares and cached.status_revision == self._status_revision
+        if cached is None or not is_current:
+            cached = self._compute_advice(group, shares, cached)
             if len(self._advice) > MAX_CACHED_ADVICE:
                 self._advice.clear()
             self._advice[key] = cached
         return GroupAdvice(cached.advice, codec.write_weights_of(group.key, len(group.snapshot), cached.entries))
 
     def _compute_advice(
-        self, group: RegisteredGroup, version: AdviceVersion, shares: dict[str, float], former: CachedAdvice | None
+        self, group: RegisteredGroup, shares: CachedShares, former: CachedAdvice | None
     ) -> CachedAdvice:
         snapshot = group.snapshot
         exclusions = Exclusions(
@@ -203,11 +197,11 @@
             self_registered=[row.member.endpoint for row in snapshot if row.self_registered],
         )
         endpoints = dict.fromkeys(row.member.endpoint for row in snapshot)
-        advice = weights.advise(shares, endpoints, self.status_of, exclusions)
+        advice = weights.advise(shares.shares, endpoints, self.status_of, exclusions)
         if former is not None and former.advice == advice:
-            return CachedAdvice(snapshot, version, former.advice, former.entries)
+            return CachedAdvice(snapshot, shares, self._status_revision, former.advice, former.entries)
         entries = b"".join(self._encode(row.member, row.state, advice[row.member.endpoint]) for row in snapshot)
-        return CachedAdvice(snapshot, version, advice, entries)
+        return CachedAdvice(snapshot, shares, self._status_revision, advice, entries)
 
     def encode_changed(
         self, group: RegisteredGroup, before: Mapping[str, Advice], after: Mapping[str, Advice]
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -123,12 +123,12 @@
 
 def write_groups(groups: Sequence[bytes]) -> bytes:
     """The count of some encoded groups, and the groups: the body of a push."""
-    return COUNT.pack(len(groups)) + b"".join(groups)
+    return b"".join((COUNT.pack(len(groups)), *groups))
 
 
 def write_weights_reply(code: int, interval: int, groups: Sequence[bytes]) -> bytes:
     """The body of Get Weights Reply (RFC 4678, 6.3) from encoded groups; `interval` in seconds."""
-    return REPLY_HEAD.pack(code, interval) + write_groups(groups)
+    return b"".join((REPLY_HEAD.pack(code, interval), COUNT.pack(len(groups)), *groups))
 
 
 def _members_of(groups: Sequence[sasp.MembersOf]) -> bytes:
@@ -224,10 +224,12 @@
 
     def take(self, count: int) -> memoryview:
         """The next bytes."""
-        if count > self.remaining:
-            raise MessageError(f"{self.what}: {count} bytes are read at {self.position}, there are {len(self.data)}")
-        self.position += count
-        return self.data[self.position - count : self.position]
+        start = self.position
+        end = start + count
+        if end > len(self.data):
+            raise MessageError(f"{self.what}: {count} bytes are read at {start}, there are {len(self.data)}")
+        self.position = end
+        return self.data[start:end]
 
     def unpack(self, form: struct.Struct) -> tuple[Any, ...]:
         """The next fields."""
@@ -282,7 +284,8 @@
 
 def _read_group(reader: Reader) -> sasp.Group:
     component = reader.component(sasp.GROUP)
-    group = sasp.Group(lb=component.name(), name=component.name())
+    lb = component.name()
+    group = sasp.Group(lb, component.name())
     component.end()
     return group
 
