--- a/benchmarks/hand_pilot.py
+++ b/benchmarks/hand_pilot.py
@@ -6,8 +6,8 @@
 from damsonpick.cli import pilot as pilot_commands
 from damsonpick.cli.main import main
 from damsonpick.decisions.planner import Planner
-from damsonpick.solver import plan as plans
 from damsonpick.solver.advice import Advisor
+from damsonpick.solver.plan import normalise
 
 OWN = 3.0
 
@@ -15,20 +15,20 @@
 class HandMade(Advisor):
     """Tables as a careful operator would write them; the module's rules bind them like the solver's."""
 
-    def due(self, now: int, planner: Planner) -> bool:
+    def is_due(self, now: int, planner: Planner) -> bool:
         return False
 
-    def stopgap(self, planner: Planner) -> list[api.Event]:
-        if self.told or not planner.endpoints:
+    def initial_tables(self, planner: Planner) -> list[api.Event]:
+        if self.advised_weights or not planner.endpoints:
             return []
         return self._by_hand(planner)
 
-    def repair(self, planner: Planner) -> list[api.Event]:
+    def repaired_tables(self, planner: Planner) -> list[api.Event]:
         # A cold server is let back in by hand once it is warm: operators know of the ramp.
-        now = (self._fleet(planner), tuple(n for n in sorted(planner.usable_capacities()) if planner.is_warming_up(n)))
-        if not self.told or now == self.mended:
+        now = (self.fleet(planner), tuple(n for n in sorted(planner.usable_capacities()) if planner.is_warming_up(n)))
+        if not self.advised_weights or now == self.repaired_fleet:
             return []
-        self.mended = now
+        self.repaired_fleet = now
         return self._by_hand(planner)
 
     def _by_hand(self, planner: Planner) -> list[api.Event]:
@@ -36,13 +36,13 @@
             planner.usable_capacities()
         )
         tables = {
-            (zone, kind.name): plans.normal(
+            (zone, kind.name): normalise(
                 {n: planner.endpoints[n].weight * (OWN if self.zone_of(n) == zone else 1.0) for n in usable}
             )
             for zone in self.settings.pilot.zones
-            for kind in self.kinds
+            for kind in self.classes
         }
-        return self._tables(tables, planner)
+        return self.advise_tables(tables, planner)
 
 
 if __name__ == "__main__":
--- a/benchmarks/simhost_advised.py
+++ b/benchmarks/simhost_advised.py
@@ -15,8 +15,8 @@
 from damsonpick.interface import Event, TableAdvised
 from damsonpick.protocols.simulator import __main__ as program
 from damsonpick.protocols.simulator import host as hosts
-from damsonpick.solver.lines import LinesProblem, Piece, divide
-from damsonpick.solver.model import Costs, Kind, Server
+from damsonpick.solver.model import Costs, RequestClass, Server
+from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem, divide_slices
 
 EVERY = 2_000_000_000
 LAST: dict[str, int] = {}
@@ -26,18 +26,18 @@
     """Weights for slices with several homes."""
     if not planner.throughput_per_capacity or planner.settings.sole_owner:
         return []
-    kinds = (Kind("any", 1.0, 0.0, 1.0, 4.0),)
+    kinds = (RequestClass("any", 1.0, 0.0, 1.0, 4.0),)
     usable = planner.usable_capacities()
     cores = {n: max(1, min(64, round(planner.endpoints[n].weight))) for n in usable}
     servers = tuple(
         Server(n, "", max(1e-3, c * planner.throughput_per_capacity / 0.9), cores[n]) for n, c in sorted(usable.items())
     )
     pieces = tuple(
-        Piece(p.number, p.load, tuple(p.assigned), tuple(map(p.desired_weight, p.assigned)))
+        SliceLoad(p.number, p.load, tuple(p.assigned), tuple(map(p.desired_weight, p.assigned)))
         for _, p in sorted(planner.slices.items())
         if p.assigned
     )
-    found = divide(LinesProblem(kinds, servers, pieces, Costs(move=0.1)))
+    found = divide_slices(SliceWeightsProblem(kinds, servers, pieces, Costs(move=0.1)))
     return [TableAdvised(n, lines, False) for n, lines in sorted(found.items())]
 
 
--- a/benchmarks/solver_scenarios.py
+++ b/benchmarks/solver_scenarios.py
@@ -20,7 +20,7 @@
 import tempfile
 from pathlib import Path
 
-from damsonpick.solver.model import Costs, Kind, Problem, Server
+from damsonpick.solver.model import Costs, Demand, Problem, RequestClass, Server
 from damsonpick.solver.plan import plan
 from damsonpick.solver.program import Program
 from damsonpick.testing.scenarios import player
@@ -93,7 +93,7 @@
 def knowing(folder: Path) -> float:
     """What the model would have served with true capacities and demand, second by second."""
     events = list(player.records(folder))
-    kinds = {"page": Kind("page", 1.0, 0.0, 0.325, 1.5), "tally": Kind("tally", 2.0, 0.0, 0.325, 1.5)}
+    kinds = {"page": RequestClass("page", 1.0, 0.0, 0.325, 1.5), "tally": RequestClass("tally", 2.0, 0.0, 0.325, 1.5)}
     zones, alive, slow = {}, {}, {}
     done = [e for e in events if e["e"] == "done"]
     first = min(e["begun"] for e in done) + 2 * SECOND
@@ -124,17 +124,20 @@
             age = (t - e["started"]) / e["cold_time"] if e["started"] else 1.0
             ramp = min(1.0, e["cold_share"] + (1 - e["cold_share"]) * age)
             servers.append(Server(name, e["zone"], e["capacity"] * ramp / slow[name], 2))
-        worth = sum(kinds[k].worth * r for (_, k), r in came.items())
+        worth = sum(kinds[k].priority_weight * r for (_, k), r in came.items())
         if servers and worth:
-            free = Costs(cross=0.0, move=0.0, least=0.0, margin=0.0, spread=0.0)
+            free = Costs(cross_zone=0.0, move=0.0, min_share=0.0, headroom=0.0, demand_spread=0.0)
             made = plan(
                 program,
                 Problem(
-                    tuple(kinds.values()), tuple(servers), tuple((z, k, r) for (z, k), r in sorted(came.items())), free
+                    tuple(kinds.values()),
+                    tuple(servers),
+                    tuple(Demand(z, k, r) for (z, k), r in sorted(came.items())),
+                    free,
                 ),
             )
             asked += worth
-            served += min(worth, max(0.0, made.value))
+            served += min(worth, max(0.0, made.objective))
         t += SECOND
     return served / asked if asked else 0.0
 
--- a/benchmarks/solver_time.py
+++ b/benchmarks/solver_time.py
@@ -22,12 +22,12 @@
 from scipy.optimize import linprog
 from scipy.sparse import csr_matrix
 
-from damsonpick.solver.model import Costs, Kind, Problem, Server
+from damsonpick.solver.model import Costs, Demand, Problem, RequestClass, Server
 from damsonpick.solver.plan import plan
-from damsonpick.solver.program import Build, Program
+from damsonpick.solver.program import Program, ProgramBuilder
 
 SIZES = ((16, 4), (67, 4), (250, 8), (1000, 16), (4000, 32))
-KINDS = (Kind("page", 1.0, 0.1, 0.3, 1.5), Kind("tally", 2.0, 0.2, 0.3, 1.5))
+KINDS = (RequestClass("page", 1.0, 0.1, 0.3, 1.5), RequestClass("tally", 2.0, 0.2, 0.3, 1.5))
 
 
 def fleet(servers: int, zones: int, rng: random.Random) -> Problem:
@@ -38,7 +38,9 @@
     )
     capacity = sum(s.capacity for s in made)
     demand = tuple(
-        (z, k.name, 0.6 * capacity / zones / 2 / k.work * rng.uniform(0.5, 1.5)) for z in names for k in KINDS
+        Demand(z, k.name, 0.6 * capacity / zones / 2 / k.mean_work_s * rng.uniform(0.5, 1.5))
+        for z in names
+        for k in KINDS
     )
     return Problem(KINDS, made, demand, Costs())
 
@@ -46,16 +48,17 @@
 def shaken(problem: Problem, shares: dict[str, float], rng: random.Random) -> Problem:
     return problem._replace(
         servers=tuple(
-            s._replace(capacity=s.capacity * rng.uniform(0.97, 1.03), share=shares[s.name]) for s in problem.servers
+            s._replace(capacity=s.capacity * rng.uniform(0.97, 1.03), work_share=shares[s.name])
+            for s in problem.servers
         ),
-        demand=tuple((z, c, r * rng.uniform(0.97, 1.03)) for z, c, r in problem.demand),
+        demand=tuple(Demand(z, c, r * rng.uniform(0.97, 1.03)) for z, c, r in problem.demand),
     )
 
 
 def by_scipy(problem: Problem) -> float:
     """Seconds of the same program through scipy."""
     start = time.perf_counter()
-    lp = Build(problem).model()
+    lp = ProgramBuilder(problem).build().to_highs()
     a = csr_matrix((lp.a_matrix_.value_, lp.a_matrix_.index_, lp.a_matrix_.start_), (lp.num_row_, lp.num_col_))
     low, high = np.array(lp.row_lower_), np.array(lp.row_upper_)
     up, down, same = np.isfinite(high) & (low != high), np.isfinite(low) & (low != high), low == high
--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -58,8 +58,8 @@
             return
         if planner is not self.planner:
             self.planner = planner
-            self.engine.tell(*self.advisor.again())
-        self._send(self.advisor.stopgap(planner) or self.advisor.repair(planner))
+            self.engine.tell(*self.advisor.readvise())
+        self._send(self.advisor.initial_tables(planner) or self.advisor.repaired_tables(planner))
 
     async def run(self) -> None:
         """Solve whenever it is due until cancelled."""
@@ -68,8 +68,8 @@
                 await anyio.sleep(self.clock.seconds(DUE_CHECK_PERIOD_NS))
                 self.advise_at_once()
                 planner, now = self.engine.planner, self.clock.now()
-                if planner is not None and planner.endpoints and self.advisor.due(now, planner):
-                    self.advisor.begin(now, planner)
+                if planner is not None and planner.endpoints and self.advisor.is_due(now, planner):
+                    self.advisor.begin_solve(now, planner)
                     await self._solve_once()
         finally:
             await self.worker.stop()
@@ -96,7 +96,7 @@
         """What the worker answers to the problem of this moment."""
         planner = self.engine.planner
         if has_slices:
-            task, problem = work.solve_lines, self.advisor.lines_problem(planner)
+            task, problem = work.solve_slices, self.advisor.slice_problem(planner)
         else:
             task, problem = self.solve, self.advisor.problem(planner)
         limit_s = self.advisor.settings.solver.time_limit / NS_PER_SECOND
@@ -105,7 +105,7 @@
 
     def _advice(self, result: Plan | LineWeights, planner: Planner) -> list[api.Event]:
         if not isinstance(result, Plan):
-            return self.advisor.accept_lines(result)
+            return self.advisor.accept_slice_weights(result)
         if result.status != "optimal":
             raise SolveError(result.status)
         return self.advisor.accept(result, planner)
@@ -113,9 +113,9 @@
     def _log_advice(self, result: Plan | LineWeights, events: list[api.Event]) -> None:
         fields: dict[str, Any] = {}
         if isinstance(result, Plan):
-            fields["objective"] = round(result.value, 2)
-            fields["solve_ms"] = round(result.seconds * 1e3, 1)
-            fields["admitted"] = {name: round(share, 3) for name, share in result.let_in.items()}
+            fields["objective"] = round(result.objective, 2)
+            fields["solve_ms"] = round(result.solve_s * 1e3, 1)
+            fields["admitted"] = {name: round(share, 3) for name, share in result.admitted.items()}
         self.log.info("weights_solved", tables=len(events), **fields)
 
     def _send(self, events: list[api.Event]) -> None:
@@ -124,5 +124,7 @@
             self.notify()
 
     def _failed(self, reason: str) -> None:
-        self.advisor.failed(self.clock.now(), reason)
-        self.log.warning("solver_failed", reason=reason, weights="the last good ones stay", failures=self.advisor.fails)
+        self.advisor.note_failure(self.clock.now(), reason)
+        self.log.warning(
+            "solver_failed", reason=reason, weights="the last good ones stay", failures=self.advisor.failures
+        )
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -1,267 +1,313 @@
-"""From what the module believes to a problem, and from a plan to advice. Sans I/O.
+"""From what the planner knows to a problem, and from a plan to advice. Sans I/O.
 
-The solver sees the fleet through the module: which servers the list bars, cold ramps, learned speeds and
-averaged demand are the module's. What servers report of themselves is not used at all, as in the module: a server
-that claims to be idle is judged by its answers. Advice goes back as events; the module's rules, withdrawals,
-channel and levels bind it.
+The solver sees the fleet through the planner: which endpoints are unroutable, warm-up, learned capacity factors and
+averaged demand are the planner's. What servers report of themselves is not used at all, as in the planner: a server
+that claims to be idle is judged by its answers. Advice goes back as events; the planner's rules, withdrawals, flow
+control and admission levels bind it.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Iterator, Mapping
+from typing import Any, NamedTuple
 
 from damsonpick import interface as api
 from damsonpick.decisions.planner import Planner, SliceState
 from damsonpick.settings.model import PilotSettings
-from damsonpick.solver import plan as plans
-from damsonpick.solver.lines import LinesProblem, Piece
-from damsonpick.solver.model import Costs, Kind, Plan, Problem, Server
+from damsonpick.solver.explanation import explain_nothing, explain_plan
+from damsonpick.solver.model import Costs, Demand, Plan, Problem, RequestClass, Server, Weights
+from damsonpick.solver.plan import keep_similar, normalise
+from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem
 
-SECOND = 1_000_000_000
-LEAST_CAPACITY = 1e-3  # of a core: an unknown or absurd capacity is not nought
-LEAST_RATE = 1e-6  # requests a second that count as none
-COLD_PART = 0.05  # of its present capacity that a cold server may have at least
-SLOWEST = 30 * SECOND  # between tries after failures
+NS_PER_S = 1_000_000_000
+MIN_CAPACITY = 1e-3  # of a core: an unknown or absurd capacity is not nought
+MIN_RATE = 1e-6  # requests a second that count as none
+MAX_RATE = 1e12  # requests a second; more is taken for a fault of the reports
+MAX_CORES = 256
+MIN_WARMING_SHARE = 0.05  # of its present capacity that a server may have at least while it warms up
+MAX_RETRY_INTERVAL_NS = 30 * NS_PER_S  # between solves after failures
+MAX_BACKOFF_DOUBLINGS = 10
+FULLY_ADMITTED = 0.999  # share of a class from which all of it counts as admitted
+
+
+class FleetMember(NamedTuple):
+    """A routable endpoint and when it last started, ns."""
+
+    endpoint: str
+    started: int
+
+
+class TableSlot(NamedTuple):
+    """A table where there are no slices: one for each zone and class.
+
+    Attributes:
+        number: of the table.
+        zone: of its gateways.
+        class_index: of `request_class`, in the order of the settings.
+        request_class: that it is for.
+    """
+
+    number: int
+    zone: str
+    class_index: int
+    request_class: RequestClass
 
 
 class Advisor:
-    """When to solve, what to ask, and what to tell the module. Tables are laid where there are no slices.
+    """When to solve, what to ask, and what to tell the planner. Tables are assigned where there are no slices.
 
     Args:
         settings: the pilot's settings.
         zone_of: the zone of an endpoint, '' if unknown.
+
+    Attributes:
+        classes: of requests, in the order of the settings.
+        costs: what the solver charges.
+        due_at: ns; when the next solve is due.
+        last_plan: the last good one.
+        advised_weights: by table and endpoint, as last told.
+        repaired_fleet: the fleet for which `repaired_tables` last gave advice.
+        failures: solves that failed since the last good one.
     """
 
     def __init__(self, settings: PilotSettings, zone_of: Callable[[str], str]) -> None:
-        self.settings, self.zone_of = settings, zone_of
-        s = settings.solver
-        self.kinds = tuple(
-            Kind(
-                name,
-                kind.priority_weight,
-                min(kind.late_weight, kind.priority_weight),
-                max(kind.mean_work, 1) / SECOND,
-                kind.latency_objective / SECOND,
-                kind.own_zone_only,
-            )
-            for name, kind in settings.classes.items()
-        )
-        self.costs = Costs(
-            s.cross_zone_cost,
-            s.zone_pair_costs,
-            s.move_cost,
-            s.min_share,
-            s.max_move_share,
-            s.headroom,
-            s.demand_spread,
-        )
+        """Begin without a plan."""
+        self.settings = settings
+        self.zone_of = zone_of
+        self.classes = _request_classes(settings)
+        self.costs = _costs(settings)
         self.due_at = 0
-        self.seen: tuple = ()
-        self.mended: tuple = ()
-        self.last: Plan | None = None
-        self.before: Plan | None = None
-        self.told: dict[int, dict[str, float]] = {}
-        self.fails = 0
-        self.trouble = ""
+        self.last_plan: Plan | None = None
+        self.previous_plan: Plan | None = None
+        self.advised_weights: dict[int, dict[str, float]] = {}
+        self.solved_fleet: tuple[FleetMember, ...] = ()
+        self.repaired_fleet: tuple[Any, ...] = ()
+        self.failures = 0
+        self.failure_reason = ""
 
     # -- when
 
-    def due(self, now: int, planner: Planner) -> bool:
-        """At its interval, and at once when servers come, go, or start anew."""
-        return now >= self.due_at or self._fleet(planner) != self.seen
+    def is_due(self, now: int, planner: Planner) -> bool:
+        """Whether to solve at `now` (ns): at its interval, and at once when servers come, go, or start anew."""
+        return now >= self.due_at or self.fleet(planner) != self.solved_fleet
+
+    def fleet(self, planner: Planner) -> tuple[FleetMember, ...]:
+        """All routable endpoints, by name."""
+        members = []
+        for name, state in sorted(planner.endpoints.items()):
+            if not planner.is_unroutable(name):
+                members.append(FleetMember(name, state.started))
+        return tuple(members)
 
-    def _fleet(self, planner: Planner) -> tuple:
-        return tuple((n, ep.started) for n, ep in sorted(planner.endpoints.items()) if not planner.is_unroutable(n))
+    def begin_solve(self, now: int, planner: Planner) -> None:
+        """Note that a solve starts at `now` (ns)."""
+        self.solved_fleet = self.fleet(planner)
+        self.due_at = now + self.settings.solver.period
 
-    def begin(self, now: int, planner: Planner) -> None:
-        """A solve starts now."""
-        self.seen, self.due_at = self._fleet(planner), now + self.settings.solver.period
+    def note_failure(self, now: int, reason: str) -> None:
+        """Note that a solve failed at `now` (ns): the last good weights stay, the next try waits longer each time."""
+        self.failures += 1
+        self.failure_reason = reason
+        backoff = self.settings.solver.period * 2 ** min(self.failures, MAX_BACKOFF_DOUBLINGS)
+        self.due_at = now + min(MAX_RETRY_INTERVAL_NS, backoff)
 
-    def failed(self, now: int, why: str) -> None:
-        """The last good weights stay; tries grow rarer."""
-        self.fails += 1
-        self.trouble = why
-        self.due_at = now + min(SLOWEST, self.settings.solver.period * 2 ** min(self.fails, 10))
+    def _note_success(self) -> None:
+        self.failures = 0
+        self.failure_reason = ""
 
     # -- what is asked
 
     def servers(self, planner: Planner) -> tuple[Server, ...]:
-        """Every server that may be used, in a settled order."""
-        shares = {row.name: row.share for row in self.last.servers} if self.last else {}
+        """Every server that may be used, by name."""
+        last_shares = {row.name: row.share for row in self.last_plan.servers} if self.last_plan else {}
         usable = planner.usable_capacities()
-        total = sum(usable.values()) or 1.0
-        used = min(1.0, sum(map(self._work, planner.slices.values())) / total)
-        found = []
+        warming_share = max(MIN_WARMING_SHARE, self._utilisation(planner, sum(usable.values())))
+        servers = []
         for name in sorted(usable):
-            ep = planner.endpoints[name]
-            cold = planner.is_warming_up(name)
+            state = planner.endpoints[name]
             capacity = usable[name] if math.isfinite(usable[name]) else 1.0
-            found.append(
+            servers.append(
                 Server(
-                    name,
-                    self.zone_of(name),
-                    max(LEAST_CAPACITY, capacity),
-                    max(1, min(256, round(ep.weight))),
-                    max(COLD_PART, used) if cold else 1.0,
-                    round(min(1.0, max(0.0, 1.0 - ep.success_ratio)), 3),
-                    shares.get(name, 0.0),
+                    name=name,
+                    zone=self.zone_of(name),
+                    capacity=max(MIN_CAPACITY, capacity),
+                    cores=max(1, min(MAX_CORES, round(state.weight))),
+                    max_share=warming_share if planner.is_warming_up(name) else 1.0,
+                    failure_ratio=round(min(1.0, max(0.0, 1.0 - state.success_ratio)), 3),
+                    work_share=last_shares.get(name, 0.0),
                 )
             )
-        return tuple(found)
+        return tuple(servers)
+
+    def _utilisation(self, planner: Planner, capacity: float) -> float:
+        """Share of the fleet's capacity that is used, at most 1."""
+        work = sum(map(self._work, planner.slices.values()))
+        return min(1.0, work / (capacity or 1.0))
 
-    def _work(self, piece: SliceState) -> float:
-        """Averaged work a second that a table's requests bring."""
-        return sum(rate * kind.work for rate, kind in zip(piece.rates, self.kinds, strict=True))
+    def _work(self, slice_state: SliceState) -> float:
+        """Averaged core-seconds a second that a table's requests bring."""
+        rates = zip(slice_state.rates, self.classes, strict=True)
+        return sum(rate * request_class.mean_work_s for rate, request_class in rates)
+
+    def _table_slots(self) -> Iterator[TableSlot]:
+        """All tables where there are no slices, in their order."""
+        number = 0
+        for zone in self.settings.pilot.zones:
+            for class_index, request_class in enumerate(self.classes):
+                yield TableSlot(number, zone, class_index, request_class)
+                number += 1
 
     def problem(self, planner: Planner) -> Problem:
         """Tables by zone and class over all servers."""
-        zones, count = self.settings.pilot.zones, len(self.kinds)
         demand = []
-        for place, zone in enumerate(zones):
-            for k, kind in enumerate(self.kinds):
-                piece = planner.slices.get(place * count + k)
-                rate = piece.rates[k] if piece else 0.0
-                demand.append((zone, kind.name, rate if LEAST_RATE < rate < 1e12 else 0.0))
-        return Problem(self.kinds, self.servers(planner), tuple(demand), self.costs)
-
-    def lines_problem(self, planner: Planner) -> LinesProblem:
-        """Weights among the homes of slices that have several."""
-        pieces = []
-        for number, piece in sorted(planner.slices.items()):
-            work = self._work(piece)
-            if piece.assigned and work > 0:
-                old = tuple(piece.desired_weight(h) for h in piece.assigned)
-                pieces.append(Piece(number, work, tuple(piece.assigned), old))
-        return LinesProblem(self.kinds, self.servers(planner), tuple(pieces), self.costs)
+        for number, zone, class_index, request_class in self._table_slots():
+            slice_state = planner.slices.get(number)
+            rate = slice_state.rates[class_index] if slice_state else 0.0
+            is_credible = MIN_RATE < rate < MAX_RATE
+            demand.append(Demand(zone, request_class.name, rate if is_credible else 0.0))
+        return Problem(self.classes, self.servers(planner), tuple(demand), self.costs)
+
+    def slice_problem(self, planner: Planner) -> SliceWeightsProblem:
+        """Weights among the endpoints of slices that are assigned to several."""
+        loads = []
+        for number, slice_state in sorted(planner.slices.items()):
+            work = self._work(slice_state)
+            if slice_state.assigned and work > 0:
+                weights = tuple(slice_state.desired_weight(endpoint) for endpoint in slice_state.assigned)
+                loads.append(SliceLoad(number, work, tuple(slice_state.assigned), weights))
+        return SliceWeightsProblem(self.classes, self.servers(planner), tuple(loads), self.costs)
 
     # -- what is told
 
-    def stopgap(self, planner: Planner) -> list[api.Event]:
+    def initial_tables(self, planner: Planner) -> list[api.Event]:
         """Where there are no slices: tables by capacity, at once, until the first plan."""
-        if self.settings.tables.slices or self.told or not planner.endpoints:
+        if self.settings.tables.slices or self.advised_weights or not planner.endpoints:
             return []
         servers = self.servers(planner)
         tables = {}
-        for zone in self.settings.pilot.zones:
-            for kind in self.kinds:
-                fit = {s.name: s.capacity * s.most for s in servers if s.zone == zone or not kind.own_zone}
-                tables[zone, kind.name] = plans.normal(fit)
-        return self._tables(tables, planner)
+        for _, zone, _, request_class in self._table_slots():
+            usable = _usable_servers(servers, zone, request_class)
+            capacities = {server.name: server.capacity * server.max_share for server in usable}
+            tables[zone, request_class.name] = normalise(capacities)
+        return self.advise_tables(tables, planner)
+
+    def repaired_tables(self, planner: Planner) -> list[api.Event]:
+        """Advice at once when servers come or go, before any solve.
+
+        The last weights stay; servers that are new to a table get the level of the others by capacity.
+        """
+        fleet = self.fleet(planner)
+        if self.settings.tables.slices or not self.advised_weights or fleet == self.repaired_fleet:
+            return []
+        self.repaired_fleet = fleet
+        servers = self.servers(planner)
+        tables = {}
+        for number, zone, _, request_class in self._table_slots():
+            usable = _usable_servers(servers, zone, request_class)
+            old = self.advised_weights.get(number, {})
+            tables[zone, request_class.name] = normalise(_extended(old, usable))
+        return self.advise_tables(tables, planner)
 
     def accept(self, plan: Plan, planner: Planner) -> list[api.Event]:
-        """Advice from a plan; lines that barely change are left as they are."""
-        self.fails, self.trouble = 0, ""
-        self.before, self.last = self.last, plan
-        events = self._tables(plan.weights, planner)
+        """Advice from a plan; entries that barely change are left as they are."""
+        self._note_success()
+        self.previous_plan = self.last_plan
+        self.last_plan = plan
+        events = self.advise_tables(plan.weights, planner)
         if self.settings.solver.advise_capacity:
-            events.append(api.CapacityAdvised(self._bearable(plan)))
+            events.append(api.CapacityAdvised(self._sustainable_rate(plan)))
         return events
 
-    def repair(self, planner: Planner) -> list[api.Event]:
-        """At once when servers come or go, before any solve: the last weights, and servers that are new to them
-        at the level of the others by capacity."""
-        if self.settings.tables.slices or not self.told or self._fleet(planner) == self.mended:
-            return []
-        self.mended = self._fleet(planner)
-        servers, tables = self.servers(planner), {}
-        for place, zone in enumerate(self.settings.pilot.zones):
-            for k, kind in enumerate(self.kinds):
-                old = self.told.get(place * len(self.kinds) + k, {})
-                fit = [s for s in servers if s.zone == zone or not kind.own_zone]
-                known = [s for s in fit if s.name in old]
-                level = sum(old[s.name] for s in known) / (sum(s.capacity for s in known) or 1.0) or 1.0
-                tables[zone, kind.name] = plans.normal(
-                    {s.name: old.get(s.name, level * s.capacity * s.most) for s in fit}
-                )
-        return self._tables(tables, planner)
+    def accept_slice_weights(self, weights: Mapping[int, Weights]) -> list[api.Event]:
+        """Advice on the entries of slices; a slice left out keeps what it has."""
+        self._note_success()
+        return [api.TableAdvised(number, entries, False) for number, entries in sorted(weights.items())]
+
+    def advise_tables(self, tables: Mapping[tuple[str, str], Weights], planner: Planner) -> list[api.Event]:
+        """What differs from what the planner has: it may have dropped entries since they were told.
 
-    def _tables(
-        self, tables: dict[tuple[str, str], tuple[tuple[str, float], ...]], planner: Planner
-    ) -> list[api.Event]:
-        """What differs from what the module has: it may have dropped lines since they were told."""
+        Args:
+            tables: by zone and class.
+            planner: that gets the advice.
+        """
         events: list[api.Event] = []
-        for place, zone in enumerate(self.settings.pilot.zones):
-            for k, kind in enumerate(self.kinds):
-                number = place * len(self.kinds) + k
-                piece = planner.slices.get(number)
-                has = (
-                    {h: piece.desired_weight(h) for h in piece.assigned} if piece and piece.externally_assigned else {}
-                )
-                lines = plans.keep(tables.get((zone, kind.name), ()), has)
-                self.told[number] = dict(lines)
-                if dict(lines) != has or not (piece and piece.externally_assigned):
-                    events.append(api.TableAdvised(number, lines, True))
+        for number, zone, _, request_class in self._table_slots():
+            slice_state = planner.slices.get(number)
+            is_assigned = slice_state is not None and slice_state.externally_assigned
+            present: dict[str, float] = {}
+            if slice_state is not None and is_assigned:
+                present = {endpoint: slice_state.desired_weight(endpoint) for endpoint in slice_state.assigned}
+            entries = keep_similar(tables.get((zone, request_class.name), ()), present)
+            self.advised_weights[number] = dict(entries)
+            if dict(entries) != present or not is_assigned:
+                events.append(api.TableAdvised(number, entries, True))
         return events
 
-    def accept_lines(self, weights: dict[int, tuple[tuple[str, float], ...]]) -> list[api.Event]:
-        """Advice on the lines of slices; a slice left out keeps what it has."""
-        self.fails, self.trouble = 0, ""
-        return [api.TableAdvised(number, lines, False) for number, lines in sorted(weights.items())]
+    def readvise(self) -> list[api.Event]:
+        """All advice anew, for a planner that was started over."""
+        return [
+            api.TableAdvised(number, tuple(weights.items()), True)
+            for number, weights in sorted(self.advised_weights.items())
+        ]
 
-    def _bearable(self, plan: Plan) -> float:
+    def _sustainable_rate(self, plan: Plan) -> float:
         """Requests a second that fit, where not all do; 0 where all do."""
-        if all(share > 0.999 for share in plan.let_in.values()):
+        if all(share > FULLY_ADMITTED for share in plan.admitted.values()):
             return 0.0
-        asked = sum(plan.shed.values())
-        if asked <= 0:
+        if sum(plan.shed.values()) <= 0:
             return 0.0
         work = sum(row.load for row in plan.servers)
-        mean = sum(k.work for k in self.kinds) / len(self.kinds)
-        return work / mean
-
-    def again(self) -> list[api.Event]:
-        """All advice anew, for a planner that was started over."""
-        return [api.TableAdvised(n, tuple(lines.items()), True) for n, lines in sorted(self.told.items())]
+        mean_work_s = sum(each.mean_work_s for each in self.classes) / len(self.classes)
+        return work / mean_work_s
 
     # -- why
 
-    def explain(self) -> dict[str, object]:
-        """The last plan for people and scripts: loads, limits, prices, and how it differs from the one before."""
-        if self.last is None:
-            return {"status": self.trouble or "no plan yet", "servers": [], "buildings": [], "classes": []}
-        before = {row.name: row.share for row in self.before.servers} if self.before else {}
-        servers = [
-            {
-                "server": r.name,
-                "building": r.zone,
-                "load": round(r.load, 4),
-                "share": round(r.share, 5),
-                "used": round(r.used, 4),
-                "limits": list(r.binding),
-                "price_of_a_core": round(r.price, 5),
-                "was": round(before.get(r.name, 0.0), 5),
-                "why": self._why(r, before),
-            }
-            for r in self.last.servers
-        ]
-        cross = [{"from": a, "to": b, "price": round(p, 5)} for (a, b), p in sorted(self.last.cross_price.items())]
-        return {
-            "status": self.trouble or self.last.status,
-            "value": round(self.last.value, 4),
-            "solved_in_ms": round(self.last.seconds * 1e3, 2),
-            "servers": servers,
-            "buildings": [
-                {"building": z, "price_of_work": round(p, 5)} for z, p in sorted(self.last.zone_prices.items())
-            ],
-            "cross": cross,
-            "classes": [
-                {"class": n, "let_in": round(v, 4), "shed_worth": round(self.last.shed[n], 4)}
-                for n, v in self.last.let_in.items()
-            ],
-        }
-
-    def _why(self, row: object, before: dict[str, float]) -> str:
-        if row.name not in before:
-            return "new to the plan"
-        change = row.share - before[row.name]
-        if abs(change) <= 0.02 * max(row.share, before[row.name]):
-            return "as before"
-        word = "more" if change > 0 else "less"
-        bound = {
-            "capacity": "it is full",
-            "cold": "it is cold",
-            "least": "it keeps the least share",
-            "moves": "the bound on moves holds it",
-        }
-        return f"{word} than before" + "".join(f"; {bound[b]}" for b in row.binding)
+    def explain(self) -> dict[str, Any]:
+        """The last plan for people and scripts, as JSON values."""
+        if self.last_plan is None:
+            return explain_nothing(self.failure_reason or "no plan yet")
+        return explain_plan(self.last_plan, self.previous_plan, self.failure_reason or self.last_plan.status)
+
+
+def _request_classes(settings: PilotSettings) -> tuple[RequestClass, ...]:
+    return tuple(
+        RequestClass(
+            name=name,
+            priority_weight=section.priority_weight,
+            late_weight=min(section.late_weight, section.priority_weight),
+            mean_work_s=max(section.mean_work, 1) / NS_PER_S,
+            latency_objective_s=section.latency_objective / NS_PER_S,
+            own_zone_only=section.own_zone_only,
+        )
+        for name, section in settings.classes.items()
+    )
+
+
+def _costs(settings: PilotSettings) -> Costs:
+    solver = settings.solver
+    return Costs(
+        cross_zone=solver.cross_zone_cost,
+        zone_pairs=solver.zone_pair_costs,
+        move=solver.move_cost,
+        min_share=solver.min_share,
+        max_move_share=solver.max_move_share,
+        headroom=solver.headroom,
+        demand_spread=solver.demand_spread,
+    )
+
+
+def _usable_servers(servers: tuple[Server, ...], zone: str, request_class: RequestClass) -> list[Server]:
+    """Servers that requests of a class from a zone may go to."""
+    return [server for server in servers if server.zone == zone or not request_class.own_zone_only]
+
+
+def _extended(weights: Mapping[str, float], servers: list[Server]) -> dict[str, float]:
+    """A table's weights for these servers; a new one gets the level of the others by capacity."""
+    known = [server for server in servers if server.name in weights]
+    capacity = sum(server.capacity for server in known) or 1.0
+    level = sum(weights[server.name] for server in known) / capacity or 1.0
+    extended = {}
+    for server in servers:
+        extended[server.name] = weights.get(server.name, level * server.capacity * server.max_share)
+    return extended
--- /dev/null
+++ b/damsonpick/solver/linear_program.py
@@ -0,0 +1,82 @@
+"""A linear program in the making, row by row, and its form for HiGHS."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+import highspy
+import numpy as np
+
+INFINITY = highspy.kHighsInf
+
+HighsOption = bool | int | float | str
+
+
+class Term(NamedTuple):
+    """A column's coefficient in a row."""
+
+    column: int
+    coefficient: float
+
+
+@dataclass(slots=True, eq=False)
+class LinearProgram:
+    """Minimise cost * x with 0 <= x <= upper and lower <= row * x <= upper for each row.
+
+    The order of columns and rows is part of the result: it decides between solutions of equal cost.
+    """
+
+    costs: list[float] = field(default_factory=list)  # by column
+    upper: list[float] = field(default_factory=list)  # by column
+    rows: list[list[Term]] = field(default_factory=list)
+    row_lower: list[float] = field(default_factory=list)
+    row_upper: list[float] = field(default_factory=list)
+
+    @property
+    def column_count(self) -> int:
+        """Columns so far; the index of the next one."""
+        return len(self.costs)
+
+    def add_column(self, cost: float, upper: float) -> int:
+        """Add a column; returns its index."""
+        self.costs.append(cost)
+        self.upper.append(upper)
+        return len(self.costs) - 1
+
+    def add_row(self, terms: list[Term], lower: float, upper: float) -> None:
+        """Add a row."""
+        self.rows.append(terms)
+        self.row_lower.append(lower)
+        self.row_upper.append(upper)
+
+    def to_highs(self) -> highspy.HighsLp:
+        """The program in the form of HiGHS."""
+        lp = highspy.HighsLp()
+        lp.num_col_ = len(self.costs)
+        lp.num_row_ = len(self.rows)
+        lp.col_cost_ = np.array(self.costs)
+        lp.col_lower_ = np.zeros(len(self.costs))
+        lp.col_upper_ = np.array(self.upper, dtype=float)
+        lp.row_lower_ = np.array(self.row_lower, dtype=float)
+        lp.row_upper_ = np.array(self.row_upper, dtype=float)
+        lp.a_matrix_.format_ = highspy.MatrixFormat.kRowwise
+        lp.a_matrix_.start_ = np.cumsum([0, *map(len, self.rows)])
+        lp.a_matrix_.index_ = np.array([term.column for row in self.rows for term in row], dtype=np.int32)
+        lp.a_matrix_.value_ = np.array([term.coefficient for row in self.rows for term in row])
+        return lp
+
+
+def sum_of(columns: Iterable[int], coefficient: float = 1.0) -> list[Term]:
+    """Terms of some columns with one coefficient."""
+    return [Term(column, coefficient) for column in columns]
+
+
+def new_highs(options: Mapping[str, HighsOption]) -> highspy.Highs:
+    """A silent solver on one thread, with further options."""
+    highs = highspy.Highs()
+    all_options: dict[str, HighsOption] = {"output_flag": False, "threads": 1, "parallel": "off", **options}
+    for name, value in all_options.items():
+        highs.setOptionValue(name, value)
+    return highs
--- a/damsonpick/solver/plan.py
+++ b/damsonpick/solver/plan.py
@@ -1,102 +1,138 @@
-"""From a solved program to tables: weights by zone and class, what is let in, and what need not be sent."""
+"""From a solved program to tables: weights by zone and class, what is admitted, and what need not be sent."""
 
 from __future__ import annotations
 
-from damsonpick.solver.model import Plan, Problem, ServerPlan
-from damsonpick.solver.program import Program, Solved
+from collections.abc import Mapping
+from typing import NamedTuple
 
-KEEP = 0.08  # relative change of a line that is not worth sending
-DRIFT = 0.03  # share of a table's weight that may be off before all of it is sent
+from damsonpick.solver.model import OPTIMAL, Plan, Problem, ServerPlan, Weights
+from damsonpick.solver.program import Program, Solution
+
+ENTRY_NOISE = 0.08  # relative change of an entry that is not worth sending
+MAX_TABLE_DRIFT = 0.03  # share of a table's weight that may be off before all of it is sent
+MIN_WEIGHT = 0.001  # of the mean, below which an entry is left out
+MIN_FLOW = 1e-9  # core-seconds a second that count as none
+SMALLEST_WEIGHT = 1e-9
+
+
+class Admission(NamedTuple):
+    """What is admitted and refused, by class; see `model.Plan`."""
+
+    admitted: dict[str, float]
+    shed: dict[str, float]
 
 
 def plan(program: Program, problem: Problem) -> Plan:
     """Solve and read. A program without an optimum gives a plan without weights and the reason as status."""
     if not problem.servers:
-        return empty("no server may be used")
-    solved = program.solve(problem)
-    if solved.status != "optimal":
-        return empty(solved.status, solved.seconds)
-    total = sum(solved.loads.values())
-    capacity = {s.name: s.capacity for s in problem.servers}
-    rows = tuple(
-        ServerPlan(
-            s.name,
-            s.zone,
-            solved.loads[s.name],
-            solved.loads[s.name] / total if total else 0.0,
-            solved.loads[s.name] / capacity[s.name],
-            solved.prices[s.name],
-            solved.bindings[s.name],
-        )
-        for s in problem.servers
-    )
-    let_in, shed = _admission(problem, solved)
-    cross = {
-        (z, b): max(0.0, solved.zone_prices.get(b, 0.0) - solved.zone_prices.get(z, 0.0))
-        for z in solved.zone_prices
-        for b in solved.zone_prices
-        if z != b
-    }
+        return empty_plan("no server may be used")
+    solution = program.solve(problem)
+    if solution.status != OPTIMAL:
+        return empty_plan(solution.status, solution.solve_s)
+    admission = _admission(problem, solution)
     return Plan(
-        "optimal",
-        rows,
-        _weights(problem, solved),
-        let_in,
-        shed,
-        solved.zone_prices,
-        cross,
-        solved.value,
-        solved.seconds,
-        solved.iterations,
+        status=OPTIMAL,
+        servers=_server_plans(problem, solution),
+        weights=_weights(problem, solution),
+        admitted=admission.admitted,
+        shed=admission.shed,
+        zone_prices=solution.zone_prices,
+        cross_zone_prices=_cross_zone_prices(solution.zone_prices),
+        objective=solution.objective,
+        solve_s=solution.solve_s,
+        iterations=solution.iterations,
     )
 
 
-def empty(status: str, seconds: float = 0.0) -> Plan:
-    return Plan(status, (), {}, {}, {}, {}, {}, 0.0, seconds)
+def empty_plan(status: str, solve_s: float = 0.0) -> Plan:
+    """A plan without weights; `status` says why."""
+    return Plan(status, (), {}, {}, {}, {}, {}, 0.0, solve_s)
+
+
+def _server_plans(problem: Problem, solution: Solution) -> tuple[ServerPlan, ...]:
+    total = sum(solution.loads.values())
+    plans = []
+    for server in problem.servers:
+        load = solution.loads[server.name]
+        plans.append(
+            ServerPlan(
+                name=server.name,
+                zone=server.zone,
+                load=load,
+                share=load / total if total else 0.0,
+                utilisation=load / server.capacity,
+                price=solution.prices[server.name],
+                limits=solution.limits[server.name],
+            )
+        )
+    return tuple(plans)
+
+
+def _cross_zone_prices(zone_prices: Mapping[str, float]) -> dict[tuple[str, str], float]:
+    prices = {}
+    for source, source_price in zone_prices.items():
+        for target, target_price in zone_prices.items():
+            if source != target:
+                prices[source, target] = max(0.0, target_price - source_price)
+    return prices
+
 
+def _admission(problem: Problem, solution: Solution) -> Admission:
+    admitted = {}
+    shed = {}
+    for each in problem.classes:
+        asked = sum(rate * each.mean_work_s for _, name, rate in problem.demand if name == each.name)
+        given = sum(work for (_, name, _), work in solution.flows.items() if name == each.name)
+        admitted[each.name] = min(1.0, given / asked) if asked > 0 else 1.0
+        shed[each.name] = max(0.0, asked - given) * each.priority_weight / each.mean_work_s
+    return Admission(admitted, shed)
 
-def _admission(problem: Problem, solved: Solved) -> tuple[dict[str, float], dict[str, float]]:
-    let_in, shed = {}, {}
-    for kind in problem.kinds:
-        asked = sum(rate * kind.work for _, c, rate in problem.demand if c == kind.name)
-        given = sum(work for (_, c, _), work in solved.flows.items() if c == kind.name)
-        let_in[kind.name] = min(1.0, given / asked) if asked > 0 else 1.0
-        shed[kind.name] = max(0.0, asked - given) * kind.worth / kind.work
-    return let_in, shed
 
+def _weights(problem: Problem, solution: Solution) -> dict[tuple[str, str], Weights]:
+    """A table for each zone and class: the flow into a zone over its servers by their loads.
 
-def _weights(problem: Problem, solved: Solved) -> dict[tuple[str, str], tuple[tuple[str, float], ...]]:
-    """A table for each zone and class: a building's flow over its servers by their loads. Where nothing flows,
-    by capacity: a table is never empty while a server may be used."""
-    own = {k.name: k.own_zone for k in problem.kinds}
-    inside: dict[str, float] = {}
-    for s in problem.servers:
-        inside[s.zone] = inside.get(s.zone, 0.0) + solved.loads[s.name]
+    Where nothing flows, by capacity: a table is never empty while a server may be used.
+    """
+    own_zone_only = {each.name: each.own_zone_only for each in problem.classes}
+    zone_loads: dict[str, float] = {}
+    for server in problem.servers:
+        zone_loads[server.zone] = zone_loads.get(server.zone, 0.0) + solution.loads[server.name]
     tables = {}
-    for zone, kind, _ in problem.demand:
-        flow = {b: solved.flows.get((zone, kind, b), 0.0) for b in inside}
-        fit = [s for s in problem.servers if s.zone == zone or not own[kind]]
-        raw = {s.name: flow[s.zone] * solved.loads[s.name] / inside[s.zone] for s in fit if inside[s.zone] > 0}
-        if sum(raw.values()) <= 1e-9:
-            raw = {s.name: s.capacity * s.most for s in fit}
-        tables[zone, kind] = normal(raw)
+    for zone, name, _ in problem.demand:
+        usable = [server for server in problem.servers if server.zone == zone or not own_zone_only[name]]
+        work = {}
+        for server in usable:
+            zone_load = zone_loads[server.zone]
+            if zone_load > 0:
+                flow = solution.flows.get((zone, name, server.zone), 0.0)
+                work[server.name] = flow * solution.loads[server.name] / zone_load
+        if sum(work.values()) <= MIN_FLOW:
+            work = {server.name: server.capacity * server.max_share for server in usable}
+        tables[zone, name] = normalise(work)
     return tables
 
 
-def normal(raw: dict[str, float]) -> tuple[tuple[str, float], ...]:
-    """Weights with mean 1 over the lines that have any; dust under a thousandth is left out."""
-    mean = sum(raw.values()) / (sum(v > 0 for v in raw.values()) or 1)
-    return tuple((n, round(v / mean, 4)) for n, v in raw.items() if mean > 0 and v / mean >= 0.001)
+def normalise(raw: Mapping[str, float]) -> Weights:
+    """Weights with mean 1 over the entries that have any; those under `MIN_WEIGHT` are left out."""
+    positive_count = sum(value > 0 for value in raw.values())
+    mean = sum(raw.values()) / (positive_count or 1)
+    if mean <= 0:
+        return ()
+    return tuple((name, round(value / mean, 4)) for name, value in raw.items() if value / mean >= MIN_WEIGHT)
 
 
-def keep(new: tuple[tuple[str, float], ...], old: dict[str, float]) -> tuple[tuple[str, float], ...]:
-    """What is worth sending: lines that barely change stay as they are, unless the table drifts for it."""
+def keep_similar(new: Weights, old: Mapping[str, float]) -> Weights:
+    """What is worth sending: entries that barely change stay as they are, unless the table drifts for it."""
     if not old or not new:
         return new
-    scale = sum(w for _, w in new) / sum(old.values())
-    kept = {n: old[n] * scale if n in old and abs(old[n] * scale - w) <= KEEP * max(w, 1e-9) else w for n, w in new}
-    total, wanted = sum(kept.values()), sum(w for _, w in new)
-    off = sum(abs(kept[n] / total - w / wanted) for n, w in new) / 2
-    if off > DRIFT:
+    new_total = sum(weight for _, weight in new)
+    scale = new_total / sum(old.values())
+    kept = dict(new)
+    for name, weight in new:
+        if name in old and abs(old[name] * scale - weight) <= ENTRY_NOISE * max(weight, SMALLEST_WEIGHT):
+            kept[name] = old[name] * scale
+    kept_total = sum(kept.values())
+    drift = sum(abs(kept[name] / kept_total - weight / new_total) for name, weight in new) / 2
+    if drift > MAX_TABLE_DRIFT:
         return new
-    return tuple((n, round(w / scale, 4)) for n, w in kept.items())
+    return tuple((name, round(weight / scale, 4)) for name, weight in kept.items())
--- a/damsonpick/solver/program.py
+++ b/damsonpick/solver/program.py
@@ -1,15 +1,14 @@
-"""The linear program, built for HiGHS and kept warm between plans.
-
-Minimise, in worth a second,
-    - value F + cross F + density * (lateness slope + failing) l + move t + penalties
-over flows F[z,c,b] (work of class c from gateways of zone z to building b), loads l[s,k] in the pieces of a
-server's lateness, gains t[s] over the last plan, shortfalls n[s] under the least share, and m over the
-bound on moves. Classes share a building's servers alike, as what binds a server is its whole load: the program
-grows with servers plus zones squared, not with servers times zones times classes. It is always feasible:
-nothing let in satisfies it.
-
-Servers that are alike in everything are one column block: symmetry would be broken by luck, so the same
-input gives the same weights everywhere, and like servers get like weights.
+"""The linear program of a whole plan, built for HiGHS and kept warm between plans.
+
+Minimise, in priority weight a second,
+    - value F + cross F + density * (loss slope + failing) l + move t + penalties
+over flows F[z,c,b] (work of class c from gateways of zone z to servers of zone b), loads l[s,k] in the segments of a
+server's loss curve, gains t[s] over the last plan, shortfalls n[s] under the least share, and m over the bound on
+moves. Classes share a zone's servers alike, as what limits a server is its whole load: the program grows with servers
+plus zones squared, not with servers times zones times classes. It is always feasible: nothing admitted satisfies it.
+
+Servers that are alike in everything are one block of columns: symmetry would be broken by luck, so the same input
+gives the same weights everywhere, and like servers get like weights.
 """
 
 from __future__ import annotations
@@ -21,256 +20,332 @@
 import numpy as np
 
 from damsonpick.solver import latency
-from damsonpick.solver.model import Kind, Problem, Server
+from damsonpick.solver.latency import Segment
+from damsonpick.solver.linear_program import INFINITY, LinearProgram, Term, new_highs, sum_of
+from damsonpick.solver.model import OPTIMAL, Limit, Problem, RequestClass, Server
 
-SHORT_PENALTY = 10.0  # times the dearest worth: a least share is missed only where it cannot be had
-MOVE_PENALTY = 5.0
-TIE = 1e-7  # worth by which an own building, then a larger server, is dearer: ties are broken on purpose
+SHORTFALL_PENALTY = 10.0  # times the highest value: a least share is missed only where it cannot be had
+EXCESS_MOVE_PENALTY = 5.0  # times the highest value
+TIE_BREAK_COST = 1e-7  # by which another zone, then a larger server, is dearer: ties are broken on purpose
+CAUTION_SHARE = 0.95  # of the value of the cheapest work, under which caution stays
+RELATIVE_TOLERANCE = 1e-6
+LOAD_TOLERANCE = 1e-12
+GAIN_TOLERANCE = 1e-9
 
 
-class Group(NamedTuple):
-    """Servers alike in all that matters."""
+class ServerGroup(NamedTuple):
+    """Servers alike in all that matters; see `model.Server`."""
 
     zone: str
     capacity: float
     cores: int
-    most: float
-    failing: float
-    share: float
+    max_share: float
+    failure_ratio: float
+    work_share: float
     names: tuple[str, ...]
 
 
-class Solved(NamedTuple):
+class Flow(NamedTuple):
+    """Work of a class from the gateways of a zone to the servers of a zone."""
+
+    zone: str
+    request_class: str
+    target_zone: str
+
+
+class ClassWork(NamedTuple):
+    """Core-seconds a second that a class brings from the gateways of a zone."""
+
+    zone: str
+    request_class: str
+    work: float
+
+
+class Shape(NamedTuple):
+    """The columns of a program. A basis fits another program of the same shape."""
+
+    flows: tuple[Flow, ...]
+    segments: tuple[tuple[str, int], ...]  # zone and number of segments, by group
+
+
+class Solution(NamedTuple):
+    """What the solver found.
+
+    Attributes:
+        status: `OPTIMAL`, or why there is no optimum; the rest is empty then.
+        objective: priority weight a second.
+        flows: core-seconds a second.
+        loads: core-seconds a second, by server.
+        prices: of one more core-second a second of capacity, by server.
+        limits: that bind a server.
+        zone_prices: of one more unit of work a second, by zone.
+        solve_s: seconds.
+        iterations: of the simplex method.
+    """
+
     status: str
-    value: float
+    objective: float
     flows: dict[tuple[str, str, str], float]
     loads: dict[str, float]
     prices: dict[str, float]
+    limits: dict[str, tuple[Limit, ...]]
     zone_prices: dict[str, float]
-    admit_prices: dict[tuple[str, str], float]
-    bindings: dict[str, tuple[str, ...]]
-    seconds: float
+    solve_s: float
     iterations: int
-    gained: float
 
 
-def group(servers: tuple[Server, ...]) -> list[Group]:
-    """Blocks in a settled order: by building, larger ones first."""
-    alike: dict[tuple, list[str]] = {}
-    for s in servers:
-        alike.setdefault((s.zone, -s.capacity, s.cores, s.most, s.failing, s.share), []).append(s.name)
-    return [Group(key[0], -key[1], *key[2:], tuple(names)) for key, names in sorted(alike.items())]
+def group_servers(servers: tuple[Server, ...]) -> list[ServerGroup]:
+    """Groups in a settled order: by zone, larger servers first."""
+    groups: dict[ServerGroup, list[str]] = {}
+    for server in servers:
+        key = ServerGroup(
+            zone=server.zone,
+            capacity=server.capacity,
+            cores=server.cores,
+            max_share=server.max_share,
+            failure_ratio=server.failure_ratio,
+            work_share=server.work_share,
+            names=(),
+        )
+        groups.setdefault(key, []).append(server.name)
+    ordered = sorted(groups.items(), key=lambda item: item[0]._replace(capacity=-item[0].capacity))
+    return [group._replace(names=tuple(names)) for group, names in ordered]
 
 
-def patience(kinds: tuple[Kind, ...]) -> float:
-    """Mean service times that a request may wait, over the classes by their aims; coarse, so pieces are shared."""
-    return round(min(max(0.0, k.aim / k.work - 1.0) for k in kinds), 2)
+def patience(classes: tuple[RequestClass, ...]) -> float:
+    """Mean service times that a request may wait, by the most impatient class; coarse, so curves are shared."""
+    waits = [max(0.0, each.latency_objective_s / each.mean_work_s - 1.0) for each in classes]
+    return round(min(waits), 2)
 
 
-def ceiling(kinds: tuple[Kind, ...], density: float) -> float:
-    """Slope under which caution stays: just below the worth of the cheapest work, against the mean."""
-    return round(0.95 * min(k.worth / k.work for k in kinds) / density, 2) if density else 0.0
+def max_caution_slope(classes: tuple[RequestClass, ...], density: float) -> float:
+    """Slope under which caution stays: just below the value of the cheapest work, against the mean `density`."""
+    if not density:
+        return 0.0
+    cheapest = min(each.priority_weight / each.mean_work_s for each in classes)
+    return round(CAUTION_SHARE * cheapest / density, 2)
 
 
 class Program:
-    """Builds, solves and reads. One instance keeps its last basis and starts from it while the shape holds."""
+    """Builds, solves and reads. One instance keeps its last basis and starts from it while the shape holds.
+
+    Args:
+        time_limit: seconds for one solve.
+    """
 
     def __init__(self, time_limit: float = 5.0) -> None:
-        self.highs = highspy.Highs()
-        for name, value in (
-            ("output_flag", False),
-            ("threads", 1),
-            ("random_seed", 1),
-            ("time_limit", time_limit),
-            ("parallel", "off"),
-            ("solver", "simplex"),
-        ):
-            self.highs.setOptionValue(name, value)
-        self.shape: tuple | None = None
-        self.warm = True
-
-    def solve(self, problem: Problem) -> Solved:
+        """Begin without a basis."""
+        self.highs = new_highs({"random_seed": 1, "time_limit": time_limit, "solver": "simplex"})
+        self._shape: Shape | None = None  # of the program whose basis is kept
+
+    def solve(self, problem: Problem) -> Solution:
         """The optimum, or a status that says why there is none."""
-        start = time.perf_counter()
-        build = Build(problem)
-        model = build.model()
-        basis = self.highs.getBasis() if self.warm and self.shape == build.shape else None
+        started = time.perf_counter()
+        builder = ProgramBuilder(problem)
+        model = builder.build().to_highs()
+        basis = self.highs.getBasis() if self._shape == builder.shape else None
         self.highs.clearSolver()
         self.highs.passModel(model)
         if basis is not None and basis.valid:
             self.highs.setBasis(basis)
-        self.shape = build.shape
+        self._shape = builder.shape
         self.highs.run()
         status = self.highs.getModelStatus()
         info = self.highs.getInfo()
-        took = time.perf_counter() - start
+        solve_s = time.perf_counter() - started
         if status != highspy.HighsModelStatus.kOptimal:
-            self.shape = None
-            text = self.highs.modelStatusToString(status)
-            return Solved(text, 0.0, {}, {}, {}, {}, {}, {}, took, 0, 0.0)
-        return build.read(self.highs.getSolution(), info, took)
+            self._shape = None
+            return Solution(self.highs.modelStatusToString(status), 0.0, {}, {}, {}, {}, {}, solve_s, 0)
+        return builder.read(self.highs.getSolution(), info, solve_s)
 
 
-class Build:
-    """The columns and rows of one problem."""
+class ProgramBuilder:
+    """The columns and rows of one problem.
+
+    Args:
+        problem: what is asked.
+
+    Attributes:
+        shape: of the program.
+    """
 
     def __init__(self, problem: Problem) -> None:
+        """Work out what columns and rows rest on."""
         self.problem = problem
-        self.kinds = {k.name: k for k in problem.kinds}
-        self.groups = group(problem.servers)
-        self.buildings = sorted({g.zone for g in self.groups})
-        self.demand = [(z, c, rate * self.kinds[c].work) for z, c, rate in problem.demand]
-        self.total = sum(work for *_, work in self.demand)
-        self.value = {k.name: k.worth / k.work for k in problem.kinds}
-        top = max(self.value.values(), default=1.0)
-        late = {k.name: (k.worth - k.late_worth) / k.work for k in problem.kinds}
-        weight = sum(work for *_, work in self.demand)
-        self.density = (sum(late[c] * work for _, c, work in self.demand) / weight) if weight else top
-        self.top, self.patience = top, patience(problem.kinds)
-        self.ceiling = ceiling(problem.kinds, self.density)
-        self.flows = [
-            (z, c, b) for z, c, _ in self.demand for b in self.buildings if b == z or not self.kinds[c].own_zone
+        self.costs = problem.costs
+        self.classes = {each.name: each for each in problem.classes}
+        self.groups = group_servers(problem.servers)
+        self.zones = sorted({group.zone for group in self.groups})
+        self.demand = [
+            ClassWork(zone, name, rate * self.classes[name].mean_work_s) for zone, name, rate in problem.demand
         ]
-        self.cuts = [latency.pieces(g.cores, self.patience, problem.costs.spread, self.ceiling) for g in self.groups]
-        self.shape = (tuple(self.flows), tuple((g.zone, len(c)) for g, c in zip(self.groups, self.cuts, strict=True)))
-        self._past()
-
-    def _past(self) -> None:
+        self.total_work = sum(each.work for each in self.demand)
+        self.value = {each.name: each.priority_weight / each.mean_work_s for each in problem.classes}
+        self.highest_value = max(self.value.values(), default=1.0)
+        self.density = self._loss_density()
+        self.flows = self._possible_flows()
+        self.segments = self._segments()
+        segment_counts = [
+            (group.zone, len(segments)) for group, segments in zip(self.groups, self.segments, strict=True)
+        ]
+        self.shape = Shape(tuple(self.flows), tuple(segment_counts))
+        self.room = [
+            len(group.names) * group.capacity * group.max_share / (1 + self.costs.headroom) for group in self.groups
+        ]
+        self.min_load = self._min_loads()
+        self._work_out_moves()
+
+    def _loss_density(self) -> float:
+        """Priority weight that a unit of late work loses, over the demand."""
+        if not self.total_work:
+            return self.highest_value
+        lost = {
+            each.name: (each.priority_weight - each.late_weight) / each.mean_work_s for each in self.problem.classes
+        }
+        return sum(lost[each.request_class] * each.work for each in self.demand) / self.total_work
+
+    def _possible_flows(self) -> list[Flow]:
+        flows = []
+        for zone, name, _ in self.demand:
+            for target in self.zones:
+                if target == zone or not self.classes[name].own_zone_only:
+                    flows.append(Flow(zone, name, target))
+        return flows
+
+    def _segments(self) -> list[tuple[Segment, ...]]:
+        """The loss curve of each group's servers."""
+        max_wait = patience(self.problem.classes)
+        max_slope = max_caution_slope(self.problem.classes, self.density)
+        spread = self.costs.demand_spread
+        return [latency.segments(group.cores, max_wait, spread, max_slope) for group in self.groups]
+
+    def _min_loads(self) -> list[float]:
+        """What each group keeps at least."""
+        even = self.total_work / (sum(self.room) or 1.0)
+        return [self.costs.min_share * min(1.0, even) * room for room in self.room]
+
+    def _work_out_moves(self) -> None:
         """The last plan scaled to present demand and to what is possible now; what must leave is no move."""
-        room = self.problem.costs.margin
-        self.room = [len(g.names) * g.capacity * g.most / (1 + room) for g in self.groups]
-        known = sum(g.share * len(g.names) for g in self.groups)
-        wanted = [g.share * len(g.names) * self.total for g in self.groups]
-        self.past = [min(w, r) for w, r in zip(wanted, self.room, strict=True)]
-        forced = max(0.0, self.total - sum(self.past)) if known > 0 else self.total
-        self.bound = self.problem.costs.bound * self.total + forced if known > 0 else np.inf
-        even = self.total / (sum(self.room) or 1.0)
-        self.least = [self.problem.costs.least * min(1.0, even) * r for r in self.room]
-
-    def model(self) -> highspy.HighsLp:
-        """Columns: flows, pieces, gains, shortfalls, over. Rows: demand, buildings, gains, least, bound."""
-        costs, inf = self.problem.costs, highspy.kHighsInf
-        cost, upper = [], []
-        for z, c, b in self.flows:
-            tie = 0.0 if z == b else TIE * (1 + self.buildings.index(b))
-            cost.append(-self.value[c] + costs.between(z, b) + tie)
-            upper.append(inf)
-        self.first_piece = len(cost)
-        for rank, (g, cut, room) in enumerate(zip(self.groups, self.cuts, self.room, strict=True)):
-            whole, left = len(g.names) * g.capacity / (1 + costs.margin), room
-            for width, slope in cut:
-                span = min(width * whole, left)
-                left -= span
-                cost.append(self.density * slope + self.top * g.failing + TIE * rank / len(self.groups))
-                upper.append(span)
-        n = len(self.groups)
-        self.first_gain, self.first_short, self.over = len(cost), len(cost) + n, len(cost) + 2 * n
-        cost += [costs.move] * n + [self.top * SHORT_PENALTY] * n + [self.top * MOVE_PENALTY]
-        upper += [inf] * n + list(self.least) + [inf]
-        return self._rows(cost, upper)
-
-    def _rows(self, cost: list[float], upper: list[float]) -> highspy.HighsLp:
-        inf, rows, n = highspy.kHighsInf, [], len(self.groups)
-        place: dict[tuple[str, str], list[int]] = {}
-        into: dict[str, list[int]] = {b: [] for b in self.buildings}
-        for k, (z, c, b) in enumerate(self.flows):
-            place.setdefault((z, c), []).append(k)
-            into[b].append(k)
-        lower, high = [], []
-        for z, c, work in self.demand:
-            rows.append([(k, 1.0) for k in place.get((z, c), [])])
-            lower.append(-inf)
-            high.append(work)
-        spans = self._spans()
-        for b in self.buildings:
-            inside = [k for g, span in zip(self.groups, spans, strict=True) if g.zone == b for k in span]
-            rows.append([(k, 1.0) for k in into[b]] + [(k, -1.0) for k in inside])
-            lower.append(0.0)
-            high.append(0.0)
-        for g in range(n):
-            rows.append([(k, 1.0) for k in spans[g]] + [(self.first_gain + g, -1.0)])
-            lower.append(-inf)
-            high.append(self.past[g] if self.bound < np.inf else inf)
-        for g in range(n):
-            rows.append([(k, 1.0) for k in spans[g]] + [(self.first_short + g, 1.0)])
-            lower.append(self.least[g])
-            high.append(inf)
-        rows.append([(self.first_gain + g, 1.0) for g in range(n)] + [(self.over, -1.0)])
-        lower.append(-inf)
-        high.append(self.bound if self.bound < np.inf else inf)
-        return self._lp(cost, upper, rows, lower, high)
-
-    def _lp(
-        self,
-        cost: list[float],
-        upper: list[float],
-        rows: list[list[tuple[int, float]]],
-        lower: list[float],
-        high: list[float],
-    ) -> highspy.HighsLp:
-        lp = highspy.HighsLp()
-        lp.num_col_, lp.num_row_ = len(cost), len(rows)
-        lp.col_cost_, lp.col_lower_ = np.array(cost), np.zeros(len(cost))
-        lp.col_upper_ = np.array(upper, dtype=float)
-        lp.row_lower_, lp.row_upper_ = np.array(lower, dtype=float), np.array(high, dtype=float)
-        lp.a_matrix_.format_ = highspy.MatrixFormat.kRowwise
-        lp.a_matrix_.start_ = np.cumsum([0, *map(len, rows)])
-        lp.a_matrix_.index_ = np.array([k for row in rows for k, _ in row], dtype=np.int32)
-        lp.a_matrix_.value_ = np.array([v for row in rows for _, v in row])
-        return lp
-
-    def _spans(self) -> list[range]:
-        spans, at = [], self.first_piece
-        for cut in self.cuts:
-            spans.append(range(at, at + len(cut)))
-            at += len(cut)
+        planned = [group.work_share * len(group.names) * self.total_work for group in self.groups]
+        self.past = [min(work, room) for work, room in zip(planned, self.room, strict=True)]
+        self.has_past = sum(group.work_share * len(group.names) for group in self.groups) > 0
+        forced = max(0.0, self.total_work - sum(self.past))
+        self.max_moved = self.costs.max_move_share * self.total_work + forced if self.has_past else INFINITY
+
+    # -- building
+
+    def build(self) -> LinearProgram:
+        """Columns: flows, segments, gains, shortfalls, excess. Rows: demand, zones, gains, least loads, bound."""
+        program = LinearProgram()
+        self._add_flow_columns(program)
+        self.spans = self._add_segment_columns(program)
+        self.gains = [program.add_column(self.costs.move, INFINITY) for _ in self.groups]
+        shortfall_cost = self.highest_value * SHORTFALL_PENALTY
+        self.shortfalls = [program.add_column(shortfall_cost, min_load) for min_load in self.min_load]
+        self.excess = program.add_column(self.highest_value * EXCESS_MOVE_PENALTY, INFINITY)
+        self._add_demand_rows(program)
+        self._add_zone_rows(program)
+        self._add_group_rows(program)
+        moved = sum_of(self.gains)
+        program.add_row([*moved, Term(self.excess, -1.0)], -INFINITY, self.max_moved)
+        return program
+
+    def _add_flow_columns(self, program: LinearProgram) -> None:
+        for zone, name, target in self.flows:
+            tie_break = 0.0 if zone == target else TIE_BREAK_COST * (1 + self.zones.index(target))
+            cost = -self.value[name] + self.costs.between(zone, target) + tie_break
+            program.add_column(cost, INFINITY)
+
+    def _add_segment_columns(self, program: LinearProgram) -> list[range]:
+        """The columns of each group's segments, together no wider than its room."""
+        spans = []
+        for rank, (group, segments) in enumerate(zip(self.groups, self.segments, strict=True)):
+            first = program.column_count
+            capacity = len(group.names) * group.capacity / (1 + self.costs.headroom)
+            remaining = self.room[rank]
+            for segment in segments:
+                width = min(segment.width * capacity, remaining)
+                remaining -= width
+                failing = self.highest_value * group.failure_ratio
+                tie_break = TIE_BREAK_COST * rank / len(self.groups)
+                program.add_column(self.density * segment.slope + failing + tie_break, width)
+            spans.append(range(first, program.column_count))
         return spans
 
-    def read(self, solution: highspy.HighsSolution, info: highspy.HighsInfo, took: float) -> Solved:
-        value, reduced, dual = np.array(solution.col_value), np.array(solution.col_dual), np.array(solution.row_dual)
-        flows = {key: max(0.0, float(value[k])) for k, key in enumerate(self.flows)}
-        loads, prices, bindings = {}, {}, {}
-        for g, (block, span) in enumerate(zip(self.groups, self._spans(), strict=True)):
-            count = len(block.names)
-            load = float(sum(value[k] for k in span)) / count
-            price = self._price(g, span, reduced)
-            binding = self._binding(g, load * count, float(value[self.first_gain + g]), float(dual[-1]))
-            for name in block.names:
-                loads[name], prices[name], bindings[name] = max(0.0, load), price, binding
-        first = len(self.demand)
-        zone_prices = {b: max(0.0, float(dual[first + k])) for k, b in enumerate(self.buildings)}
-        admit = {(z, c): max(0.0, -float(dual[k])) for k, (z, c, _) in enumerate(self.demand)}
-        gained = float(sum(value[self.first_gain : self.first_short]))
-        return Solved(
-            "optimal",
-            -float(info.objective_function_value),
-            flows,
-            loads,
-            prices,
-            zone_prices,
-            admit,
-            bindings,
-            took,
-            int(info.simplex_iteration_count),
-            gained,
+    def _add_demand_rows(self, program: LinearProgram) -> None:
+        """No more flows than is asked for."""
+        columns: dict[tuple[str, str], list[int]] = {}
+        for column, flow in enumerate(self.flows):
+            columns.setdefault((flow.zone, flow.request_class), []).append(column)
+        for zone, name, work in self.demand:
+            program.add_row(sum_of(columns.get((zone, name), [])), -INFINITY, work)
+
+    def _add_zone_rows(self, program: LinearProgram) -> None:
+        """What flows into a zone is the load of its servers."""
+        columns: dict[str, list[int]] = {zone: [] for zone in self.zones}
+        for column, flow in enumerate(self.flows):
+            columns[flow.target_zone].append(column)
+        for zone in self.zones:
+            load: list[int] = []
+            for group, span in zip(self.groups, self.spans, strict=True):
+                if group.zone == zone:
+                    load.extend(span)
+            program.add_row(sum_of(columns[zone]) + sum_of(load, -1.0), 0.0, 0.0)
+
+    def _add_group_rows(self, program: LinearProgram) -> None:
+        """Gains over the last plan, then least loads."""
+        for span, gain, past in zip(self.spans, self.gains, self.past, strict=True):
+            program.add_row([*sum_of(span), Term(gain, -1.0)], -INFINITY, past if self.has_past else INFINITY)
+        for span, shortfall, min_load in zip(self.spans, self.shortfalls, self.min_load, strict=True):
+            program.add_row([*sum_of(span), Term(shortfall, 1.0)], min_load, INFINITY)
+
+    # -- reading
+
+    def read(self, solution: highspy.HighsSolution, info: highspy.HighsInfo, solve_s: float) -> Solution:
+        """What HiGHS found for the program that was built."""
+        values = np.array(solution.col_value)
+        reduced_costs = np.array(solution.col_dual)
+        row_prices = np.array(solution.row_dual)
+        loads: dict[str, float] = {}
+        prices: dict[str, float] = {}
+        limits: dict[str, tuple[Limit, ...]] = {}
+        for index, group in enumerate(self.groups):
+            count = len(group.names)
+            load = float(sum(values[column] for column in self.spans[index])) / count
+            is_move_bound = float(values[self.gains[index]]) > GAIN_TOLERANCE and row_prices[-1] < -GAIN_TOLERANCE
+            loads.update(dict.fromkeys(group.names, max(0.0, load)))
+            prices.update(dict.fromkeys(group.names, self._price(index, reduced_costs)))
+            limits.update(dict.fromkeys(group.names, self._limits(index, load * count, is_move_bound)))
+        first_zone_row = len(self.demand)
+        return Solution(
+            status=OPTIMAL,
+            objective=-float(info.objective_function_value),
+            flows={flow: max(0.0, float(values[column])) for column, flow in enumerate(self.flows)},
+            loads=loads,
+            prices=prices,
+            limits=limits,
+            zone_prices={zone: max(0.0, float(row_prices[first_zone_row + k])) for k, zone in enumerate(self.zones)},
+            solve_s=solve_s,
+            iterations=int(info.simplex_iteration_count),
         )
 
-    def _price(self, g: int, span: range, reduced: np.ndarray) -> float:
-        """Worth of one more unit of capacity: what its full pieces, each a part of it, would bring."""
-        block, margin = self.groups[g], 1 + self.problem.costs.margin
-        left, price = block.most, 0.0
-        for k, (width, _) in zip(span, self.cuts[g], strict=True):
-            part = min(width, left)
-            left -= part
-            price += max(0.0, -float(reduced[k])) * part / margin
+    def _price(self, index: int, reduced_costs: np.ndarray) -> float:
+        """Value of one more unit of capacity: what the group's full segments, each a part of it, would bring."""
+        remaining = self.groups[index].max_share
+        price = 0.0
+        for column, segment in zip(self.spans[index], self.segments[index], strict=True):
+            part = min(segment.width, remaining)
+            remaining -= part
+            price += max(0.0, -float(reduced_costs[column])) * part / (1 + self.costs.headroom)
         return price
 
-    def _binding(self, g: int, load: float, gain: float, bound: float) -> tuple[str, ...]:
-        block, room, found = self.groups[g], self.room[g], []
-        if load >= room * (1 - 1e-6):
-            found.append("cold" if block.most < 1 else "capacity")
-        if load <= self.least[g] * (1 + 1e-6) + 1e-12:
-            found.append("least")
-        if gain > 1e-9 and bound < -1e-9:
-            found.append("moves")
-        return tuple(found)
+    def _limits(self, index: int, load: float, is_move_bound: bool) -> tuple[Limit, ...]:
+        """What binds a group with a load in all."""
+        limits: list[Limit] = []
+        if load >= self.room[index] * (1 - RELATIVE_TOLERANCE):
+            limits.append("cold" if self.groups[index].max_share < 1 else "capacity")
+        if load <= self.min_load[index] * (1 + RELATIVE_TOLERANCE) + LOAD_TOLERANCE:
+            limits.append("least")
+        if is_move_bound:
+            limits.append("moves")
+        return tuple(limits)
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -20,16 +20,16 @@
 from damsonpick.settings import load
 from damsonpick.solver import latency
 from damsonpick.solver.advice import Advisor
-from damsonpick.solver.lines import LinesProblem, Piece, divide
-from damsonpick.solver.model import Costs, Kind, Problem, Server
-from damsonpick.solver.plan import keep, normal, plan
-from damsonpick.solver.program import SHORT_PENALTY, Program, ceiling, patience
+from damsonpick.solver.model import Costs, Demand, Problem, RequestClass, Server
+from damsonpick.solver.plan import keep_similar, normalise, plan
+from damsonpick.solver.program import SHORTFALL_PENALTY, Program, max_caution_slope, patience
+from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem, divide_slices
 from damsonpick.state.load_reports import ClientReport, EndpointStats, LoadReports, SliceStats
 from tests.pilots import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
 SECOND = 1_000_000_000
-PAGE, TALLY = Kind("page", 1.0, 0.1, 0.3, 1.5), Kind("tally", 2.0, 0.2, 0.3, 1.5)
+PAGE, TALLY = RequestClass("page", 1.0, 0.1, 0.3, 1.5), RequestClass("tally", 2.0, 0.2, 0.3, 1.5)
 
 
 def fleet(*capacities, zones="ab", **more):
@@ -39,7 +39,7 @@
 
 
 def problem(servers, rate, zones="ab", kinds=(PAGE, TALLY), costs=None):
-    demand = tuple((z, k.name, float(rate)) for z in zones for k in kinds)
+    demand = tuple(Demand(z, k.name, float(rate)) for z in zones for k in kinds)
     return Problem(kinds, servers, demand, costs or Costs())
 
 
@@ -56,27 +56,32 @@
 
 def independent(p: Problem) -> float:
     """The same optimum from a program written the long way: a flow for each zone, class and server."""
-    kinds, servers, costs = {k.name: k for k in p.kinds}, p.servers, p.costs
-    work = {(z, c): r * kinds[c].work for z, c, r in p.demand}
-    total, top = sum(work.values()), max(k.worth / k.work for k in p.kinds)
-    dense = sum((kinds[c].worth - kinds[c].late_worth) / kinds[c].work * w for (_, c), w in work.items()) / total
-    wait = patience(p.kinds)
-    flows = [(z, c, j) for z, c in work for j, s in enumerate(servers) if s.zone == z or not kinds[c].own_zone]
+    kinds, servers, costs = {k.name: k for k in p.classes}, p.servers, p.costs
+    work = {(z, c): r * kinds[c].mean_work_s for z, c, r in p.demand}
+    total, top = sum(work.values()), max(k.priority_weight / k.mean_work_s for k in p.classes)
+    dense = (
+        sum((kinds[c].priority_weight - kinds[c].late_weight) / kinds[c].mean_work_s * w for (_, c), w in work.items())
+        / total
+    )
+    wait = patience(p.classes)
+    flows = [(z, c, j) for z, c in work for j, s in enumerate(servers) if s.zone == z or not kinds[c].own_zone_only]
     cuts = [
-        (j, width * s.capacity / (1 + costs.margin), slope)
+        (j, width * s.capacity / (1 + costs.headroom), slope)
         for j, s in enumerate(servers)
-        for width, slope in latency.pieces(s.cores, wait, costs.spread, ceiling(p.kinds, dense))
+        for width, slope in latency.segments(s.cores, wait, costs.demand_spread, max_caution_slope(p.classes, dense))
     ]
     n, f, q = len(servers), len(flows), len(cuts)
     cost = (
         [
-            -kinds[c].worth / kinds[c].work + costs.between(z, servers[j].zone) + top * servers[j].failing
+            -kinds[c].priority_weight / kinds[c].mean_work_s
+            + costs.between(z, servers[j].zone)
+            + top * servers[j].failure_ratio
             for z, c, j in flows
         ]
         + [dense * slope for _, _, slope in cuts]
-        + [top * SHORT_PENALTY] * n
+        + [top * SHORTFALL_PENALTY] * n
     )
-    room = [s.capacity * s.most / (1 + costs.margin) for s in servers]
+    room = [s.capacity * s.max_share / (1 + costs.headroom) for s in servers]
     even = total / sum(room)
     a, b = [], []
     for place, w in work.items():
@@ -89,7 +94,7 @@
         a.append(mine + [0.0] * (q + n))
         b.append(room[j])
         a.append([-x for x in mine] + [0.0] * q + [-float(k == j) for k in range(n)])
-        b.append(-costs.least * min(1.0, even) * room[j])
+        b.append(-costs.min_share * min(1.0, even) * room[j])
     bounds = [(0, None)] * f + [(0, w) for _, w, _ in cuts] + [(0, None)] * n
     return -linprog(cost, A_ub=np.array(a), b_ub=b, bounds=bounds, method="highs").fun
 
@@ -97,7 +102,7 @@
 @pytest.mark.parametrize("seed", range(25))
 def test_optimum_agrees_with_an_independent_formulation(seed):
     rng = random.Random(seed)
-    kinds = (PAGE, TALLY._replace(own_zone=rng.random() < 0.3))
+    kinds = (PAGE, TALLY._replace(own_zone_only=rng.random() < 0.3))
     servers = tuple(
         Server(
             f"s{k}",
@@ -112,46 +117,46 @@
     p = Problem(
         kinds,
         servers,
-        tuple((z, k.name, rng.uniform(0, 30)) for z in "abc" for k in kinds),
-        Costs(cross=rng.uniform(0, 0.5), margin=rng.choice((0.0, 0.2))),
+        tuple(Demand(z, k.name, rng.uniform(0, 30)) for z in "abc" for k in kinds),
+        Costs(cross_zone=rng.uniform(0, 0.5), headroom=rng.choice((0.0, 0.2))),
     )
     made = solve(p)
     assert made.status == "optimal"
-    assert made.value == pytest.approx(independent(p), rel=1e-6, abs=2e-5)
+    assert made.objective == pytest.approx(independent(p), rel=1e-6, abs=2e-5)
 
 
 def test_two_servers_by_brute_force():
-    p = problem(fleet(4, 2, zones="a"), 6.0, zones="a", costs=Costs(margin=0.0, least=0.0, spread=0.0))
-    wait, total = patience(p.kinds), 2 * 6.0 * 0.3
+    p = problem(fleet(4, 2, zones="a"), 6.0, zones="a", costs=Costs(headroom=0.0, min_share=0.0, demand_spread=0.0))
+    wait, total = patience(p.classes), 2 * 6.0 * 0.3
     dense = (0.9 + 1.8) / 0.3 / 2
 
     def worth(x):
-        return 6.0 * 3 - dense * (4 * latency.lost(4, wait, x / 4) + 2 * latency.lost(2, wait, (total - x) / 2))
+        return 6.0 * 3 - dense * (4 * latency.loss(4, wait, x / 4) + 2 * latency.loss(2, wait, (total - x) / 2))
 
     best = max(worth(total * k / 20_000) for k in range(20_001) if total * k / 20_000 <= 4)
-    assert solve(p).value == pytest.approx(best, abs=1e-3)
+    assert solve(p).objective == pytest.approx(best, abs=1e-3)
 
 
 def test_price_of_a_core_is_what_one_more_brings():
     servers = fleet(4, 4, 3, zones="ab")
-    p = problem(servers, 12.0, costs=Costs(least=0.0))
+    p = problem(servers, 12.0, costs=Costs(min_share=0.0))
     made, step = solve(p), 1e-4
     for row, server in zip(made.servers, servers, strict=True):
         more = tuple(s._replace(capacity=s.capacity + step) if s is server else s for s in servers)
-        gain = (solve(p._replace(servers=more)).value - made.value) / step
+        gain = (solve(p._replace(servers=more)).objective - made.objective) / step
         assert row.price == pytest.approx(gain, rel=0.02, abs=0.02)
 
 
-def test_erlang_and_its_pieces():
+def test_erlang_and_its_segments():
     assert latency.erlang_c(1, 0.5) == pytest.approx(0.5)
     assert latency.erlang_c(2, 0.5) == pytest.approx(1 / 3)
     for cores in (1, 4, 16, 64):
-        cut = latency.pieces(cores, 4.0)
+        cut = latency.segments(cores, 4.0)
         assert sum(w for w, _ in cut) == pytest.approx(1.0)
         slopes = [s for _, s in cut]
         assert slopes == sorted(slopes) and min(slopes) >= -1e-12
         for used in (0.3, 0.7, 0.95):
-            assert latency.lost(cores, 4.0, used) <= used * latency.late_share(cores, used, 4.0) + 0.03
+            assert latency.loss(cores, 4.0, used) <= used * latency.late_share(cores, used, 4.0) + 0.03
 
 
 # -- hard cases
@@ -159,8 +164,8 @@
 
 def test_demand_above_all_capacity_is_feasible_and_sheds_by_worth():
     made = solve(problem(fleet(4, 4), 40.0))
-    assert made.status == "optimal" and made.let_in["tally"] > 3 * made.let_in["page"]
-    assert made.shed["page"] > 0 and all(r.used <= 1 for r in made.servers)
+    assert made.status == "optimal" and made.admitted["tally"] > 3 * made.admitted["page"]
+    assert made.shed["page"] > 0 and all(r.utilisation <= 1 for r in made.servers)
     assert all(r.price > 0 for r in made.servers)
 
 
@@ -171,49 +176,49 @@
 
 def test_one_server_takes_all():
     made = solve(problem(fleet(4, zones="a"), 2.0))
-    assert made.weights["b", "tally"] == (("s0", 1.0),) and made.let_in == {"page": 1.0, "tally": 1.0}
+    assert made.weights["b", "tally"] == (("s0", 1.0),) and made.admitted == {"page": 1.0, "tally": 1.0}
 
 
 def test_a_zone_with_gateways_and_no_servers_crosses_and_an_own_zone_class_is_shed_there():
-    kinds = (PAGE, TALLY._replace(own_zone=True))
+    kinds = (PAGE, TALLY._replace(own_zone_only=True))
     made = solve(problem(fleet(4, 4, zones="a"), 3.0, kinds=kinds))
     assert made.weights["b", "page"] and made.weights["b", "tally"] == ()
-    assert made.let_in["tally"] == pytest.approx(0.5) and made.let_in["page"] == pytest.approx(1.0)
+    assert made.admitted["tally"] == pytest.approx(0.5) and made.admitted["page"] == pytest.approx(1.0)
 
 
 def test_capacities_spread_a_hundredfold():
     made = solve(problem(fleet(0.5, 50, zones="a"), 30.0, zones="a"))
     got = loads(made)
-    assert got["s0"] <= 0.5 and got["s1"] > 15 and made.let_in["page"] > 0.99
+    assert got["s0"] <= 0.5 and got["s1"] > 15 and made.admitted["page"] > 0.99
 
 
-def test_least_share_keeps_evidence_of_every_server():
-    made = solve(problem(fleet(8, 8, 1, zones="aab"), 3.0, zones="a", costs=Costs(cross=5.0, least=0.1)))
+def test_least_share_keeps_load_reports_of_every_server():
+    made = solve(problem(fleet(8, 8, 1, zones="aab"), 3.0, zones="a", costs=Costs(cross_zone=5.0, min_share=0.1)))
     assert all(load > 0 for load in loads(made).values())
-    assert "least" in made.servers[2].binding
+    assert "least" in made.servers[2].limits
 
 
 def test_own_building_is_preferred_until_it_is_full():
-    calm = solve(problem(fleet(8, 8), 5.0, costs=Costs(least=0.0)))
+    calm = solve(problem(fleet(8, 8), 5.0, costs=Costs(min_share=0.0)))
     assert {n for n, w in calm.weights["a", "page"] if w > 0.02} == {"s0"}
     servers = (Server("s0", "a", 2.0, 2), Server("s1", "b", 8.0, 8))
-    full = solve(problem(servers, 5.0, costs=Costs(least=0.0)))
-    assert dict(full.weights["a", "page"]).get("s1", 0) > 0 and full.let_in["page"] == 1.0
+    full = solve(problem(servers, 5.0, costs=Costs(min_share=0.0)))
+    assert dict(full.weights["a", "page"]).get("s1", 0) > 0 and full.admitted["page"] == 1.0
 
 
 def test_what_fails_is_charged():
-    servers = (Server("s0", "a", 4.0, 4), Server("s1", "a", 4.0, 4, failing=0.5))
+    servers = (Server("s0", "a", 4.0, 4), Server("s1", "a", 4.0, 4, failure_ratio=0.5))
     got = loads(solve(problem(servers, 4.0, zones="a")))
     assert got["s0"] > 2 * got["s1"]
 
 
 def test_moves_are_bounded_in_one_plan():
-    servers = (Server("s0", "a", 4.0, 4, share=0.9), Server("s1", "a", 40.0, 40, share=0.1))
-    p = problem(servers, 5.0, zones="a", costs=Costs(bound=0.1, move=0.0, margin=0.0))
+    servers = (Server("s0", "a", 4.0, 4, work_share=0.9), Server("s1", "a", 40.0, 40, work_share=0.1))
+    p = problem(servers, 5.0, zones="a", costs=Costs(max_move_share=0.1, move=0.0, headroom=0.0))
     made = solve(p)
     total = sum(loads(made).values())
     assert total == pytest.approx(3.0) and made.servers[1].share <= 0.1 + 0.1 + 1e-6
-    assert "moves" in made.servers[1].binding
+    assert "moves" in made.servers[1].limits
     gone = solve(p._replace(servers=servers[1:]))
     assert gone.servers[0].share == pytest.approx(1.0), "what must move is not bounded"
 
@@ -222,13 +227,19 @@
     servers = fleet(*[4.0] * 16, zones="abcd")
     before = solve(problem(servers, 17.0, zones="abcd"))
     share = {r.name: r.share for r in before.servers}
-    left = tuple(s._replace(share=share[s.name]) for s in servers if s.name not in ("s0", "s4"))
+    left = tuple(s._replace(work_share=share[s.name]) for s in servers if s.name not in ("s0", "s4"))
     made = solve(problem(left, 17.0, zones="abcd"))
-    assert made.let_in == {"page": pytest.approx(1.0), "tally": pytest.approx(1.0)}
-    assert max(r.used for r in made.servers) <= 1 / 1.1 + 1e-9
-    cold = tuple(s._replace(capacity=0.8, most=0.6, share=0.0) if s.name in ("s0", "s4") else s for s in servers)
+    assert made.admitted == {"page": pytest.approx(1.0), "tally": pytest.approx(1.0)}
+    assert max(r.utilisation for r in made.servers) <= 1 / 1.1 + 1e-9
+    cold = tuple(
+        s._replace(capacity=0.8, max_share=0.6, work_share=0.0) if s.name in ("s0", "s4") else s for s in servers
+    )
     back = solve(
-        problem(tuple(c._replace(share=share.get(c.name, 0)) if c.most == 1 else c for c in cold), 17.0, zones="abcd")
+        problem(
+            tuple(c._replace(work_share=share.get(c.name, 0)) if c.max_share == 1 else c for c in cold),
+            17.0,
+            zones="abcd",
+        )
     )
     assert all(r.load <= 0.8 * 0.6 + 1e-9 for r in back.servers if r.name in ("s0", "s4"))
 
@@ -240,7 +251,9 @@
 
 def test_time_limit_is_a_status_not_an_exception():
     rng = random.Random(1)
-    servers = tuple(Server(f"s{k}", f"z{k % 16}", rng.uniform(1, 8), 4, share=rng.random() / 400) for k in range(1200))
+    servers = tuple(
+        Server(f"s{k}", f"z{k % 16}", rng.uniform(1, 8), 4, work_share=rng.random() / 400) for k in range(1200)
+    )
     p = problem(servers, 40.0, zones=[f"z{k}" for k in range(16)])
     made = plan(Program(time_limit=1e-4), p)
     assert made.status == "Time limit reached" and not made.weights
@@ -274,7 +287,7 @@
     p = problem(fleet(*(rng.uniform(2, 8) for _ in range(30)), zones="abcd"), 40.0, zones="abcd")
     for _ in range(6):
         p = p._replace(servers=tuple(s._replace(capacity=s.capacity * rng.uniform(0.9, 1.1)) for s in p.servers))
-        assert plan(program, p).value == pytest.approx(solve(p).value, rel=1e-7)
+        assert plan(program, p).objective == pytest.approx(solve(p).objective, rel=1e-7)
 
 
 numbers = st.floats(0.05, 20)
@@ -297,37 +310,44 @@
 def test_random_fleets(rows, rates, bound):
     """Weights finite and not negative, nothing over what it may be given, cold shares kept, all fed that can be."""
     fleet_ = tuple(Server(f"s{k}", *row) for k, row in enumerate(rows))
-    demand = tuple((z, k.name, rates[2 * i + j]) for i, z in enumerate("abc") for j, k in enumerate((PAGE, TALLY)))
-    p = Problem((PAGE, TALLY), fleet_, demand, Costs(bound=bound))
+    demand = tuple(
+        Demand(z, k.name, rates[2 * i + j]) for i, z in enumerate("abc") for j, k in enumerate((PAGE, TALLY))
+    )
+    p = Problem((PAGE, TALLY), fleet_, demand, Costs(max_move_share=bound))
     made = solve(p)
     assert made.status == "optimal"
     for row, server in zip(made.servers, fleet_, strict=True):
-        assert 0 <= row.load <= server.capacity * server.most / 1.1 * (1 + 1e-6) + 1e-9
+        assert 0 <= row.load <= server.capacity * server.max_share / 1.1 * (1 + 1e-6) + 1e-9
         assert math.isfinite(row.price) and row.price >= 0
     for table in made.weights.values():
         assert table and all(math.isfinite(w) and w > 0 for _, w in table)
         assert {n for n, _ in table} <= {s.name for s in fleet_}
-    room = sum(s.capacity * s.most / 1.1 for s in fleet_)
+    room = sum(s.capacity * s.max_share / 1.1 for s in fleet_)
     work = sum(r * 0.3 for *_, r in demand)
     assert sum(r.load for r in made.servers) <= min(room, work) * (1 + 1e-6) + 1e-6
-    assert all(0 <= v <= 1 for v in made.let_in.values())
+    assert all(0 <= v <= 1 for v in made.admitted.values())
 
 
-def test_lines_that_barely_change_are_kept():
-    old = dict(normal({"a": 1.0, "b": 2.0, "c": 3.0}))
-    assert dict(keep(normal({"a": 1.02, "b": 2.0, "c": 3.0}), old)) == pytest.approx(old, rel=0.02)
-    assert dict(keep(normal({"a": 3.0, "b": 2.0, "c": 1.0}), old)) == dict(normal({"a": 3.0, "b": 2.0, "c": 1.0}))
+def test_entries_that_barely_change_are_kept():
+    old = dict(normalise({"a": 1.0, "b": 2.0, "c": 3.0}))
+    assert dict(keep_similar(normalise({"a": 1.02, "b": 2.0, "c": 3.0}), old)) == pytest.approx(old, rel=0.02)
+    assert dict(keep_similar(normalise({"a": 3.0, "b": 2.0, "c": 1.0}), old)) == dict(
+        normalise({"a": 3.0, "b": 2.0, "c": 1.0})
+    )
 
 
-def test_lines_of_unlike_homes_are_divided_by_what_they_can_do():
+def test_work_of_slices_is_divided_among_unlike_endpoints_by_what_they_can_do():
     servers = (Server("s0", "a", 6.0, 6), Server("s1", "a", 2.0, 2))
-    p = LinesProblem(
-        (PAGE,), servers, (Piece(0, 5.0, ("s0", "s1"), (1.0, 1.0)), Piece(1, 0.5, ("s1",), (1.0,))), Costs(move=0.0)
+    p = SliceWeightsProblem(
+        (PAGE,),
+        servers,
+        (SliceLoad(0, 5.0, ("s0", "s1"), (1.0, 1.0)), SliceLoad(1, 0.5, ("s1",), (1.0,))),
+        Costs(move=0.0),
     )
-    got = dict(divide(p)[0])
+    got = dict(divide_slices(p)[0])
     assert got["s0"] > 2 * got["s1"]
-    assert divide(p._replace(pieces=p.pieces[1:])) == {}
-    assert divide(p._replace(pieces=(Piece(0, 50.0, ("gone", "s1"), (1.0, 1.0)),)))
+    assert divide_slices(p._replace(slices=p.slices[1:])) == {}
+    assert divide_slices(p._replace(slices=(SliceLoad(0, 50.0, ("gone", "s1"), (1.0, 1.0)),)))
 
 
 # -- through the module
@@ -359,7 +379,7 @@
             api.ProxyJoined(1, "b", 1.0, True),
             *(api.SliceOwnershipChanged(n, True) for n in range(4)),
         )
-        self.tell(*self.advisor.stopgap(self.planner))
+        self.tell(*self.advisor.initial_tables(self.planner))
 
     def listed(self):
         return api.EndpointListChanged(
@@ -407,12 +427,12 @@
             if step % 4 == 0:
                 self.pending.append((self.now + int(self.rng.uniform(*self.late) * SECOND), self.report()))
             self.tell(api.TimerFired(0), *due)
-            self.tell(*self.advisor.repair(self.planner))
-            if plans and self.advisor.due(self.now, self.planner):
-                self.advisor.begin(self.now, self.planner)
+            self.tell(*self.advisor.repaired_tables(self.planner))
+            if plans and self.advisor.is_due(self.now, self.planner):
+                self.advisor.begin_solve(self.now, self.planner)
                 made = plan(self.program, self.advisor.problem(self.planner))
                 if made.status == "optimal":
-                    before = {r.name: r.share for r in self.advisor.last.servers} if self.advisor.last else {}
+                    before = {r.name: r.share for r in self.advisor.last_plan.servers} if self.advisor.last_plan else {}
                     self.moved.append(sum(abs(r.share - before.get(r.name, 0.0)) for r in made.servers) / 2)
                     self.tell(*self.advisor.accept(made, self.planner))
 
@@ -452,7 +472,7 @@
     assert sum(t.get(liar, 0) / sum(t.values()) for t in loop.tables.values()) / 4 < 0.6 * share[0]
 
 
-def test_a_barred_server_has_no_line_and_a_cold_one_its_part(tmp_path):
+def test_an_unroutable_server_has_no_entry_and_a_warming_one_its_part(tmp_path):
     loop = DecisionLoop(tmp_path, [1.0] * 6, rate=10.0)
     loop.run(20)
     one, two = list(loop.zones)[:2]
@@ -494,9 +514,9 @@
 def test_failures_of_the_solver_leave_the_last_weights_and_tries_grow_rarer(tmp_path):
     loop = DecisionLoop(tmp_path, [1.0] * 4, rate=6.0)
     loop.run(10)
-    told, gaps = dict(loop.advisor.told), []
+    told, gaps = dict(loop.advisor.advised_weights), []
     for _ in range(6):
-        loop.advisor.failed(loop.now, "told to")
+        loop.advisor.note_failure(loop.now, "told to")
         gaps.append(loop.advisor.due_at - loop.now)
-    assert gaps == sorted(gaps) and gaps[-1] <= 30 * SECOND and loop.advisor.told == told
+    assert gaps == sorted(gaps) and gaps[-1] <= 30 * SECOND and loop.advisor.advised_weights == told
     assert loop.advisor.explain()["status"] == "told to" and loop.advisor.explain()["servers"]
