--- a/damsonpick/solver/linear_program.py
+++ b/damsonpick/solver/linear_program.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
@@ -15,9 +15,9 @@
 
 
 class Term(NamedTuple):
-    """A column's coefficient in a row."""
+    """Columns that have one coefficient in a row."""
 
-    column: int
+    columns: Sequence[int]
     coefficient: float
 
 
@@ -30,9 +30,12 @@
 
     costs: list[float] = field(default_factory=list)  # by column
     upper: list[float] = field(default_factory=list)  # by column
-    rows: list[list[Term]] = field(default_factory=list)
     row_lower: list[float] = field(default_factory=list)
     row_upper: list[float] = field(default_factory=list)
+    # The matrix by rows: row k has the entries from row_starts[k] up to row_starts[k + 1].
+    row_starts: list[int] = field(default_factory=lambda: [0])
+    entry_columns: list[int] = field(default_factory=list)
+    entry_values: list[float] = field(default_factory=list)
 
     @property
     def column_count(self) -> int:
@@ -45,9 +48,12 @@
         self.upper.append(upper)
         return len(self.costs) - 1
 
-    def add_row(self, terms: list[Term], lower: float, upper: float) -> None:
-        """Add a row."""
-        self.rows.append(terms)
+    def add_row(self, *terms: Term, lower: float, upper: float) -> None:
+        """Add a row: the sum of its terms is from `lower` to `upper`."""
+        for columns, coefficient in terms:
+            self.entry_columns.extend(columns)
+            self.entry_values.extend([coefficient] * len(columns))
+        self.row_starts.append(len(self.entry_columns))
         self.row_lower.append(lower)
         self.row_upper.append(upper)
 
@@ -55,24 +61,19 @@
         """The program in the form of HiGHS."""
         lp = highspy.HighsLp()
         lp.num_col_ = len(self.costs)
-        lp.num_row_ = len(self.rows)
+        lp.num_row_ = len(self.row_lower)
         lp.col_cost_ = np.array(self.costs)
         lp.col_lower_ = np.zeros(len(self.costs))
         lp.col_upper_ = np.array(self.upper, dtype=float)
         lp.row_lower_ = np.array(self.row_lower, dtype=float)
         lp.row_upper_ = np.array(self.row_upper, dtype=float)
         lp.a_matrix_.format_ = highspy.MatrixFormat.kRowwise
-        lp.a_matrix_.start_ = np.cumsum([0, *map(len, self.rows)])
-        lp.a_matrix_.index_ = np.array([term.column for row in self.rows for term in row], dtype=np.int32)
-        lp.a_matrix_.value_ = np.array([term.coefficient for row in self.rows for term in row])
+        lp.a_matrix_.start_ = np.array(self.row_starts)
+        lp.a_matrix_.index_ = np.array(self.entry_columns, dtype=np.int32)
+        lp.a_matrix_.value_ = np.array(self.entry_values)
         return lp
 
 
-def sum_of(columns: Iterable[int], coefficient: float = 1.0) -> list[Term]:
-    """Terms of some columns with one coefficient."""
-    return [Term(column, coefficient) for column in columns]
-
-
 def new_highs(options: Mapping[str, HighsOption]) -> highspy.Highs:
     """A silent solver on one thread, with further options."""
     highs = highspy.Highs()
--- a/damsonpick/solver/plan.py
+++ b/damsonpick/solver/plan.py
@@ -100,12 +100,12 @@
     tables = {}
     for zone, name, _ in problem.demand:
         usable = [server for server in problem.servers if server.zone == zone or not own_zone_only[name]]
-        work = {}
-        for server in usable:
-            zone_load = zone_loads[server.zone]
-            if zone_load > 0:
-                flow = solution.flows.get((zone, name, server.zone), 0.0)
-                work[server.name] = flow * solution.loads[server.name] / zone_load
+        flows = {target: solution.flows.get((zone, name, target), 0.0) for target in zone_loads}
+        work = {
+            server.name: flows[server.zone] * solution.loads[server.name] / zone_loads[server.zone]
+            for server in usable
+            if zone_loads[server.zone] > 0
+        }
         if sum(work.values()) <= MIN_FLOW:
             work = {server.name: server.capacity * server.max_share for server in usable}
         tables[zone, name] = normalise(work)
--- a/damsonpick/solver/program.py
+++ b/damsonpick/solver/program.py
@@ -21,7 +21,7 @@
 
 from damsonpick.solver import latency
 from damsonpick.solver.latency import Segment
-from damsonpick.solver.linear_program import INFINITY, LinearProgram, Term, new_highs, sum_of
+from damsonpick.solver.linear_program import INFINITY, LinearProgram, Term, new_highs
 from damsonpick.solver.model import OPTIMAL, Limit, Problem, RequestClass, Server
 
 SHORTFALL_PENALTY = 10.0  # times the highest value: a least share is missed only where it cannot be had
@@ -246,8 +246,7 @@
         self._add_demand_rows(program)
         self._add_zone_rows(program)
         self._add_group_rows(program)
-        moved = sum_of(self.gains)
-        program.add_row([*moved, Term(self.excess, -1.0)], -INFINITY, self.max_moved)
+        program.add_row(Term(self.gains, 1.0), Term([self.excess], -1.0), lower=-INFINITY, upper=self.max_moved)
         return program
 
     def _add_flow_columns(self, program: LinearProgram) -> None:
@@ -263,11 +262,11 @@
             first = program.column_count
             capacity = len(group.names) * group.capacity / (1 + self.costs.headroom)
             remaining = self.room[rank]
+            failing = self.highest_value * group.failure_ratio
+            tie_break = TIE_BREAK_COST * rank / len(self.groups)
             for segment in segments:
                 width = min(segment.width * capacity, remaining)
                 remaining -= width
-                failing = self.highest_value * group.failure_ratio
-                tie_break = TIE_BREAK_COST * rank / len(self.groups)
                 program.add_column(self.density * segment.slope + failing + tie_break, width)
             spans.append(range(first, program.column_count))
         return spans
@@ -278,7 +277,7 @@
         for column, flow in enumerate(self.flows):
             columns.setdefault((flow.zone, flow.request_class), []).append(column)
         for zone, name, work in self.demand:
-            program.add_row(sum_of(columns.get((zone, name), [])), -INFINITY, work)
+            program.add_row(Term(columns.get((zone, name), []), 1.0), lower=-INFINITY, upper=work)
 
     def _add_zone_rows(self, program: LinearProgram) -> None:
         """What flows into a zone is the load of its servers."""
@@ -290,14 +289,15 @@
             for group, span in zip(self.groups, self.spans, strict=True):
                 if group.zone == zone:
                     load.extend(span)
-            program.add_row(sum_of(columns[zone]) + sum_of(load, -1.0), 0.0, 0.0)
+            program.add_row(Term(columns[zone], 1.0), Term(load, -1.0), lower=0.0, upper=0.0)
 
     def _add_group_rows(self, program: LinearProgram) -> None:
         """Gains over the last plan, then least loads."""
         for span, gain, past in zip(self.spans, self.gains, self.past, strict=True):
-            program.add_row([*sum_of(span), Term(gain, -1.0)], -INFINITY, past if self.has_past else INFINITY)
+            max_load = past if self.has_past else INFINITY
+            program.add_row(Term(span, 1.0), Term([gain], -1.0), lower=-INFINITY, upper=max_load)
         for span, shortfall, min_load in zip(self.spans, self.shortfalls, self.min_load, strict=True):
-            program.add_row([*sum_of(span), Term(shortfall, 1.0)], min_load, INFINITY)
+            program.add_row(Term(span, 1.0), Term([shortfall], 1.0), lower=min_load, upper=INFINITY)
 
     # -- reading
 
--- a/damsonpick/solver/slice_weights.py
+++ b/damsonpick/solver/slice_weights.py
@@ -12,7 +12,7 @@
 import highspy
 
 from damsonpick.solver import latency
-from damsonpick.solver.linear_program import INFINITY, LinearProgram, Term, new_highs, sum_of
+from damsonpick.solver.linear_program import INFINITY, LinearProgram, Term, new_highs
 from damsonpick.solver.model import Costs, RequestClass, Server, Weights
 from damsonpick.solver.program import patience
 
@@ -122,8 +122,8 @@
         column = program.add_column(cost=0.0, upper=slice_load.work if name in servers else 0.0)
         placements.append(Placement(name, column, slice_load.work * weight / total_weight))
     is_usable = any(name in servers for name in slice_load.endpoints)
-    columns = sum_of(placement.column for placement in placements)
-    program.add_row(columns, lower=slice_load.work if is_usable else 0.0, upper=slice_load.work)
+    columns = [placement.column for placement in placements]
+    program.add_row(Term(columns, 1.0), lower=slice_load.work if is_usable else 0.0, upper=slice_load.work)
     return placements
 
 
@@ -146,12 +146,15 @@
             upper = segment.width * server.capacity * server.max_share
             program.add_column(segment.slope + server.failure_ratio, upper)
         program.add_column(OVERLOAD_SLOPE, INFINITY)
-        load = sum_of(range(first, program.column_count), -1.0)
-        program.add_row(sum_of(columns_of[server.name]) + load, lower=-given[server.name], upper=-given[server.name])
+        load = range(first, program.column_count)
+        given_work = given[server.name]
+        program.add_row(Term(columns_of[server.name], 1.0), Term(load, -1.0), lower=-given_work, upper=-given_work)
 
 
 def _add_moves(program: LinearProgram, placements: list[Placement], move_cost: float) -> None:
     """Charge work above that of the present weights."""
     for placement in placements:
         gained = program.add_column(move_cost, INFINITY)
-        program.add_row([Term(placement.column, 1.0), Term(gained, -1.0)], -INFINITY, placement.present_work)
+        program.add_row(
+            Term([placement.column], 1.0), Term([gained], -1.0), lower=-INFINITY, upper=placement.present_work
+        )
