--- a/damsonpick/controller/drive_loop.py
+++ b/damsonpick/controller/drive_loop.py
@@ -41,7 +41,7 @@
 class StreamServer(Protocol):
     """A protocol server whose streams are written by tasks of its own."""
 
-    def ring(self, sessions: list[Session]) -> None:
+    def wake(self, sessions: list[Session]) -> None:
         """Wake the writers of the streams of these sessions."""
 
 
@@ -85,7 +85,7 @@
             self.session_manager.acknowledge(now, session)
         self._log_stopped_rollouts()
         for server in self.servers:
-            server.ring(dispatch.sessions)
+            server.wake(dispatch.sessions)
         return dispatch.next_due
 
     def _longest_wait_s(self, now: int, send_pause: int | None) -> float | None:
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -162,9 +162,9 @@
 
     # -- events from outside the planner
 
-    def tell(self, *events: api.Event) -> None:
+    def enqueue(self, *events: api.Event) -> None:
         """Queue events for the next step, in order."""
-        super().tell(*events)
+        super().enqueue(*events)
         self.list_changed |= any(isinstance(event, api.EndpointListChanged) for event in events)
 
     def relocate(self, now: int, endpoints: Iterable[str]) -> list[Session]:
@@ -181,7 +181,7 @@
         """Renew the leases; tell the planner of slices lost to another controller, and of slices taken over."""
         claimed = self.ownership.claim(self.clock.advance_to(now))
         for number in sorted(self.owned - claimed):
-            self.tell(api.SliceOwnershipChanged(number, False))
+            self.enqueue(api.SliceOwnershipChanged(number, False))
         taken_over = sorted(claimed - self.owned)
         if taken_over:
             stored = self.store.load_tables()
@@ -191,8 +191,8 @@
 
     def _take_over(self, number: int, entries: Mapping[str, float]) -> None:
         self.published.restore(number, entries)
-        self.tell(api.SliceOwnershipChanged(number, True))
-        self.tell(*(api.StoredEntry(number, endpoint, weight) for endpoint, weight in entries.items()))
+        self.enqueue(api.SliceOwnershipChanged(number, True))
+        self.enqueue(*(api.StoredEntry(number, endpoint, weight) for endpoint, weight in entries.items()))
 
     # -- one step
 
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -69,7 +69,7 @@
 
     def list_unavailable(self) -> None:
         """No source answers: the list stays in force, and the engine knows that it may be out of date."""
-        self.engine.tell(self.endpoint_list.failed())
+        self.engine.enqueue(self.endpoint_list.failed())
 
     def accept(self) -> list[str]:
         """An operator confirms that endpoints missing from the list are gone; returns those held until now."""
@@ -90,7 +90,7 @@
         if changes:
             confidences = {change.endpoint: change.confidence for change in changes[:MOST_LOGGED_ENDPOINTS]}
             self.log.info("list_confidence_changed", confidences=confidences, changes=len(changes))
-            self.engine.tell(*changes)
+            self.engine.enqueue(*changes)
             self.notify()
 
     def _apply(self, validation: ListValidation) -> None:
@@ -106,7 +106,7 @@
             self.confidence.confirm(now, names)
             self._store(event)
         self.engine.relocate(now, self.endpoint_list.update_zones(event.entries))
-        self.engine.tell(event, *self.confidence.changes(now))
+        self.engine.enqueue(event, *self.confidence.changes(now))
         self.on_change()
         self.notify()
 
--- a/damsonpick/controller/load_report_task.py
+++ b/damsonpick/controller/load_report_task.py
@@ -56,5 +56,5 @@
         events = self.load_reports.flush()
         self.confidence.apply_reports(self.clock.now(), events)
         if events:
-            self.engine.tell(*events)
+            self.engine.enqueue(*events)
             self.notify()
--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -58,7 +58,7 @@
             return
         if planner is not self.planner:
             self.planner = planner
-            self.engine.tell(*self.advisor.readvise())
+            self.engine.enqueue(*self.advisor.readvise())
         self._send(self.advisor.initial_tables(planner) or self.advisor.repaired_tables(planner))
 
     async def run(self) -> None:
@@ -120,7 +120,7 @@
 
     def _send(self, events: list[api.Event]) -> None:
         if events:
-            self.engine.tell(*events)
+            self.engine.enqueue(*events)
             self.notify()
 
     def _failed(self, reason: str) -> None:
--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -44,16 +44,16 @@
 
     def reset(self) -> None:
         """Reset all delays after an accepted request."""
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._unconfirmed_in_a_row = 0
 
     def reset_backoff(self) -> None:
         """Reset the backoff alone, for another address."""
-        self._backoff.succeeded()
+        self._backoff.reset()
 
     def next_delay_s(self) -> float:
         """Return the delay after a failed attempt."""
-        return self._backoff.failed()
+        return self._backoff.next_delay_s()
 
     def unconfirmed_delay_s(self, order_count: int) -> float:
         """Return the additional delay after a request whose outcome is unknown.
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -67,7 +67,7 @@
     def enqueue(self, *events: api.Event) -> None:
         """Add events for the next step, in order."""
         if events:
-            self.loop.tell(*events)
+            self.loop.enqueue(*events)
             self._wakeup.set()
 
     def start(self) -> None:
--- a/damsonpick/protocols/platform/watch_client.py
+++ b/damsonpick/protocols/platform/watch_client.py
@@ -165,7 +165,7 @@
                     self._interrupted(watched)
                     self._log.exception("watch_failed", watch=self._name, error=repr(error))
                 if not watched.superseded:
-                    await anyio.sleep(backoff.failed())
+                    await anyio.sleep(backoff.next_delay_s())
 
     def _interrupted(self, watched: WatchedAddress) -> None:
         watched.synchronized = False
@@ -183,7 +183,7 @@
                 if reader.process(lines):
                     # A watch that ends as soon as it has sent the state must not be opened again without a pause.
                     if now_s - opened_s > MAX_RETRY_DELAY_S:
-                        backoff.succeeded()
+                        backoff.reset()
                     self._activate(watched)
                 elif now_s - opened_s > self._silence_timeout_s:
                     raise TransportError("watch", f"current state not received within {self._silence_timeout_s:g} s")
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -184,7 +184,7 @@
         pending = self.session_manager.send_queue.pending.get(client.number)
         return pending is not None and bool(pending.units)
 
-    def ring(self, sessions: list[Session]) -> None:
+    def wake(self, sessions: list[Session]) -> None:
         """Wake the writers of these sessions."""
         for session in sessions:
             if isinstance(session, SaspSession) and session in self._connections:
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -151,7 +151,7 @@
             except grpc_stream.StreamEndedError as error:
                 why = str(error)
             yield ListError(f"upstream list at {self.address}: {why}; it is dialled again")
-            await anyio.sleep(self.backoff.failed())
+            await anyio.sleep(self.backoff.next_delay_s())
 
     async def _stream(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
         """What one stream brings.
@@ -165,7 +165,7 @@
             accepted_version = ""
             while True:
                 response = await grpc_stream.read(call)
-                self.backoff.succeeded()
+                self.backoff.reset()
                 try:
                     for assignment in _unpack_all(response):
                         if assignment.cluster_name == self.cluster:
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -106,7 +106,7 @@
         await server.start()
         return server, port
 
-    def ring(self, sessions: list[Session]) -> None:
+    def wake(self, sessions: list[Session]) -> None:
         """Wake the writers of those sessions that are this server's."""
         for session in sessions:
             if session in self.streams:
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -104,7 +104,7 @@
             if addresses and self.callbacks.may_connect():
                 await self._watch(addresses[attempts % len(addresses)])
                 attempts += 1
-            await anyio.sleep(self._backoff.failed() / self._clock.rate)
+            await anyio.sleep(self._backoff.next_delay_s() / self._clock.rate)
 
     async def _watch(self, address: str) -> None:
         """Watch one instance until its stream ends."""
@@ -181,7 +181,7 @@
         await grpc_stream.write(call, ads.subscribe(EDS, clusters, self._version_info.get(EDS, "")))
         await grpc_stream.write(call, ads.subscribe(RDS, [ROUTES], self._version_info.get(RDS, "")))
         self.connected = True
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._log.info("pilot_connected", pilot=address)
         self.callbacks.record("stream", up=True, zone=self.zone, fresh=not self._was_connected)
         self._was_connected = True
--- a/damsonpick/runtime/backoff.py
+++ b/damsonpick/runtime/backoff.py
@@ -16,23 +16,23 @@
 
     Args:
         rng: draws the jitter.
-        least: seconds; upper bound of the first delay.
-        most: seconds; upper bound of any delay.
+        min_delay_s: upper bound of the first delay.
+        max_delay_s: upper bound of any delay.
     """
 
-    def __init__(self, rng: random.Random, least: float = MIN_DELAY_S, most: float = MAX_DELAY_S) -> None:
+    def __init__(self, rng: random.Random, min_delay_s: float = MIN_DELAY_S, max_delay_s: float = MAX_DELAY_S) -> None:
         """Start from the least delay."""
         self.rng = rng
-        self.least = least
-        self.most = most
+        self.min_delay_s = min_delay_s
+        self.max_delay_s = max_delay_s
         self.failures = 0  # in a row
 
-    def failed(self) -> float:
-        """Note a failed attempt; returns seconds until the next one."""
-        longest = min(self.most, self.least * 2**self.failures)
+    def next_delay_s(self) -> float:
+        """Note a failed attempt and return the seconds until the next one."""
+        longest = min(self.max_delay_s, self.min_delay_s * 2**self.failures)
         self.failures = min(self.failures + 1, MAX_DOUBLINGS)
         return self.rng.uniform(longest / 2, longest)
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         """Note a successful attempt: the next delay starts from the least again."""
         self.failures = 0
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -59,7 +59,7 @@
         self.timers.clear()
         self.inbox = events
 
-    def tell(self, *events: api.Event) -> None:
+    def enqueue(self, *events: api.Event) -> None:
         """Queue events for the next step, in order."""
         self.inbox.extend(events)
 
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -50,7 +50,7 @@
                     await self._session(address, backoff)
                 except* LOST:
                     pass
-            await anyio.sleep(backoff.failed() / self.clock.rate)
+            await anyio.sleep(backoff.next_delay_s() / self.clock.rate)
 
     async def _session(self, address: str, backoff: Backoff) -> None:
         pushes, receive = anyio.create_memory_object_stream[SendWeights](1000)
@@ -59,7 +59,7 @@
             async with connect(address, self.name.encode(), pushes.send_nowait) as client:
                 await self._register(client)
                 first = (await client.weights()).groups
-                backoff.succeeded()
+                backoff.reset()
                 up = True
                 self.record.put("stream", gw=self.name, up=True, zone=self.zone, fresh=not self.seen)
                 self.seen = True
--- a/tests/test_endpoint_list_sources.py
+++ b/tests/test_endpoint_list_sources.py
@@ -76,8 +76,8 @@
         now += budget.wait(now)
         budget.spend(now)
         calls.append(now)
-        backoff.succeeded()
-        now += int(backoff.failed() * SECOND)
+        backoff.reset()
+        now += int(backoff.next_delay_s() * SECOND)
     assert len(calls) <= 20 * 11
     assert all(b - a >= 60 * SECOND for a, b in zip(calls, calls[20:], strict=False))
 
@@ -89,7 +89,7 @@
     for k in range(pilots):
         backoff, now = Backoff(random.Random(k)), 0.0
         while now < 60:
-            now += backoff.failed()
+            now += backoff.next_delay_s()
         arrivals.append(now - 60)
     most = max(sum(t <= a < t + 0.25 for a in arrivals) for t in (k / 4 for k in range(24)))
     assert most < pilots * 0.2, "no quarter of a second sees a fifth of them"
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -70,7 +70,7 @@
         entries = [api.EndpointEntry(f"127.0.0.1:{9001 + k}", "a", s, 1.0, 0) for k, s in enumerate(states)]
         verdict = self.endpoint_list.apply(self.now, entries)
         if verdict.event:
-            self.engine.tell(verdict.event)
+            self.engine.enqueue(verdict.event)
 
     def join(self, node="gw"):
         from envoy.service.discovery.v3 import discovery_pb2
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -372,14 +372,14 @@
         self.shut: dict[str, bool] = {}
         self.pending: list[tuple[int, list[api.Event]]] = []
         self.moved: list[float] = []
-        self.tell(
+        self.handle(
             api.EndpointListChanged("restored", ()),
             self.listed(),
             api.ProxyJoined(0, "a", 1.0, True),
             api.ProxyJoined(1, "b", 1.0, True),
             *(api.SliceOwnershipChanged(n, True) for n in range(4)),
         )
-        self.tell(*self.advisor.initial_tables(self.planner))
+        self.handle(*self.advisor.initial_tables(self.planner))
 
     def listed(self):
         return api.EndpointListChanged(
@@ -387,7 +387,7 @@
             tuple(api.EndpointEntry(n, z, self.states[n], 4.0, self.started[n]) for n, z in self.zones.items()),
         )
 
-    def tell(self, *events):
+    def handle(self, *events):
         for order in self.planner.handle(self.now, list(events)):
             if isinstance(order, api.SetEntry):
                 self.tables[order.table][order.endpoint] = order.weight
@@ -426,15 +426,15 @@
             self.pending = [(t, es) for t, es in self.pending if t > self.now]
             if step % 4 == 0:
                 self.pending.append((self.now + int(self.rng.uniform(*self.late) * SECOND), self.report()))
-            self.tell(api.TimerFired(0), *due)
-            self.tell(*self.advisor.repaired_tables(self.planner))
+            self.handle(api.TimerFired(0), *due)
+            self.handle(*self.advisor.repaired_tables(self.planner))
             if plans and self.advisor.is_due(self.now, self.planner):
                 self.advisor.begin_solve(self.now, self.planner)
                 made = plan(self.program, self.advisor.problem(self.planner))
                 if made.status == "optimal":
                     before = {r.name: r.share for r in self.advisor.last_plan.servers} if self.advisor.last_plan else {}
                     self.moved.append(sum(abs(r.share - before.get(r.name, 0.0)) for r in made.servers) / 2)
-                    self.tell(*self.advisor.accept(made, self.planner))
+                    self.handle(*self.advisor.accept(made, self.planner))
 
 
 def test_weights_settle_and_do_not_swing(tmp_path):
@@ -478,7 +478,7 @@
     one, two = list(loop.zones)[:2]
     loop.states[one] = "terminating"
     loop.started[two] = loop.now
-    loop.tell(loop.listed())
+    loop.handle(loop.listed())
     assert loop.shut[one]
     loop.run(0.5)
     warm = 1 / 5
@@ -504,7 +504,7 @@
                 g, "a", SECOND, (EndpointStats(name, tries, bad, 9, -3),), (SliceStats(0, "page", 10**15, 0),)
             ),
         )
-    loop.tell(*load_reports.flush())
+    loop.handle(*load_reports.flush())
     made = plan(loop.program, loop.advisor.problem(loop.planner))
     assert made.status == "optimal" and all(math.isfinite(w) for t in made.weights.values() for _, w in t)
     loop.run(15)
