--- a/damsonpick/protocols/sasp/advisor.py
+++ b/damsonpick/protocols/sasp/advisor.py
@@ -21,16 +21,8 @@
 MAX_CACHED_ENTRIES = 100_000  # encoded weight entries
 
 
-class AdviceKey(NamedTuple):
-    """Groups with the same coverage and the same members get the same advice.
-
-    Attributes:
-        coverage: what they stand for.
-        snapshot_id: identity of the snapshot of their members.
-    """
-
-    coverage: str
-    snapshot_id: int
+# Groups with the same coverage and the same members get the same advice: coverage, identity of the members' snapshot.
+AdviceKey = tuple[str, int]
 
 
 class SharesVersion(NamedTuple):
@@ -175,7 +167,7 @@
     def advise(self, now: int, group: RegisteredGroup) -> GroupAdvice:
         """Advice on a group at `now` (ns)."""
         shares = self._current_shares(now, group.coverage)
-        key = AdviceKey(group.coverage, id(group.snapshot))
+        key = (group.coverage, id(group.snapshot))
         cached = self._advice.get(key)
         if cached is not None and cached.snapshot is not group.snapshot:
             cached = None  # the identity was used again for another object
