--- a/damsonpick/cli/endpoint_list.py
+++ b/damsonpick/cli/endpoint_list.py
@@ -70,7 +70,7 @@
                 "yes" if server["held"] else "",
             ]
         )
-    print_table(["server", "zone", "state", "trust", "spoken for", "held"], rows)
+    print_table(["server", "zone", "state", "trust", "last confirmed", "held"], rows)
 
 
 @endpoint_list.command("accept")
@@ -79,6 +79,6 @@
     """Believe a list from which many servers vanished at once: what was held goes now. Exit code 1: none was held."""
     removed = ask_pilot(file, {"ask": "list", "do": "accept"})["accepted"]
     for name in removed:
-        click.echo(f"{name}: let go")
+        click.echo(f"{name}: released")
     if not removed:
         fail("nothing is held", EXIT_NO)
--- a/damsonpick/cli/explain.py
+++ b/damsonpick/cli/explain.py
@@ -33,7 +33,7 @@
     objective = f", worth {reply['value']} a second, solved in {reply['solved_in_ms']} ms" if "value" in reply else ""
     click.echo(f"plan: {reply['status']}{objective}")
     print_table(
-        ["class", "let in", "worth shed"],
+        ["class", "admitted", "value shed"],
         [[c["class"], f"{c['let_in']:.1%}", c["shed_worth"]] for c in reply["classes"]],
     )
     click.echo()
--- a/damsonpick/cli/learned.py
+++ b/damsonpick/cli/learned.py
@@ -45,7 +45,7 @@
 @settings_file
 @as_json
 def show(file: Path, as_json: bool) -> None:
-    """What a pilot that starts now would be told: figures as written and as they have aged.
+    """What a pilot that starts now would restore: figures as written and as they have aged.
 
     Exit code 1: nothing is kept, or it cannot be read.
     """
--- a/damsonpick/cli/pilot.py
+++ b/damsonpick/cli/pilot.py
@@ -124,7 +124,7 @@
     )
     levels = ", ".join(f"{name} {level:.0%}" for name, level in reply["levels"].items())
     click.echo(
-        f"let in: {levels}; waiting lines {channel['waiting']:g} of {channel['limit']:g} "
+        f"admitted: {levels}; waiting entries {channel['waiting']:g} of {channel['limit']:g} "
         f"(most so far {channel['most']:g})"
     )
 
--- a/damsonpick/cli/sasp.py
+++ b/damsonpick/cli/sasp.py
@@ -1,4 +1,4 @@
-"""`damsonpick sasp`: what a balancer would be told, and who is registered."""
+"""`damsonpick sasp`: the advice that a balancer would get, and who is registered."""
 
 from __future__ import annotations
 
--- a/damsonpick/cli/versions.py
+++ b/damsonpick/cli/versions.py
@@ -163,7 +163,7 @@
                 gateway["root"][:SHORT_ROOT] if held_version is None else held_version,
                 gateway["pending"],
                 "-" if gateway["since_s"] is None else f"{gateway['since_s']} s",
-                "itself" if gateway["verified"] else "its word",
+                "itself" if gateway["verified"] else "by acknowledgement",
                 ", ".join(gateway["rejected"]) or "-",
             ]
         )
@@ -176,11 +176,11 @@
 @click.option("--dry-run", is_flag=True, help="Say what would be done.")
 @click.option("--stages", help="Zones one after another, such as north,south; the others follow.")
 @click.option("--hold", help="Time between stages, such as 5 s.")
-@click.option("--levels", is_flag=True, help="Set what is let in, and retry modes, back as well.")
+@click.option("--levels", is_flag=True, help="Set admission levels and retry modes back as well.")
 @span
 @expect
 @as_json
-def rollback(
+def rollback(  # noqa: PLR0913, PLR0917 (click hands each option over as an argument)
     file: Path,
     version: str,
     dry_run: bool,
@@ -193,9 +193,9 @@
 ) -> None:
     """Set the tables as VERSION had them, as far as is safe, and pin them.
 
-    What had to differ is listed: barred servers are not revived, cold ones get no more than they have, and a slice
-    that would be left without a server keeps what it has. Withdrawals go on; levels go on unless --levels sets them
-    back: then they may fall until the pin ends, and not rise.
+    What had to differ is listed: unroutable endpoints are not restored, warming ones get no more than they have, and a
+    slice that would be left without a server keeps what it has. Withdrawals go on; levels go on unless --levels sets
+    them back: then they may fall until the pin ends, and not rise.
     """
     zones = _parse_zones(stages)
     if zones and hold is None:
