--- a/tests/test_platform_registry.py
+++ b/tests/test_platform_registry.py
@@ -114,10 +114,8 @@
 STEPS = st.sampled_from(["take", "give", "deliver", "want_p", "want_q", "send", "apply", "answer", "lose"])
 
 
-@settings(max_examples=1500, deadline=None)
-@example(["take", "give", "want_q", "want_p", "send", "apply", "want_q", "answer"])
-@given(st.lists(STEPS, max_size=40))
-def test_stored_state_is_known_after_any_order_of_events_and_outcomes(steps):
+def check_stored_state_is_known(steps: list[str]) -> None:
+    """Whatever happened, in the end the registry stores what is desired and the pilot knows it."""
     world = OwnershipWorld()
     for step in steps:
         world.step(step)
@@ -130,6 +128,18 @@
         assert world.store == {world.desired: 1.0} == world.registry.tables[1] and world.pending.is_empty()
 
 
+def test_stored_state_is_known_after_an_ownership_change_during_a_request():
+    check_stored_state_is_known(["take", "give", "want_q", "want_p", "send", "apply", "want_q", "answer"])
+
+
+@settings(max_examples=1500, deadline=None)
+@example(["take", "give", "want_q", "want_p", "send", "apply", "want_q", "answer"])
+@example(["take", "give", "want_q", "want_p", "send", "apply", "lose", "want_q"])  # fails, see KNOWN-RED.txt
+@given(st.lists(STEPS, max_size=40))
+def test_stored_state_is_known_after_any_order_of_events_and_outcomes(steps):
+    check_stored_state_is_known(steps)
+
+
 def test_orders_of_an_earlier_ownership_are_not_applied_in_a_later_one():
     pending = PendingOrders(("x",))
     registry = Registry(pending, 4, 4)
