--- a/damsonpick/decisions/admission.py
+++ b/damsonpick/decisions/admission.py
@@ -93,7 +93,7 @@
         latency_objective: the strictest objective of all classes, ns.
         admitted_rate_limit: requests/s to admit; infinite while nothing is shed.
         best_throughput: most answers/s seen, slowly forgotten.
-        advised_capacity: requests/s that the fleet can answer in time as calculated outside; 0: not known.
+        advised_capacity: requests/s that the fleet can answer in time as calculated outside; 0: not known, or all fits.
         base_latency: least median latency seen, slowly forgotten, as a share of the objective.
         last_decrease_at: when the limit last fell or was held, ns.
         levels_restored: the levels are an earlier incarnation's, and no report has been weighed against them.
--- a/damsonpick/decisions/capacity.py
+++ b/damsonpick/decisions/capacity.py
@@ -2,7 +2,8 @@
 
 The listed weight does not tell how fast a machine is. The learned capacity factor follows an endpoint's latency and
 success ratio against the fleet's, so that it covers slow, overloaded, ageing, hung and failing endpoints, whatever load
-they report themselves. No outlier is ejected, since its load would overload the next endpoint. An endpoint that serves
+they report themselves. The planner ejects no outlier, since its load would overload the next endpoint; each proxy may
+eject one for itself. An endpoint that serves
 costly requests looks slower than it is.
 """
 
--- a/damsonpick/decisions/flow_control.py
+++ b/damsonpick/decisions/flow_control.py
@@ -63,7 +63,7 @@
         """Part of the cost that is not acknowledged, entries."""
         return self.cost * len(self.unacknowledged) / self.recipients
 
-    def is_settled(self) -> bool:
+    def is_acknowledged_by_half(self) -> bool:
         """Whether half of the recipients have acknowledged it. Waiting for all would let one stalled proxy stop all."""
         return 2 * len(self.unacknowledged) <= self.recipients
 
@@ -75,7 +75,7 @@
     Attributes:
         settings: hold the limits of the channel.
         proxies: joined proxies and their zones.
-        in_flight: messages in the order sent, up to the last that is not settled.
+        in_flight: messages sent after the newest one that half of its recipients have acknowledged, in the order sent.
         sent_at: times of the messages in the present window, ns.
         last_sent_at: time of the newest message, ns.
         last_token: sync token of the newest message.
@@ -144,15 +144,15 @@
     def acknowledge(self, proxy: int, token: int | None) -> None:
         """Record that a proxy has applied the message with a token, or with None that it has left.
 
-        Messages are applied in order, so that a settled one settles those before it.
+        Messages are applied in order, so that one acknowledged by half stands for those before it.
         """
-        settled = 0
+        acknowledged_count = 0
         for position, message in enumerate(self.in_flight, start=1):
             if token is None or token == message.token:
                 message.unacknowledged.pop(proxy, None)
-            if message.is_settled():
-                settled = position
-        for _ in range(settled):
+            if message.is_acknowledged_by_half():
+                acknowledged_count = position
+        for _ in range(acknowledged_count):
             self.in_flight.popleft()
 
     def _window_admits(self, now: int, urgency: Urgency) -> bool:
--- a/damsonpick/decisions/hot_slices.py
+++ b/damsonpick/decisions/hot_slices.py
@@ -1,8 +1,7 @@
 """Further replicas of hot slices: a slice with more load than one endpoint should carry gets further table entries.
 
-A further entry costs half of what a move costs (one entry is added, none removed) and keeps the warmth where it
-is. Each entry is placed by the search
-like a slice of its own.
+A further entry costs half of what a move costs (one entry is added, none removed) and keeps the warmth where it is.
+Each entry is placed by the search like a slice of its own.
 """
 
 from __future__ import annotations
--- a/damsonpick/decisions/placement.py
+++ b/damsonpick/decisions/placement.py
@@ -70,7 +70,7 @@
 
 
 def repair_assignments(fleet: FleetState) -> None:
-    """Make all assignments valid at once, past the slop gate and the move cap of the rounds.
+    """Make all assignments valid at once, without the imbalance threshold and the move cap of the rounds.
 
     Slices leave endpoints that are not usable, and warming endpoints that hold more than their share; slices without an
     endpoint get one. The slices whose published table is now out of sync are left in `fleet.unpublished`.
--- a/damsonpick/decisions/planner.py
+++ b/damsonpick/decisions/planner.py
@@ -34,7 +34,7 @@
 
 
 class Planner(PlannerView):
-    """Decides for one instance of the controller. `handle` is its only entry point.
+    """Decides for one instance of the control service. `handle` is its only entry point.
 
     Args:
         settings: configuration of the instance, fixed for its lifetime.
--- a/damsonpick/decisions/search.py
+++ b/damsonpick/decisions/search.py
@@ -20,7 +20,7 @@
 MAX_STEPS = 20_000
 STEPS_PER_PART = 1000  # steps between which other events are handled
 MOVE_CAP_SHARE = 0.02  # share of the owned slices that a round may move
-MIN_GAIN = 0.032  # cost that a step must save, divided by the number of endpoints: a step concerns two of them
+MIN_GAIN = 0.032  # least saving of a step, times the number of endpoints: a step changes two of them
 
 COUNT_COST_WEIGHT = 0.025
 LOAD_COST_WEIGHT = 1.0  # load is what queues
@@ -30,7 +30,7 @@
 
 
 def is_skewed(copy: ClusterCopy) -> bool:
-    """The slop gate: whether some endpoint's load or number of replicas for its capacity is off the mean."""
+    """Whether some endpoint's load or number of replicas for its capacity is off the mean by more than `SLOP`."""
     if len(copy.names) < 2 or not copy.replicas:
         return False
     counts = [len(replicas) for replicas in copy.replicas_on]
@@ -81,7 +81,7 @@
 
 
 def to_warmest_endpoint(copy: ClusterCopy, rng: random.Random) -> list[Move]:
-    """Candidate generator: a random replica to the endpoint warmest to its slice (the paper's locality)."""
+    """Candidate generator: a random replica to the endpoint warmest to its slice (the locality of HBase's balancer)."""
     replica = rng.randrange(len(copy.replicas))
     present = copy.endpoint_of[replica]
     for endpoint in copy.warmest_first[replica]:
--- a/damsonpick/load_tool/results.py
+++ b/damsonpick/load_tool/results.py
@@ -49,13 +49,13 @@
         }
 
 
-def report(experiment: Experiment, results: dict[str, ClassResults], sender_late_us: int) -> dict[str, Any]:
-    """One JSON object; `sender_late_us` is how late the tool itself was at its worst, as a check on it."""
+def report(experiment: Experiment, results: dict[str, ClassResults], max_lateness_us: int) -> dict[str, Any]:
+    """One JSON object; `max_lateness_us` is the latest start of a request against its due time, a check on the tool."""
     counted_ns = experiment.load.length - experiment.load.warm_up
     return {
         "experiment": experiment.model_dump(mode="json"),
         "python": platform.python_version(),
-        "sender_late_us": sender_late_us,
+        "sender_late_us": max_lateness_us,
         "classes": {name: result.view(counted_ns / SECOND_NS) for name, result in sorted(results.items())},
     }
 
--- a/damsonpick/protocols/sasp/member_source.py
+++ b/damsonpick/protocols/sasp/member_source.py
@@ -12,7 +12,7 @@
 
 
 class MemberSource:
-    """Hands the members of load balancers with full access to the endpoint list whenever they change.
+    """Hands the members of load balancers with access level STATE to the endpoint list whenever they change.
 
     Args:
         registry: all registrations.
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -49,7 +49,7 @@
     seen_seq: int
 
     def acknowledged_at(self) -> int:
-        """When its peer was last told anything, ns; 0: never."""
+        """Time of the last poll reply or push, ns; 0: none. SASP acknowledges nothing, so what was sent counts."""
 
 
 @dataclass(slots=True)
@@ -337,7 +337,7 @@
     # -- the fleet
 
     def endpoints(self) -> dict[str, bool]:
-        """Endpoints of all members of load balancers with full access, and whether any registration is quiesced."""
+        """Endpoints of members of load balancers with access level STATE, and whether any registration is quiesced."""
         quiesced: dict[str, bool] = {}
         for lb, balancer in self.balancers.items():
             if not self.may(lb, AccessLevel.STATE):
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -316,7 +316,7 @@
         return {}
 
     def acknowledged_at(self) -> int:
-        """When the peer was last told anything, ns; 0: never."""
+        """Time of the last poll reply or push, ns; 0: none. SASP acknowledges nothing, so what was sent counts."""
         return max(self._polled_at, self._pushed_at)
 
     def held_counts(self) -> dict[str, int]:
--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -2,7 +2,8 @@
 
 LRS counts attempts and outcomes by cluster, locality and endpoint. It has no latency and no request class, so both
 travel as `load_metric_stats`, which the specification leaves to the parties: `latency_ms` by endpoint,
-`requests.CLASS` and `failures.CLASS` by locality (zone of the server) within a slice's cluster.
+`requests.CLASS` and `failures.CLASS` in one locality of a slice's cluster, with sub-zone `asked` and no zone, whatever
+server the requests went to.
 """
 
 from __future__ import annotations
--- a/damsonpick/proxy/load_balancer.py
+++ b/damsonpick/proxy/load_balancer.py
@@ -2,7 +2,8 @@
 
 Three policies: power of two choices (M. Mitzenmacher, "The power of two choices in randomized load balancing", 2001),
 weighted random, and smooth weighted round robin. A server that fails this proxy's own requests several times in a row
-is ejected for a drawn time, but never all servers of a table at once.
+is ejected for a random time of 2 to 6 s, or until a request to it succeeds. Where all remaining candidates are ejected,
+they are used all the same.
 """
 
 from __future__ import annotations
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -21,7 +21,7 @@
 from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem
 
 NS_PER_S = 1_000_000_000
-MIN_CAPACITY = 1e-3  # of a core: an unknown or absurd capacity is not nought
+MIN_CAPACITY = 1e-3  # cores; replaces a capacity near 0
 MIN_RATE = 1e-6  # requests a second that count as none
 MAX_RATE = 1e12  # requests a second; more is taken for a fault of the reports
 MAX_CORES = 256
--- a/damsonpick/solver/model.py
+++ b/damsonpick/solver/model.py
@@ -138,7 +138,7 @@
     """A solved plan.
 
     Attributes:
-        status: `OPTIMAL`, or why the last good plan stands.
+        status: `OPTIMAL`, or why there is no plan; the other fields are then empty or 0.
         servers: their parts.
         weights: by (zone, class).
         admitted: share of each class that fits.
--- a/damsonpick/solver/program.py
+++ b/damsonpick/solver/program.py
@@ -1,7 +1,7 @@
 """The linear program of a whole plan, built for HiGHS and kept warm between plans.
 
 Minimise, in priority weight a second,
-    - value F + cross F + density * (loss slope + failing) l + move t + penalties
+    - value F + cross F + (density * loss slope + highest value * failure ratio) l + move t + penalties
 over flows F[z,c,b] (work of class c from gateways of zone z to servers of zone b), loads l[s,k] in the segments of a
 server's loss curve, gains t[s] over the last plan, shortfalls n[s] under the least share, and m over the bound on
 moves. Classes share a zone's servers alike, as what limits a server is its whole load: the program grows with servers
@@ -26,7 +26,7 @@
 
 SHORTFALL_PENALTY = 10.0  # times the highest value: a least share is missed only where it cannot be had
 EXCESS_MOVE_PENALTY = 5.0  # times the highest value
-TIE_BREAK_COST = 1e-7  # by which another zone, then a larger server, is dearer: ties are broken on purpose
+TIE_BREAK_COST = 1e-7  # by which another zone, then a smaller server, is dearer: decides between equal solutions
 CAUTION_SHARE = 0.95  # of the value of the cheapest work, under which caution stays
 RELATIVE_TOLERANCE = 1e-6
 LOAD_TOLERANCE = 1e-12
