--- a/damsonpick/testing/scenarios/player.py
+++ b/damsonpick/testing/scenarios/player.py
@@ -11,7 +11,7 @@
 import anyio
 
 from damsonpick.settings.load import load
-from damsonpick.testing.rule_checker import Checker, Limits, Result
+from damsonpick.testing.rules import Checker, EffectRule, Limits, RuleResult
 from damsonpick.testing.scenarios.environment import Stage
 from damsonpick.testing.scenarios.faults import ALL
 from damsonpick.testing.scenarios.script import Script, Trouble
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        rules: list[Result],
+        rules: list[RuleResult],
         service: float,
         requests: int,
         ends: dict[str, int],
@@ -45,17 +45,7 @@
             "requests": self.requests,
             "ends": self.ends,
             **({"fronts": {n: round(s, 4) for n, s in self.fronts.items()}} if self.fronts else {}),
-            "rules": [
-                {
-                    "rule": r.name,
-                    "tested": r.tested,
-                    "worst": round(r.worst, 3),
-                    "limit": r.limit,
-                    "unit": r.unit,
-                    "breaches": [b._asdict() for b in r.breaches],
-                }
-                for r in self.rules
-            ],
+            "rules": [rule.as_dict() for rule in self.rules],
         }
 
 
@@ -91,19 +81,22 @@
 
 def limits(settings: Any) -> Limits:
     """The rules' figures from a pilot's settings."""
-    r, c = settings.rules, settings.channel
+    rules, channel = settings.rules, settings.channel
     return Limits(
-        slices=settings.table_count(),
-        bare=r.empty_table_limit,
-        grace=r.drain_grace,
-        cold_time=r.warm_up_time,
-        fall_multiple=r.overload_multiple,
-        fall_time=r.overload_time,
-        waiting=c.limit if c.lines_per_second else float("inf"),
-        head=c.message_overhead,
-        messages=c.messages_per_window,
-        window=c.message_window,
-        effects={n: (k.effect, k.key_scope, k.key_window) for n, k in settings.classes.items()},
+        slice_count=settings.table_count(),
+        empty_table_ns=rules.empty_table_limit,
+        drain_grace_ns=rules.drain_grace,
+        warm_up_ns=rules.warm_up_time,
+        overload_multiple=rules.overload_multiple,
+        overload_window_ns=rules.overload_time,
+        queued_entries=channel.limit if channel.lines_per_second else float("inf"),
+        message_overhead_entries=channel.message_overhead,
+        messages_per_window=channel.messages_per_window,
+        message_window_ns=channel.message_window,
+        effect_rules={
+            name: EffectRule(request_class.effect, request_class.key_scope, request_class.key_window)
+            for name, request_class in settings.classes.items()
+        },
     )
 
 
--- a/damsonpick/testing/scenarios/report.py
+++ b/damsonpick/testing/scenarios/report.py
@@ -66,7 +66,7 @@
         )
         for breach in rule.breaches[:BREACHES]:
             click.echo(
-                f"          at {breach.t / 1e9:.3f} gateway {breach.gateway} slice {breach.slice} "
+                f"          at {breach.time_ns / 1e9:.3f} gateway {breach.gateway} slice {breach.slice_number} "
                 f"server {breach.server}: {breach.text}"
             )
         if len(rule.breaches) > BREACHES:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,24 +4,24 @@
 
 import pytest
 
-from damsonpick.testing.rule_checker import Checker, Limits
+from damsonpick.testing.rules import Checker, EffectRule, Limits
 
 SECOND = 1_000_000_000
 LIMITS = Limits(
-    slices=1,
-    bare=2 * SECOND,
-    grace=2 * SECOND,
-    cold_time=10 * SECOND,
-    fall_multiple=2,
-    fall_time=SECOND,
-    waiting=100,
-    head=8,
-    messages=3,
-    window=10 * SECOND,
-    effects={
-        "safe": ("read_like", "all", 0),
-        "once": ("non_idempotent", "all", 0),
-        "keyed": ("idempotency_key", "zone", 5 * SECOND),
+    slice_count=1,
+    empty_table_ns=2 * SECOND,
+    drain_grace_ns=2 * SECOND,
+    warm_up_ns=10 * SECOND,
+    overload_multiple=2,
+    overload_window_ns=SECOND,
+    queued_entries=100,
+    message_overhead_entries=8,
+    messages_per_window=3,
+    message_window_ns=10 * SECOND,
+    effect_rules={
+        "safe": EffectRule("read_like", "all", 0),
+        "once": EffectRule("non_idempotent", "all", 0),
+        "keyed": EffectRule("idempotency_key", "zone", 5 * SECOND),
     },
 )
 LIST = {"x": ["in_service", 0, "a"], "y": ["in_service", 0, "b"]}
@@ -165,5 +165,5 @@
     rule, events = BREAKS[case]
     results = check(*events)
     breach = results[rule].breaches[0]
-    assert breach.t and breach.text
+    assert breach.time_ns and breach.text
     assert [name for name, r in results.items() if r.breaches] == [rule]
