--- a/benchmarks/fanout.py
+++ b/benchmarks/fanout.py
@@ -26,7 +26,7 @@
 
 from damsonpick import interface as api
 from damsonpick.runtime.clock import Clock
-from damsonpick.testing.fakes.list_server import ListServer
+from damsonpick.testing.fakes.list_server import FakeListServer
 from damsonpick.testing.fakes.record import Recorder
 
 HERE = Path(__file__).resolve().parent
@@ -73,7 +73,7 @@
         self.workers: list[asyncio.subprocess.Process] = []
 
     async def start(self) -> None:
-        self.lists = ListServer("servers", Recorder(self.folder / "list.jsonl", Clock().now))
+        self.lists = FakeListServer("servers", Recorder(self.folder / "list.jsonl", Clock().now))
         self.lists.put(*(entry(k) for k in range(SERVERS)))
         self.server, address = await self.lists.start()
         (self.folder / "pilot.ini").write_text(SETTINGS.format(seed=self.seed, upstream=address))
--- a/benchmarks/knowledge_kills.py
+++ b/benchmarks/knowledge_kills.py
@@ -28,8 +28,9 @@
 from damsonpick.settings.load import load
 from damsonpick.state.learned import codec, generations
 from damsonpick.state.learned.errors import SnapshotCorruptError
+from damsonpick.testing.scenarios import outcome as outcomes
 from damsonpick.testing.scenarios import player
-from damsonpick.testing.scenarios.environment import Stage
+from damsonpick.testing.scenarios.environment import Environment
 from damsonpick.testing.scenarios.script import Script
 
 GATEWAYS = 20
@@ -52,7 +53,7 @@
                 "page": {**shared, "share": 0.6},
                 "tally": {**shared, "share": 0.4, "worth": 2, "effect": "non_idempotent"},
             },
-            "troubles": {},
+            "faults": {},
             "pilot": {
                 "rules": {
                     "drain_grace": "2.5 s",
@@ -84,17 +85,17 @@
 
 async def campaign(folder: Path, kills: int, seed: int) -> dict[str, Any]:
     rng = random.Random(seed)
-    stage = Stage(script(), seed, folder, player.PILOT)
+    environment = Environment(script(), seed, folder, player.PILOT_COMMAND)
     kept = folder / "state" / "knowledge"
     lives: list[tuple[int, int]] = []  # start of the process, its kill
     torn, lost, refused, newest, damaged = 0, 0, 0, 0, b""
     async with anyio.create_task_group() as group:
         try:
-            await stage.build(group)
-            await stage.wait(5 * SECOND)
+            await environment.start(group)
+            await environment.sleep(5 * SECOND)
             for k in range(kills):
-                await stage.wait(int(rng.uniform(0.3, 1.6) * SECOND))
-                await stage.kill_pilot()
+                await environment.sleep(int(rng.uniform(0.3, 1.6) * SECOND))
+                await environment.pilot.kill()
                 files = read(kept)
                 whole = [v for v in files.values() if isinstance(v, int)]
                 # what was damaged here stays until the pilot writes again; it is no torn file
@@ -112,16 +113,16 @@
                     path.write_bytes(damaged)
                     refused += isinstance(read(kept)[which], str)
                     newest = min(whole) if len(whole) > 1 else 0
-                start = stage.clock.now()
-                await stage.start_pilot()
+                start = environment.clock.now()
+                await environment.pilot.start()
                 lives.append((start, 0))
                 if k % 50 == 49:
                     print(k + 1, files, flush=True)
-            await stage.wait(4 * SECOND)
+            await environment.sleep(4 * SECOND)
         finally:
-            await stage.end()
+            await environment.stop()
         group.cancel_scope.cancel()
-    outcome = player.judge(folder, player.limits(load(stage.settings_file)))
+    outcome = outcomes.evaluate(folder, outcomes.limits_of(load(environment.pilot.settings_file)))
     joined = joins(folder, [start for start, _ in lives])
     late = [t for t in joined if t > 2]
     log = (folder / "pilot.log").read_text()
@@ -158,7 +159,7 @@
 
 def joins(folder: Path, starts: list[int]) -> list[float]:
     """For each life: s from its start until the last gateway was on a stream (they keep their tables meanwhile)."""
-    ups = [(e["t"], e["gw"]) for e in player.records(folder) if e["e"] == "stream" and e["up"]]
+    ups = [(e["t"], e["gw"]) for e in outcomes.read_records(folder) if e["e"] == "stream" and e["up"]]
     found = []
     for k, start in enumerate(starts):
         end = starts[k + 1] if k + 1 < len(starts) else start + 10 * SECOND
--- a/benchmarks/knowledge_restart.py
+++ b/benchmarks/knowledge_restart.py
@@ -33,9 +33,9 @@
 from damsonpick.state.learned import codec, generations
 from damsonpick.state.learned.disk import OsDisk
 from damsonpick.state.learned.snapshot import LearnedFleet, Snapshot
+from damsonpick.testing.scenarios import outcome as outcomes
 from damsonpick.testing.scenarios import player
-from damsonpick.testing.scenarios.environment import Stage
-from damsonpick.testing.scenarios.faults import ALL
+from damsonpick.testing.scenarios.environment import Environment
 from damsonpick.testing.scenarios.script import Script
 
 SECOND = 1_000_000_000
@@ -63,7 +63,7 @@
                 "slices": 96,
             },
             "classes": {"page": {**shared, "share": 0.6}, "tally": {**shared, "share": 0.4, "worth": 2}},
-            "troubles": SCENARIOS[scenario],
+            "faults": SCENARIOS[scenario],
             "pilot": {
                 "rules": {
                     "drain_grace": "2.5 s",
@@ -116,37 +116,34 @@
 
 async def play(scenario: str, arm: str, seed: int, folder: Path) -> dict[str, Any]:
     made = script(scenario)
-    stage = Stage(made, seed, folder, player.PILOT)
+    environment = Environment(made, seed, folder, player.PILOT_COMMAND)
     at = 0
 
-    async def strike(trouble: Any) -> None:
-        await stage.wait(trouble.at)
-        await ALL[trouble.kind](stage, trouble)
-
     async with anyio.create_task_group() as group:
         try:
-            await stage.build(group)
-            for trouble in made.troubles.values():
-                group.start_soon(strike, trouble)
-            await stage.wait(KILL * SECOND)
-            at = stage.clock.now()
+            await environment.start(group)
+            for fault in made.faults.values():
+                group.start_soon(player.inject, environment, fault)
+            await environment.sleep(KILL * SECOND)
+            at = environment.clock.now()
             if arm != "none":
-                await stage.kill_pilot()
+                await environment.pilot.kill()
                 tamper(folder, arm, seed)
-                await stage.start_pilot()
-            await stage.wait(at + (END - KILL) * SECOND - stage.clock.now())
+                await environment.pilot.start()
+            await environment.sleep(at + (END - KILL) * SECOND - environment.clock.now())
         finally:
-            await stage.end()
+            await environment.stop()
         group.cancel_scope.cancel()
     from damsonpick.settings.load import load
 
-    outcome = player.judge(folder, player.limits(load(stage.settings_file)))
-    done = [e for e in player.records(folder) if e["e"] == "done" and at <= e["begun"] < at + WINDOW * SECOND]
+    outcome = outcomes.evaluate(folder, outcomes.limits_of(load(environment.pilot.settings_file)))
+    requests = outcomes.completed_requests(outcomes.read_records(folder))
+    done = [request for request in requests if at <= request.begun_ns < at + WINDOW * SECOND]
     return {
         "scenario": scenario,
         "arm": arm,
         "seed": seed,
-        "service": player.service(done),
+        "service": outcomes.service_of(done),
         "requests": len(done),
         "kept": outcome.kept,
         "broken": [r.name for r in outcome.rules if r.breaches],
--- a/benchmarks/proxy_rate.py
+++ b/benchmarks/proxy_rate.py
@@ -117,18 +117,18 @@
 
 
 async def standin(ports: list[int]) -> None:
-    """The earlier stand-in gateway's forwarding behind a socket of its own."""
+    """The earlier fake gateway's forwarding behind a socket of its own."""
     from damsonpick.proxy.received_state import Table
     from damsonpick.runtime.clock import Clock
     from damsonpick.testing.fakes import http
-    from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
+    from damsonpick.testing.fakes.gateway import FakeGateway
+    from damsonpick.testing.fakes.gateway_context import GatewayContext, Network, TrafficClass
     from damsonpick.testing.fakes.record import Recorder
 
-    kind = Kind("page", 10**9, 10**10, "read_like")
+    kind = TrafficClass("page", 10**9, 10**10, "read_like")
     clock = Clock()
-    gateway = Gateway(
-        "g", "a", True, str, {"page": kind}, clock, Recorder(Path(os.devnull), clock.now), Links(), random.Random(1)
-    )
+    context = GatewayContext(clock, Recorder(Path(os.devnull), clock.now), Network(), {"page": kind})
+    gateway = FakeGateway("g", "a", True, str, context, random.Random(1))
     gateway.holdings.tables["slice/0"] = Table({f"127.0.0.1:{p}": (1000, "a") for p in ports}, {})
 
     async def handle(headers: dict[str, str]) -> http.Answer:
@@ -137,7 +137,7 @@
 
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1", backlog=2048)
     async with anyio.create_task_group() as group:
-        group.start_soon(listener.serve, lambda s: http.answer(s, handle))
+        group.start_soon(listener.serve, lambda s: http.serve_connection(s, handle))
         print(listener.extra(anyio.abc.SocketAttribute.local_port), flush=True)
         await anyio.to_thread.run_sync(sys.stdin.read)
         group.cancel_scope.cancel()
--- a/benchmarks/solver_scenarios.py
+++ b/benchmarks/solver_scenarios.py
@@ -23,6 +23,7 @@
 from damsonpick.solver.model import Costs, Kind, Problem, Server
 from damsonpick.solver.plan import plan
 from damsonpick.solver.program import Program
+from damsonpick.testing.scenarios import outcome as outcomes
 from damsonpick.testing.scenarios import player
 from damsonpick.testing.scenarios.script import Script
 
@@ -55,7 +56,7 @@
                 "slices": 96 if arm == "slices" else 0,
             },
             "classes": {"page": {**shared, "share": 0.6}, "tally": {**shared, "share": 0.4, "worth": 2}},
-            "troubles": TROUBLES[kind],
+            "faults": TROUBLES[kind],
             "pilot": {
                 "rules": {
                     "drain_grace": "2.5 s",
@@ -85,14 +86,14 @@
         "requests": outcome.requests,
         "kept": outcome.kept,
         "broken": [r.name for r in outcome.rules if r.breaches],
-        "ends": outcome.ends,
+        "ends": outcome.endings,
         "knowing": ideal,
     }
 
 
 def knowing(folder: Path) -> float:
     """What the model would have served with true capacities and demand, second by second."""
-    events = list(player.records(folder))
+    events = outcomes.read_records(folder)
     kinds = {"page": Kind("page", 1.0, 0.0, 0.325, 1.5), "tally": Kind("tally", 2.0, 0.0, 0.325, 1.5)}
     zones, alive, slow = {}, {}, {}
     done = [e for e in events if e["e"] == "done"]
--- a/damsonpick/testing/fakes/__init__.py
+++ b/damsonpick/testing/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins on loopback for what is not ours: gateways, results servers, a list server."""
+"""Small fakes on loopback of what is not ours: gateways, results servers, list server, the platform's services."""
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -1,4 +1,4 @@
-"""A balancer that stands in: it weighs requests by SASP advice, one group a slice, and forwards as the gateways do."""
+"""A fake balancer: it weighs requests by SASP advice, one group a slice, and forwards as the gateways do."""
 
 from __future__ import annotations
 
@@ -12,40 +12,47 @@
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.proxy.received_state import Table
 from damsonpick.runtime.backoff import Backoff
-from damsonpick.runtime.clock import Clock
-from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
-from damsonpick.testing.fakes.record import Recorder
+from damsonpick.testing.fakes.gateway import FakeGateway
+from damsonpick.testing.fakes.gateway_context import GatewayContext
 
 BATCH = 50  # groups in one registration
 LOST = (SaspError, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
-class Balancer(Gateway):
-    """Args as a Gateway's, but `dial` gives the address of the SASP front; members: zone by server; slices: number."""
+class FakeBalancer(FakeGateway):
+    """One balancer; attributes as of `FakeGateway`."""
 
     def __init__(
         self,
         name: str,
         zone: str,
-        dial: Callable[[], str],
-        kinds: dict[str, Kind],
-        clock: Clock,
-        record: Recorder,
-        links: Links,
+        pilot_address: Callable[[], str],
+        context: GatewayContext,
         rng: random.Random,
         members: dict[str, str],
         slices: int,
     ) -> None:
-        super().__init__(name, zone, True, dial, kinds, clock, record, links, rng)
-        self.dial, self.members, self.slices = dial, members, slices
+        """Prepare a balancer that is not yet connected.
+
+        Args:
+            name: its name.
+            zone: where it is.
+            pilot_address: gives the address of the pilot's SASP port, or '' while there is none.
+            context: what it shares with the other gateways.
+            rng: draws servers and retries.
+            members: zone by server.
+            slices: how many, each a group.
+        """
+        super().__init__(name, zone, True, pilot_address, context, rng)
+        self.pilot_address, self.members, self.slices = pilot_address, members, slices
         self.seen, self.count = False, 0
 
     async def follow(self) -> None:
         """Keep a session with the pilot, for ever; what was advised last stays in force meanwhile."""
         backoff = Backoff(self.rng, 0.1, 1.0)
         while True:
-            address = self.dial()
-            if address and self.links.to_pilot(self.name, self.zone):
+            address = self.pilot_address()
+            if address and self.network.reaches_pilot(self.name, self.zone):
                 try:
                     await self._session(address, backoff)
                 except* LOST:
@@ -94,7 +101,7 @@
             await anyio.sleep(max(1, reply.interval) / self.clock.rate)
 
     async def _until_lost(self, client: Client, scope: anyio.CancelScope) -> None:
-        while not client.ended.is_set() and self.links.to_pilot(self.name, self.zone):
+        while not client.ended.is_set() and self.network.reaches_pilot(self.name, self.zone):
             await anyio.sleep(0.05)
         scope.cancel()
 
--- a/damsonpick/testing/fakes/collector.py
+++ b/damsonpick/testing/fakes/collector.py
@@ -1,4 +1,4 @@
-"""A collector that stands in: it joins a pilot's address for a zone and hands reports on."""
+"""A fake of the platform's collector: it connects to a pilot for a zone and sends load reports."""
 
 from __future__ import annotations
 
@@ -8,49 +8,64 @@
 import anyio
 from anyio.abc import SocketStream
 
+LENGTH_BYTES = 4
+READ_BYTES = 100
+REPORT_SPAN_MS = 1000.0
+REPORT_BUSY_REQUESTS = 3.0
+Message = dict[str, Any] | bytes
 
-def framed(message: dict[str, Any] | bytes) -> bytes:
+
+def frame(message: Message) -> bytes:
+    """A message with its length before it; bytes are sent as they are, in place of JSON."""
     body = message if isinstance(message, bytes) else json.dumps(message).encode()
-    return len(body).to_bytes(4, "little") + body
+    return len(body).to_bytes(LENGTH_BYTES, "little") + body
 
 
-class Collector:
-    """One connection to a pilot's address."""
+class FakeCollector:
+    """One connection to a pilot."""
 
     def __init__(self, stream: SocketStream) -> None:
+        """Use an open stream."""
         self.stream = stream
 
     @classmethod
-    async def dial(cls, port: int) -> Collector:
+    async def connect(cls, port: int) -> FakeCollector:
+        """Open a connection; it has not joined a zone."""
         return cls(await anyio.connect_tcp("127.0.0.1", port))
 
-    async def join(self, zone: str) -> Collector:
-        await self.say({"@type": "telemetry", "zone": zone})
+    async def join(self, zone: str) -> FakeCollector:
+        """Say for which zone reports come."""
+        await self.send({"@type": "telemetry", "zone": zone})
         return self
 
-    async def say(self, message: dict[str, Any] | bytes) -> None:
-        await self.stream.send(framed(message))
+    async def send(self, message: Message) -> None:
+        """Send a framed message."""
+        await self.stream.send(frame(message))
 
-    async def raw(self, data: bytes) -> None:
+    async def send_bytes(self, data: bytes) -> None:
+        """Send bytes as they are."""
         await self.stream.send(data)
 
-    async def alive(self) -> bool:
-        """Whether the pilot answers a question for life."""
-        await self.say({"@type": "hb"})
-        return b"hb_ok" in await self.stream.receive(100)
+    async def gets_heartbeat(self) -> bool:
+        """Whether the pilot answers a heartbeat request."""
+        await self.send({"@type": "hb"})
+        return b"hb_ok" in await self.stream.receive(READ_BYTES)
 
-    async def closed(self, within: float) -> bool:
+    async def is_closed_within(self, timeout_s: float) -> bool:
         """Whether the pilot closes the connection in time."""
-        with anyio.move_on_after(within):
+        with anyio.move_on_after(timeout_s):
             try:
                 while True:
-                    await self.stream.receive(100)
+                    await self.stream.receive(READ_BYTES)
             except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
                 return True
         return False
 
-    async def report(self, zone: str, server: str, tries: int = 20, failed: int = 0, mean_ms: float = 200.0) -> None:
-        await self.say(
+    async def send_report(
+        self, zone: str, server: str, tries: int = 20, failed: int = 0, mean_ms: float = 200.0
+    ) -> None:
+        """Send a load report on one server."""
+        await self.send(
             {
                 "@type": "upstream_stats",
                 "zone": zone,
@@ -58,7 +73,7 @@
                 "tries": tries,
                 "failed": failed,
                 "mean_ms": mean_ms,
-                "span_ms": 1000.0,
-                "load": {"busy_reqs": 3.0},
+                "span_ms": REPORT_SPAN_MS,
+                "load": {"busy_reqs": REPORT_BUSY_REQUESTS},
             }
         )
--- a/damsonpick/testing/fakes/discovery.py
+++ b/damsonpick/testing/fakes/discovery.py
@@ -1,33 +1,60 @@
-"""A discovery service that stands in: the whole list, its changes, and a watch that can be cut, silenced or spoilt."""
+"""A fake of the platform's discovery: the endpoint list, its changes, and a watch that can be cut or fall silent."""
 
 from __future__ import annotations
 
 import json
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 from anyio.abc import SocketStream
 
 from damsonpick.testing.fakes import faulty_http
 
+Entry = dict[str, Any]
 
-class Catalogue(faulty_http.Watched):
-    """Args: servers: ids that are ready at first."""
 
-    every = 0.3  # a real one gives an empty line every two seconds
+class Change(NamedTuple):
+    """A change of the list: the version that it led to, and the entry as it is since."""
+
+    version: int
+    entry: Entry
+
+
+class FakeDiscovery(faulty_http.WatchServer):
+    """The discovery service.
+
+    Attributes:
+        version: of the list.
+        servers: the list, by server.
+        history: all changes since the start.
+        requested_targets: targets of all requests.
+        is_down: requests are answered with an error.
+        holds_requests: requests are answered once the gate is opened.
+        omits_list: watches begin with a heartbeat in place of the list.
+        gate: see `holds_requests`.
+    """
+
+    heartbeat_interval_s = 0.3  # a real one sends an empty line every two seconds
 
     def __init__(self, *servers: str, zone: str = "a") -> None:
+        """Start with these servers ready.
+
+        Args:
+            servers: their names.
+            zone: of all.
+        """
         super().__init__()
         self.version, self.zone = 1, zone
         self.servers = {name: self.entry(name) for name in servers}
-        self.history: list[tuple[int, dict[str, Any]]] = []
-        self.asked: list[str] = []
-        self.down = False
-        self.held = False  # watches are answered once the gate is opened
-        self.mute = False  # watches begin with a sign of life, and tell nothing
+        self.history: list[Change] = []
+        self.requested_targets: list[str] = []
+        self.is_down = False
+        self.holds_requests = False
+        self.omits_list = False
         self.gate = faulty_http.Gate()
 
-    def entry(self, name: str, state: str = "Ready", **more: Any) -> dict[str, Any]:
+    def entry(self, name: str, state: str = "Ready", **fields: Any) -> Entry:
+        """A server's entry in the list, as on the wire."""
         return {
             "id": name,
             "addr": "127.0.0.1:1",
@@ -37,36 +64,43 @@
             "state": state,
             "weight": 1.0,
             "started_ms": 0,
-        } | more
+        } | fields
 
-    async def put(self, name: str, state: str = "Ready", **more: Any) -> None:
-        """Change one server and tell it."""
-        entry = self.entry(name, state, **more)
+    async def update_server(self, name: str, state: str = "Ready", **fields: Any) -> None:
+        """Change one server and report it on the watches."""
+        entry = self.entry(name, state, **fields)
         self.version += 1
-        self.history.append((self.version, entry))
+        self.history.append(Change(self.version, entry))
         if state == "Gone":
             self.servers.pop(name, None)
         else:
             self.servers[name] = entry
-        await self.say(json.dumps(self._listing(False, [entry])).encode())
-
-    def _listing(self, full: bool, entries: list[dict[str, Any]]) -> dict[str, Any]:
-        return {"version": self.version, "full": full, "servers": entries}
+        await self.send_line(self._message(False, [entry]))
 
-    async def serve(self, asked: faulty_http.Asked, stream: SocketStream) -> bool:
-        self.asked.append(asked.target)
-        if self.down:
-            await stream.send(faulty_http.answer(b"", "503 Service Unavailable"))
+    async def serve(self, request: faulty_http.Request, stream: SocketStream) -> bool:
+        """Answer with the list, or open a watch; returns whether the connection stays open."""
+        self.requested_targets.append(request.target)
+        if self.is_down:
+            await stream.send(faulty_http.answer_bytes(b"", "503 Service Unavailable"))
             return False
-        if self.held:
-            await self.gate.pass_through()
-        query = parse_qs(urlsplit(asked.target).query)
-        whole = json.dumps(self._listing(True, list(self.servers.values()))).encode()
+        if self.holds_requests:
+            await self.gate.wait()
+        query = parse_qs(urlsplit(request.target).query)
         if "watch" not in query:
-            await stream.send(faulty_http.answer(whole))
+            await stream.send(faulty_http.answer_bytes(self._whole_list()))
             return True
-        since = int(query["from"][0])
-        if 0 < since <= self.version:  # it remembers all changes since its start
-            whole = json.dumps(self._listing(False, [e for v, e in self.history if v > since])).encode()
-        await self.watch(stream, [b"" if self.mute else whole])
+        first_line = self._message_since(int(query["from"][0]))
+        await self.watch(stream, [b"" if self.omits_list else first_line])
         return False
+
+    def _message_since(self, version: int) -> bytes:
+        """The changes since a version, or the whole list if the version is not known."""
+        if 0 < version <= self.version:
+            return self._message(False, [change.entry for change in self.history if change.version > version])
+        return self._whole_list()
+
+    def _whole_list(self) -> bytes:
+        return self._message(True, list(self.servers.values()))
+
+    def _message(self, full: bool, entries: list[Entry]) -> bytes:
+        return json.dumps({"version": self.version, "full": full, "servers": entries}).encode()
--- a/damsonpick/testing/fakes/faulty_http.py
+++ b/damsonpick/testing/fakes/faulty_http.py
@@ -1,19 +1,21 @@
-"""A small HTTP/1.1 server for stand-ins whose answers may go wrong at any byte: requests by h11, answers by hand."""
+"""A small HTTP/1.1 server for fakes whose answers may fail at any byte: requests by h11, answers by hand."""
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager, suppress
-from typing import NamedTuple
+from typing import ClassVar, NamedTuple
 
 import anyio
 import h11
 from anyio.abc import SocketStream
 
-CHUNK = 65_536
+READ_BYTES = 65_536
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CONNECTION_ENDED = (anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
-class Asked(NamedTuple):
+class Request(NamedTuple):
     """One request."""
 
     method: str
@@ -21,26 +23,24 @@
     body: bytes
 
 
-def answer(body: bytes, status: str = "200 OK") -> bytes:
-    """A whole answer's bytes."""
+def answer_bytes(body: bytes, status: str = "200 OK") -> bytes:
+    """A whole answer."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-
-
-def chunk(body: bytes) -> bytes:
+def chunk_bytes(body: bytes) -> bytes:
+    """One chunk of an answer with chunked transfer encoding."""
     return f"{len(body):x}\r\n".encode() + body + b"\r\n"
 
 
-async def read(stream: SocketStream, http: h11.Connection) -> Asked | None:
-    """The next request; None: the peer is gone."""
+async def read_request(stream: SocketStream, http: h11.Connection) -> Request | None:
+    """The next request; None: the peer has closed."""
     head, body = None, b""
     while True:
         event = http.next_event()
         if event is h11.NEED_DATA:
             try:
-                http.receive_data(await stream.receive(CHUNK))
+                http.receive_data(await stream.receive(READ_BYTES))
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 return None
         elif isinstance(event, h11.Request):
@@ -48,98 +48,130 @@
         elif isinstance(event, h11.Data):
             body += event.data
         elif isinstance(event, h11.EndOfMessage):
-            return Asked(head.method.decode(), head.target.decode(), body)
+            return Request(head.method.decode(), head.target.decode(), body)
         else:
             return None
 
 
 class Gate:
-    """Holds what comes to it until it is opened, so that a test can have something else happen first."""
+    """Holds exchanges until it is opened, so that a test can have something else happen first.
+
+    Attributes:
+        reached: set once an exchange waits.
+        opened: set it to let all continue.
+    """
 
     def __init__(self) -> None:
+        """Start closed."""
         self.reached, self.opened = anyio.Event(), anyio.Event()
 
-    async def pass_through(self) -> None:
+    async def wait(self) -> None:
+        """Wait until the gate is opened."""
         self.reached.set()
         await self.opened.wait()
 
 
-Serve = Callable[[Asked, SocketStream], Awaitable[bool]]
+Handler = Callable[[Request, SocketStream], Awaitable[bool]]
 
 
 @asynccontextmanager
-async def serving(serve: Serve, port: int = 0):
-    """Open a port and hand each request to `serve`, which writes the answer and says whether the connection stays."""
-    made = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
+async def serving(handler: Handler, port: int = 0) -> AsyncIterator[int]:
+    """Open a port and serve its connections.
+
+    Args:
+        handler: writes the answer to a request and returns whether the connection stays open.
+        port: to listen on; 0: one that the system picks.
 
-    async def attend(stream: SocketStream) -> None:
-        http = h11.Connection(h11.SERVER)
+    Yields:
+        The port.
+    """
+    listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
+
+    async def serve_connection(stream: SocketStream) -> None:
         try:
-            while (asked := await read(stream, http)) is not None and await serve(asked, stream):
-                http = h11.Connection(h11.SERVER)
-        except (anyio.BrokenResourceError, anyio.ClosedResourceError, h11.RemoteProtocolError):
+            await _serve_requests(stream, handler)
+        except (*CONNECTION_ENDED, h11.RemoteProtocolError):
             pass
         finally:
             await anyio.aclose_forcefully(stream)
 
-    async with made, anyio.create_task_group() as group:
-        group.start_soon(made.serve, attend)
-        yield made.extra(anyio.abc.SocketAttribute.local_port)
+    async with listener, anyio.create_task_group() as group:
+        group.start_soon(listener.serve, serve_connection)
+        yield listener.extra(anyio.abc.SocketAttribute.local_port)
         group.cancel_scope.cancel()
 
 
-class Watched:
-    """A service with watches: long answers that lines are told to until they are cut.
+async def _serve_requests(stream: SocketStream, handler: Handler) -> None:
+    stays_open = True
+    while stays_open:
+        request = await read_request(stream, h11.Connection(h11.SERVER))
+        if request is None:
+            return
+        stays_open = await handler(request, stream)
+
+
+class WatchServer:
+    """A server with watches: answers that stay open, to which lines are added until they are cut.
+
+    A subclass implements `serve`.
 
-    A subclass gives `beat`, the sign of life, how often it comes (`every`, s), and serves requests in `serve`.
+    Attributes:
+        heartbeat_line: sent on each watch in regular intervals.
+        heartbeat_interval_s: how often.
+        watchers: connections with an open watch.
+        silent: whether heartbeats stop while the connections stay open.
     """
 
-    beat, every = b"", 1.0
+    heartbeat_line: ClassVar[bytes] = b""
+    heartbeat_interval_s: ClassVar[float] = 1.0
 
     def __init__(self) -> None:
+        """Start without watches."""
         self.watchers: set[SocketStream] = set()
-        self.silent = False  # signs of life stop, and connections stay open
-        self.speaking = anyio.Lock()  # a line is written whole before the next one
+        self.silent = False
+        self._write_lock = anyio.Lock()  # a line is written whole before the next one
 
-    async def serve(self, asked: Asked, stream: SocketStream) -> bool:
+    async def serve(self, request: Request, stream: SocketStream) -> bool:
+        """Answer a request; returns whether the connection stays open."""
         raise NotImplementedError
 
     @asynccontextmanager
-    async def running(self, port: int = 0):
-        """Its port."""
-        async with serving(self.serve, port) as opened, anyio.create_task_group() as group:
-            group.start_soon(self._beat)
-            yield opened
+    async def running(self, port: int = 0) -> AsyncIterator[int]:
+        """Serve on a port, which is yielded; 0: one that the system picks."""
+        async with serving(self.serve, port) as opened_port, anyio.create_task_group() as group:
+            group.start_soon(self._send_heartbeats)
+            yield opened_port
             group.cancel_scope.cancel()
 
-    async def say(self, line: bytes) -> None:
-        """A line as it is to all watchers."""
-        await self.drip(line + b"\n")
+    async def send_line(self, line: bytes) -> None:
+        """Send a line to all watchers."""
+        await self.send_bytes(line + b"\n")
 
-    async def drip(self, data: bytes) -> None:
-        """Bytes as they are to all watchers."""
-        async with self.speaking:
+    async def send_bytes(self, data: bytes) -> None:
+        """Send bytes to all watchers, as a chunk of their own."""
+        async with self._write_lock:
             for stream in list(self.watchers):
                 try:
-                    await stream.send(chunk(data))
-                except (anyio.BrokenResourceError, anyio.ClosedResourceError):
+                    await stream.send(chunk_bytes(data))
+                except CONNECTION_ENDED:
                     self.watchers.discard(stream)
 
-    async def cut(self) -> None:
-        """Cut all watches."""
+    async def cut_watches(self) -> None:
+        """Close the connections of all watches."""
         for stream in list(self.watchers):
             await anyio.aclose_forcefully(stream)
 
     async def watch(self, stream: SocketStream, lines: list[bytes]) -> None:
-        """Answer with these lines, and keep the answer open until a further byte or the end comes."""
-        await stream.send(HEAD + b"".join(chunk(line + b"\n") for line in lines))
+        """Answer with these lines, and keep the answer open until the peer sends a byte or closes."""
+        first_chunks = [chunk_bytes(line + b"\n") for line in lines]
+        await stream.send(CHUNKED_HEAD + b"".join(first_chunks))
         self.watchers.add(stream)
-        with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
+        with suppress(anyio.EndOfStream, *CONNECTION_ENDED):
             await stream.receive(1)
         self.watchers.discard(stream)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await anyio.sleep(self.every)
+            await anyio.sleep(self.heartbeat_interval_s)
             if not self.silent:
-                await self.say(self.beat)
+                await self.send_line(self.heartbeat_line)
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -8,179 +8,253 @@
 import json
 import random
 import sys
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import anyio
 from anyio.abc import TaskGroup
 
 from damsonpick.runtime import port_files
 from damsonpick.runtime.clock import Clock
-from damsonpick.testing.fakes.balancer import Balancer
-from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
-from damsonpick.testing.fakes.proxied import Proxied
+from damsonpick.testing.fakes.balancer import FakeBalancer
+from damsonpick.testing.fakes.gateway import FakeGateway
+from damsonpick.testing.fakes.gateway_context import GatewayContext, Network, TrafficClass
+from damsonpick.testing.fakes.proxy_gateway import ProxyGateway
 from damsonpick.testing.fakes.record import Recorder
 
-BACK_AFTER = 0.15  # s of the day until a client repeats what is safe to repeat
+CLIENT_RETRY_DELAY_S = 0.15  # of the scenario, until a client repeats what is safe to repeat
+IDLE_POLL_S = 0.05  # of the wall clock, until a demand of nothing is looked at again
+NO_SLICE = -1
+NS_PER_SECOND = 1e9
+NS_PER_MS = 1_000_000
+# Spread (sigma of a lognormal factor) of slices' popularity, of requests' work and of gateways' shares of the traffic.
+SLICE_SPREAD, WORK_SPREAD, GATEWAY_SPREAD = 0.6, 0.4, 0.8
+NOT_RUN_ENDINGS = ("refused", "no server", "never ran")
+
+Command = dict[str, Any]
+Gateway = FakeGateway | ProxyGateway
+
+
+class ClientRequest(NamedTuple):
+    """What a client asks for.
+
+    Attributes:
+        class_name: its request class.
+        priority_weight: of the class.
+        slice_number: -1: a table for zone and class.
+        work_ms: mean speed assumed.
+    """
+
+    class_name: str
+    priority_weight: float
+    slice_number: int
+    work_ms: float
 
 
 class Demand:
-    """What clients ask for: Poisson arrivals, slices by weight, a part of it on hot slices."""
+    """What clients ask for: slices by popularity, a share of it on hot slices.
+
+    Attributes:
+        rate: requests per second of the scenario.
+        factor: on the rate.
+        hot_slices, hot_share: which slices draw which share of all requests.
+    """
 
     def __init__(self, setup: dict[str, Any], rng: random.Random) -> None:
-        self.rate, self.rng = setup["rate"], rng
-        self.kinds = list(setup["kinds"])
-        self.shares = [k["share"] for k in self.kinds]
-        count = setup["slices"]
-        self.weights = [rng.lognormvariate(0.0, 0.6) for _ in range(count)]
-        self.slices = range(count)  # none: tables by zone and class
-        self.hot: list[int] = []
-        self.hot_share, self.factor = 0.0, 1.0
-
-    def draw(self) -> tuple[dict[str, Any], int, float]:
-        """Class, slice and work in ms of one request."""
-        kind = self.rng.choices(self.kinds, self.shares)[0]
-        if not self.slices:
-            number = -1
-        elif self.hot and self.rng.random() < self.hot_share:
-            number = self.rng.choice(self.hot)
-        else:
-            number = self.rng.choices(self.slices, self.weights)[0]
-        return kind, number, self.rng.lognormvariate(0.0, 0.4) * kind["work"]
+        """Take rate, classes and slices from the process's settings."""
+        self.rate = setup["rate"]
+        self.factor = 1.0
+        self.hot_slices: list[int] = []
+        self.hot_share = 0.0
+        self._rng = rng
+        self._classes: list[dict[str, Any]] = list(setup["kinds"])
+        self._class_shares = [settings["share"] for settings in self._classes]
+        self._slices = range(setup["slices"])  # empty: tables by zone and class
+        self._popularity = [rng.lognormvariate(0.0, SLICE_SPREAD) for _ in self._slices]
+
+    def draw(self) -> ClientRequest:
+        """Draw a request."""
+        settings = self._rng.choices(self._classes, self._class_shares)[0]
+        slice_number = self._draw_slice()
+        work_ms = self._rng.lognormvariate(0.0, WORK_SPREAD) * settings["work"]
+        return ClientRequest(settings["name"], settings["worth"], slice_number, work_ms)
+
+    def _draw_slice(self) -> int:
+        if not self._slices:
+            return NO_SLICE
+        if self.hot_slices and self._rng.random() < self.hot_share:
+            return self._rng.choice(self.hot_slices)
+        return self._rng.choices(self._slices, self._popularity)[0]
 
 
 class Fleet:
     """All gateways of the process."""
 
     def __init__(self, setup: dict[str, Any]) -> None:
-        self.setup, self.clock = setup, Clock(setup["clock_rate"])
-        self.part = setup["part"]
-        self.rng = random.Random(f"{setup['seed']} {self.part}")
-        self.record = Recorder(Path(setup["record"]), self.clock.now)
-        self.links = Links()
-        self.links.pilot_zone = setup["pilot_zone"]
-        self.port_file = Path(setup["port_file"])
-        self.kinds = {k["name"]: Kind(k["name"], k["aim"], k["deadline"], k["effect"]) for k in setup["kinds"]}
-        self.demand = Demand(setup, random.Random(setup["seed"]))
-        make = Proxied if setup["proxies"] else Gateway
-        self.gateways = {
-            g["name"]: make(
-                g["name"],
-                g["zone"],
-                g["delta"],
-                self.pilot,
-                self.kinds,
-                self.clock,
-                self.record,
-                self.links,
-                random.Random(f"{setup['seed']} {g['name']}"),
-            )
-            for g in setup["gateways"]
+        """Build gateways and demand from the process's settings."""
+        self._part = setup["part"]
+        self._rng = random.Random(f"{setup['seed']} {self._part}")
+        self._clock = Clock(setup["clock_rate"])
+        self._record = Recorder(Path(setup["record"]), self._clock.now)
+        self._network = Network(setup["pilot_zone"])
+        self._port_file = Path(setup["port_file"])
+        self._classes = {
+            c["name"]: TrafficClass(c["name"], c["aim"], c["deadline"], c["effect"]) for c in setup["kinds"]
         }
-        self.gateways |= {
-            g["name"]: Balancer(
-                g["name"],
-                g["zone"],
-                self.sasp,
-                self.kinds,
-                self.clock,
-                self.record,
-                self.links,
-                random.Random(f"{setup['seed']} {g['name']}"),
-                setup["members"],
-                setup["slices"],
-            )
-            for g in setup.get("balancers", ())
+        self._demand = Demand(setup, random.Random(setup["seed"]))
+        self._gateways = self._make_gateways(setup)
+        self._gateway_names = list(self._gateways)
+        self._gateway_shares = [self._rng.lognormvariate(0.0, GATEWAY_SPREAD) for _ in self._gateways]
+        self._request_count = 0
+        self._commands: dict[str, Callable[[Command], None]] = {
+            "cut": self._isolate_zone,
+            "away": self._isolate_gateways,
+            "stall": self._stall,
+            "slow_reads": self._delay_reads,
+            "late": self._delay_reports,
+            "hot": self._set_hot_slices,
+            "demand": self._set_demand,
+            "refuse": self._refuse_resources,
         }
-        self.shares = [self.rng.lognormvariate(0.0, 0.8) for _ in self.gateways]
-        self.count = 0
 
-    def sasp(self) -> str:
-        return port_files.address(self.port_file.with_suffix(".sasp"))
+    def _make_gateways(self, setup: dict[str, Any]) -> dict[str, Gateway]:
+        context = GatewayContext(self._clock, self._record, self._network, self._classes)
+        gateway_type = ProxyGateway if setup["proxies"] else FakeGateway
+        gateways: dict[str, Gateway] = {}
+        for settings in setup["gateways"]:
+            name = settings["name"]
+            rng = random.Random(f"{setup['seed']} {name}")
+            gateways[name] = gateway_type(name, settings["zone"], settings["delta"], self._xds_address, context, rng)
+        for settings in setup.get("balancers", ()):
+            name = settings["name"]
+            rng = random.Random(f"{setup['seed']} {name}")
+            gateways[name] = FakeBalancer(
+                name, settings["zone"], self._sasp_address, context, rng, setup["members"], setup["slices"]
+            )
+        return gateways
+
+    def _xds_address(self) -> str:
+        return port_files.address(self._port_file)
 
-    def pilot(self) -> str:
-        return port_files.address(self.port_file)
+    def _sasp_address(self) -> str:
+        return port_files.address(self._port_file.with_suffix(".sasp"))
 
     async def run(self) -> None:
+        """Run gateways and clients, and carry out commands, until standard input ends."""
         async with anyio.create_task_group() as group:
-            for gateway in self.gateways.values():
+            for gateway in self._gateways.values():
                 group.start_soon(gateway.follow)
-            group.start_soon(self._arrivals, group)
+            group.start_soon(self._generate_requests, group)
             async for line in anyio.wrap_file(sys.stdin):
-                self.command(json.loads(line))
+                self.carry_out(json.loads(line))
             group.cancel_scope.cancel()
-        self.record.close()
+        self._record.close()
 
-    async def _arrivals(self, group: TaskGroup) -> None:
-        """Arrivals keep their own time: a busy process does not thin them out."""
-        due = self.clock.now()
-        names = list(self.gateways)
+    # Clients
+
+    async def _generate_requests(self, group: TaskGroup) -> None:
+        """Start clients in a Poisson process. Arrivals keep their own time: a busy process does not thin them out."""
+        due = self._clock.now()
         while True:
-            rate = self.demand.rate * self.demand.factor
+            rate = self._demand.rate * self._demand.factor
             if rate <= 0:
-                await anyio.sleep(0.05)
-                due = self.clock.now()
+                await anyio.sleep(IDLE_POLL_S)
+                due = self._clock.now()
                 continue
-            due += int(self.rng.expovariate(rate) * 1e9)
-            wait = due - self.clock.now()
+            due += int(self._rng.expovariate(rate) * NS_PER_SECOND)
+            wait = due - self._clock.now()
             if wait > 0:
-                await anyio.sleep(self.clock.seconds(wait))
-            gateway = self.gateways[self.rng.choices(names, self.shares)[0]]
-            self.count += 1
-            group.start_soon(self._client, gateway, self.count)
-
-    async def _client(self, gateway: Gateway, number: int) -> None:
-        """One request, repeated once by the client where that is safe; its service is recorded."""
-        drawn, at, work = self.demand.draw()
-        kind = self.kinds[drawn["name"]]
-        start = self.clock.now()
-        rid = f"r{self.part}-{number}"
-        cluster = f"slice/{at}" if at >= 0 else gateway.holdings.clusters.get((kind.name, gateway.zone), "slice/-1")
-        good, how = await gateway.serve(rid, kind, cluster, work)
-        again = how in ("refused", "no server", "never ran") or kind.effect == "read_like"
-        if not good and again and self.clock.now() - start < kind.deadline / 2:
-            await anyio.sleep(BACK_AFTER / self.clock.rate)
-            good, how = await gateway.serve(rid + "b", kind, cluster, work)
-        self.record.put(
+                await anyio.sleep(self._clock.seconds(wait))
+            name = self._rng.choices(self._gateway_names, self._gateway_shares)[0]
+            self._request_count += 1
+            group.start_soon(self._run_client, self._gateways[name], self._request_count)
+
+    async def _run_client(self, gateway: Gateway, number: int) -> None:
+        """One request, repeated once by the client where that is safe; its end is recorded."""
+        request = self._demand.draw()
+        traffic_class = self._classes[request.class_name]
+        start = self._clock.now()
+        request_id = f"r{self._part}-{number}"
+        cluster = _cluster(gateway, request)
+        answered, ending = await gateway.serve(request_id, traffic_class, cluster, request.work_ms)
+        may_repeat = ending in NOT_RUN_ENDINGS or traffic_class.effect == "read_like"
+        if not answered and may_repeat and self._clock.now() - start < traffic_class.deadline / 2:
+            await anyio.sleep(CLIENT_RETRY_DELAY_S / self._clock.rate)
+            answered, ending = await gateway.serve(request_id + "b", traffic_class, cluster, request.work_ms)
+        self._record.put(
             "done",
             gw=gateway.name,
-            id=rid,
-            kind=kind.name,
-            ok=good,
-            how=how,
+            id=request_id,
+            kind=traffic_class.name,
+            ok=answered,
+            how=ending,
             begun=start,
-            ms=round((self.clock.now() - start) / 1e6),
-            aim=kind.aim // 1_000_000,
-            worth=drawn["worth"],
+            ms=round((self._clock.now() - start) / NS_PER_MS),
+            aim=traffic_class.latency_objective // NS_PER_MS,
+            worth=request.priority_weight,
         )
 
-    def command(self, order: dict[str, Any]) -> None:
-        """One order of the day's script."""
-        names = [n for n in order.get("gateways") or self.gateways if n in self.gateways]  # others run elsewhere
-        what = order["do"]
-        if what == "cut":
-            (self.links.cut.add if order["on"] else self.links.cut.discard)(order["zone"])
-        elif what == "away":
-            for name in names:
-                (self.links.away.add if order["on"] else self.links.away.discard)(name)
-        elif what == "stall":
-            for name in names:
-                self.gateways[name].stalled_until = self.clock.now() + order["ns"]
-        elif what == "slow_reads":
-            for name in names:
-                self.gateways[name].read_delay = order["ns"]
-        elif what == "late":
-            for name in names:
-                self.gateways[name].report_delay = order["ns"]
-        elif what == "hot":
-            self.demand.hot, self.demand.hot_share = order["slices"], order["share"]
-        elif what == "demand":
-            self.demand.factor = order["factor"]
-        elif what == "refuse":
-            for name in names:
-                self.gateways[name].holdings.refuse = set(order["resources"])
-        else:
-            raise ValueError(f"unknown order {what!r}")
+    # Commands
+
+    def carry_out(self, command: Command) -> None:
+        """Carry out a command of the scenario.
+
+        Raises:
+            ValueError: there is no such command.
+        """
+        handler = self._commands.get(command["do"])
+        if handler is None:
+            raise ValueError(f"unknown command {command['do']!r}")
+        handler(command)
+
+    def _named_gateways(self, command: Command) -> list[Gateway]:
+        """The gateways that a command names, or all; those that run in another process are left out."""
+        names = command.get("gateways") or self._gateways
+        return [self._gateways[name] for name in names if name in self._gateways]
+
+    def _isolate_zone(self, command: Command) -> None:
+        _set_member(self._network.isolated_zones, command["zone"], command["on"])
+
+    def _isolate_gateways(self, command: Command) -> None:
+        for gateway in self._named_gateways(command):
+            _set_member(self._network.isolated_gateways, gateway.name, command["on"])
+
+    def _stall(self, command: Command) -> None:
+        for gateway in self._named_gateways(command):
+            gateway.stalled_until = self._clock.now() + command["ns"]
+
+    def _delay_reads(self, command: Command) -> None:
+        for gateway in self._named_gateways(command):
+            gateway.read_delay = command["ns"]
+
+    def _delay_reports(self, command: Command) -> None:
+        for gateway in self._named_gateways(command):
+            gateway.report_delay = command["ns"]
+
+    def _set_hot_slices(self, command: Command) -> None:
+        self._demand.hot_slices, self._demand.hot_share = command["slices"], command["share"]
+
+    def _set_demand(self, command: Command) -> None:
+        self._demand.factor = command["factor"]
+
+    def _refuse_resources(self, command: Command) -> None:
+        for gateway in self._named_gateways(command):
+            gateway.holdings.refuse = set(command["resources"])
+
+
+def _cluster(gateway: Gateway, request: ClientRequest) -> str:
+    """The cluster that a gateway sends a request to."""
+    if request.slice_number != NO_SLICE:
+        return f"slice/{request.slice_number}"
+    return gateway.holdings.clusters.get((request.class_name, gateway.zone), f"slice/{NO_SLICE}")
+
+
+def _set_member(members: set[str], name: str, is_member: bool) -> None:
+    if is_member:
+        members.add(name)
+    else:
+        members.discard(name)
 
 
 if __name__ == "__main__":
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -1,10 +1,10 @@
-"""A gateway that stands in: an xDS and LRS client, and plain forwarding by the tables it was given."""
+"""A fake gateway: an xDS and LRS client, and plain forwarding by the tables it was given."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import Any
 
 import anyio
 import structlog
@@ -14,18 +14,20 @@
 from damsonpick.proxy.received_state import Holdings
 from damsonpick.proxy.watch_client import Follower
 from damsonpick.runtime.backoff import Backoff
-from damsonpick.runtime.clock import Clock
 from damsonpick.testing.fakes import http
-from damsonpick.testing.fakes.picking import Picker
-from damsonpick.testing.fakes.record import Recorder
+from damsonpick.testing.fakes.gateway_context import GatewayContext, TrafficClass
+from damsonpick.testing.fakes.server_picker import ServerPicker
 
-HOLD = 500_000_000  # ns that a request waits for a table with a line
-CONNECT = 400_000_000  # ns
-NEVER_RAN, ANY = "connect-failure", "5xx"
-QUIET = structlog.wrap_logger(None, processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
+TABLE_WAIT_NS = 500_000_000  # that a request waits for a table with an entry
+CONNECT_TIMEOUT_NS = 400_000_000
+RETRY_ON_CONNECT_FAILURE = "connect-failure"
+RETRY_ON_ANY_FAILURE = "5xx"
+NO_LOG = structlog.wrap_logger(None, processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
 
 
-def shown(holdings: Holdings, kind: str, nonce: str, resources: list, removed: list[str], bad: str) -> dict[str, Any]:
+def response_details(
+    holdings: Holdings, kind: str, nonce: str, resources: list, removed: list[str], bad: str
+) -> dict[str, Any]:
     """A response as the rule checker reads it."""
     found: dict[str, Any] = {}
     for name, version, _ in resources:
@@ -36,38 +38,20 @@
     return {"type": kind.rpartition(".")[2], "nonce": nonce, "res": found, "removed": removed, "nack": bad}
 
 
-class Kind(NamedTuple):
-    """A request class as gateways know it. Times in ns."""
+def _known_addresses(pilot_address: Callable[[], str]) -> list[str]:
+    """The pilot's address, if there is one."""
+    address = pilot_address()
+    return [address] if address else []
 
-    name: str
-    aim: int
-    deadline: int
-    effect: str
 
-
-class Links:
-    """Which zones reach which, and which gateways reach the pilot."""
-
-    def __init__(self) -> None:
-        self.cut: set[str] = set()  # zones cut off from the others
-        self.away: set[str] = set()  # gateways that reach no pilot
-        self.pilot_zone = ""
-
-    def joined(self, one: str, other: str) -> bool:
-        return one == other or (one not in self.cut and other not in self.cut)
-
-    def to_pilot(self, gateway: str, zone: str) -> bool:
-        return gateway not in self.away and self.joined(zone, self.pilot_zone)
-
-
-class Gateway:
+class FakeGateway:
     """One gateway.
 
-    Args:
+    Attributes:
         name, zone: node id and locality.
-        delta: which variant it speaks.
-        dial: gives the pilot's address, or '' while there is none.
-        kinds: request classes by name.
+        holdings: what it received from the pilot.
+        stalled_until: until when it reads and forwards nothing, ns.
+        read_delay: how much longer it takes to read a response, ns.
     """
 
     def __init__(
@@ -75,40 +59,49 @@
         name: str,
         zone: str,
         delta: bool,
-        dial: Callable[[], str],
-        kinds: dict[str, Kind],
-        clock: Clock,
-        record: Recorder,
-        links: Links,
+        pilot_address: Callable[[], str],
+        context: GatewayContext,
         rng: random.Random,
     ) -> None:
-        self.name, self.zone, self.kinds = name, zone, kinds
-        self.clock, self.record, self.links, self.rng = clock, record, links, rng
-        self.holdings, self.picker = Holdings(), Picker(rng)
-        self.pools: dict[str, list[http.Wire]] = {}
+        """Prepare a gateway that is not yet connected.
+
+        Args:
+            name: node id.
+            zone: locality.
+            delta: which variant it speaks.
+            pilot_address: gives the pilot's address, or '' while there is none.
+            context: what it shares with the other gateways.
+            rng: draws servers, retries and admitted requests.
+        """
+        clock, network = context.clock, context.network
+        self.name, self.zone = name, zone
+        self.clock, self.record, self.network, self.rng = clock, context.record, network, rng
+        self.holdings, self.picker = Holdings(), ServerPicker(rng)
+        self.pools: dict[str, list[http.ClientConnection]] = {}
         self.counts: dict[int, load_stats.SliceCounts] = {}
         self.changed = anyio.Event()
         self.stalled_until = self.read_delay = 0  # ns
         self.follower = Follower(
             name,
             zone,
-            lambda: [address] if (address := dial()) else [],
+            lambda: _known_addresses(pilot_address),
             self.holdings,
             clock,
             Backoff(rng, 0.1, 1.0),
             self._took,
             self._sums,
             self._said,
-            QUIET,
+            NO_LOG,
             delta,
         )
-        self.follower.may_dial = lambda: links.to_pilot(name, zone)
+        self.follower.may_dial = lambda: network.reaches_pilot(name, zone)
         self.follower.pause = lambda: clock.seconds(max(self.stalled_until - clock.now(), 0) + self.read_delay)
 
-    # -- the pilot
+    # The pilot
 
     @property
     def report_delay(self) -> int:
+        """How late load reports are sent, ns."""
         return self.follower.report_delay
 
     @report_delay.setter
@@ -129,7 +122,7 @@
 
     def _said(self, event: str, **details: Any) -> None:
         if event == "got":
-            details = shown(
+            details = response_details(
                 self.holdings,
                 details["type"],
                 details["nonce"],
@@ -144,9 +137,9 @@
         if wait > 0:
             await anyio.sleep(self.clock.seconds(wait))
 
-    # -- requests
+    # Requests
 
-    async def serve(self, rid: str, kind: Kind, cluster: str, work: float) -> tuple[bool, str]:
+    async def serve(self, rid: str, kind: TrafficClass, cluster: str, work: float) -> tuple[bool, str]:
         """Forward one request; returns whether it was answered, and how it ended."""
         start = self.clock.now()
         counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
@@ -161,7 +154,7 @@
             counts.came(kind.name, failed=True)
         return good, how
 
-    async def _tries(self, rid: str, kind: Kind, cluster: str, work: float, end: int) -> tuple[bool, str]:
+    async def _tries(self, rid: str, kind: TrafficClass, cluster: str, work: float, end: int) -> tuple[bool, str]:
         tried: set[str] = set()
         most = self.holdings.retry(cluster, kind.name)[1]
         how = "no server"
@@ -174,13 +167,15 @@
             if how == "ok":
                 return True, how
             conditions = self.holdings.retry(cluster, kind.name)[0]
-            if not ((how == "never ran" and NEVER_RAN in conditions) or ANY in conditions):
+            if not (
+                (how == "never ran" and RETRY_ON_CONNECT_FAILURE in conditions) or RETRY_ON_ANY_FAILURE in conditions
+            ):
                 return False, how
         return False, how
 
     async def _choose(self, cluster: str, tried: set[str], end: int, number: int) -> str | None:
         """A server; the first try waits a little for a table with a line, then is given up."""
-        until = min(end, self.clock.now() + HOLD) if number == 0 else 0
+        until = min(end, self.clock.now() + TABLE_WAIT_NS) if number == 0 else 0
         while True:
             server = self.picker.pick(self.clock.now(), self.holdings.open_lines(cluster), tried)
             left = until - self.clock.now()
@@ -189,28 +184,28 @@
             with anyio.move_on_after(self.clock.seconds(left)):
                 await self.changed.wait()
 
-    async def _try(self, rid: str, kind: Kind, cluster: str, server: str, work: float, end: int) -> str:
+    async def _try(self, rid: str, kind: TrafficClass, cluster: str, server: str, work: float, end: int) -> str:
         start = self.clock.now()
         zone = self.holdings.open_lines(cluster).get(server, (0, ""))[1]
         self.record.put("try", gw=self.name, id=rid, kind=kind.name, slice=slice_of(cluster), server=server)
-        self.picker.sent(server)
+        self.picker.request_sent(server)
         how = "too late"
         with anyio.move_on_after(self.clock.seconds(end - start)):
             how = await self._exchange(rid, kind, cluster, server, zone, work)
         now, good = self.clock.now(), how == "ok"
-        self.picker.ended(now, server, good, self.holdings.strikes)
+        self.picker.request_ended(now, server, good, self.holdings.strikes)
         counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
         counts.tried(zone, server, good, (now - start) / 1e6)
         return how
 
-    async def _exchange(self, rid: str, kind: Kind, cluster: str, server: str, zone: str, work: float) -> str:
-        if zone and not self.links.joined(self.zone, zone):
-            await anyio.sleep(self.clock.seconds(CONNECT))  # across a cut link nothing answers
+    async def _exchange(self, rid: str, kind: TrafficClass, cluster: str, server: str, zone: str, work: float) -> str:
+        if zone and not self.network.connects(self.zone, zone):
+            await anyio.sleep(self.clock.seconds(CONNECT_TIMEOUT_NS))  # across a cut link nothing answers
             return "never ran"
         wire, done = None, False
         try:
             wire = await self._wire(server)
-            said = await wire.ask(
+            said = await wire.post(
                 "/",
                 {
                     "x-request-id": rid,
@@ -223,23 +218,23 @@
             if said.status == 200:
                 return "ok"
             return "never ran" if "x-not-run" in said.headers else f"status {said.status}"
-        except http.NeverRan:
+        except http.NotSentError:
             return "never ran"
-        except http.Broken:
+        except http.ConnectionBrokenError:
             return "broken"
         finally:
             if wire is not None:
-                if done and wire.reuse():
+                if done and wire.prepare_reuse():
                     self.pools.setdefault(server, []).append(wire)
                 else:
                     with anyio.CancelScope(shield=True):
                         await wire.close()
 
-    async def _wire(self, server: str) -> http.Wire:
+    async def _wire(self, server: str) -> http.ClientConnection:
         pool = self.pools.get(server)
         while pool:
             wire = pool.pop()
-            if wire.idle():
+            if wire.is_idle():
                 return wire
             await wire.close()
-        return await http.Wire.dial(server, self.clock.seconds(CONNECT))
+        return await http.ClientConnection.connect(server, self.clock.seconds(CONNECT_TIMEOUT_NS))
--- a/damsonpick/testing/fakes/http.py
+++ b/damsonpick/testing/fakes/http.py
@@ -1,8 +1,8 @@
-"""Plain HTTP/1.1 on loopback between stand-ins: a parser from h11, streams from anyio."""
+"""Plain HTTP/1.1 on loopback between fakes: a parser from h11, streams from anyio."""
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 from typing import NamedTuple
 
 import anyio
@@ -11,108 +11,147 @@
 
 from damsonpick.runtime import sockets
 
-CHUNK = 65_536
+READ_BYTES = 65_536
 
 
 class Answer(NamedTuple):
+    """A whole answer."""
+
     status: int
     headers: dict[str, str]
     body: bytes
 
 
-class NeverRan(Exception):
-    """The request did not reach a server: proof enough for another try."""
+class HttpError(Exception):
+    """A request got no answer."""
+
+
+class NotSentError(HttpError):
+    """The request did not reach a server: it has not run, and may be sent again."""
 
 
-class Broken(Exception):
+class ConnectionBrokenError(HttpError):
     """The connection broke while a request was out: it may have run."""
 
 
-class Wire:
+class ClientConnection:
     """One client connection, one request at a time."""
 
     def __init__(self, stream: SocketStream) -> None:
-        self.stream, self.http = stream, h11.Connection(h11.CLIENT)
+        """Send requests on an open stream."""
+        self._stream = stream
+        self._http = h11.Connection(h11.CLIENT)
 
     @classmethod
-    async def dial(cls, address: str, patience: float) -> Wire:
+    async def connect(cls, address: str, timeout_s: float) -> ClientConnection:
+        """Open a connection.
+
+        Raises:
+            NotSentError: it was refused, or did not open in time.
+        """
         host, _, port = address.rpartition(":")
         try:
-            with anyio.fail_after(patience):
+            with anyio.fail_after(timeout_s):
                 return cls(await anyio.connect_tcp(host.strip("[]"), int(port)))
         except (OSError, TimeoutError) as error:
-            raise NeverRan(f"{address}: {error or 'connect timed out'}") from None
+            raise NotSentError(f"{address}: {error or 'connect timed out'}") from None
+
+    async def post(self, target: str, headers: dict[str, str]) -> Answer:
+        """Send a POST without body and wait for the answer.
 
-    async def ask(self, target: str, headers: dict[str, str]) -> Answer:
-        request = h11.Request(
-            method="POST", target=target, headers=[("host", "results"), ("content-length", "0"), *headers.items()]
-        )
+        Raises:
+            ConnectionBrokenError: the connection ended before the whole answer.
+        """
+        fixed_headers = [("host", "results"), ("content-length", "0")]
+        request = h11.Request(method="POST", target=target, headers=[*fixed_headers, *headers.items()])
         try:
-            await self.stream.send(self.http.send(request) + self.http.send(h11.EndOfMessage()))
-            head, body = None, b""
-            while True:
-                event = self.http.next_event()
-                if event is h11.NEED_DATA:
-                    self.http.receive_data(await self._more())
-                elif isinstance(event, h11.Response):
-                    head = event
-                elif isinstance(event, h11.Data):
-                    body += event.data
-                elif isinstance(event, h11.EndOfMessage):
-                    break
-                elif isinstance(event, h11.ConnectionClosed):
-                    raise Broken("closed before an answer")
-            return Answer(head.status_code, {k.decode(): v.decode() for k, v in head.headers}, body)
+            await self._stream.send(self._http.send(request) + self._http.send(h11.EndOfMessage()))
+            return await self._read_answer()
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, h11.ProtocolError) as error:
-            raise Broken(str(error)) from None
+            raise ConnectionBrokenError(str(error)) from None
 
-    async def _more(self) -> bytes:
+    async def _read_answer(self) -> Answer:
+        head, body = None, b""
+        while True:
+            event = self._http.next_event()
+            if event is h11.NEED_DATA:
+                self._http.receive_data(await self._receive())
+            elif isinstance(event, h11.Response):
+                head = event
+            elif isinstance(event, h11.Data):
+                body += event.data
+            elif isinstance(event, h11.EndOfMessage):
+                return Answer(head.status_code, _text_headers(head.headers), body)
+            elif isinstance(event, h11.ConnectionClosed):
+                raise ConnectionBrokenError("closed before an answer")
+
+    async def _receive(self) -> bytes:
         try:
-            return await self.stream.receive(CHUNK)
+            return await self._stream.receive(READ_BYTES)
         except anyio.EndOfStream:
             return b""
 
-    def reuse(self) -> bool:
-        """Make ready for another request, if both sides left it open."""
-        if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
-            self.http.start_next_cycle()
+    def prepare_reuse(self) -> bool:
+        """Make ready for another request; returns whether both sides left the connection open."""
+        if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
+            self._http.start_next_cycle()
             return True
         return False
 
-    def idle(self) -> bool:
-        return sockets.idle(self.stream)
+    def is_idle(self) -> bool:
+        """Whether the connection is open and nothing came on it unasked."""
+        return sockets.idle(self._stream)
 
     async def close(self) -> None:
-        await anyio.aclose_forcefully(self.stream)
+        """Close the connection at once."""
+        await anyio.aclose_forcefully(self._stream)
+
+
+def _text_headers(headers: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
+    return {name.decode(): value.decode() for name, value in headers}
 
 
 Handler = Callable[[dict[str, str]], Awaitable[Answer]]
 
 
-async def answer(stream: SocketStream, handler: Handler) -> None:
-    """Serve one connection until it closes or `handler` raises Broken, which cuts it off."""
+async def serve_connection(stream: SocketStream, handler: Handler) -> None:
+    """Serve one connection until it closes.
+
+    Args:
+        stream: the connection.
+        handler: gives the answer to a request's headers; it may raise ConnectionBrokenError to cut the connection.
+    """
     http = h11.Connection(h11.SERVER)
-    headers: dict[str, str] = {}
     try:
-        while True:
-            event = http.next_event()
-            if event is h11.NEED_DATA:
-                try:
-                    http.receive_data(await stream.receive(CHUNK))
-                except anyio.EndOfStream:
-                    return
-            elif isinstance(event, h11.Request):
-                headers = {k.decode(): v.decode() for k, v in event.headers}
-            elif isinstance(event, h11.EndOfMessage):
-                said = await handler(headers)
-                head = h11.Response(
-                    status_code=said.status, headers=[("content-length", str(len(said.body))), *said.headers.items()]
-                )
-                await stream.send(http.send(head) + http.send(h11.Data(data=said.body)) + http.send(h11.EndOfMessage()))
-                http.start_next_cycle()
-            elif isinstance(event, h11.ConnectionClosed):
-                return
-    except (Broken, anyio.BrokenResourceError, anyio.ClosedResourceError, h11.ProtocolError):
+        while (headers := await _read_request(stream, http)) is not None:
+            await _send_answer(stream, http, await handler(headers))
+            http.start_next_cycle()
+    except (ConnectionBrokenError, anyio.BrokenResourceError, anyio.ClosedResourceError, h11.ProtocolError):
         return
     finally:
         await anyio.aclose_forcefully(stream)
+
+
+async def _read_request(stream: SocketStream, http: h11.Connection) -> dict[str, str] | None:
+    """The next request's headers, its body read; None: the peer has closed."""
+    headers: dict[str, str] = {}
+    while True:
+        event = http.next_event()
+        if event is h11.NEED_DATA:
+            try:
+                http.receive_data(await stream.receive(READ_BYTES))
+            except anyio.EndOfStream:
+                return None
+        elif isinstance(event, h11.Request):
+            headers = _text_headers(event.headers)
+        elif isinstance(event, h11.EndOfMessage):
+            return headers
+        elif isinstance(event, h11.ConnectionClosed):
+            return None
+
+
+async def _send_answer(stream: SocketStream, http: h11.Connection, answer: Answer) -> None:
+    headers = [("content-length", str(len(answer.body))), *answer.headers.items()]
+    head = http.send(h11.Response(status_code=answer.status, headers=headers))
+    body = http.send(h11.Data(data=answer.body))
+    await stream.send(head + body + http.send(h11.EndOfMessage()))
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -1,4 +1,4 @@
-"""A list server that stands in: one EDS resource over ADS, state of the world, with commands for its troubles."""
+"""A fake list server: one EDS resource over ADS, state of the world, which can fail on command."""
 
 from __future__ import annotations
 
@@ -14,17 +14,28 @@
 from damsonpick.testing.fakes.record import Recorder
 
 
-class ListServer(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
-    """Sends the whole list at each change; what it sent is recorded as what the pilot was told."""
+class FakeListServer(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
+    """Sends the whole list at each change; what it sent is recorded as what the pilot knows.
+
+    Attributes:
+        entries: the list, by endpoint.
+    """
 
     def __init__(self, cluster: str, record: Recorder) -> None:
-        self.cluster, self.record = cluster, record
+        """Start with an empty list.
+
+        Args:
+            cluster: name of the EDS resource.
+            record: where its records go.
+        """
         self.entries: dict[str, api.EndpointEntry] = {}
-        self.version = 0
-        self.down = self.empty = False
-        self.bells: set[anyio.Event] = set()
+        self._cluster, self._record = cluster, record
+        self._version = 0
+        self._is_down = self._is_empty = False
+        self._wakeups: set[anyio.Event] = set()
 
     async def start(self) -> tuple[grpc.aio.Server, str]:
+        """Open a port; returns the server and its address."""
         server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         ads_pb2_grpc.add_AggregatedDiscoveryServiceServicer_to_server(self, server)
         port = server.add_insecure_port("127.0.0.1:0")
@@ -38,41 +49,64 @@
                 self.entries.pop(entry.endpoint, None)
             else:
                 self.entries[entry.endpoint] = entry
-        self.changed()
+        self._notify()
+
+    def set_failure(self, is_down: bool, is_empty: bool) -> None:
+        """Fail, or work again.
+
+        Args:
+            is_down: streams end, and new ones are refused.
+            is_empty: an empty list is sent.
+        """
+        self._is_down, self._is_empty = is_down, is_empty
+        self._notify()
 
-    def changed(self) -> None:
-        self.version += 1
-        for bell in self.bells:
-            bell.set()
+    def _notify(self) -> None:
+        self._version += 1
+        for wakeup in self._wakeups:
+            wakeup.set()
 
     async def StreamAggregatedResources(
         self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], context: grpc.aio.ServicerContext
     ) -> None:
-        if self.down:
+        """Serve one stream."""
+        if self._is_down:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "the list is down")
-        sent = 0
         async with anyio.create_task_group() as group:
-            group.start_soon(self._drain, requests, group.cancel_scope)
-            while not self.down:
-                bell = anyio.Event()
-                self.bells.add(bell)
-                if sent != self.version:
-                    sent = self.version
-                    shown = [] if self.empty else list(self.entries.values())
-                    self.record.put("list", entries={e.endpoint: [e.state, e.started, e.zone] for e in shown})
-                    await context.write(self._response(shown))
-                await bell.wait()
-                self.bells.discard(bell)
+            group.start_soon(self._read_requests, requests, group.cancel_scope)
+            await self._send_changes(context)
             group.cancel_scope.cancel()
 
-    def _response(self, shown: list[api.EndpointEntry]) -> discovery_pb2.DiscoveryResponse:
+    async def _send_changes(self, context: grpc.aio.ServicerContext) -> None:
+        """Send the list, and again at each change, until the server is down."""
+        sent_version = 0
+        while not self._is_down:
+            wakeup = anyio.Event()
+            self._wakeups.add(wakeup)
+            if sent_version != self._version:
+                sent_version = self._version
+                await self._send(context)
+            await wakeup.wait()
+            self._wakeups.discard(wakeup)
+
+    async def _send(self, context: grpc.aio.ServicerContext) -> None:
+        entries = [] if self._is_empty else list(self.entries.values())
+        shown = {entry.endpoint: [entry.state, entry.started, entry.zone] for entry in entries}
+        self._record.put("list", entries=shown)
+        await context.write(self._response(entries))
+
+    def _response(self, entries: list[api.EndpointEntry]) -> discovery_pb2.DiscoveryResponse:
         body = any_pb2.Any()
-        body.Pack(endpoint_list_client.write_entries(self.cluster, shown))
+        body.Pack(endpoint_list_client.write_entries(self._cluster, entries))
+        version = str(self._version)
         return discovery_pb2.DiscoveryResponse(
-            version_info=str(self.version), type_url=endpoint_list_client.EDS, nonce=str(self.version), resources=[body]
+            version_info=version, type_url=endpoint_list_client.EDS, nonce=version, resources=[body]
         )
 
-    async def _drain(self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], scope: anyio.CancelScope) -> None:
+    async def _read_requests(
+        self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], scope: anyio.CancelScope
+    ) -> None:
+        """Discard acknowledgements; cancel the stream when the client closes it."""
         async for _ in requests:
             pass
         scope.cancel()
--- a/damsonpick/testing/fakes/proxied.py
+++ b/damsonpick/testing/fakes/proxy_gateway.py
@@ -1,4 +1,4 @@
-"""The project's own proxy in a gateway's place: the same face to the fleet, real HTTP in and out."""
+"""The project's own proxy in place of a fake gateway: the same interface to the fleet, real HTTP in and out."""
 
 from __future__ import annotations
 
@@ -11,46 +11,48 @@
 from damsonpick.protocols.xds.names import slice_of
 from damsonpick.proxy.program import Proxy
 from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
-from damsonpick.runtime.clock import Clock
 from damsonpick.testing.fakes import http
-from damsonpick.testing.fakes.gateway import QUIET, Kind, Links, shown
-from damsonpick.testing.fakes.record import Recorder
+from damsonpick.testing.fakes.gateway import NO_LOG, response_details
+from damsonpick.testing.fakes.gateway_context import GatewayContext, TrafficClass
 
 
-class Proxied:
-    """Args as of standins.gateway.Gateway."""
+class ProxyGateway:
+    """One proxy; attributes as of `FakeGateway`."""
 
     def __init__(
         self,
         name: str,
         zone: str,
         delta: bool,
-        dial: Callable[[], str],
-        kinds: dict[str, Kind],
-        clock: Clock,
-        record: Recorder,
-        links: Links,
+        pilot_address: Callable[[], str],
+        context: GatewayContext,
         rng: random.Random,
     ) -> None:
-        self.name, self.zone, self.kinds, self.clock, self.record, self.links = name, zone, kinds, clock, record, links
+        """Prepare a proxy that does not yet run; arguments as of `FakeGateway`."""
+        clock, network = context.clock, context.network
+        self.name, self.zone, self.clock, self.record = name, zone, clock, context.record
         settings = ProxySettings(
             proxy=Own(name=name, zone=zone, slice_header="x-damson-cluster"),
             limits=Limits(),
             clock_rate=clock.rate,
-            classes={k.name: RequestClass(deadline=k.deadline, aim=k.aim, effect=k.effect) for k in kinds.values()},
+            classes={
+                c.name: RequestClass(deadline=c.deadline, aim=c.latency_objective, effect=c.effect)
+                for c in context.classes.values()
+            },
         )
-        self.proxy = Proxy(settings, QUIET, self._said, rng.random(), delta)
-        self.proxy.follower.pilots = lambda: [address] if (address := dial()) else []
-        self.proxy.follower.may_dial = lambda: links.to_pilot(name, zone)
+        self.proxy = Proxy(settings, NO_LOG, self._said, rng.random(), delta)
+        self.proxy.follower.pilots = lambda: [address] if (address := pilot_address()) else []
+        self.proxy.follower.may_dial = lambda: network.reaches_pilot(name, zone)
         self.proxy.follower.pause = self._pause
-        self.proxy.requests.connector.reaches = lambda other: not other or links.joined(zone, other)
+        self.proxy.requests.connector.reaches = lambda other: not other or network.connects(zone, other)
         self.proxy.requests.stall = lambda: clock.seconds(self.stalled_until - clock.now())
         self.holdings = self.proxy.router.holdings
         self.stalled_until = self.read_delay = 0
-        self.wires: list[http.Wire] = []
+        self.wires: list[http.ClientConnection] = []
 
     @property
     def report_delay(self) -> int:
+        """How late load reports are sent, ns."""
         return self.proxy.follower.report_delay
 
     @report_delay.setter
@@ -62,7 +64,7 @@
 
     def _said(self, event: str, **details: Any) -> None:
         if event == "got":
-            details = shown(
+            details = response_details(
                 self.holdings,
                 details["type"],
                 details["nonce"],
@@ -78,15 +80,15 @@
         async with self.proxy.running():
             await anyio.sleep_forever()
 
-    async def serve(self, rid: str, kind: Kind, cluster: str, work: float) -> tuple[bool, str]:
+    async def serve(self, rid: str, kind: TrafficClass, cluster: str, work: float) -> tuple[bool, str]:
         """One client's request through the proxy's socket."""
         if not self.proxy.port:
             return False, "no server"
         wire = None
         try:
             with anyio.fail_after(self.clock.seconds(kind.deadline) + 1.0):
-                wire = self._idle() or await http.Wire.dial(f"127.0.0.1:{self.proxy.port}", 2.0)
-                said = await wire.ask(
+                wire = self._idle() or await http.ClientConnection.connect(f"127.0.0.1:{self.proxy.port}", 2.0)
+                said = await wire.post(
                     "/",
                     {
                         "x-request-id": rid,
@@ -97,12 +99,12 @@
                         "x-client-id": rid,
                     },
                 )
-        except (http.Broken, http.NeverRan, TimeoutError) as error:
+        except (http.ConnectionBrokenError, http.NotSentError, TimeoutError) as error:
             if wire is not None:
                 with anyio.CancelScope(shield=True):
                     await wire.close()
             return False, "too late" if isinstance(error, TimeoutError) else "broken"
-        if wire.reuse():
+        if wire.prepare_reuse():
             self.wires.append(wire)
         else:
             await wire.close()
@@ -110,9 +112,9 @@
             return True, "ok"
         return False, "refused" if "retry-after" in said.headers else f"status {said.status}"
 
-    def _idle(self) -> http.Wire | None:
+    def _idle(self) -> http.ClientConnection | None:
         while self.wires:
             wire = self.wires.pop()
-            if wire.idle():
+            if wire.is_idle():
                 return wire
         return None
--- /dev/null
+++ b/damsonpick/testing/fakes/registry.py
@@ -0,0 +1,197 @@
+"""A fake of the platform's registry of proxies: it stores tables, accepts requests, and reports changes on a watch.
+
+Each request may fail in a way that a test queues in `faults`.
+"""
+
+from __future__ import annotations
+
+import json
+from collections import deque
+from enum import Enum, auto
+from typing import Any, NamedTuple
+
+import anyio
+from anyio.abc import SocketStream
+
+from damsonpick.testing.fakes import faulty_http
+
+Order = dict[str, Any]
+
+INVALID_ANSWER = b'{"taken":-1}'
+OUT_OF_RANGE_ANSWER = b'{"taken":999999}'
+SYNTAX_ANSWER = b'{"error":"SYNTAX"}'
+SYNC_LATENCY_MS = 1.0
+
+
+class RequestFault(Enum):
+    """How a request fails."""
+
+    ANSWER_LOST = auto()  # applied; the connection is cut before the answer
+    ANSWER_WITHHELD = auto()  # applied; never answered
+    ANSWER_INVALID = auto()  # applied; the answer cannot be read
+    ANSWER_OUT_OF_RANGE = auto()  # applied; the answer counts more orders than there were
+    ANSWER_HELD = auto()  # applied; answered once the gate is opened
+    SYNC_WITHHELD = auto()  # applied and answered; its sync tokens are never reported
+    CONNECTION_CUT = auto()  # not applied; the connection is cut
+    IGNORED = auto()  # not applied; never answered
+    BUSY = auto()  # rejected
+    SYNTAX = auto()  # rejected
+
+
+class PartlyApplied(NamedTuple):
+    """A request of which only the first orders are applied; the answer says so."""
+
+    orders: int
+
+
+REJECTIONS = {RequestFault.BUSY, RequestFault.SYNTAX}
+UNREADABLE_ANSWERS = {
+    RequestFault.ANSWER_INVALID: INVALID_ANSWER,
+    RequestFault.ANSWER_OUT_OF_RANGE: OUT_OF_RANGE_ANSWER,
+}
+
+
+class FakeRegistry(faulty_http.WatchServer):
+    """The registry.
+
+    Attributes:
+        tables: weight by server, by slice that the pilot owns.
+        members: the connected proxies, as they are reported.
+        levels: admitted share by route.
+        withdrawn: servers that no proxy may use.
+        faults: of the next requests, one each.
+        request_count: how many requests came.
+        gate: holds answers with the fault ANSWER_HELD.
+    """
+
+    heartbeat_line = b"{}"
+    heartbeat_interval_s = 0.2  # a real one sends one a second
+
+    def __init__(self, slices: int, proxies: int, zones: tuple[str, ...] = ("a",)) -> None:
+        """Start with empty tables.
+
+        Args:
+            slices: how many the pilot owns.
+            proxies: how many are connected.
+            zones: of the proxies, in turn.
+        """
+        super().__init__()
+        self.tables: dict[int, dict[str, float]] = {number: {} for number in range(slices)}
+        self.members = {
+            number: {"proxy": number, "zone": zones[number % len(zones)], "weight": 5.0, "fresh": True}
+            for number in range(proxies)
+        }
+        self.levels: dict[str, float] = {}
+        self.withdrawn: set[str] = set()
+        self.faults: deque[RequestFault | PartlyApplied] = deque()
+        self.request_count = 0
+        self.gate = faulty_http.Gate()
+
+    # Changes that a test makes
+
+    async def take_slice(self, number: int) -> dict[str, float]:
+        """End the pilot's ownership of a slice; returns its table."""
+        table = self.tables.pop(number)
+        await self.send_line(_change("owner", slice=number, on=False))
+        return table
+
+    async def give_slice(self, number: int, table: dict[str, float]) -> None:
+        """Make the pilot the owner of a slice with this table."""
+        self.tables[number] = dict(table)
+        await self.send_line(_change("owner", slice=number, on=True))
+        for server, weight in table.items():
+            await self.send_line(_change("entry", slice=number, server=server, weight=weight))
+
+    async def reconnect_proxies(self) -> None:
+        """All proxies leave and join again, with the tables that they hold."""
+        for member in self.members.values():
+            await self.send_line(_change("detach", proxy=member["proxy"]))
+            member["fresh"] = False
+            await self.send_line(_change("attach", **member))
+
+    # Requests
+
+    async def serve(self, request: faulty_http.Request, stream: SocketStream) -> bool:
+        """Answer a watch or a request; returns whether the connection stays open."""
+        if request.method == "GET" and request.target == "/watch":
+            await self.watch(stream, self._snapshot())
+            return False
+        try:
+            orders = json.loads(request.body)["ops"]
+        except (ValueError, KeyError, TypeError):
+            await stream.send(faulty_http.answer_bytes(SYNTAX_ANSWER, "400 Bad Request"))
+            return True
+        return await self._serve_orders(orders, stream)
+
+    def _snapshot(self) -> list[bytes]:
+        """What a watch begins with."""
+        lines = [_change("attach", **member) for member in self.members.values()]
+        for number, table in self.tables.items():
+            lines.append(_change("owner", slice=number, on=True))
+            lines += [_change("entry", slice=number, server=name, weight=weight) for name, weight in table.items()]
+        return lines
+
+    async def _serve_orders(self, orders: list[Order], stream: SocketStream) -> bool:
+        self.request_count += 1
+        fault = self.faults.popleft() if self.faults else None
+        if fault in REJECTIONS:
+            body = json.dumps({"error": fault.name}).encode()
+            await stream.send(faulty_http.answer_bytes(body, "409 Conflict"))
+            return True
+        if fault is RequestFault.CONNECTION_CUT:
+            return False
+        if fault is RequestFault.IGNORED:
+            await anyio.sleep_forever()
+        applied = orders[: fault.orders] if isinstance(fault, PartlyApplied) else orders
+        await self._apply(applied, reports_sync=fault is not RequestFault.SYNC_WITHHELD)
+        return await self._answer(len(applied), fault, stream)
+
+    async def _apply(self, orders: list[Order], reports_sync: bool) -> None:
+        """Apply orders, and report their sync tokens as reached by each proxy."""
+        tokens = []
+        for order in orders:
+            if order["op"] == "SYNC":
+                tokens.append(order["nonce_out"])
+            else:
+                self._apply_order(order)
+        if self.silent or not reports_sync:
+            return
+        for token in tokens:
+            for proxy in list(self.members):
+                await self.send_line(_change("done", proxy=proxy, mark=token, took_ms=SYNC_LATENCY_MS))
+
+    async def _answer(self, applied: int, fault: RequestFault | PartlyApplied | None, stream: SocketStream) -> bool:
+        if fault is RequestFault.ANSWER_LOST:
+            return False
+        if fault is RequestFault.ANSWER_HELD:
+            await self.gate.wait()
+        if fault is RequestFault.ANSWER_WITHHELD:
+            await anyio.sleep_forever()
+        body = UNREADABLE_ANSWERS.get(fault, json.dumps({"taken": applied}).encode())
+        await stream.send(faulty_http.answer_bytes(body))
+        return True
+
+    def _apply_order(self, order: Order) -> None:
+        kind = order["op"]
+        if kind == "SET" and order["table"] in self.tables:
+            self._set_weight(self.tables[order["table"]], order["server"], order["weight"])
+        elif kind == "DEL" and order["table"] in self.tables:
+            self.tables[order["table"]].clear()
+        elif kind == "OUT":
+            self.withdrawn.add(order["server"])
+        elif kind == "IN":
+            self.withdrawn.discard(order["server"])
+        elif kind == "LIMIT":
+            self.levels.update((route, order["admit"]) for route in order["routes"])
+
+    @staticmethod
+    def _set_weight(table: dict[str, float], server: str, weight: float) -> None:
+        if weight > 0:
+            table[server] = weight
+        else:
+            table.pop(server, None)
+
+
+def _change(kind: str, **fields: Any) -> bytes:
+    """A line of the watch."""
+    return json.dumps({"type": kind, "object": fields}).encode()
--- /dev/null
+++ b/damsonpick/testing/fakes/results_server.py
@@ -0,0 +1,246 @@
+"""A fake results server: cores, a queue, a warm-up during which it falls over when overloaded, faults on command.
+
+Work is time, not computation: a request of so many ms holds a core for that long, divided by the server's present
+speed. What the server is asked and what it runs is recorded, so that a duplicate effect or an overload of a cold server
+is seen from its own side.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import deque
+from dataclasses import dataclass, field
+
+import anyio
+from anyio.abc import SocketStream, TaskGroup
+
+from damsonpick.runtime.clock import Clock
+from damsonpick.testing.fakes import http
+from damsonpick.testing.fakes.record import Recorder
+
+CHANCE_WORK_MS = 1500.0  # work above the limit that a cold server stands: a few requests at once by chance
+NS_PER_MS = 1e6
+MS_PER_SECOND = 1e3
+UNAVAILABLE = http.Answer(503, {"x-not-run": "1"}, b"")
+FAILED = http.Answer(500, {}, b"")
+
+
+@dataclass(frozen=True, slots=True)
+class ServerConfig:
+    """How a server is built; times in ns of the scenario.
+
+    Attributes:
+        zone: where it is.
+        cores: requests that run at once.
+        capacity_factor: speed of its cores when warm.
+        cold_share: share of the speed right after a start.
+        warm_up_ns: time until the whole speed is there.
+        overload_multiple: offered work over present capacity at which a cold server falls over.
+        overload_window_ns: period over which that work is summed.
+        queue_limit: requests that may wait for a core.
+        connection_limit: connections that may be open.
+    """
+
+    zone: str
+    cores: int
+    capacity_factor: float
+    cold_share: float
+    warm_up_ns: int
+    overload_multiple: float
+    overload_window_ns: int
+    queue_limit: int = 200
+    connection_limit: int = 400
+
+
+@dataclass(slots=True)
+class ServerFaults:
+    """What is wrong with a server now.
+
+    Attributes:
+        slowdown: how many times slower it works.
+        hangs: whether requests are accepted and never answered.
+        error_share: share of requests that fail at once.
+        reports_idle: whether its load reports say that it has nothing to do.
+        failing_classes: request classes that fail.
+        lost_answer_share: share of requests that run, and whose answer is lost with the connection.
+    """
+
+    slowdown: float = 1.0
+    hangs: bool = False
+    error_share: float = 0.0
+    reports_idle: bool = False
+    failing_classes: set[str] = field(default_factory=set)
+    lost_answer_share: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class WorkRequest:
+    """A request as its headers state it."""
+
+    request_id: str
+    request_class: str
+    slice_number: int
+    work_ms: float
+
+    @classmethod
+    def from_headers(cls, headers: dict[str, str]) -> WorkRequest:
+        """Read a request's headers."""
+        return cls(
+            request_id=headers["x-request-id"],
+            request_class=headers["x-damson-class"],
+            slice_number=int(headers["x-slice"]),
+            work_ms=float(headers["x-work-ms"]),
+        )
+
+
+class FakeResultsServer:
+    """One server; its address stays the same when its process starts anew."""
+
+    def __init__(self, config: ServerConfig, clock: Clock, record: Recorder, rng: random.Random) -> None:
+        """Prepare a server that is not yet started.
+
+        Args:
+            config: how it is built.
+            clock: the scenario's clock.
+            record: where its records go.
+            rng: draws errors and lost answers.
+        """
+        self.config, self.clock, self.record, self.rng = config, clock, record, rng
+        self.address = ""
+        self.started = 0  # ns; 0: warm from the beginning
+        self.faults = ServerFaults()
+        self.is_up = False
+        self.fell_over = False
+        self._scope: anyio.CancelScope | None = None
+        self._cores = anyio.CapacityLimiter(config.cores)
+        self._offered: deque[tuple[int, float]] = deque()  # time, ns, and work, ms, within the overload window
+        self._offered_ms = 0.0
+        self._queued = 0
+        self._connections = 0
+        self._last_latency_ms = 0.0
+
+    def warm_share(self, now: int) -> float:
+        """Present share of the warm speed."""
+        age = now - self.started
+        if not self.started or age >= self.config.warm_up_ns:
+            return 1.0
+        return self.config.cold_share + (1 - self.config.cold_share) * age / self.config.warm_up_ns
+
+    async def start(self, group: TaskGroup, cold: bool) -> None:
+        """Start a process in `group`; `cold`: it needs to warm up."""
+        port = int(self.address.rpartition(":")[2]) if self.address else 0
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
+        self.address = "127.0.0.1:" + str(listener.extra(anyio.abc.SocketAttribute.local_port))
+        self.started = self.clock.now() if cold else 0
+        self.faults, self.is_up = ServerFaults(), True
+        self._cores = anyio.CapacityLimiter(self.config.cores)
+        self._offered.clear()
+        self._offered_ms, self._queued = 0.0, 0
+        self.record.put(
+            "up",
+            server=self.address,
+            zone=self.config.zone,
+            capacity=self.config.cores * self.config.capacity_factor,
+            started=self.started,
+            cold_share=self.config.cold_share,
+            cold_time=self.config.warm_up_ns,
+        )
+        group.start_soon(self._serve, listener)
+
+    async def _serve(self, listener: anyio.abc.Listener) -> None:
+        with anyio.CancelScope() as self._scope:
+            try:
+                await listener.serve(self._serve_connection)
+            finally:
+                await anyio.aclose_forcefully(listener)
+
+    def stop(self, reason: str) -> None:
+        """End the process at once: connections break, queued work is lost."""
+        if self.is_up:
+            self.is_up = False
+            self.record.put("down", server=self.address, why=reason)
+        if self._scope is not None:
+            self._scope.cancel()
+
+    def record_slowdown(self) -> None:
+        """Record how much slower the server is now; for plans that know the true capacity."""
+        self.record.put("speed", server=self.address, slow=self.faults.slowdown)
+
+    async def _serve_connection(self, stream: SocketStream) -> None:
+        if self._connections >= self.config.connection_limit:
+            await anyio.aclose_forcefully(stream)
+            return
+        self._connections += 1
+        try:
+            await http.serve_connection(stream, self._handle)
+        finally:
+            self._connections -= 1
+
+    async def _handle(self, headers: dict[str, str]) -> http.Answer:
+        request, faults = WorkRequest.from_headers(headers), self.faults
+        now = self.clock.now()
+        self.record.put(
+            "in",
+            server=self.address,
+            id=request.request_id,
+            kind=request.request_class,
+            slice=request.slice_number,
+            work=request.work_ms,
+        )
+        if self._falls_over(now, request.work_ms):
+            raise http.ConnectionBrokenError("fell over")
+        if faults.hangs:
+            await anyio.sleep_forever()
+        if request.request_class in faults.failing_classes or self.rng.random() < faults.error_share:
+            return FAILED
+        if self._queued >= self.config.queue_limit:
+            return UNAVAILABLE
+        await self._run(request, faults)
+        return self._answer(faults)
+
+    async def _run(self, request: WorkRequest, faults: ServerFaults) -> None:
+        """Wait for a core and hold it for the request's work."""
+        self._queued += 1
+        async with self._cores:
+            self._queued -= 1
+            self.record.put(
+                "ran",
+                server=self.address,
+                id=request.request_id,
+                kind=request.request_class,
+                slice=request.slice_number,
+            )
+            speed = self.config.capacity_factor * self.warm_share(self.clock.now()) / faults.slowdown
+            await anyio.sleep(request.work_ms / MS_PER_SECOND / speed / self.clock.rate)
+            self._last_latency_ms = request.work_ms / speed
+            self.record.put("end", server=self.address, id=request.request_id)
+            if self.rng.random() < faults.lost_answer_share:
+                raise http.ConnectionBrokenError("the answer was lost")
+
+    def _answer(self, faults: ServerFaults) -> http.Answer:
+        """A success with a load report."""
+        queue, latency_ms = self._queued, round(self._last_latency_ms)
+        if faults.reports_idle:
+            queue, latency_ms = 0, 1
+        load = f"TEXT named_metrics.queue={queue}, named_metrics.latency_ms={latency_ms}"
+        return http.Answer(200, {"endpoint-load-metrics": load}, b"ok")
+
+    def _falls_over(self, now: int, work_ms: float) -> bool:
+        """Whether more work came within the window than a cold server stands; then it stays down."""
+        self._offered.append((now, work_ms))
+        self._offered_ms += work_ms
+        while self._offered[0][0] < now - self.config.overload_window_ns:
+            self._offered_ms -= self._offered.popleft()[1]
+        warm_share = self.warm_share(now)
+        if warm_share < 1:
+            limit_ms = self._overload_limit_ms(warm_share)
+            if self._offered_ms > limit_ms + CHANCE_WORK_MS:
+                self.fell_over = True
+                self.record.put("fell", server=self.address, sum=self._offered_ms, most=limit_ms)
+                self.stop("fell over")
+        return self.fell_over
+
+    def _overload_limit_ms(self, warm_share: float) -> float:
+        config = self.config
+        rate = config.overload_multiple * config.cores * config.capacity_factor * warm_share
+        return rate * config.overload_window_ns / NS_PER_MS
--- a/damsonpick/testing/scenarios/__init__.py
+++ b/damsonpick/testing/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted bad days: the running pilot against stand-ins with troubles, judged by the rule checker."""
+"""Scripted scenarios: the running pilot against fake gateways and servers with faults, judged by the rule checker."""
--- a/damsonpick/testing/scenarios/environment.py
+++ b/damsonpick/testing/scenarios/environment.py
@@ -1,274 +1,205 @@
-"""The stage of a bad day: a pilot in a process of its own, gateways in another, servers and list in this one."""
+"""A scenario's environment: pilot and gateways in processes of their own, servers and endpoint list in this one."""
 
 from __future__ import annotations
 
-import json
 import random
-import subprocess
-import sys
 from pathlib import Path
 from typing import Any
 
 import anyio
-from anyio.abc import Process, TaskGroup
+import grpc
+from anyio.abc import TaskGroup
 
 from damsonpick import interface as api
 from damsonpick.runtime.clock import Clock
-from damsonpick.testing.fakes.list_server import ListServer
+from damsonpick.settings.model import Rules
+from damsonpick.testing.fakes.list_server import FakeListServer
 from damsonpick.testing.fakes.record import Recorder
-from damsonpick.testing.fakes.results import Make, ResultsServer
+from damsonpick.testing.fakes.results_server import FakeResultsServer, ServerConfig
+from damsonpick.testing.scenarios.pilot_settings import CLUSTER, pilot_settings
+from damsonpick.testing.scenarios.processes import GatewayProcesses, PilotProcess
 from damsonpick.testing.scenarios.script import Script
 
-CLUSTER = "servers"
+NS_PER_SECOND = 1_000_000_000
+NS_PER_MS = 1_000_000
+CAPACITY_FACTORS = (0.8, 1.0, 1.25)
+MEAN_WORK_FACTOR = 1.083  # mean of the random factor that clients apply to a request's work
+PROXY_PROCESSES = 3  # real proxies need more CPU than fake gateways
+SOTW_GATEWAY_EVERY = 4  # each fourth fake gateway speaks the state-of-the-world variant
 
 
-class Stage:
-    """Everything that a trouble may touch.
+class Environment:
+    """Everything that a fault may touch.
 
-    Args:
-        script: the day.
-        seed: draws servers, traffic and troubles.
-        folder: where settings, records and logs go; must be empty.
-        pilot: the command that runs a pilot, without its arguments.
-        proxies: the project's own proxy is the data plane, in place of the stand-in gateways' forwarding.
+    Attributes:
+        script, seed: the scenario and its random seed.
+        servers, endpoint_list: the fakes of this process.
+        pilot, gateways: the other processes.
+        clock: the scenario's clock.
+        random: draws servers and faults.
     """
 
     def __init__(self, script: Script, seed: int, folder: Path, pilot: list[str], proxies: bool = False) -> None:
-        self.proxies = proxies
-        self.script, self.seed, self.folder, self.command = script, seed, folder, pilot
-        self.rng = random.Random(seed)
-        self.clock = Clock(script.day.rate)
+        """Prepare an environment.
+
+        Args:
+            script: the scenario.
+            seed: draws servers, traffic and faults.
+            folder: where settings, records and logs go; must be empty.
+            pilot: the command that runs a pilot, without its arguments.
+            proxies: the project's own proxy is the data plane, in place of the fake gateways' forwarding.
+        """
+        self.script, self.seed, self.folder, self.proxies = script, seed, folder, proxies
+        self.random = random.Random(seed)
+        self.clock = Clock(script.day.clock_rate)
         self.record = Recorder(folder / "servers.jsonl", self.clock.now)
-        self.lists = ListServer(CLUSTER, self.record)
-        self.servers: list[ResultsServer] = []
-        self.group: TaskGroup | None = None
-        self.pilot: Process | None = None
-        self.fleets: list[Process] = []
-        self.settings_file = folder / "pilot.ini"
-        self.port_file = folder / "pilot.port"
-
-    # -- building
-
-    async def build(self, group: TaskGroup) -> None:
-        """Servers and list first, then the pilot, then the gateways."""
-        self.group = group
-        day, rules = self.script.day, self.limits()
-        for k in range(day.servers):
-            make = Make(
-                day.zones[k % len(day.zones)],
-                day.cores,
-                self.rng.choice((0.8, 1.0, 1.25)),
-                rules["cold_share"],
-                rules["cold_time"],
-                rules["fall_multiple"],
-                rules["fall_time"],
-            )
-            server = ResultsServer(make, self.clock, self.record, random.Random(f"{self.seed} server {k}"))
+        self.endpoint_list = FakeListServer(CLUSTER, self.record)
+        self.servers: list[FakeResultsServer] = []
+        self.pilot = PilotProcess(folder, pilot)
+        self.gateways = GatewayProcesses(folder)
+        self._group: TaskGroup | None = None
+        self._list_server: grpc.aio.Server | None = None
+
+    # Start and stop
+
+    async def start(self, group: TaskGroup) -> None:
+        """Start servers and list first, then the pilot, then the gateways."""
+        self._group = group
+        rules = Rules.model_validate(self.script.pilot["rules"])
+        for number in range(self.script.day.servers):
+            server_random = random.Random(f"{self.seed} server {number}")
+            config = self._server_config(number, rules)
+            server = FakeResultsServer(config, self.clock, self.record, server_random)
             await server.start(group, cold=False)
             self.servers.append(server)
-        self.lists.put(*(self.entry(s) for s in self.servers))
-        self.list_server, address = await self.lists.start()
-        self.settings_file.write_text(self.settings(address))
-        await self.start_pilot()
-        await self.start_fleet()
-
-    def limits(self) -> dict[str, Any]:
-        """The figures behind the rules, as the pilot's settings read them."""
-        from damsonpick.settings.model import Rules
-
-        return Rules.model_validate(self.script.pilot["rules"]).model_dump(by_alias=True)
+        self.endpoint_list.put(*(self._list_entry(server) for server in self.servers))
+        self._list_server, address = await self.endpoint_list.start()
+        self.pilot.settings_file.write_text(pilot_settings(self.script, self.seed, address))
+        await self.pilot.start()
+        await self._start_gateways()
 
-    def settings(self, upstream: str) -> str:
-        """The pilot's settings file for this day."""
+    def _server_config(self, number: int, rules: Rules) -> ServerConfig:
         day = self.script.day
-        parts: dict[str, dict[str, Any]] = {
-            "pilot": {
-                "name": "pilot-0",
-                "zone": day.zones[0],
-                "zones": ", ".join(day.zones),
-                "state": "state",
-                "seed": self.seed,
-                "clock_rate": day.rate,
-            },
-            "listen": {"xds": "127.0.0.1:0"},
-            "tables": {"slices": day.slices},
-            **self.script.pilot,
-            "list": {"source": "eds", "upstream": upstream, "cluster": CLUSTER},
-            **({"sasp": {"listen": "127.0.0.1:0", "messages": 1000}} if day.balancers else {}),
-            "log": {"format": "json"},
-        }
-        for name, kind in self.script.classes.items():
-            parts[f"class {name}"] = {
-                "aim": f"{kind.aim} ns",
-                "deadline": f"{kind.deadline} ns",
-                "worth": kind.worth,
-                "effect": kind.effect,
-                "key_scope": kind.key_scope,
-                "key_window": f"{kind.key_window} ns",
-                "work": f"{kind.work} ns",
-            }
-        return "".join(
-            f"[{name}]\n" + "".join(f"{k} = {v}\n" for k, v in keys.items()) + "\n" for name, keys in parts.items()
-        )
-
-    async def start_pilot(self) -> None:
-        """Start the pilot and wait until its port is open."""
-        self._forget_ports()
-        log = (self.folder / "pilot.log").open("a")
-        self.pilot = await anyio.open_process(
-            [*self.command, "run", str(self.settings_file), "--port-file", str(self.port_file)],
-            stdin=subprocess.DEVNULL,
-            stdout=subprocess.DEVNULL,
-            stderr=log,
+        return ServerConfig(
+            zone=day.zones[number % len(day.zones)],
+            cores=day.cores,
+            capacity_factor=self.random.choice(CAPACITY_FACTORS),
+            cold_share=rules.cold_capacity_share,
+            warm_up_ns=rules.warm_up_time,
+            overload_multiple=rules.overload_multiple,
+            overload_window_ns=rules.overload_time,
         )
-        log.close()
-        with anyio.move_on_after(20):
-            while not self.port_file.exists():
-                if self.pilot.returncode is not None:
-                    break
-                await anyio.sleep(0.02)
-        if not self.port_file.exists():
-            tail = (self.folder / "pilot.log").read_text()[-800:]
-            raise RuntimeError(f"the pilot did not start within 20 s; the end of its log: {tail}")
 
-    async def start_fleet(self) -> None:
+    async def _start_gateways(self) -> None:
         day = self.script.day
-        capacity = sum(s.make.cores * s.make.speed for s in self.servers)  # ms of work each ms
-        mean = (
-            sum(k.share * k.work for k in self.script.classes.values())
-            / sum(k.share for k in self.script.classes.values())
-            / 1e9
-        )
         gateways = [
-            {"name": f"gw-{k}", "zone": day.zones[k % len(day.zones)], "delta": self.proxies or k % 4 != 3}
-            for k in range(day.gateways)
-        ]
-        balancers = [{"name": f"lb-{k}", "zone": day.zones[k % len(day.zones)]} for k in range(day.balancers)]
-        parts = 3 if self.proxies else 1  # real proxies cost more of a process
-        for part in range(parts):
-            setup = {
-                "clock_rate": day.rate,
-                "seed": self.seed,
-                "part": part,
-                "proxies": self.proxies,
-                "record": str(self.folder / f"gateways-{part}.jsonl"),
-                "pilot_zone": day.zones[0],
-                "port_file": str(self.port_file),
-                "slices": day.slices,
-                "rate": day.load * capacity / (mean * 1.083) / parts,  # the mean of the drawn factor on work
-                "kinds": [
-                    {
-                        "name": n,
-                        "aim": k.aim,
-                        "deadline": k.deadline,
-                        "effect": k.effect,
-                        "share": k.share,
-                        "work": k.work / 1e6,
-                        "worth": k.worth,
-                    }
-                    for n, k in self.script.classes.items()
-                ],
-                "gateways": gateways[part::parts],
-                "balancers": balancers[part::parts],
-                "members": {s.address: s.make.zone for s in self.servers},
+            {
+                "name": f"gw-{number}",
+                "zone": day.zones[number % len(day.zones)],
+                "delta": self.proxies or number % SOTW_GATEWAY_EVERY != SOTW_GATEWAY_EVERY - 1,
             }
-            with (self.folder / "fleet.log").open("a") as log:
-                fleet = await anyio.open_process(
-                    [sys.executable, "-m", "damsonpick.testing.fakes.fleet"], stdout=subprocess.DEVNULL, stderr=log
-                )
-            await fleet.stdin.send(json.dumps(setup).encode() + b"\n")
-            self.fleets.append(fleet)
-
-    # -- what troubles do
-
-    async def order(self, do: str, **details: Any) -> None:
-        """One order to the gateways."""
-        try:
-            for fleet in self.fleets:
-                await fleet.stdin.send(json.dumps({"do": do, **details}).encode() + b"\n")
-        except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            tail = (self.folder / "fleet.log").read_text()[-800:]
-            raise RuntimeError(f"the gateways' process has ended; the end of its log: {tail}") from None
-
-    async def wait(self, ns: float) -> None:
-        await anyio.sleep(self.clock.seconds(int(ns)))
-
-    def entry(self, server: ResultsServer, state: str = "in_service") -> api.EndpointEntry:
-        make = server.make
-        return api.EndpointEntry(server.address, make.zone, state, float(make.cores), server.started)
-
-    async def tell(self, server: ResultsServer, state: str) -> None:
-        """The list comes to know a server's state."""
-        self.lists.put(self.entry(server, state))
-
-    def later(self, server: ResultsServer, state: str) -> None:
-        """The list comes to know it a notice later, if it is still so."""
-        started, up = server.started, server.up
-
-        async def notice() -> None:
-            await self.wait(self.script.day.notice)
-            if (server.started, server.up) == (started, up):
-                await self.tell(server, state)
-
-        self.group.start_soon(notice)
-
-    def some(self, part: float) -> list[ResultsServer]:
-        """A drawn part of the servers that are up: at least one, never all."""
-        up = [s for s in self.servers if s.up and not s.fallen]
-        return self.rng.sample(up, max(1, min(len(up) - 1, round(part * len(up))))) if len(up) > 1 else []
-
-    def gateways(self, part: float) -> list[str]:
-        names = [f"gw-{k}" for k in range(self.script.day.gateways)]
-        return self.rng.sample(names, max(1, round(part * len(names))))
-
-    async def restart(self, server: ResultsServer) -> None:
-        """A new, cold process at the old address; the list hears of it a notice later."""
-        if not server.fallen:
-            await server.start(self.group, cold=True)
-            self.later(server, "in_service")
-
-    async def watch(self) -> None:
-        """A gateways' process that ends before its day is a failed day, not a quiet one."""
-        ended: list[int | None] = []
-
-        async def one(fleet: Process) -> None:
-            ended.append(await fleet.wait())
-            group.cancel_scope.cancel()
-
-        async with anyio.create_task_group() as group:
-            for fleet in self.fleets:
-                group.start_soon(one, fleet)
-        tail = (self.folder / "fleet.log").read_text()[-800:]
-        raise RuntimeError(f"a gateways' process ended with code {ended}; the end of its log: {tail}")
-
-    async def kill_pilot(self) -> None:
-        self.pilot.kill()
-        await self.pilot.wait()
-        self._forget_ports()
+            for number in range(day.gateways)
+        ]
+        balancers = [
+            {"name": f"lb-{number}", "zone": day.zones[number % len(day.zones)]} for number in range(day.balancers)
+        ]
+        processes = PROXY_PROCESSES if self.proxies else 1
+        for part in range(processes):
+            setup = self._gateways_setup(part, processes)
+            setup["gateways"] = gateways[part::processes]
+            setup["balancers"] = balancers[part::processes]
+            await self.gateways.start(setup)
+
+    def _gateways_setup(self, part: int, processes: int) -> dict[str, Any]:
+        """What a process of gateways is told at its start, but for its gateways."""
+        day = self.script.day
+        return {
+            "clock_rate": day.clock_rate,
+            "seed": self.seed,
+            "part": part,
+            "proxies": self.proxies,
+            "record": str(self.folder / f"gateways-{part}.jsonl"),
+            "pilot_zone": day.zones[0],
+            "port_file": str(self.pilot.port_file),
+            "slices": day.slices,
+            "rate": self._request_rate() / processes,
+            "kinds": self._classes_setup(),
+            "members": {server.address: server.config.zone for server in self.servers},
+        }
 
-    def _forget_ports(self) -> None:
-        for path in (self.port_file, self.port_file.with_suffix(".sasp")):
-            path.unlink(missing_ok=True)
+    def _request_rate(self) -> float:
+        """Requests per second of the scenario that offer the script's load."""
+        capacity = sum(server.config.cores * server.config.capacity_factor for server in self.servers)
+        classes = self.script.classes.values()
+        total_share = sum(c.share for c in classes)
+        mean_work_s = sum(c.share * c.work for c in classes) / total_share / NS_PER_SECOND
+        return self.script.day.load * capacity / (mean_work_s * MEAN_WORK_FACTOR)
+
+    def _classes_setup(self) -> list[dict[str, Any]]:
+        return [
+            {
+                "name": name,
+                "aim": request_class.latency_objective,
+                "deadline": request_class.deadline,
+                "effect": request_class.effect,
+                "share": request_class.share,
+                "work": request_class.work / NS_PER_MS,
+                "worth": request_class.priority_weight,
+            }
+            for name, request_class in self.script.classes.items()
+        ]
 
-    async def end(self) -> None:
-        """End what was started, gateways first."""
+    async def stop(self) -> None:
+        """Stop what was started, gateways first."""
         with anyio.CancelScope(shield=True):
-            for fleet in self.fleets:
-                await fleet.stdin.aclose()
-            for fleet in self.fleets:
-                await _finish(fleet)
-            if self.pilot is not None and self.pilot.returncode is None:
-                self.pilot.terminate()
-                await _finish(self.pilot)
+            await self.gateways.stop()
+            await self.pilot.stop()
             for server in self.servers:
                 server.stop("end of the day")
-            await self.list_server.stop(None)
+            if self._list_server is not None:
+                await self._list_server.stop(None)
             self.record.close()
 
-
-async def _finish(process: Process) -> None:
-    with anyio.move_on_after(5) as scope:
-        await process.wait()
-    if scope.cancelled_caught:
-        process.kill()
-        await process.wait()
+    # What faults do
+
+    async def sleep(self, duration_ns: float) -> None:
+        """Wait for a time of the scenario's clock."""
+        await anyio.sleep(self.clock.seconds(int(duration_ns)))
+
+    def update_list(self, server: FakeResultsServer, state: str) -> None:
+        """Set a server's state in the endpoint list."""
+        self.endpoint_list.put(self._list_entry(server, state))
+
+    def update_list_after_notice(self, server: FakeResultsServer, state: str) -> None:
+        """Set a server's state in the list after the script's notice, unless it has restarted or stopped meanwhile."""
+        started, is_up = server.started, server.is_up
+
+        async def update() -> None:
+            await self.sleep(self.script.day.notice)
+            if (server.started, server.is_up) == (started, is_up):
+                self.update_list(server, state)
+
+        self._group.start_soon(update)
+
+    async def restart_server(self, server: FakeResultsServer) -> None:
+        """Start a new, cold process at the old address, unless the server fell over."""
+        if not server.fell_over:
+            await server.start(self._group, cold=True)
+            self.update_list_after_notice(server, "in_service")
+
+    def draw_servers(self, share: float) -> list[FakeResultsServer]:
+        """A random share of the servers that are up: at least one, never all."""
+        up = [server for server in self.servers if server.is_up and not server.fell_over]
+        if len(up) <= 1:
+            return []
+        count = min(len(up) - 1, round(share * len(up)))
+        return self.random.sample(up, max(1, count))
+
+    def draw_gateways(self, share: float) -> list[str]:
+        """Names of a random share of the gateways, at least one."""
+        names = [f"gw-{number}" for number in range(self.script.day.gateways)]
+        return self.random.sample(names, max(1, round(share * len(names))))
+
+    def _list_entry(self, server: FakeResultsServer, state: str = "in_service") -> api.EndpointEntry:
+        config = server.config
+        return api.EndpointEntry(server.address, config.zone, state, float(config.cores), server.started)
--- a/damsonpick/testing/scenarios/faults.py
+++ b/damsonpick/testing/scenarios/faults.py
@@ -1,205 +1,217 @@
-"""What each trouble does to the stage. The figures are the script's; who is struck is drawn from the seed."""
+"""What each kind of fault does to the environment. The figures are the script's; who is affected is random.
+
+A fault's `size` and `extra` mean what the docstring of its kind says; `extra` in seconds unless stated otherwise.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-
-from damsonpick.testing.scenarios.environment import Stage
-from damsonpick.testing.scenarios.script import Trouble
-
-SECOND = 1_000_000_000
-RESTART = SECOND // 2  # ns that a process takes to start anew
-
-
-async def crash(stage: Stage, t: Trouble) -> None:
-    """Processes die; they come back cold after `len`."""
-    await _down(stage, stage.some(t.part), "crash", t.len)
-
-
-async def _down(stage: Stage, struck: list, why: str, span: int) -> None:
-    """Processes end at once, the list hears of it later, and after a while they start cold."""
-    for server in struck:
-        server.stop(why)
-        stage.later(server, "terminated")
-    await stage.wait(span)
-    for server in struck:
-        await stage.restart(server)
-
-
-async def deploy(stage: Stage, t: Trouble) -> None:
-    """A part of the fleet is replaced in batches of `size` of it; each drains for `extra` s."""
-    struck = stage.some(t.part)
-    batch = max(1, round(t.size * len(stage.servers)))
-    rounds = -(-len(struck) // batch)
-    for k in range(rounds):
-        group = struck[k * batch : (k + 1) * batch]
-        for server in group:
-            await stage.tell(server, "terminating")
-        await stage.wait(t.extra * SECOND)
-        await _down(stage, group, "deploy", RESTART)
-        await stage.wait(max(0, t.len / rounds - t.extra * SECOND - RESTART))
-
-
-async def shrink(stage: Stage, t: Trouble) -> None:
-    """The fleet shrinks to 1/`size`; who leaves drains for `extra` s."""
-    struck = stage.some(1 - 1 / t.size)
-    for server in struck:
-        await stage.tell(server, "terminating")
-        await stage.wait(t.len / max(1, len(struck)))
-    await stage.wait(t.extra * SECOND)
-    for server in struck:
+from typing import Any
+
+from damsonpick.testing.fakes.results_server import FakeResultsServer
+from damsonpick.testing.scenarios.environment import Environment
+from damsonpick.testing.scenarios.script import Fault
+
+NS_PER_SECOND = 1_000_000_000
+RESTART_NS = NS_PER_SECOND // 2  # that a process takes to start anew
+MAX_HOT_SLICES = 3
+MAX_HOT_SHARE = 0.9
+SLOW_READ_UNIT_NS = NS_PER_SECOND // 10
+MIN_STALL_INTERVAL_S = 0.1
+
+Inject = Callable[[Environment, Fault], Awaitable[None]]
+
+
+async def crash(environment: Environment, fault: Fault) -> None:
+    """Servers die; they come back cold after the duration."""
+    await _crash_servers(environment, environment.draw_servers(fault.affected_share), "crash", fault.duration)
+
+
+async def _crash_servers(
+    environment: Environment, servers: list[FakeResultsServer], reason: str, down_ns: float
+) -> None:
+    """Stop servers at once; the list learns of it after its notice, and they start cold after `down_ns`."""
+    for server in servers:
+        server.stop(reason)
+        environment.update_list_after_notice(server, "terminated")
+    await environment.sleep(down_ns)
+    for server in servers:
+        await environment.restart_server(server)
+
+
+async def deploy(environment: Environment, fault: Fault) -> None:
+    """Servers are replaced in batches of `size` of the fleet; each drains for `extra`."""
+    servers = environment.draw_servers(fault.affected_share)
+    batch_size = max(1, round(fault.size * len(environment.servers)))
+    batches = [servers[at : at + batch_size] for at in range(0, len(servers), batch_size)]
+    drain_ns = fault.extra * NS_PER_SECOND
+    for batch in batches:
+        for server in batch:
+            environment.update_list(server, "terminating")
+        await environment.sleep(drain_ns)
+        await _crash_servers(environment, batch, "deploy", RESTART_NS)
+        await environment.sleep(max(0, fault.duration / len(batches) - drain_ns - RESTART_NS))
+
+
+async def shrink(environment: Environment, fault: Fault) -> None:
+    """The fleet shrinks to 1/`size` over the duration; who leaves drains for `extra`."""
+    servers = environment.draw_servers(1 - 1 / fault.size)
+    for server in servers:
+        environment.update_list(server, "terminating")
+        await environment.sleep(fault.duration / max(1, len(servers)))
+    await environment.sleep(fault.extra * NS_PER_SECOND)
+    for server in servers:
         server.stop("shrink")
-        await stage.tell(server, "terminated")
+        environment.update_list(server, "terminated")
 
 
-async def preempt(stage: Stage, t: Trouble) -> None:
-    """Machines are taken away at `extra` s of notice and come back cold after `len`."""
-    struck = stage.some(t.part)
-    for server in struck:
-        await stage.tell(server, "terminating")
-    await stage.wait(t.extra * SECOND)
-    for server in struck:
+async def preempt(environment: Environment, fault: Fault) -> None:
+    """Machines are taken away at a notice of `extra` and come back cold after the duration."""
+    servers = environment.draw_servers(fault.affected_share)
+    for server in servers:
+        environment.update_list(server, "terminating")
+    await environment.sleep(fault.extra * NS_PER_SECOND)
+    for server in servers:
         server.stop("preempted")
-        await stage.tell(server, "terminated")
-    await stage.wait(t.len)
-    for server in struck:
-        await stage.restart(server)
-
-
-async def flapping(stage: Stage, t: Trouble) -> None:
-    """Processes die and come back cold again and again, `extra` s each way."""
-    struck = stage.some(t.part)
-    end = stage.clock.now() + t.len
-    while stage.clock.now() < end:
-        for server in struck:
-            server.stop("flapping")
-            stage.later(server, "terminated")
-        await stage.wait(t.extra * SECOND)
-        for server in struck:
-            await stage.restart(server)
-        await stage.wait(t.extra * SECOND)
-
-
-def _mark(name: str, value: Callable[[Trouble], object], usual: object) -> Callable[[Stage, Trouble], Awaitable[None]]:
-    async def strike(stage: Stage, t: Trouble) -> None:
-        struck = stage.some(t.part)
-        for server in struck:
-            setattr(server.troubles, name, value(t))
-            server.say_speed()
-        await stage.wait(t.len)
-        for server in struck:
-            setattr(server.troubles, name, usual)
-            server.say_speed()
-
-    return strike
-
-
-async def false_reports(stage: Stage, t: Trouble) -> None:
-    """Servers grow `size` times slower and report that they have nothing to do."""
-    struck = stage.some(t.part)
-    for server in struck:
-        server.troubles.slow, server.troubles.lies = t.size, True
-        server.say_speed()
-    await stage.wait(t.len)
-    for server in struck:
-        server.troubles.slow, server.troubles.lies = 1.0, False
-        server.say_speed()
-
-
-async def half_building(stage: Stage, t: Trouble) -> None:
-    """A building loses half of its servers at once; they come back cold after `len`."""
-    zone = stage.rng.choice(stage.script.day.zones)
-    inside = [s for s in stage.servers if s.make.zone == zone and s.up]
-    await _down(stage, stage.rng.sample(inside, len(inside) // 2), "half of a building lost", t.len)
-
-
-async def class_fail(stage: Stage, t: Trouble) -> None:
-    """One class fails on a part of the servers."""
-    kind = stage.rng.choice(sorted(stage.script.classes))
-    struck = stage.some(t.part)
-    for server in struck:
-        server.troubles.failing = {kind}
-    await stage.wait(t.len)
-    for server in struck:
-        server.troubles.failing = set()
-
-
-async def hot_key(stage: Stage, t: Trouble) -> None:
-    """`extra` slices draw `size` of all traffic."""
-    hot = stage.rng.sample(range(stage.script.day.slices), max(1, min(3, int(t.extra))))
-    await stage.order("hot", slices=hot, share=min(t.size, 0.9))
-    await stage.wait(t.len)
-    await stage.order("hot", slices=[], share=0.0)
-
-
-async def rush(stage: Stage, t: Trouble) -> None:
+        environment.update_list(server, "terminated")
+    await environment.sleep(fault.duration)
+    for server in servers:
+        await environment.restart_server(server)
+
+
+async def flapping(environment: Environment, fault: Fault) -> None:
+    """Servers die and come back cold again and again, down and up for `extra` each."""
+    servers = environment.draw_servers(fault.affected_share)
+    end = environment.clock.now() + fault.duration
+    while environment.clock.now() < end:
+        await _crash_servers(environment, servers, "flapping", fault.extra * NS_PER_SECOND)
+        await environment.sleep(fault.extra * NS_PER_SECOND)
+
+
+def _server_fault(faulty: Callable[[Fault], dict[str, Any]], normal: dict[str, Any]) -> Inject:
+    """A fault that sets attributes of `ServerFaults` for its duration.
+
+    Args:
+        faulty: the attributes while the fault lasts.
+        normal: their values afterwards.
+    """
+
+    async def inject(environment: Environment, fault: Fault) -> None:
+        servers = environment.draw_servers(fault.affected_share)
+        _set_faults(servers, faulty(fault))
+        await environment.sleep(fault.duration)
+        _set_faults(servers, normal)
+
+    return inject
+
+
+def _set_faults(servers: list[FakeResultsServer], attributes: dict[str, Any]) -> None:
+    for server in servers:
+        for name, value in attributes.items():
+            setattr(server.faults, name, value)
+        server.record_slowdown()
+
+
+async def half_building(environment: Environment, fault: Fault) -> None:
+    """A zone loses half of its servers at once; they come back cold after the duration."""
+    zone = environment.random.choice(environment.script.day.zones)
+    inside = [server for server in environment.servers if server.config.zone == zone and server.is_up]
+    lost = environment.random.sample(inside, len(inside) // 2)
+    await _crash_servers(environment, lost, "half of a building lost", fault.duration)
+
+
+async def class_fail(environment: Environment, fault: Fault) -> None:
+    """One request class fails on a share of the servers."""
+    request_class = environment.random.choice(sorted(environment.script.classes))
+    servers = environment.draw_servers(fault.affected_share)
+    for server in servers:
+        server.faults.failing_classes = {request_class}
+    await environment.sleep(fault.duration)
+    for server in servers:
+        server.faults.failing_classes = set()
+
+
+async def hot_key(environment: Environment, fault: Fault) -> None:
+    """`extra` slices (1 to 3) draw the share `size` of all traffic."""
+    count = max(1, min(MAX_HOT_SLICES, int(fault.extra)))
+    hot = environment.random.sample(range(environment.script.day.slices), count)
+    await environment.gateways.send_command("hot", slices=hot, share=min(fault.size, MAX_HOT_SHARE))
+    await environment.sleep(fault.duration)
+    await environment.gateways.send_command("hot", slices=[], share=0.0)
+
+
+async def rush(environment: Environment, fault: Fault) -> None:
     """Traffic is `size` times the usual."""
-    await stage.order("demand", factor=t.size)
-    await stage.wait(t.len)
-    await stage.order("demand", factor=1.0)
+    await environment.gateways.send_command("demand", factor=fault.size)
+    await environment.sleep(fault.duration)
+    await environment.gateways.send_command("demand", factor=1.0)
 
 
-async def zone_cut(stage: Stage, t: Trouble) -> None:
-    """One zone is cut off from the others; `size` under 1: it is the pilot's own."""
-    zones = stage.script.day.zones
-    zone = zones[0] if t.size < 1 or len(zones) == 1 else stage.rng.choice(zones[1:])
-    await stage.order("cut", zone=zone, on=True)
-    await stage.wait(t.len)
-    await stage.order("cut", zone=zone, on=False)
+async def zone_cut(environment: Environment, fault: Fault) -> None:
+    """One zone is cut off from the others; `size` under 1: the pilot's own."""
+    zones = environment.script.day.zones
+    cuts_pilot_zone = fault.size < 1 or len(zones) == 1
+    zone = zones[0] if cuts_pilot_zone else environment.random.choice(zones[1:])
+    await environment.gateways.send_command("cut", zone=zone, on=True)
+    await environment.sleep(fault.duration)
+    await environment.gateways.send_command("cut", zone=zone, on=False)
 
 
-async def counter_down(stage: Stage, t: Trouble) -> None:
-    """A part of the gateways reaches no pilot; `size` over 1: the list answers nothing; over 2: it is empty."""
-    names = stage.gateways(t.part)
-    await stage.order("away", gateways=names, on=True)
-    stage.lists.down, stage.lists.empty = 1 < t.size <= 2, t.size > 2
-    stage.lists.changed()
-    await stage.wait(t.len)
-    await stage.order("away", gateways=names, on=False)
-    stage.lists.down = stage.lists.empty = False
-    stage.lists.changed()
+async def counter_down(environment: Environment, fault: Fault) -> None:
+    """A share of the gateways reaches no pilot; `size` over 1: the list answers nothing; over 2: it is empty."""
+    names = environment.draw_gateways(fault.affected_share)
+    await environment.gateways.send_command("away", gateways=names, on=True)
+    environment.endpoint_list.set_failure(is_down=1 < fault.size <= 2, is_empty=fault.size > 2)
+    await environment.sleep(fault.duration)
+    await environment.gateways.send_command("away", gateways=names, on=False)
+    environment.endpoint_list.set_failure(is_down=False, is_empty=False)
 
 
-async def report_late(stage: Stage, t: Trouble) -> None:
-    """Sums come `extra` s later."""
-    await stage.order("late", ns=int(t.extra * SECOND))
-    await stage.wait(t.len)
-    await stage.order("late", ns=0)
+async def report_late(environment: Environment, fault: Fault) -> None:
+    """Load reports come `extra` later."""
+    await environment.gateways.send_command("late", ns=int(fault.extra * NS_PER_SECOND))
+    await environment.sleep(fault.duration)
+    await environment.gateways.send_command("late", ns=0)
 
 
-async def origin_slow(stage: Stage, t: Trouble) -> None:
-    """Orders take `size` times 100 ms longer to be read."""
-    await stage.order("slow_reads", ns=int(t.size * SECOND / 10))
-    await stage.wait(t.len)
-    await stage.order("slow_reads", ns=0)
+async def origin_slow(environment: Environment, fault: Fault) -> None:
+    """Gateways take `size` times 100 ms longer to read a response."""
+    await environment.gateways.send_command("slow_reads", ns=int(fault.size * SLOW_READ_UNIT_NS))
+    await environment.sleep(fault.duration)
+    await environment.gateways.send_command("slow_reads", ns=0)
 
 
-async def balancer_stall(stage: Stage, t: Trouble) -> None:
-    """A part of the gateways stands still for `size` s, every `extra` s."""
-    names = stage.gateways(t.part)
-    end = stage.clock.now() + t.len
-    while stage.clock.now() < end:
-        await stage.order("stall", gateways=names, ns=int(t.size * SECOND))
-        await stage.wait(max(t.extra, 0.1) * SECOND)
+async def balancer_stall(environment: Environment, fault: Fault) -> None:
+    """A share of the gateways stands still for `size` s, every `extra`."""
+    names = environment.draw_gateways(fault.affected_share)
+    end = environment.clock.now() + fault.duration
+    while environment.clock.now() < end:
+        await environment.gateways.send_command("stall", gateways=names, ns=int(fault.size * NS_PER_SECOND))
+        await environment.sleep(max(fault.extra, MIN_STALL_INTERVAL_S) * NS_PER_SECOND)
 
 
-async def pilot_restart(stage: Stage, t: Trouble) -> None:
-    """The pilot is killed outright and started again `extra` s later."""
-    await stage.kill_pilot()
-    await stage.wait(t.extra * SECOND)
-    await stage.start_pilot()
+async def pilot_restart(environment: Environment, fault: Fault) -> None:
+    """The pilot is killed and started again `extra` later."""
+    await environment.pilot.kill()
+    await environment.sleep(fault.extra * NS_PER_SECOND)
+    await environment.pilot.start()
 
 
-ALL: dict[str, Callable[[Stage, Trouble], Awaitable[None]]] = {
+FAULTS: dict[str, Inject] = {
     "crash": crash,
     "deploy": deploy,
     "shrink": shrink,
     "preempt": preempt,
     "flapping": flapping,
-    "slow": _mark("slow", lambda t: t.size, 1.0),
-    "hang": _mark("hang", lambda t: True, False),
-    "answers_lost": _mark("losing", lambda t: min(1.0, t.size), 0.0),
-    "fast_errors": _mark("errors", lambda t: min(1.0, t.size), 0.0),
+    "slow": _server_fault(lambda fault: {"slowdown": fault.size}, {"slowdown": 1.0}),
+    "hang": _server_fault(lambda fault: {"hangs": True}, {"hangs": False}),
+    "answers_lost": _server_fault(
+        lambda fault: {"lost_answer_share": min(1.0, fault.size)}, {"lost_answer_share": 0.0}
+    ),
+    "fast_errors": _server_fault(lambda fault: {"error_share": min(1.0, fault.size)}, {"error_share": 0.0}),
+    "false_reports": _server_fault(
+        lambda fault: {"slowdown": fault.size, "reports_idle": True}, {"slowdown": 1.0, "reports_idle": False}
+    ),
     "class_fail": class_fail,
     "hot_key": hot_key,
     "rush": rush,
@@ -209,6 +221,5 @@
     "origin_slow": origin_slow,
     "balancer_stall": balancer_stall,
     "pilot_restart": pilot_restart,
-    "false_reports": false_reports,
     "half_building": half_building,
 }
--- a/damsonpick/testing/scenarios/report.py
+++ b/damsonpick/testing/scenarios/report.py
@@ -1,4 +1,4 @@
-"""Plays the days that an operator names and prints the table of rules."""
+"""Plays the scenarios that an operator names and prints what the rules showed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 import click
 
 from damsonpick.settings.problems import SettingsError
-from damsonpick.testing.scenarios.player import Outcome, play
+from damsonpick.testing.rules import Breach, RuleResult
+from damsonpick.testing.scenarios.outcome import Outcome
+from damsonpick.testing.scenarios.player import play
 from damsonpick.testing.scenarios.script import Script, load
 
-BREACHES = 5  # shown for each rule
+SHOWN_BREACHES = 5  # for each rule
+EXIT_KEPT, EXIT_BROKEN, EXIT_UNREADABLE = 0, 1, 2
 
 
 def rehearse(
-    days: tuple[Path, ...],
+    paths: tuple[Path, ...],
     seed: int | None,
     times: int,
     keep: Path | None,
@@ -25,27 +28,42 @@
     as_json: bool,
     proxies: bool = False,
 ) -> int:
-    """Exit code: 0 all rules kept, 1 one broken, 2 a script cannot be read."""
+    """Play scenarios and print their outcome.
+
+    Args:
+        paths: the scripts.
+        seed: of the first play; None: the script's own.
+        times: plays of each scenario, each with the next seed.
+        keep: folder for settings, records and logs; None: they are removed.
+        pilot: the command that runs a pilot; None: this program's own.
+        as_json: print an object a play in place of a table.
+        proxies: real proxies are the data plane.
+
+    Returns:
+        The exit code: 0 all rules kept, 1 one broken, 2 a script cannot be read.
+    """
     try:
-        scripts = [(path, load(path)) for path in days]
+        scripts = [(path, load(path)) for path in paths]
     except SettingsError as error:
         click.echo(str(error), err=True)
-        return 2
-    kept = True
+        return EXIT_UNREADABLE
+    all_kept = True
     for path, script in scripts:
-        for k in range(times):
-            number = (script.day.seed if seed is None else seed) + k
-            outcome = _one(path, script, number, keep, pilot, proxies)
-            kept &= outcome.kept
+        first_seed = script.day.seed if seed is None else seed
+        for play_seed in range(first_seed, first_seed + times):
+            outcome = _play_one(path, script, play_seed, keep, pilot, proxies)
+            all_kept &= outcome.kept
             if as_json:
-                click.echo(json.dumps({"day": str(path), "seed": number, **outcome.as_dict()}))
+                click.echo(json.dumps({"day": str(path), "seed": play_seed, **outcome.as_dict()}))
             else:
-                _print(path, number, outcome)
-    return 0 if kept else 1
+                _print_outcome(path, play_seed, outcome)
+    return EXIT_KEPT if all_kept else EXIT_BROKEN
 
 
-def _one(path: Path, script: Script, seed: int, keep: Path | None, pilot: list[str] | None, proxies: bool) -> Outcome:
-    with tempfile.TemporaryDirectory(prefix="badday-") as scratch:
+def _play_one(
+    path: Path, script: Script, seed: int, keep: Path | None, pilot: list[str] | None, proxies: bool
+) -> Outcome:
+    with tempfile.TemporaryDirectory(prefix="scenario-") as scratch:
         folder = Path(scratch)
         if keep is not None:
             folder = keep / f"{path.stem}-{seed}"
@@ -53,21 +71,28 @@
         return anyio.run(play, script, seed, folder, pilot, proxies)
 
 
-def _print(path: Path, seed: int, outcome: Outcome) -> None:
+def _print_outcome(path: Path, seed: int, outcome: Outcome) -> None:
+    verdict = "all rules kept" if outcome.kept else "A RULE WAS BROKEN"
     click.echo(
-        f"{path} (seed {seed}): {'all rules kept' if outcome.kept else 'A RULE WAS BROKEN'}; service "
-        f"{outcome.service:.3f} over {outcome.requests} requests (stand-ins on loopback)"
+        f"{path} (seed {seed}): {verdict}; service {outcome.service:.3f} over {outcome.requests} requests "
+        "(fakes on loopback)"
     )
-    click.echo("  ends: " + ", ".join(f"{how} {n}" for how, n in sorted(outcome.ends.items())))
+    click.echo("  ends: " + ", ".join(f"{ending} {count}" for ending, count in sorted(outcome.endings.items())))
     for rule in outcome.rules:
-        mark = "kept  " if not rule.breaches else "BROKEN"
-        click.echo(
-            f"  {mark}  {rule.name:<30} tested {rule.tested:>7}  worst {rule.worst:8.3f} of {rule.limit:g} {rule.unit}"
-        )
-        for breach in rule.breaches[:BREACHES]:
-            click.echo(
-                f"          at {breach.time_ns / 1e9:.3f} gateway {breach.gateway} slice {breach.slice_number} "
-                f"server {breach.server}: {breach.text}"
-            )
-        if len(rule.breaches) > BREACHES:
-            click.echo(f"          and {len(rule.breaches) - BREACHES} more")
+        _print_rule(rule)
+
+
+def _print_rule(rule: RuleResult) -> None:
+    verdict = "BROKEN" if rule.breaches else "kept  "
+    click.echo(
+        f"  {verdict}  {rule.name:<30} tested {rule.tested:>7}  worst {rule.worst:8.3f} of {rule.limit:g} {rule.unit}"
+    )
+    for breach in rule.breaches[:SHOWN_BREACHES]:
+        click.echo("          " + _breach_text(breach))
+    if len(rule.breaches) > SHOWN_BREACHES:
+        click.echo(f"          and {len(rule.breaches) - SHOWN_BREACHES} more")
+
+
+def _breach_text(breach: Breach) -> str:
+    where = f"gateway {breach.gateway} slice {breach.slice_number} server {breach.server}"
+    return f"at {breach.time_ns / 1e9:.3f} {where}: {breach.text}"
--- a/damsonpick/testing/scenarios/script.py
+++ b/damsonpick/testing/scenarios/script.py
@@ -1,4 +1,7 @@
-"""The script of a bad day: an INI file, checked whole. Troubles are named as the bench names them."""
+"""The script of a scenario: an INI file, checked whole.
+
+Fields are named in the terms of the code; an alias is the key in the file, where it differs. Durations are integer ns.
+"""
 
 from __future__ import annotations
 
@@ -16,17 +19,19 @@
 
 
 class Section(BaseModel):
+    """One section of the file; unknown keys are refused."""
+
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Day(Section):
+class FleetSettings(Section):
     """[day]: the fleet and the traffic."""
 
     length: Duration
-    rate: float = Field(1.0, gt=0, le=10)  # seconds of the day to one of the wall
+    clock_rate: float = Field(1.0, gt=0, le=10, alias="rate")  # seconds of the scenario to one of the wall clock
     seed: int = 1
     gateways: int = Field(20, ge=1, le=200)
-    balancers: int = Field(0, ge=0, le=100)  # on the SASP front, beside the gateways
+    balancers: int = Field(0, ge=0, le=100)  # SASP clients, beside the gateways
     servers: int = Field(16, ge=1, le=100)
     zones: Names = ("north", "south", "west", "east")
     slices: int = Field(96, ge=0, le=5000)  # 0: a table for each zone and class
@@ -35,12 +40,12 @@
     notice: Duration = 1_000_000_000  # until the list knows of a change
 
 
-class Kind(Section):
-    """[class NAME]: as in the pilot's settings, with its share of the traffic and its work."""
+class RequestClassSettings(Section):
+    """[class NAME]: as in the pilot's settings, with its share of the traffic and its mean work."""
 
-    aim: Duration
+    latency_objective: Duration = Field(alias="aim")
     deadline: Duration
-    worth: float = 1.0
+    priority_weight: float = Field(1.0, alias="worth")
     effect: Literal["read_like", "idempotency_key", "non_idempotent"] = "read_like"
     key_scope: Literal["all", "zone", "cell"] = "all"
     key_window: Duration = 0
@@ -48,8 +53,11 @@
     work: Duration
 
 
-class Trouble(Section):
-    """[trouble NAME]: what goes wrong, when, for how long, and how much. See docs/operators/badday.md."""
+class Fault(Section):
+    """[trouble NAME]: what goes wrong, when, for how long, and how much.
+
+    What `size` and `extra` mean depends on the kind; see docs/operators/badday.md.
+    """
 
     kind: Literal[
         "crash",
@@ -73,40 +81,49 @@
         "half_building",
         "answers_lost",
     ]
-    at: Duration
-    len: Duration = 10_000_000_000
-    part: Share = 0.2
+    start: Duration = Field(alias="at")
+    duration: Duration = Field(10_000_000_000, alias="len")
+    affected_share: Share = Field(0.2, alias="part")
     size: float = 2.0
     extra: float = 2.0
 
 
 class Script(Section):
-    day: Day
-    classes: dict[str, Kind]
-    troubles: dict[str, Trouble]
+    """A whole scenario.
+
+    Attributes:
+        day: the fleet and the traffic.
+        classes: request classes by name.
+        faults: by name.
+        pilot: sections of the pilot's settings, as they stand.
+    """
+
+    day: FleetSettings
+    classes: dict[str, RequestClassSettings]
+    faults: dict[str, Fault]
     pilot: dict[str, dict[str, str]]
 
 
 def load(path: Path) -> Script:
-    """A day's script.
+    """Read a scenario's script.
 
     Raises:
         SettingsError: with every problem found, each with section, key, value and remedy.
     """
     script, problems = sections.read(
-        path, Script, ("day", *PILOT_SECTIONS), {"class": "classes", "trouble": "troubles"}, whole="pilot"
+        path, Script, ("day", *PILOT_SECTIONS), {"class": "classes", "trouble": "faults"}, whole="pilot"
     )
-    problems += _across(script)
+    problems += _late_faults(script)
     if problems:
         raise SettingsError(path, problems)
     return script
 
 
-def _across(script: Script) -> list[Problem]:
+def _late_faults(script: Script) -> list[Problem]:
+    """Faults that would start after the scenario's end."""
     found = []
-    for name, trouble in script.troubles.items():
-        if trouble.at >= script.day.length:
-            found.append(
-                Problem(f"trouble {name}", "at", f"{trouble.at / 1e9:g} s", "is after the day's end; start it earlier")
-            )
+    for name, fault in script.faults.items():
+        if fault.start >= script.day.length:
+            start_s = f"{fault.start / 1e9:g} s"
+            found.append(Problem(f"trouble {name}", "at", start_s, "is after the day's end; start it earlier"))
     return found
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -15,9 +15,9 @@
 
 import anyio
 
-from damsonpick.testing.fakes.collector import Collector
-from damsonpick.testing.fakes.discovery import Catalogue
-from damsonpick.testing.fakes.relay import Relay
+from damsonpick.testing.fakes.collector import FakeCollector
+from damsonpick.testing.fakes.discovery import FakeDiscovery
+from damsonpick.testing.fakes.registry import FakeRegistry
 
 ROOT = Path(__file__).parent.parent
 TIMEOUT_S = 10.0  # a bound, not a wait
@@ -100,14 +100,17 @@
 class World:
     """A fake registry, a fake discovery, collectors and one pilot."""
 
-    def __init__(self, folder: Path, relay: Relay, catalogue: Catalogue) -> None:
-        self.relay, self.catalogue = relay, catalogue
+    registry_port: int
+    discovery_port: int
+
+    def __init__(self, folder: Path, registry: FakeRegistry, discovery: FakeDiscovery) -> None:
+        self.registry, self.discovery = registry, discovery
         self.file, self.log = folder / "config.json", folder / "log"
         self.port = free_port()
 
     def write(self, **changes) -> None:
         """Replace the configuration file."""
-        changed = config(self.port, self.registry, self.discovery, **changes)
+        changed = config(self.port, self.registry_port, self.discovery_port, **changes)
         part = self.file.with_suffix(".part")
         part.write_text(json.dumps(changed))
         part.replace(self.file)
@@ -169,13 +172,15 @@
 
     # -- what the fake registry stores
 
-    async def collector(self, zone: str = "a") -> Collector:
+    async def collector(self, zone: str = "a") -> FakeCollector:
         """Return a collector that has joined."""
-        return await (await Collector.dial(self.port)).join(zone)
+        return await (await FakeCollector.connect(self.port)).join(zone)
 
     def is_avoided(self, endpoint: str) -> bool:
         """Whether no proxy sends to an endpoint: it is withdrawn, or in no table."""
-        return endpoint in self.relay.shut or not any(endpoint in table for table in self.relay.tables.values())
+        return endpoint in self.registry.withdrawn or not any(
+            endpoint in table for table in self.registry.tables.values()
+        )
 
     async def avoided(self, endpoint: str, timeout_s: float) -> None:
         """Wait until no proxy sends to an endpoint."""
@@ -183,9 +188,9 @@
 
     def uncovered_slices(self) -> list[int]:
         """Return slices without an entry for an endpoint that is ready and not withdrawn."""
-        ready = {name for name, entry in self.catalogue.servers.items() if entry["state"] == "Ready"}
-        usable = ready - self.relay.shut
-        return [number for number, table in self.relay.tables.items() if not usable & set(table)]
+        ready = {name for name, entry in self.discovery.servers.items() if entry["state"] == "Ready"}
+        usable = ready - self.registry.withdrawn
+        return [number for number, table in self.registry.tables.items() if not usable & set(table)]
 
     async def covered(self, timeout_s: float = TIMEOUT_S) -> None:
         """Wait until every slice has an entry for a usable endpoint."""
@@ -193,7 +198,7 @@
 
     async def drain(self, endpoint: str) -> None:
         """Have an endpoint drain and wait until no proxy sends to it and every slice is covered."""
-        await self.catalogue.put(endpoint, "Terminating")
+        await self.discovery.update_server(endpoint, "Terminating")
         await self.avoided(endpoint, 4.0)
         await self.covered(4.0)
 
@@ -209,9 +214,9 @@
         proxies: how many.
         rate: entries per second that the channel is said to send.
     """
-    relay, catalogue = Relay(slices, proxies), Catalogue(*servers)
-    made = World(folder, relay, catalogue)
-    async with relay.running() as made.registry, catalogue.running() as made.discovery:
+    registry, discovery = FakeRegistry(slices, proxies), FakeDiscovery(*servers)
+    made = World(folder, registry, discovery)
+    async with registry.running() as made.registry_port, discovery.running() as made.discovery_port:
         made.write(settings=SETTINGS | {"domain": SETTINGS["domain"] | {"egressPerS": rate}})
         await made.start()
         try:
--- a/tests/test_learned_pilot.py
+++ b/tests/test_learned_pilot.py
@@ -20,9 +20,10 @@
 from damsonpick.runtime.clock import Clock
 from damsonpick.state.learned import codec, generations
 from damsonpick.state.learned.snapshot import FORMAT, HostTime
-from damsonpick.testing.fakes.gateway import Gateway, Kind, Links
+from damsonpick.testing.fakes.gateway import FakeGateway
+from damsonpick.testing.fakes.gateway_context import GatewayContext, Network, TrafficClass
 from damsonpick.testing.fakes.record import Recorder
-from damsonpick.testing.fakes.results import Make, ResultsServer
+from damsonpick.testing.fakes.results_server import FakeResultsServer, ServerConfig
 from tests.gates import not_bare, soon, weights, world
 from tests.learned_state import with_format
 from tests.pilots import Pilot, until
@@ -74,22 +75,20 @@
         self.folder, self.group, self.pilot = folder, group, pilot
         self.clock = Clock()
         self.record = Recorder(folder / "record.jsonl", self.clock.now)
-        self.servers, self.links = [], Links()
+        self.servers, self.network = [], Network()
         self.count, self.ends = servers, {}
         self.kinds = {
-            "page": Kind("page", 1_500_000_000, 4 * SECOND, "read_like"),
-            "tally": Kind("tally", 1_500_000_000, 4 * SECOND, "non_idempotent"),
+            "page": TrafficClass("page", 1_500_000_000, 4 * SECOND, "read_like"),
+            "tally": TrafficClass("tally", 1_500_000_000, 4 * SECOND, "non_idempotent"),
         }
+        context = GatewayContext(self.clock, self.record, self.network, self.kinds)
         self.gates = [
-            Gateway(
+            FakeGateway(
                 f"g{k}",
                 "ab"[k % 2],
                 True,
                 lambda: port_files.address(pilot.port_file),
-                self.kinds,
-                self.clock,
-                self.record,
-                self.links,
+                context,
                 random.Random(k),
             )
             for k in range(gates)
@@ -97,9 +96,8 @@
 
     async def open(self):
         for k in range(self.count):
-            made = ResultsServer(
-                Make("ab"[k % 2], 4, 1.0, 0.2, 15 * SECOND, 4, 1_500_000_000), self.clock, self.record, random.Random(k)
-            )
+            config = ServerConfig("ab"[k % 2], 4, 1.0, 0.2, 15 * SECOND, 4, 1_500_000_000)
+            made = FakeResultsServer(config, self.clock, self.record, random.Random(k))
             await made.start(self.group, cold=False)
             self.servers.append(made)
 
@@ -119,7 +117,7 @@
 
     def list(self, entries):
         """Address to state, or to (state, start)."""
-        zones = {s.address: s.make.zone for s in self.servers}
+        zones = {s.address: s.config.zone for s in self.servers}
         self.pilot.put_list(
             "".join(
                 f"[server {name}]\nzone = {zones.get(name, 'a')}\nstate = {state}\nweight = 4\n\n"
@@ -189,7 +187,7 @@
 
 async def test_a_killed_pilot_comes_back_knowing_and_gateways_are_sent_nothing_new(tmp_path):
     async with town(tmp_path) as made:
-        made.servers[0].troubles.slow = 6.0
+        made.servers[0].faults.slowdown = 6.0
         made.list({s.address: "in_service" for s in made.servers})
         await started(made)
         made.follow()
--- a/tests/test_platform_pilot.py
+++ b/tests/test_platform_pilot.py
@@ -12,8 +12,8 @@
 import anyio
 import pytest
 
-from damsonpick.testing.fakes.collector import Collector, framed
-from damsonpick.testing.fakes.relay import Relay
+from damsonpick.testing.fakes.collector import FakeCollector, frame
+from damsonpick.testing.fakes.registry import FakeRegistry, PartlyApplied, RequestFault
 from tests.platform_world import ROOT, config, until, world
 
 INVALID_REPORTS = [
@@ -37,9 +37,9 @@
     async def scene():
         async with world(tmp_path) as site:
             collector = await site.collector()
-            assert await collector.alive()
-            await collector.report("a", "p")
-            await site.catalogue.put("q", "Terminating")
+            assert await collector.gets_heartbeat()
+            await collector.send_report("a", "p")
+            await site.discovery.update_server("q", "Terminating")
             await site.avoided("q", 2.0)
             await site.covered(2.0)
             began = time.monotonic()
@@ -52,25 +52,38 @@
 def test_state_after_a_kill_comes_from_registry_and_discovery_alone(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            before = {n: dict(t) for n, t in site.relay.tables.items()}
+            before = {n: dict(t) for n, t in site.registry.tables.items()}
             await site.end(signal.SIGKILL)
-            await site.catalogue.put("p", "Gone")
-            calls = site.relay.calls
+            await site.discovery.update_server("p", "Gone")
+            calls = site.registry.request_count
             await site.start()
-            await until(lambda: site.relay.calls > calls and not site.uncovered_slices(), 4.0)
+            await until(lambda: site.registry.request_count > calls and not site.uncovered_slices(), 4.0)
             kept = [n for n, t in before.items() if "p" not in t]
-            assert all(before[n].items() <= site.relay.tables[n].items() for n in kept)
+            assert all(before[n].items() <= site.registry.tables[n].items() for n in kept)
 
     run(scene)
 
 
-@pytest.mark.parametrize("fault", ["lost", "cut", "silent", "mute", "spoilt", "huge", "busy", "syntax", 1])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        RequestFault.ANSWER_LOST,
+        RequestFault.CONNECTION_CUT,
+        RequestFault.ANSWER_WITHHELD,
+        RequestFault.IGNORED,
+        RequestFault.ANSWER_INVALID,
+        RequestFault.ANSWER_OUT_OF_RANGE,
+        RequestFault.BUSY,
+        RequestFault.SYNTAX,
+        PartlyApplied(orders=1),
+    ],
+)
 def test_every_outcome_of_a_request_ends_in_the_desired_state(tmp_path, fault):
     async def scene():
         async with world(tmp_path) as site:
-            site.relay.faults.extend([fault, fault])
-            await site.catalogue.put("q", "Terminating")
-            await until(lambda: not site.relay.faults and site.is_avoided("q"), 4.0)
+            site.registry.faults.extend([fault, fault])
+            await site.discovery.update_server("q", "Terminating")
+            await until(lambda: not site.registry.faults and site.is_avoided("q"), 4.0)
             await site.covered(4.0)  # a rejected entry is decided again
             assert site.process.returncode is None
 
@@ -84,14 +97,14 @@
         async with world(
             tmp_path, rate=40.0
         ) as site:  # 4 proxies and 8 entries of overhead: nearly a second for a request
-            site.relay.faults.extend(["lost"] * 3)
-            began, calls = time.monotonic(), site.relay.calls
-            await site.catalogue.put("q", "Terminating")
-            await until(lambda: site.relay.calls >= calls + 2, 2.0)
+            site.registry.faults.extend([RequestFault.ANSWER_LOST] * 3)
+            began, calls = time.monotonic(), site.registry.request_count
+            await site.discovery.update_server("q", "Terminating")
+            await until(lambda: site.registry.request_count >= calls + 2, 2.0)
             assert time.monotonic() - began < 0.6, "the first repeat follows at once"
-            await until(lambda: site.relay.calls >= calls + 3, 4.0)
+            await until(lambda: site.registry.request_count >= calls + 3, 4.0)
             assert time.monotonic() - began > 0.8
-            await until(lambda: not site.relay.faults and not site.uncovered_slices(), 6.0)
+            await until(lambda: not site.registry.faults and not site.uncovered_slices(), 6.0)
 
     run(scene)
 
@@ -99,16 +112,16 @@
 def test_an_interrupted_or_silent_registry_watch_is_opened_again_and_reports_the_difference(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            site.relay.silent = True
-            site.relay.tables[2] = {"p": 1.0}
-            del site.relay.tables[5]
+            site.registry.silent = True
+            site.registry.tables[2] = {"p": 1.0}
+            del site.registry.tables[5]
             await site.logged("watch_interrupted", timeout_s=5.0)
-            site.relay.silent = False
+            site.registry.silent = False
             await site.logged("registry_synchronized", count=2)
             assert site.log_entries("registry_synchronized")[-1]["slices"] == 5
-            await site.relay.cut()
+            await site.registry.cut_watches()
             await site.logged("registry_synchronized", count=3)
-            await site.catalogue.put("p", "Terminating")
+            await site.discovery.update_server("p", "Terminating")
             await site.covered(4.0)
 
     run(scene)
@@ -117,20 +130,22 @@
 def test_an_interrupted_invalid_or_outdated_discovery_watch_is_opened_again(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            await site.catalogue.say(b'{"version":')
-            await site.catalogue.put("q", "Terminating")  # reported or not, as the watch is being opened again
+            await site.discovery.send_line(b'{"version":')
+            await site.discovery.update_server(
+                "q", "Terminating"
+            )  # reported or not, as the watch is being opened again
             await site.avoided("q", 4.0)
-            await site.catalogue.say(json.dumps({"version": 0, "full": False, "servers": []}).encode())
+            await site.discovery.send_line(json.dumps({"version": 0, "full": False, "servers": []}).encode())
             await site.logged("watch_interrupted", count=2)
-            site.catalogue.silent = True
+            site.discovery.silent = True
             await site.logged("watch_interrupted", reason="silent", timeout_s=6.0)
-            site.catalogue.down = True
-            await site.catalogue.cut()
+            site.discovery.is_down = True
+            await site.discovery.cut_watches()
             await site.logged("watch_interrupted", reason="503")
-            site.catalogue.down = False
-            asked = len(site.catalogue.asked)
-            await until(lambda: len(site.catalogue.asked) > asked)
-            await site.catalogue.put("r", "Terminating")
+            site.discovery.is_down = False
+            asked = len(site.discovery.requested_targets)
+            await until(lambda: len(site.discovery.requested_targets) > asked)
+            await site.discovery.update_server("r", "Terminating")
             await site.covered(4.0)
 
     run(scene)
@@ -144,43 +159,43 @@
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"\xff\xff\xff\xff",
                 b"\0\0\0\0",
-                framed(b"[1]"),
-                framed(b"{}"),
-                framed({"@type": "telemetry", "zone": "nowhere"}),
-                framed({"@type": "attach", "proxy": 1}),
-                framed({"@type": "range_stats", "slice": 1, "class": "look", "tries": 1, "failed": 0, "span_ms": 1.0}),
-                framed({"@type": "SET"}),
+                frame(b"[1]"),
+                frame(b"{}"),
+                frame({"@type": "telemetry", "zone": "nowhere"}),
+                frame({"@type": "attach", "proxy": 1}),
+                frame({"@type": "range_stats", "slice": 1, "class": "look", "tries": 1, "failed": 0, "span_ms": 1.0}),
+                frame({"@type": "SET"}),
                 b"",
                 b"\x10\0\0\0{",
-                framed({"@type": "hb"}),
-                framed(b"[" * 4000),
+                frame({"@type": "hb"}),
+                frame(b"[" * 4000),
             ]
             async with anyio.create_task_group() as group:
                 for invalid_input in invalid_inputs:
                     group.start_soon(_expect_rejection, site.port, invalid_input)
-            assert await collector.alive() and site.process.returncode is None
+            assert await collector.gets_heartbeat() and site.process.returncode is None
 
     run(scene)
 
 
 async def _expect_rejection(port: int, invalid_input: bytes) -> None:
-    connection = await Collector.dial(port)
-    await connection.raw(invalid_input)
-    assert await connection.closed(2.5), invalid_input
+    connection = await FakeCollector.connect(port)
+    await connection.send_bytes(invalid_input)
+    assert await connection.is_closed_within(2.5), invalid_input
 
 
 def test_connections_beyond_the_descriptor_limit_are_closed_and_service_continues(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
             collector = await site.collector()
-            connections = [await Collector.dial(site.port) for _ in range(400)]
-            assert await collector.alive()
+            connections = [await FakeCollector.connect(site.port) for _ in range(400)]
+            assert await collector.gets_heartbeat()
             held = len(os.listdir(f"/proc/{site.process.pid}/fd"))
             assert held < 256
             for connection in connections:
-                assert await connection.closed(3.0)
+                assert await connection.is_closed_within(3.0)
             await until(lambda: len(os.listdir(f"/proc/{site.process.pid}/fd")) < 40)
-            await site.catalogue.put("q", "Terminating")
+            await site.discovery.update_server("q", "Terminating")
             await site.avoided("q", 3.0)
 
     run(scene)
@@ -191,14 +206,14 @@
         async with world(tmp_path) as site:
             collector = await site.collector()
             for message in INVALID_REPORTS:
-                await collector.say(message)
-            await collector.report("a", "p", mean_ms=150.0)
-            assert await collector.alive()
+                await collector.send(message)
+            await collector.send_report("a", "p", mean_ms=150.0)
+            assert await collector.gets_heartbeat()
             await site.latency_logged("p", 150)
             assert len(site.log_entries("input_dropped")) == len(INVALID_REPORTS)
-            await collector.report("a", "q", mean_ms=170.0)
-            await collector.raw(b"\4\0\0\0what")
-            assert await collector.closed(2.0)
+            await collector.send_report("a", "q", mean_ms=170.0)
+            await collector.send_bytes(b"\4\0\0\0what")
+            assert await collector.is_closed_within(2.0)
             await site.latency_logged("q", 170)
 
     run(scene)
@@ -207,23 +222,23 @@
 def test_reload_moves_to_new_addresses_and_rejects_an_invalid_configuration(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            other = Relay(0, 4)
-            other.tables, other.shut = site.relay.tables, site.relay.shut
+            other = FakeRegistry(0, 4)
+            other.tables, other.withdrawn = site.registry.tables, site.registry.withdrawn
             async with other.running() as port:
                 site.file.write_text('{"name": "n0", "registry": 5}')
                 site.reload()
                 await site.logged("configuration_rejected")
                 reason = site.log_entries("configuration_rejected")[0]["reason"]
                 assert "registry" in reason or "settings" in reason
-                site.registry = port
+                site.registry_port = port
                 site.write()
                 site.reload()
-                await until(lambda: other.watchers and not site.relay.watchers)
+                await until(lambda: other.watchers and not site.registry.watchers)
                 assert [e["gap"] for e in site.log_entries("registry_synchronized")] == [True, False]
-                calls = site.relay.calls
-                await site.catalogue.put("q", "Terminating")
-                await until(lambda: other.calls and not site.uncovered_slices(), 3.0)
-                assert site.relay.calls == calls
+                calls = site.registry.request_count
+                await site.discovery.update_server("q", "Terminating")
+                await until(lambda: other.request_count and not site.uncovered_slices(), 3.0)
+                assert site.registry.request_count == calls
 
     run(scene)
 
--- a/tests/test_platform_races.py
+++ b/tests/test_platform_races.py
@@ -20,9 +20,9 @@
 from damsonpick.protocols.platform.discovery import decode_update
 from damsonpick.protocols.platform.pilot import Pilot
 from damsonpick.protocols.platform.watch_snapshot import WatchSnapshot
-from damsonpick.testing.fakes.collector import Collector, framed
-from damsonpick.testing.fakes.discovery import Catalogue
-from damsonpick.testing.fakes.relay import Relay
+from damsonpick.testing.fakes.collector import FakeCollector, frame
+from damsonpick.testing.fakes.discovery import FakeDiscovery
+from damsonpick.testing.fakes.registry import FakeRegistry, RequestFault
 from tests.platform_world import config, free_port, gate_reached, until, world
 
 SHUTDOWN_TIMEOUT_S = 0.7  # from SIGTERM to the end, as the platform allows
@@ -41,15 +41,17 @@
 def test_a_slice_withdrawn_and_assigned_again_during_a_request_is_ordered_again(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            number = next(n for n, table in site.relay.tables.items() if set(table) == {"q"})
-            site.relay.faults.append("held")
-            await site.catalogue.put("q", "Terminating")
-            await gate_reached(site.relay.gate)  # applied, and not answered
-            assert site.relay.tables[number].keys() - {"q"}
-            await site.relay.withdraw(number)
-            await site.relay.give(number, {"q": 1.0})  # as before: the request's entries went with the former ownership
+            number = next(n for n, table in site.registry.tables.items() if set(table) == {"q"})
+            site.registry.faults.append(RequestFault.ANSWER_HELD)
+            await site.discovery.update_server("q", "Terminating")
+            await gate_reached(site.registry.gate)  # applied, and not answered
+            assert site.registry.tables[number].keys() - {"q"}
+            await site.registry.take_slice(number)
+            await site.registry.give_slice(
+                number, {"q": 1.0}
+            )  # as before: the request's entries went with the former ownership
             await site.logged("order_request_unconfirmed")  # the response comes after the watch events, if at all
-            site.relay.gate.opened.set()
+            site.registry.gate.opened.set()
             await site.covered(4.0)
             assert site.is_avoided("q") and site.process.returncode is None
 
@@ -59,12 +61,12 @@
 def test_a_restart_with_a_request_in_flight_ends_in_the_desired_state(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            site.relay.faults.append("held")
-            await site.catalogue.put("q", "Terminating")
-            await gate_reached(site.relay.gate)
+            site.registry.faults.append(RequestFault.ANSWER_HELD)
+            await site.discovery.update_server("q", "Terminating")
+            await gate_reached(site.registry.gate)
             await ends_in_time(site)
-            site.relay.gate.opened.set()
-            await site.catalogue.put("p", "Terminating")
+            site.registry.gate.opened.set()
+            await site.discovery.update_server("p", "Terminating")
             await site.start()
             await until(lambda: site.is_avoided("q") and site.is_avoided("p"), 4.0)
             await site.covered(4.0)
@@ -75,17 +77,17 @@
 def test_a_reload_during_a_drain_completes_the_drain_at_the_new_address(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            other = Relay(0, 4)
-            other.tables, other.shut = site.relay.tables, site.relay.shut
+            other = FakeRegistry(0, 4)
+            other.tables, other.withdrawn = site.registry.tables, site.registry.withdrawn
             async with other.running() as port:
-                site.relay.faults.append("mute")  # neither applied nor answered
-                calls = site.relay.calls
-                await site.catalogue.put("q", "Terminating")
-                await until(lambda: site.relay.calls > calls)
-                site.registry = port
+                site.registry.faults.append(RequestFault.IGNORED)  # neither applied nor answered
+                calls = site.registry.request_count
+                await site.discovery.update_server("q", "Terminating")
+                await until(lambda: site.registry.request_count > calls)
+                site.registry_port = port
                 site.write()
                 site.reload()
-                await until(lambda: other.calls and site.is_avoided("q"), 4.0)
+                await until(lambda: other.request_count and site.is_avoided("q"), 4.0)
                 await site.covered(4.0)
 
     run(scene)
@@ -94,25 +96,25 @@
 def test_of_two_reloads_at_once_the_newest_address_is_followed(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            slow, newest = Catalogue(*"pqr"), Catalogue(*"pqr")
+            slow, newest = FakeDiscovery(*"pqr"), FakeDiscovery(*"pqr")
             slow.version = newest.version = 5
-            slow.held = True
+            slow.holds_requests = True
             async with slow.running() as slow_port, newest.running() as newest_port:
                 for service, port in ((slow, slow_port), (newest, newest_port)):
-                    site.discovery = port
+                    site.discovery_port = port
                     site.write()
                     site.reload()
-                    await until(lambda service=service: service.asked)
-                await until(lambda: newest.watchers and not site.catalogue.watchers)
+                    await until(lambda service=service: service.requested_targets)
+                await until(lambda: newest.watchers and not site.discovery.watchers)
                 slow.gate.opened.set()  # it sends the state after the newest, and ends
                 await anyio.sleep(0.2)
-                await slow.cut()
-                assert len(slow.asked) == 1
-                site.catalogue = newest
-                await newest.cut()  # it is connected again
+                await slow.cut_watches()
+                assert len(slow.requested_targets) == 1
+                site.discovery = newest
+                await newest.cut_watches()  # it is connected again
                 await until(lambda: newest.watchers)
                 await site.drain("q")
-                assert len(slow.asked) == 1
+                assert len(slow.requested_targets) == 1
 
     run(scene)
 
@@ -120,17 +122,17 @@
 def test_a_former_address_that_ends_while_the_new_one_is_down_can_be_returned_to(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            first = site.discovery
-            site.discovery = free_port()  # nothing listens there
+            first = site.discovery_port
+            site.discovery_port = free_port()  # nothing listens there
             site.write()
             site.reload()
             await site.logged("configuration_reloaded")
-            await site.catalogue.cut()
+            await site.discovery.cut_watches()
             await site.logged("watch_interrupted", reason="connect: ")
-            site.discovery = first
+            site.discovery_port = first
             site.write()
             site.reload()
-            await until(lambda: site.catalogue.watchers)
+            await until(lambda: site.discovery.watchers)
             await site.drain("q")
 
     run(scene)
@@ -140,18 +142,18 @@
     async def scene():
         async with world(tmp_path) as site:
             await site.drain("q")
-            newest, site.catalogue.version = site.catalogue.version, 1
-            site.catalogue.servers["q"] = site.catalogue.entry("q")
-            asked, site.catalogue.history = len(site.catalogue.asked), []
-            await site.catalogue.cut()
+            newest, site.discovery.version = site.discovery.version, 1
+            site.discovery.servers["q"] = site.discovery.entry("q")
+            asked, site.discovery.history = len(site.discovery.requested_targets), []
+            await site.discovery.cut_watches()
             await site.logged("input_dropped")
-            await until(lambda: len(site.catalogue.asked) > asked)
+            await until(lambda: len(site.discovery.requested_targets) > asked)
             assert str(newest) in site.log_entries("input_dropped")[-1]["reason"]
-            calls = site.relay.calls
-            site.catalogue.servers["q"] = site.catalogue.entry("q", "Terminating")
-            site.catalogue.version = newest
-            await site.catalogue.put("p", "Terminating")  # the copy has caught up
-            await until(lambda: site.is_avoided("p") and site.relay.calls > calls, 4.0)
+            calls = site.registry.request_count
+            site.discovery.servers["q"] = site.discovery.entry("q", "Terminating")
+            site.discovery.version = newest
+            await site.discovery.update_server("p", "Terminating")  # the copy has caught up
+            await until(lambda: site.is_avoided("p") and site.registry.request_count > calls, 4.0)
             assert site.is_avoided("q")
             await site.covered(4.0)
 
@@ -161,15 +163,15 @@
 def test_a_watch_that_sends_only_parts_of_lines_is_opened_again(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            site.catalogue.silent = True
-            began, asked = time.monotonic(), len(site.catalogue.asked)
-            while len(site.catalogue.asked) == asked:
+            site.discovery.silent = True
+            began, asked = time.monotonic(), len(site.discovery.requested_targets)
+            while len(site.discovery.requested_targets) == asked:
                 assert time.monotonic() - began < 2 * endpoint_list_watch.SILENCE_TIMEOUT_S
-                await site.catalogue.drip(b" ")
+                await site.discovery.send_bytes(b" ")
                 await anyio.sleep(0.2)
-            site.catalogue.silent = False
+            site.discovery.silent = False
             assert [e["watch"] for e in site.log_entries("watch_interrupted")] == ["discovery"]
-            await until(lambda: site.catalogue.watchers)
+            await until(lambda: site.discovery.watchers)
             await site.drain("q")
 
     run(scene)
@@ -178,13 +180,13 @@
 def test_heartbeats_alone_are_no_endpoint_list(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            site.catalogue.mute = True
+            site.discovery.omits_list = True
             await site.end()
             await site.start()
             await site.logged("watch_interrupted", reason="current state", timeout_s=6.0)
             assert site.log_entries("readiness_timed_out")[-1]["missing_sources"] == ["discovery"]
-            site.catalogue.mute = False
-            await until(lambda: site.catalogue.watchers, 4.0)
+            site.discovery.omits_list = False
+            await until(lambda: site.discovery.watchers, 4.0)
             await site.drain("q")
 
     run(scene)
@@ -193,10 +195,10 @@
 def test_proxies_that_rejoin_with_a_sync_unacknowledged_do_not_block_the_channel(tmp_path):
     async def scene():
         async with world(tmp_path, rate=100.0) as site:  # so that one unacknowledged sync fills the channel
-            site.relay.faults.append("owed")
+            site.registry.faults.append(RequestFault.SYNC_WITHHELD)
             await site.drain("q")
-            assert not site.relay.faults
-            await site.relay.leave_and_return()
+            assert not site.registry.faults
+            await site.registry.reconnect_proxies()
             await site.drain("p")
 
     run(scene)
@@ -208,26 +210,26 @@
         async with world(tmp_path) as site:
             connections = []
             if where == "request held":
-                site.relay.faults.append("held")
-                await site.catalogue.put("q", "Terminating")
-                await gate_reached(site.relay.gate)
+                site.registry.faults.append(RequestFault.ANSWER_HELD)
+                await site.discovery.update_server("q", "Terminating")
+                await gate_reached(site.registry.gate)
             elif where == "discovery held":
-                site.catalogue.held = True
-                await site.catalogue.cut()
-                await gate_reached(site.catalogue.gate)
+                site.discovery.holds_requests = True
+                await site.discovery.cut_watches()
+                await gate_reached(site.discovery.gate)
             elif where == "reload":
-                site.discovery = free_port()
+                site.discovery_port = free_port()
                 site.write()
                 site.reload()
             else:
-                connections = [await Collector.dial(site.port) for _ in range(60)]
+                connections = [await FakeCollector.connect(site.port) for _ in range(60)]
                 for connection in connections:
-                    await connection.raw(b"\x10\0\0\0{")
+                    await connection.send_bytes(b"\x10\0\0\0{")
             site.process.send_signal(signal.SIGTERM)  # and again, at once
             await ends_in_time(site)
             assert site.log_entries("pilot_ended")
-            site.relay.gate.opened.set()
-            site.catalogue.gate.opened.set()
+            site.registry.gate.opened.set()
+            site.discovery.gate.opened.set()
 
     run(scene)
 
@@ -262,8 +264,8 @@
 def test_each_heartbeat_request_is_answered_however_it_arrives(tmp_path):
     async def scene():
         async with world(tmp_path) as site:
-            request, join = framed({"@type": "hb"}), framed({"@type": "telemetry", "zone": "a"})
-            report = framed(
+            request, join = frame({"@type": "hb"}), frame({"@type": "telemetry", "zone": "a"})
+            report = frame(
                 {
                     "@type": "upstream_stats",
                     "zone": "a",
@@ -275,26 +277,26 @@
                     "load": {"busy_reqs": 1},
                 }
             )
-            bytewise = await Collector.dial(site.port)
+            bytewise = await FakeCollector.connect(site.port)
             for byte in request + request:
-                await bytewise.raw(bytes([byte]))
+                await bytewise.send_bytes(bytes([byte]))
             assert await heartbeats(bytewise, 2) == 2
-            together = await Collector.dial(site.port)
-            await together.raw(request + join + report + request)
+            together = await FakeCollector.connect(site.port)
+            await together.send_bytes(request + join + report + request)
             assert await heartbeats(together, 2) == 2
             await site.latency_logged("p", 123)
-            half = await Collector.dial(site.port)
-            await half.raw(request)
+            half = await FakeCollector.connect(site.port)
+            await half.send_bytes(request)
             await half.stream.send_eof()
-            assert await heartbeats(half, 1) == 1 and await half.closed(2.0)
-            rejected = await Collector.dial(site.port)
-            await rejected.raw(request + framed({"@type": "SET"}))
-            assert await heartbeats(rejected, 1) == 1 and await rejected.closed(2.0)
+            assert await heartbeats(half, 1) == 1 and await half.is_closed_within(2.0)
+            rejected = await FakeCollector.connect(site.port)
+            await rejected.send_bytes(request + frame({"@type": "SET"}))
+            assert await heartbeats(rejected, 1) == 1 and await rejected.is_closed_within(2.0)
 
     run(scene)
 
 
-async def heartbeats(collector: Collector, maximum: int) -> int:
+async def heartbeats(collector: FakeCollector, maximum: int) -> int:
     """Count the heartbeats that arrive, up to a maximum."""
     data = b""
     with anyio.move_on_after(3.0):
@@ -317,13 +319,13 @@
 def test_the_wait_for_readiness_does_not_count_against_the_join_timeout():
     async def scene():
         async with pilot_in_process() as (made, port, _):
-            connection = await Collector.dial(port)
-            await connection.raw(framed({"@type": "hb"}))
+            connection = await FakeCollector.connect(port)
+            await connection.send_bytes(frame({"@type": "hb"}))
             await anyio.sleep(1.2)  # longer than the join timeout
             assert made.limiter.connections
             made.readiness.become_ready()
             assert await heartbeats(connection, 1) == 1
-            assert await connection.closed(2.0)  # it has not joined in its own second
+            assert await connection.is_closed_within(2.0)  # it has not joined in its own second
 
     run(scene)
 
@@ -344,10 +346,10 @@
 def test_only_exhausted_descriptors_close_an_unjoined_connection(error, stays):
     async def scene():
         async with pilot_in_process() as (made, port, group):
-            connection = await Collector.dial(port)
+            connection = await FakeCollector.connect(port)
             await until(lambda: made.limiter.connections)
             group.start_soon(made.listener.run, FaultyListener(await inner_listener(), error, error), group)
-            assert await connection.closed(0.5) != stays
+            assert await connection.is_closed_within(0.5) != stays
 
     run(scene)
 
@@ -409,9 +411,9 @@
                 await respond(opened, received)
 
             made.handler.respond = fails
-            rejected = await Collector.dial(port)
-            await rejected.raw(framed({"@type": "hb"}) + framed({"@type": "SET"}))
-            assert await rejected.closed(2.0) and failed
-            assert await (await Collector.dial(port)).alive()
+            rejected = await FakeCollector.connect(port)
+            await rejected.send_bytes(frame({"@type": "hb"}) + frame({"@type": "SET"}))
+            assert await rejected.is_closed_within(2.0) and failed
+            assert await (await FakeCollector.connect(port)).gets_heartbeat()
 
     run(scene)
--- a/tests/test_platform_watch_client.py
+++ b/tests/test_platform_watch_client.py
@@ -9,12 +9,12 @@
 
 from damsonpick.protocols.platform.address import Address
 from damsonpick.protocols.platform.watch_client import WatchClient
-from damsonpick.testing.fakes.discovery import Catalogue
+from damsonpick.testing.fakes.discovery import FakeDiscovery
 
 
 def test_a_watch_whose_reader_raises_is_opened_again():
     async def scene():
-        catalogue, log, processed = Catalogue("p"), structlog.get_logger(), []
+        discovery, log, processed = FakeDiscovery("p"), structlog.get_logger(), []
 
         class Reader:
             def path(self) -> str:
@@ -26,7 +26,7 @@
                     raise RuntimeError("a fault of ours")
                 return True
 
-        async with catalogue.running() as port, anyio.create_task_group() as group:
+        async with discovery.running() as port, anyio.create_task_group() as group:
             client = WatchClient("list", 3.0, Reader, random.Random(1), log)
             client.follow(group, Address("127.0.0.1", port))
             with anyio.fail_after(5):
