--- a/damsonpick/cli/versions.py
+++ b/damsonpick/cli/versions.py
@@ -180,7 +180,7 @@
 @span
 @expect
 @as_json
-def rollback(
+def rollback(  # noqa: PLR0913, PLR0917 (click hands each option over as an argument)
     file: Path,
     version: str,
     dry_run: bool,
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -66,7 +66,7 @@
         for wakeup in self._wakeups:
             wakeup.set()
 
-    async def StreamAggregatedResources(
+    async def StreamAggregatedResources(  # noqa: N802 (the name that gRPC calls)
         self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], context: grpc.aio.ServicerContext
     ) -> None:
         """Serve one stream."""
