--- a/benchmarks/fanout.py
+++ b/benchmarks/fanout.py
@@ -260,4 +260,5 @@
         )
 
 
-asyncio.run(main())
+if __name__ == "__main__":
+    asyncio.run(main())
