--- a/damsonpick/decisions/planner_view.py
+++ b/damsonpick/decisions/planner_view.py
@@ -130,6 +130,10 @@
         """Whether the endpoint list forbids that proxies send to an endpoint."""
         return self.fleet.is_unroutable(name)
 
+    def has_recent_report(self, endpoint: EndpointState) -> bool:
+        """Whether a report of this endpoint has come within two report spans."""
+        return bool(endpoint.last_report_at) and self.fleet.has_recent_report(endpoint)
+
     def is_warming_up(self, name: str) -> bool:
         """Whether a known endpoint is in its warm-up time."""
         return slow_start.is_warming_up(self.fleet, name)
--- a/damsonpick/protocols/platform/state_log.py
+++ b/damsonpick/protocols/platform/state_log.py
@@ -18,7 +18,6 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 KB_PER_MB = 1024
-FRESH_REPORT_SPANS = 2  # an endpoint whose last report is older counts as silent
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +59,7 @@
 def write_state(log: Logger, planner: Planner, status: PilotStatus) -> None:
     """Write the log line."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
-    reporting = [endpoint for endpoint in planner.endpoints.values() if _is_reporting(planner, endpoint.last_report_at)]
+    reporting = [endpoint for endpoint in planner.endpoints.values() if planner.has_recent_report(endpoint)]
     log.info(
         "planner_state",
         proxies=len(planner.flow_control.proxies),
@@ -115,11 +114,5 @@
     return counts
 
 
-def _is_reporting(planner: Planner, last_report_ns: int) -> bool:
-    if not last_report_ns:
-        return False
-    return planner.now - last_report_ns <= FRESH_REPORT_SPANS * planner.report_span
-
-
 def _finite_or_none(rate_rps: float) -> float | None:
     return round(rate_rps, 1) if math.isfinite(rate_rps) else None
--- a/damsonpick/proxy/messages.py
+++ b/damsonpick/proxy/messages.py
@@ -291,9 +291,7 @@
 
 def request_bytes(method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], length: int | None) -> bytes:
     """Head of a request to a server; `length` None: chunked."""
-    return _head_bytes(
-        b"%s %s HTTP/1.1\r\n" % (method, target), headers, length, method in (b"GET", b"HEAD", b"OPTIONS")
-    )
+    return _head_bytes(b"%s %s HTTP/1.1\r\n" % (method, target), headers, length, method in METHODS_WITHOUT_BODY)
 
 
 def answer_bytes(status: int, headers: list[tuple[bytes, bytes]], length: int | None, close: bool = False) -> bytes:
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -41,7 +41,7 @@
     return {"type": kind.rpartition(".")[2], "nonce": nonce, "res": found, "removed": removed, "nack": bad}
 
 
-def _known_addresses(pilot_address: Callable[[], str]) -> list[str]:
+def known_addresses(pilot_address: Callable[[], str]) -> list[str]:
     """The pilot's address, if there is one."""
     address = pilot_address()
     return [address] if address else []
@@ -85,7 +85,7 @@
         self.changed = anyio.Event()
         self.stalled_until = self.read_delay = 0  # ns
         callbacks = WatchCallbacks(
-            addresses=lambda: _known_addresses(pilot_address),
+            addresses=lambda: known_addresses(pilot_address),
             resources_applied=self._took,
             take_counts=self._sums,
             record=self._said,
--- a/damsonpick/testing/fakes/proxy_gateway.py
+++ b/damsonpick/testing/fakes/proxy_gateway.py
@@ -12,7 +12,7 @@
 from damsonpick.proxy.program import Proxy
 from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
 from damsonpick.testing.fakes import http
-from damsonpick.testing.fakes.gateway import NO_LOG, response_details
+from damsonpick.testing.fakes.gateway import NO_LOG, known_addresses, response_details
 from damsonpick.testing.fakes.gateway_context import GatewayContext, TrafficClass
 
 
@@ -42,7 +42,7 @@
         )
         self.proxy = Proxy(settings, NO_LOG, self._said, rng.random(), delta)
         callbacks = self.proxy.watch_client.callbacks
-        callbacks.addresses = lambda: [address] if (address := pilot_address()) else []
+        callbacks.addresses = lambda: known_addresses(pilot_address)
         callbacks.may_connect = lambda: network.reaches_pilot(name, zone)
         callbacks.read_pause = self._pause
         self.proxy.requests.connector.reaches = lambda other: not other or network.connects(zone, other)
