--- a/damsonpick/decisions/time_units.py
+++ b/damsonpick/decisions/time_units.py
@@ -1,4 +1,7 @@
-"""Times and durations are integer nanoseconds; constants and variables in seconds end in `_S` or `_s`."""
+"""Units of time.
+
+Times and durations are integer nanoseconds. Names of constants and variables in seconds end in `_S` or `_s`.
+"""
 
 from __future__ import annotations
 
--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -1,11 +1,12 @@
-"""The planner's vocabulary: the settings it starts with, the events it receives, the actions it orders.
+"""The planner's interface: the settings it starts with, the events it receives, and the actions it orders.
 
-Types only. Times and durations are integer nanoseconds. A *slice* is a fixed part of the key space with one table; a
-*table* holds entries, each an endpoint with its weight; a *sync token* asks proxies to acknowledge what came before it.
+This module defines types only. Times and durations are integer nanoseconds. A *slice* is a fixed part of the key space
+and has one table. A *table* holds entries, each of which is an endpoint with its weight. A *sync token* identifies a
+request to the proxies to acknowledge all orders sent before it.
 
-The interface covers the simulator's wire in full. The planner neither reads nor emits `ProbeResult`, `PeerMessage`,
-`ProxyDemand`, `BindTable`, `FetchEndpointList`, `Probe` and `SendToPeer`, and of the settings it does not read
-`instance`, `instances`, `zone`, `load_fields`, `balancing_policy` and those about writes.
+The interface covers the simulator's protocol in full. The planner neither reads nor emits `ProbeResult`,
+`PeerMessage`, `ProxyDemand`, `BindTable`, `FetchEndpointList`, `Probe` and `SendToPeer`. It does not read the settings
+`instance`, `instances`, `zone`, `load_fields`, `balancing_policy` and the settings about writes.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 
 
 class RequestClass(NamedTuple):
-    """One class of requests; classes keep the order of the settings.
+    """One request class. Classes are numbered in the order of the settings.
 
-    `latency_objective`, `deadline` and `key_window` are in nanoseconds. `effect` says whether a request may be executed
-    twice: always, with the same key within `key_window` and `key_scope`, or never. `priority_weight` is what a served
-    request of the class counts beside those of others.
+    `latency_objective`, `deadline` and `key_window` are in nanoseconds. `effect` defines whether a request may be
+    executed twice: always, only with the same idempotency key within `key_window` and `key_scope`, or never.
+    `priority_weight` is the value of one served request of the class relative to requests of other classes.
     """
 
     name: str
@@ -38,30 +39,30 @@
 
 
 class Settings(NamedTuple):
-    """What a planner is given once, at its start. Durations are in nanoseconds."""
+    """Configuration that a planner receives once, at its start. Durations are in nanoseconds."""
 
     instance: int
     instances: int
     zone: str
     classes: tuple[RequestClass, ...]
-    slices: int  # 0: no slices, tables are bound to proxies
+    slices: int  # 0 if the site has no slices and tables are bound to proxies
     proxies: int
     sole_owner: bool
     admission: AdmissionMode
-    list_on_request: bool  # the endpoint list is sent after `SubscribeEndpointList` only
-    poll_interval: int  # between requests for the endpoint list
-    channel_rate: float  # table entries a second, over all proxies
-    channel_limit: float  # table entries that may wait to be sent
-    message_overhead: float  # entries that each message costs beside its own
-    messages_per_window: int  # to one proxy; 0: unlimited
-    message_window: int  # in which `messages_per_window` counts
-    max_transit: int  # longest way of a message to a proxy
-    report_period: int  # between load reports
-    drain_grace: int  # within which no proxy may send to a draining endpoint any more
-    cold_capacity_share: float  # of its warm capacity that a newly started endpoint has
-    warm_up_time: int  # from a start to full capacity
-    write_linger: int  # how long a proxy may hold a write before it forwards it
-    write_lease: int  # how long a proxy that lost its stream goes on writing
+    list_on_request: bool  # whether the endpoint list is sent only after `SubscribeEndpointList`
+    poll_interval: int  # interval between requests for the endpoint list
+    channel_rate: float  # throughput of the channel in table entries per second, over all proxies
+    channel_limit: float  # maximum number of table entries that may wait to be sent
+    message_overhead: float  # cost of each message in addition to its entries, in table entries
+    messages_per_window: int  # maximum number of messages to one proxy per `message_window`; 0 if unlimited
+    message_window: int  # window to which `messages_per_window` applies
+    max_transit: int  # longest transit time of a message to a proxy
+    report_period: int  # interval between load reports
+    drain_grace: int  # time within which every proxy must stop sending to a draining endpoint
+    cold_capacity_share: float  # share of its warm capacity that a newly started endpoint has
+    warm_up_time: int  # time from the start of an endpoint to its full capacity
+    write_linger: int  # maximum time that a proxy may delay a write before it forwards it
+    write_lease: int  # time for which a proxy that lost its stream continues to write
     load_fields: tuple[str, ...]
     balancing_policy: BalancingPolicy
 
@@ -76,14 +77,14 @@
     zone: str
     state: EndpointStatus
     weight: float
-    started: int  # time of the last start; 0: long ago
+    started: int  # time of the last start; 0 if it was long ago
 
 
 class EndpointListChanged(NamedTuple):
-    """The endpoint list has changed, or could not be had (`unavailable`, without entries).
+    """The endpoint list has changed, or could not be fetched (`unavailable`, without entries).
 
-    `update` names the entries that changed; `replace` is the full list, and endpoints it does not name are gone;
-    `restored` is the list that was kept over a restart and may be old.
+    `update` contains the entries that changed. `replace` is the full list, and endpoints missing from it have been
+    removed. `restored` is the list that was stored across a restart of the controller and may be outdated.
     """
 
     kind: ListChangeKind
@@ -91,13 +92,13 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer ordered by `SetTimer` is due."""
+    """A timer ordered by `SetTimer` has expired."""
 
     token: int
 
 
 class ProbeResult(NamedTuple):
-    """The outcome of a health check ordered by `Probe`; latency in nanoseconds."""
+    """The outcome of a health check ordered by `Probe`. The latency is in nanoseconds."""
 
     endpoint: str
     outcome: str
@@ -113,12 +114,12 @@
 
 
 class ProxyJoined(NamedTuple):
-    """A proxy has opened its stream; `rate` is its expected request rate, requests a second."""
+    """A proxy has opened its stream. `rate` is its expected request rate in requests per second."""
 
     proxy: int
     zone: str
     rate: float
-    fresh: bool  # it holds nothing of earlier streams but its persistent tables
+    fresh: bool  # whether the proxy has no state from earlier streams except its persistent tables
 
 
 class ProxyLeft(NamedTuple):
@@ -128,15 +129,15 @@
 
 
 class EndpointReport(NamedTuple):
-    """A load report: what the joined proxies of one zone met at one endpoint during one period (ns)."""
+    """A load report: outcomes that the joined proxies of one zone observed at one endpoint during one period (ns)."""
 
     zone: str
     endpoint: str
     attempts: int
     failures: int
-    latency: int  # ns, mean of the successful answers; 0: there was none
+    latency: int  # mean latency of the successful responses, ns; 0 if there was none
     period: int
-    load: tuple[float, ...]  # as the endpoint states it; empty: not stated
+    load: tuple[float, ...]  # load that the endpoint itself reports; empty if it reports none
 
 
 class ProxyDemand(NamedTuple):
@@ -150,7 +151,7 @@
 
 
 class SliceDemand(NamedTuple):
-    """Requests of a class that came for one slice during one period (ns)."""
+    """Requests of a class that arrived for one slice during one period (ns)."""
 
     slice: int
     request_class: str
@@ -160,14 +161,14 @@
 
 
 class SliceOwnershipChanged(NamedTuple):
-    """This instance has become the owner of a slice, or is no longer."""
+    """This instance has become the owner of a slice, or no longer owns it."""
 
     slice: int
     owned: bool
 
 
 class StoredEntry(NamedTuple):
-    """An entry of a slice's table as the store holds it; follows the `SliceOwnershipChanged` that gives the slice."""
+    """A stored entry of a slice's table. It follows the `SliceOwnershipChanged` event by which the slice is gained."""
 
     slice: int
     endpoint: str
@@ -175,7 +176,10 @@
 
 
 class TableAdvised(NamedTuple):
-    """Weights for a table's entries, computed outside the decision package; `complete`: these entries and no others."""
+    """Weights for a table's entries, computed outside the decision package.
+
+    If `complete` is true, the table must contain these entries and no others.
+    """
 
     table: int
     entries: tuple[tuple[str, float], ...]
@@ -183,15 +187,15 @@
 
 
 class CapacityAdvised(NamedTuple):
-    """Requests a second that the fleet can answer in time, computed outside the decision package; 0: not known."""
+    """Requests per second that the fleet can answer in time, computed outside the decision package; 0 if unknown."""
 
     rate: float
 
 
 class EndpointRestored(NamedTuple):
-    """What an earlier incarnation learned of the endpoint process that started then, aged.
+    """What an earlier incarnation learned about the endpoint process that started at `started`, discounted for its age.
 
-    `capacity_factor` is learned capacity against the fleet's median; 1 is usual.
+    `capacity_factor` is the learned capacity relative to the fleet's median, which is 1.
     """
 
     endpoint: str
@@ -200,7 +204,10 @@
 
 
 class SliceRestored(NamedTuple):
-    """What an earlier incarnation learned of a slice, aged: requests a second by class, warmth by endpoint (0 to 1)."""
+    """What an earlier incarnation learned about a slice, discounted for its age.
+
+    `rates` holds requests per second by class, and `warmth` holds the warmth by endpoint (0 to 1).
+    """
 
     slice: int
     rates: tuple[float, ...]
@@ -208,10 +215,10 @@
 
 
 class FleetRestored(NamedTuple):
-    """Orders of an earlier incarnation that are in force, and the throughput it saw, aged.
+    """Orders of an earlier incarnation that are still in effect, and its observed throughput, discounted for its age.
 
-    Proxies hold `levels` by class and the withdrawals. `best_throughput` is in answers a second,
-    `throughput_per_capacity` in answers a second for each unit of capacity; 0: not known.
+    The proxies apply `levels` (admission level by class) and the withdrawals. `best_throughput` is in responses per
+    second, `throughput_per_capacity` in responses per second and unit of capacity. Either is 0 if unknown.
     """
 
     levels: tuple[float, ...]
@@ -221,9 +228,9 @@
 
 
 class EndpointConfidenceChanged(NamedTuple):
-    """How far an endpoint list that may be stale is believed on one endpoint.
+    """The confidence in what an endpoint list that may be stale states about one endpoint has changed.
 
-    1: as listed; 0: use it only if no other endpoint is left.
+    With confidence 1 the endpoint is used as listed. With confidence 0 it is used only if no other endpoint is left.
     """
 
     endpoint: str
@@ -231,7 +238,7 @@
 
 
 class SyncAcknowledged(NamedTuple):
-    """A proxy has applied the message that carried this sync token, `delay` nanoseconds after it was ordered."""
+    """A proxy has applied the message with this sync token, `delay` nanoseconds after the planner ordered it."""
 
     token: int
     proxy: int
@@ -263,7 +270,7 @@
 
 
 class SetEntry(NamedTuple):
-    """Give an endpoint this weight in a table; 0 removes its entry."""
+    """Set the weight of an endpoint in a table. Weight 0 removes its entry."""
 
     table: int
     endpoint: str
@@ -277,7 +284,7 @@
 
 
 class BindTable(NamedTuple):
-    """Let a proxy use a table for some classes; an empty tuple means all classes."""
+    """Let a proxy use a table for some classes. An empty tuple selects all classes."""
 
     proxy: int
     table: int
@@ -285,26 +292,33 @@
 
 
 class SetWithdrawn(NamedTuple):
-    """Stop joined proxies from sending to an endpoint, whatever their tables say, or end that."""
+    """Withdraw an endpoint, or readmit it.
+
+    The joined proxies do not send to a withdrawn endpoint, even if their tables contain it.
+    """
 
     endpoint: str
     withdrawn: bool
 
 
 class SetAdmission(NamedTuple):
-    """Admission level (share of requests admitted) and retry mode of some classes.
+    """Set the admission level (share of requests admitted) and the retry mode of some classes.
 
-    `table` None: all tables of this instance; `classes` empty: all classes.
+    If `table` is None, the order applies to all tables of this instance. If `classes` is empty, it applies to all
+    classes.
     """
 
     table: int | None
     classes: tuple[int, ...]
     level: float
-    retry: int  # 0 never, 1 on proof it never ran, 2 once after any failure, 3 twice
+    retry: int  # 0: never, 1: on proof that the request was not executed, 2: once after any failure, 3: twice
 
 
 class RequestSync(NamedTuple):
-    """Ask proxies to acknowledge all orders before it; `all_proxies`: also those that none of them concerns."""
+    """Ask proxies to acknowledge all orders before this one.
+
+    If `all_proxies` is true, proxies that none of these orders concerns must acknowledge too.
+    """
 
     token: int
     all_proxies: bool
@@ -336,17 +350,18 @@
 class SendToPeer(NamedTuple):
     """Send a message to another instance of the controller."""
 
-    to: int | None  # None: every peer
+    to: int | None  # None for every peer
     payload: bytes
 
 
 class Log(NamedTuple):
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
 
-TableOrder = SetEntry | ClearTable | SetWithdrawn | SetAdmission | RequestSync  # what a front end publishes
+# Orders that a front end publishes to proxies.
+TableOrder = SetEntry | ClearTable | SetWithdrawn | SetAdmission | RequestSync
 
 Action = (
     SetEntry
--- a/damsonpick/time_units.py
+++ b/damsonpick/time_units.py
@@ -1,4 +1,7 @@
-"""Units of time. Times and durations are integer nanoseconds; names of others end in `_s` or `_ms`."""
+"""Units of time.
+
+Times and durations are integer nanoseconds. Names of values in seconds or milliseconds end in `_s` or `_ms`.
+"""
 
 from __future__ import annotations
 
