--- a/damsonpick/decisions/admission.py
+++ b/damsonpick/decisions/admission.py
@@ -1,7 +1,8 @@
 """Load shedding: how much demand the fleet admits, and the admission level of each request class.
 
-When answers come late across the fleet, the admitted rate falls below the throughput that the fleet was seen to give,
-then grows step by step. One level a class holds for all slices: a level for each slice would fill the channel.
+When responses are late across the fleet, the limit on the admitted rate is lowered below the observed throughput of
+the fleet and then raised step by step. Each class has one level for all slices, since separate levels for each slice
+would fill the channel.
 """
 
 from __future__ import annotations
@@ -15,35 +16,35 @@
 from damsonpick.decisions.fleet_state import FleetState
 from damsonpick.decisions.time_units import NS_PER_SECOND
 
-OVERLOAD_LATENCY_SHARE = 0.4  # median latency over the objective above which the limit falls
-CALM_LATENCY_SHARE = 0.3  # median latency over the objective below which the limit grows
-LIMIT_HOLD_NS = 3 * NS_PER_SECOND  # time until a lower limit shows in the reports
-DECREASE_PER_LATENCY = 0.3  # part by which the limit falls for a median latency of one objective
-MIN_DECREASE_FACTOR = 0.7  # the limit falls to no less than this part at a time
-KNOWN_THROUGHPUT_SHARE = 0.85  # part of the best throughput that the fleet is sure to give
-BEST_THROUGHPUT_KEPT = 0.98  # part of the best throughput kept each report period
-BEST_RATIO_KEPT = 0.99  # part of the best throughput for each unit of capacity kept each report period
-MAX_RESTORED_RATIO = 1.5  # most of a restored best throughput, against the present one, once the fleet is overloaded
-FAST_GROWTH = 1.15  # growth each report period where the fleet is sure to bear it
-PROBE_GROWTH = 1.04  # growth each report period beyond that
-UNQUEUED_LATENCY_RATIO = 1.2  # latency over the base latency below which no requests queue
-BASE_LATENCY_KEPT = 0.995  # divides the base latency each report period, so that an old minimum is forgotten
-UNLIMITED_DEMAND_RATIO = 2  # a limit above this many times the demand is none
-WARMING_THROUGHPUT_RATIO = 1.5  # most admitted, against the best throughput, while most of the fleet is warming up
-MIN_COVERAGE = 0.1  # least part of the fleet that reports count for
-NON_ZERO = 1e-6  # keeps a ratio defined without demand or capacity
-
-# Levels that are published. None refuses a whole class, whose demand would then be unknown.
+OVERLOAD_LATENCY_SHARE = 0.4  # the limit falls while median latency / objective is above this
+LOW_LATENCY_SHARE = 0.3  # the limit grows while median latency / objective is below this
+LIMIT_HOLD_NS = 3 * NS_PER_SECOND  # time until the effect of a lower limit is visible in the reports
+DECREASE_PER_LATENCY = 0.3  # share by which the limit falls if the median latency equals the objective
+MIN_DECREASE_FACTOR = 0.7  # smallest factor by which one step lowers the limit
+KNOWN_THROUGHPUT_SHARE = 0.85  # share of the best throughput that the fleet can certainly sustain
+BEST_THROUGHPUT_DECAY_FACTOR = 0.98  # factor on the best throughput per report period
+BEST_RATIO_DECAY_FACTOR = 0.99  # factor on the best throughput per unit of capacity per report period
+MAX_RESTORED_RATIO = 1.5  # bound on a restored best throughput / current throughput once the fleet is overloaded
+FAST_GROWTH_FACTOR = 1.15  # growth of the limit per report period while the fleet can certainly sustain it
+PROBE_GROWTH_FACTOR = 1.04  # growth of the limit per report period otherwise
+UNQUEUED_LATENCY_RATIO = 1.2  # no requests queue while latency / base latency is below this
+BASE_LATENCY_DECAY_FACTOR = 0.995  # the base latency is divided by it per report period, so that an old minimum expires
+UNLIMITED_DEMAND_RATIO = 2  # a limit of at least this multiple of the demand is removed
+WARMING_THROUGHPUT_RATIO = 1.5  # bound on admitted rate / best throughput while most of the fleet is warming up
+MIN_COVERAGE = 0.1  # smallest share of the fleet that the reports are assumed to cover
+EPSILON = 1e-6  # keeps ratios defined if demand or capacity is 0
+
+# Levels that can be published. None of them rejects a whole class, since its demand would then be unknown.
 LEVELS = (0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0)
 
 
 def admission_levels(admitted_share: float, rates: list[float], classes: tuple[api.RequestClass, ...]) -> list[float]:
-    """Admission level of each class: those with the highest priority weight are admitted first.
+    """Compute the admission level of each class. Classes with the highest priority weight are admitted first.
 
     Args:
-        admitted_share: share of all demand to admit, 0 to 1.
-        rates: demand by class, requests/s.
-        classes: request classes in the order of `rates`.
+        admitted_share: Share of the total demand to admit, 0 to 1.
+        rates: Demand by class, requests/s.
+        classes: Request classes in the order of `rates`.
 
     Returns:
         One of `LEVELS` for each class.
@@ -53,20 +54,20 @@
     for index in sorted(range(len(rates)), key=lambda k: -classes[k].priority_weight):
         level = 1.0
         if admitted_share < 1:
-            level = min(1.0, (max(0.0, remaining) + NON_ZERO) / (rates[index] + NON_ZERO))
+            level = min(1.0, (max(0.0, remaining) + EPSILON) / (rates[index] + EPSILON))
         remaining -= rates[index]
         levels[index] = _nearest_level(level)
     return levels
 
 
 def median_latency(fleet: FleetState, endpoints: list[EndpointState]) -> float:
-    """Median latency over all zones and endpoints, weighted by recent answers.
+    """Compute the median latency over all zones and endpoints, weighted by recent successful responses.
 
-    Slow links or endpoints that are fewer than half change it little. The weight of a view without new reports decays,
-    or a congestion that is over would still be seen where few requests go now.
+    Slow links or slow endpoints change it little while they are a minority. The weight of a view without new reports
+    decays. Otherwise a past congestion would still dominate where few requests are sent now.
 
     Returns:
-        Nanoseconds; 0 without answers.
+        Median latency in ns; 0 if there are no responses.
     """
     samples: list[tuple[float, float]] = []
     for endpoint in endpoints:
@@ -86,18 +87,22 @@
 
 @dataclass(slots=True, eq=False)
 class AdmissionController:
-    """The limit on the admitted rate, and what it rests on.
+    """The limit on the admitted rate and the measurements from which it is computed.
 
     Attributes:
-        fleet: state that is read; desired levels, admitted share and throughput for each unit of capacity are written.
-        latency_objective: the strictest objective of all classes, ns.
-        admitted_rate_limit: requests/s to admit; infinite while nothing is shed.
-        best_throughput: most answers/s seen, slowly forgotten.
-        advised_capacity: requests/s that the fleet can answer in time as calculated outside; 0: not known, or all fits.
-        base_latency: least median latency seen, slowly forgotten, as a share of the objective.
-        last_decrease_at: when the limit last fell or was held, ns.
-        levels_restored: the levels are an earlier incarnation's, and no report has been weighed against them.
-        best_throughput_restored: the best throughput is an earlier incarnation's, and no overload has tried it.
+        fleet: Shared state. The controller writes the desired levels, the admitted share and the throughput per unit
+            of capacity, and reads the rest.
+        latency_objective: Strictest latency objective of all classes, ns.
+        admitted_rate_limit: Requests/s to admit; infinite while no load is shed.
+        best_throughput: Highest observed responses/s. It decays slowly.
+        advised_capacity: Requests/s that the fleet can answer in time, calculated outside the decisions; 0 if unknown
+            or if the fleet can answer all demand.
+        base_latency: Lowest observed median latency as a share of the objective. It rises slowly, so that an old
+            minimum expires.
+        last_decrease_at: Time at which the limit last fell or was held, ns.
+        levels_restored: Whether the levels are those of an earlier incarnation and no reports have been evaluated yet.
+        best_throughput_restored: Whether the best throughput is that of an earlier incarnation and no overload has
+            tested it yet.
     """
 
     fleet: FleetState
@@ -111,15 +116,15 @@
     best_throughput_restored: bool = False
 
     def __post_init__(self) -> None:
-        """Take the strictest latency objective of all classes."""
+        """Determine the strictest latency objective of all classes."""
         self.latency_objective = min(c.latency_objective for c in self.fleet.settings.classes)
 
     def apply_advised_capacity(self, event: api.CapacityAdvised) -> None:
-        """Take over the fleet's capacity as calculated outside."""
+        """Store the fleet's capacity as calculated outside the decisions."""
         self.advised_capacity = event.rate
 
     def hold_limit(self) -> None:
-        """Keep the limit from falling for `LIMIT_HOLD_NS`."""
+        """Prevent overload from lowering the limit for `LIMIT_HOLD_NS`."""
         self.last_decrease_at = self.fleet.now
 
     def scale_limit(self, count: int, count_before: int) -> None:
@@ -128,7 +133,7 @@
         self.best_throughput = self.best_throughput * count / count_before
 
     def update(self) -> None:
-        """Adjust the limit to the reports and set the desired levels. Called once each report period."""
+        """Adjust the limit to the reports and set the desired levels. The planner calls it once per report period."""
         fleet = self.fleet
         capacities = capacity.usable_capacities(fleet)
         rates = [sum(s.rates[k] for s in fleet.slices.values()) for k in range(len(fleet.published_levels))]
@@ -137,25 +142,25 @@
         reporting = self._reporting_endpoints(capacities)
         throughput = self._throughput(capacities, reporting, admitted)
         latency_share = median_latency(fleet, reporting) / self.latency_objective
-        self._adopt_restored_levels(admitted)
-        self.best_throughput = max(throughput, self.best_throughput * BEST_THROUGHPUT_KEPT)
-        self.base_latency = min(latency_share or math.inf, self.base_latency / BASE_LATENCY_KEPT)
+        self._apply_restored_levels(admitted)
+        self.best_throughput = max(throughput, self.best_throughput * BEST_THROUGHPUT_DECAY_FACTOR)
+        self.base_latency = min(latency_share or math.inf, self.base_latency / BASE_LATENCY_DECAY_FACTOR)
         self._adjust_limit(latency_share, throughput, demand)
         self._bound_limit_while_warming(capacities, throughput)
-        fleet.admitted_share = min(1.0, self.admitted_rate_limit / (demand + NON_ZERO))
+        fleet.admitted_share = min(1.0, self.admitted_rate_limit / (demand + EPSILON))
         if fleet.settings.admission == "ratio":
             fleet.desired_levels = tuple(admission_levels(fleet.admitted_share, rates, fleet.settings.classes))
 
     def _reporting_endpoints(self, capacities: dict[str, float]) -> list[EndpointState]:
-        """Usable endpoints with recent answers."""
+        """Return the usable endpoints with recent successful responses."""
         usable = [self.fleet.endpoints[name] for name in capacities]
         return [e for e in usable if self.fleet.has_recent_report(e) and e.answer_rate]
 
     def _throughput(self, capacities: dict[str, float], reporting: list[EndpointState], admitted: float) -> float:
-        """Answers/s of the fleet.
+        """Estimate the successful responses/s of the fleet.
 
-        Reports of a large fleet, or after a start, cover a part of it: the success ratio there is taken for all, and
-        the rest is taken to answer at the same rate.
+        In a large fleet, or after a start, the reports cover only part of the fleet. The success ratio and the response
+        rate of that part are then assumed for the whole fleet.
         """
         reported = sum(e.answer_rate for e in reporting)
         attempts = sum(e.attempts for e in reporting) or 1.0
@@ -164,7 +169,7 @@
         return max(reported, min(success_ratio * admitted, extrapolated))
 
     def _coverage(self, capacities: dict[str, float]) -> float:
-        """Share of the capacity in use by owned slices, and of the zones that use it, with recent reports."""
+        """Return the share of the capacity used by owned slices, and of the zones using it, that has recent reports."""
         fleet = self.fleet
         zones = fleet.proxy_zone_count() or 1
         assigned = {n: True for s in fleet.slices.values() for n in s.assigned if n in capacities}
@@ -176,8 +181,8 @@
         )
         return covered / (sum(capacities[n] for n in assigned) or 1.0)
 
-    def _adopt_restored_levels(self, admitted: float) -> None:
-        """Take what the levels of an earlier incarnation admit as the first limit."""
+    def _apply_restored_levels(self, admitted: float) -> None:
+        """Use the rate that the levels of an earlier incarnation admit as the initial limit."""
         if not self.levels_restored:
             return
         self.levels_restored = False
@@ -186,24 +191,24 @@
             self.admitted_rate_limit = admitted
 
     def _adjust_limit(self, latency_share: float, throughput: float, demand: float) -> None:
-        """Lower the limit on late answers, bound it by advice before they are late, let it grow while they are fast.
+        """Lower the limit if responses are late, raise it if they are fast, and bound it by the advice in between.
 
         Args:
-            latency_share: median latency as a share of the objective.
-            throughput: answers/s of the fleet.
-            demand: requests/s that come.
+            latency_share: Median latency as a share of the objective.
+            throughput: Successful responses/s of the fleet.
+            demand: Incoming requests/s.
         """
         if latency_share > OVERLOAD_LATENCY_SHARE:
             if self.fleet.now - self.last_decrease_at > LIMIT_HOLD_NS:
                 self._lower_limit(latency_share, throughput)
-        elif latency_share > CALM_LATENCY_SHARE:
+        elif latency_share > LOW_LATENCY_SHARE:
             if self.advised_capacity and demand > self.advised_capacity:
                 self.admitted_rate_limit = min(self.admitted_rate_limit, max(self.advised_capacity, throughput))
-        elif latency_share < CALM_LATENCY_SHARE:
+        elif latency_share < LOW_LATENCY_SHARE:
             self._raise_limit(latency_share, demand)
 
     def _lower_limit(self, latency_share: float, throughput: float) -> None:
-        if self.best_throughput_restored:  # one that is too high would keep the limit from falling at all
+        if self.best_throughput_restored:  # a restored value that is too high would prevent any decrease of the limit
             self.best_throughput_restored = False
             self.best_throughput = min(self.best_throughput, MAX_RESTORED_RATIO * throughput)
         factor = max(MIN_DECREASE_FACTOR, 1 - DECREASE_PER_LATENCY * latency_share)
@@ -212,17 +217,20 @@
         self.last_decrease_at = self.fleet.now
 
     def _raise_limit(self, latency_share: float, demand: float) -> None:
-        unqueued = max(CALM_LATENCY_SHARE / 2, UNQUEUED_LATENCY_RATIO * self.base_latency)
+        unqueued_latency_share = max(LOW_LATENCY_SHARE / 2, UNQUEUED_LATENCY_RATIO * self.base_latency)
         known = self.admitted_rate_limit < KNOWN_THROUGHPUT_SHARE * self.best_throughput
-        growth = FAST_GROWTH if known or latency_share < unqueued else PROBE_GROWTH
+        growth = FAST_GROWTH_FACTOR if known or latency_share < unqueued_latency_share else PROBE_GROWTH_FACTOR
         limit = self.admitted_rate_limit * growth
         self.admitted_rate_limit = limit if limit < UNLIMITED_DEMAND_RATIO * demand else math.inf
 
     def _bound_limit_while_warming(self, capacities: dict[str, float], throughput: float) -> None:
-        """While most of the capacity is warming up, admit what it should answer before any answer is late."""
+        """While most of the capacity is warming up, bound the limit by its expected throughput.
+
+        The bound applies before any response is late.
+        """
         fleet = self.fleet
-        total = sum(capacities.values()) + NON_ZERO
-        best_ratio = max(BEST_RATIO_KEPT * fleet.throughput_per_capacity, throughput / total)
+        total = sum(capacities.values()) + EPSILON
+        best_ratio = max(BEST_RATIO_DECAY_FACTOR * fleet.throughput_per_capacity, throughput / total)
         fleet.throughput_per_capacity = best_ratio
         warming = sum(capacities[n] for n in capacities if slow_start.is_warming_up(fleet, n))
         if 2 * warming > total:
--- a/damsonpick/decisions/advised_tables.py
+++ b/damsonpick/decisions/advised_tables.py
@@ -1,6 +1,7 @@
-"""Tables and weights that are calculated outside the decisions, for deployments without slices or with uneven entries.
+"""Tables and weights calculated outside the decisions, for deployments without slices or with uneven entries.
 
-The endpoint list, slow start, flow control and admission levels bind them as they bind what the search decides.
+The endpoint list, slow start, flow control and admission levels apply to them in the same way as to the results of the
+search.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 
 
 def apply_advice(fleet: FleetState, event: api.TableAdvised) -> None:
-    """Take over advised weights of an owned table, and the whole table where the advice is complete.
+    """Apply advised weights to an owned table. Complete advice also replaces the assigned endpoints.
 
-    Unknown endpoints and weights that are not positive and finite are passed over. A complete advice of which nothing
-    remains is not taken for an order to empty the table.
+    Entries with an unknown endpoint, or with a weight that is not positive and finite, are ignored. If complete advice
+    has entries and all of them are ignored, the table is not emptied.
     """
     slice_state = fleet.slices.get(event.table)
     if slice_state is None:
--- a/damsonpick/decisions/balancing_round.py
+++ b/damsonpick/decisions/balancing_round.py
@@ -1,4 +1,4 @@
-"""Balancing rounds: when one starts, and how its search goes on in parts between other events."""
+"""Balancing rounds: when a round starts, and how its search runs in parts between other events."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from damsonpick.decisions.time_units import NS_PER_SECOND
 
 ROUND_PERIOD_NS = 2 * NS_PER_SECOND
-SEARCH_PART_INTERVAL_NS = NS_PER_SECOND // 200  # pause between parts, in which list changes and reports are handled
-ACKNOWLEDGEMENT_TIMEOUT_NS = 2 * NS_PER_SECOND  # beside the channel's transit: after it a round waits no longer
+SEARCH_PART_INTERVAL_NS = NS_PER_SECOND // 200  # pause between parts, for handling list changes and reports
+ACKNOWLEDGEMENT_TIMEOUT_NS = 2 * NS_PER_SECOND  # longest wait of a round for acknowledgements, excluding transit times
 
 
 @dataclass(slots=True, eq=False)
 class BalancingRounds:
-    """Starts rounds and carries on the search of the present one.
+    """Starts rounds and continues the search of the current round.
 
     Attributes:
-        fleet: state that rounds change.
-        publisher: tells whether earlier moves are published and acknowledged.
-        search: the search under way; None between searches.
-        next_round_at: earliest start of the next round, ns.
-        next_part_at: when the search under way goes on, ns.
+        fleet: State that rounds change.
+        publisher: Publisher, which tracks whether earlier moves have been published and acknowledged.
+        search: The running search; None between searches.
+        next_round_at: Earliest start of the next round, ns.
+        next_part_at: Earliest start of the next part of the running search, ns.
     """
 
     fleet: FleetState
@@ -36,8 +36,8 @@
     next_part_at: int = 0
 
     def start_if_due(self) -> None:
-        """Start a round if its time has come, reports have come, and earlier moves are in force."""
-        if not self._is_due() or not self._earlier_moves_in_force():
+        """Start a round if it is due, reports have been received, and earlier moves are settled."""
+        if not self._is_due() or not self._earlier_moves_are_settled():
             return
         self.next_round_at = self.fleet.now + ROUND_PERIOD_NS
         hot_slices.replicate_hot_slices(self.fleet, self.publisher.flow_control)
@@ -47,7 +47,7 @@
         placement.repair_assignments(self.fleet)
 
     def continue_search(self, actions: list[api.Action]) -> None:
-        """Run the next part of the search under way, if it is time for it."""
+        """Run the next part of the running search if it is due."""
         if self.search is None or self.fleet.now < self.next_part_at:
             return
         self.next_part_at = self.fleet.now + SEARCH_PART_INTERVAL_NS
@@ -61,8 +61,8 @@
     def _is_due(self) -> bool:
         return bool(self.fleet.now >= self.next_round_at and self.fleet.last_report_at and self.search is None)
 
-    def _earlier_moves_in_force(self) -> bool:
-        """Whether all earlier moves have been sent, and acknowledged or given up waiting for."""
+    def _earlier_moves_are_settled(self) -> bool:
+        """Return whether all earlier moves have been sent, and have been acknowledged or have timed out."""
         if not self.publisher.moves_published:
             return False
         flow_control = self.publisher.flow_control
--- a/damsonpick/decisions/cluster_copy.py
+++ b/damsonpick/decisions/cluster_copy.py
@@ -1,7 +1,7 @@
 """The copy of the assignments on which the search tries moves: the virtual cluster of HBase's balancer.
 
-Endpoints and replicas (a slice's place at one of its assigned endpoints) are numbered from 0 and described by parallel
-lists, as the search reads them some million times a minute.
+A replica is the assignment of a slice to one of its endpoints. Endpoints and replicas are numbered from 0 and described
+by parallel lists, since the search reads them millions of times per minute.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class Replica(NamedTuple):
-    """A slice's place at one of its assigned endpoints.
+    """The assignment of a slice to one of its endpoints.
 
     Attributes:
-        slice_state: the slice.
-        position: index in the slice's list of assigned endpoints.
+        slice_state: The slice.
+        position: Index in the slice's list of assigned endpoints.
     """
 
     slice_state: SliceState
@@ -28,20 +28,20 @@
 
 
 class Move(NamedTuple):
-    """A replica and the endpoint it goes to, by number."""
+    """The numbers of a replica and of the endpoint to which it moves."""
 
     replica: int
     endpoint: int
 
 
 class CostTerms(NamedTuple):
-    """Sums from which the cost follows.
+    """Sums from which the cost is computed.
 
     Attributes:
-        load_squares: sum of squared load over capacity.
-        count_squares: sum of squared number of replicas over capacity.
-        warmth_lost: load of moved replicas, times the warmth they lose, requests/s.
-        moved: number of replicas away from the endpoint they started at.
+        load_squares: Sum of load ** 2 / capacity over all endpoints.
+        count_squares: Sum of (number of replicas) ** 2 / capacity over all endpoints.
+        warmth_lost: Sum of load * lost warmth over the moved replicas, requests/s.
+        moved: Number of replicas that are not on their initial endpoint.
     """
 
     load_squares: float
@@ -54,21 +54,21 @@
     """Endpoints and replicas as they would be after the moves so far.
 
     Attributes:
-        names: endpoint names.
-        capacities: present capacity by endpoint.
-        warming: whether an endpoint is warming up.
-        endpoint_loads: load by endpoint, requests/s.
-        load_ratios: load over capacity by endpoint.
-        replicas_on: replicas by endpoint.
-        replicas: what each replica stands for.
-        replica_loads: load by replica, requests/s.
-        endpoint_of: endpoint by replica.
-        start_of: endpoint by replica before any move.
-        warmest_first: endpoints by replica, those warmest to its slice first.
-        total_load: load of all endpoints, requests/s; 1 where there is none.
-        total_capacity: capacity of all endpoints; 1 where there is none.
-        warming_limit: most load of a warming endpoint for each unit of capacity, requests/s.
-        terms: cost terms of the present state.
+        names: Endpoint names.
+        capacities: Current capacity by endpoint.
+        warming: Whether an endpoint is warming up, by endpoint.
+        endpoint_loads: Load by endpoint, requests/s.
+        load_ratios: Load / capacity by endpoint.
+        replicas_on: Numbers of the replicas by endpoint.
+        replicas: Slice and position of each replica.
+        replica_loads: Load by replica, requests/s.
+        endpoint_of: Endpoint by replica.
+        start_of: Endpoint by replica before any move.
+        warmest_first: Endpoints by replica, sorted by descending warmth for its slice.
+        total_load: Load of all endpoints, requests/s; 1 if there is no load.
+        total_capacity: Capacity of all endpoints; 1 if there is no capacity.
+        warming_limit: Maximum load of a warming endpoint per unit of capacity, requests/s.
+        terms: Cost terms of the current state.
     """
 
     __slots__ = (
@@ -114,15 +114,17 @@
         self.terms = CostTerms(load_squares, count_squares, 0.0, 0)
 
     def terms_after(self, moves: list[Move]) -> CostTerms:
-        """Cost terms after moves between two endpoints, in constant time. Changes nothing: most moves are dropped.
+        """Compute the cost terms after moves between two endpoints, in constant time.
+
+        The copy is left unchanged, since most candidate moves are rejected.
 
         Args:
-            moves: one move, or two that swap replicas.
+            moves: One move, or two moves that swap replicas.
         """
         load_squares, count_squares, warmth_lost, moved = self.terms
         endpoint_of, start_of, replica_loads = self.endpoint_of, self.start_of, self.replica_loads
         source, target = endpoint_of[moves[0].replica], moves[0].endpoint
-        load_change = count_change = 0.0  # of the target, and with the opposite sign of the source
+        load_change = count_change = 0.0  # change at the target; the change at the source has the opposite sign
         for replica, endpoint in moves:
             load_change += replica_loads[replica] if endpoint == target else -replica_loads[replica]
             count_change += 1 if endpoint == target else -1
@@ -136,7 +138,7 @@
         return CostTerms(load_squares, count_squares, warmth_lost, moved)
 
     def apply(self, moves: list[Move], terms: CostTerms) -> None:
-        """Make moves whose cost terms are known."""
+        """Apply moves whose resulting cost terms have been computed."""
         self.terms = terms
         for replica, endpoint in moves:
             old = self.endpoint_of[replica]
@@ -147,7 +149,7 @@
             self._add_load(endpoint, self.replica_loads[replica])
 
     def _add_slice(self, slice_state: SliceState, numbers: dict[str, int]) -> None:
-        """Add a slice's load, and its replicas unless it was assigned from outside."""
+        """Add a slice's load, and its replicas unless its table was calculated outside the decisions."""
         for position, name in enumerate(slice_state.assigned):
             endpoint = numbers.get(name)
             if endpoint is None:
@@ -165,7 +167,7 @@
         self.load_ratios[endpoint] = self.endpoint_loads[endpoint] / self.capacities[endpoint]
 
     def _warmth_lost(self, replica: int, endpoint: int) -> float:
-        """Load of a replica times the warmth that it has at its first endpoint and not at this one, requests/s."""
+        """Return the load of a replica times the warmth lost by moving it from its initial endpoint, requests/s."""
         start = self.start_of[replica]
         if endpoint == start:
             return 0.0
--- a/damsonpick/decisions/endpoint_list.py
+++ b/damsonpick/decisions/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what its events change, and polling for it again with exponential backoff."""
+"""The endpoint list: how its events change the fleet state, and polling for the list with exponential backoff."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 BACKOFF_BASE_NS = NS_PER_SECOND // 4
 MAX_BACKOFF_DOUBLINGS = 4
-MIN_JITTER = 0.5  # least part of a backoff that is waited; the most is 1
-MIN_ANSWER_TIMEOUT_NS = NS_PER_SECOND  # least time before a poll without an answer is repeated
+MIN_JITTER = 0.5  # smallest random factor on a backoff; the largest is 1
+MIN_RESPONSE_TIMEOUT_NS = NS_PER_SECOND  # shortest time before a poll without a response is repeated
 
 
 @dataclass(slots=True, eq=False)
 class EndpointListTracker:
-    """Applies the list's events to the fleet and asks for the list until it comes.
+    """Applies the list's events to the fleet and polls for the list until it is received.
 
     Attributes:
-        fleet: state that the events change.
-        poll_at: when to ask for the list, ns; None: it is being followed, or comes without being asked for.
-        failures: failed polls in a row, at most `MAX_BACKOFF_DOUBLINGS`.
+        fleet: State that the events change.
+        poll_at: Time of the next poll, ns; None if the list has been received or is sent without a poll.
+        failures: Number of consecutive failed polls, at most `MAX_BACKOFF_DOUBLINGS`.
     """
 
     fleet: FleetState
@@ -31,7 +31,7 @@
     failures: int = 0
 
     def __post_init__(self) -> None:
-        """Ask at once where the list must be asked for."""
+        """Schedule an immediate poll if the list is sent on request only."""
         self.poll_at = 0 if self.fleet.settings.list_on_request else None
 
     def apply_change(self, event: api.EndpointListChanged) -> None:
@@ -50,27 +50,27 @@
         self.fleet.assignments_stale = True
 
     def apply_confidence(self, event: api.EndpointConfidenceChanged) -> None:
-        """Take over how far the list is believed in naming an endpoint."""
+        """Store the confidence in what the list states about an endpoint."""
         endpoint = self.fleet.endpoints.get(event.endpoint)
         if endpoint is not None:
             endpoint.list_confidence = event.confidence
             self.fleet.assignments_stale = True
 
     def poll_if_due(self, actions: list[api.Action]) -> None:
-        """Ask for the list when it is time, and again if no answer comes."""
+        """Poll for the list if a poll is due, and schedule another poll in case no response arrives."""
         now = self.fleet.now
         if self.poll_at is not None and now >= self.poll_at:
             actions.append(api.SubscribeEndpointList(True))
-            self.poll_at = now + max(MIN_ANSWER_TIMEOUT_NS, self.fleet.settings.poll_interval // 2)
+            self.poll_at = now + max(MIN_RESPONSE_TIMEOUT_NS, self.fleet.settings.poll_interval // 2)
 
     def _back_off(self) -> None:
-        """Wait before the next poll: an immediate one would add load to a service that has just failed."""
+        """Delay the next poll, since an immediate poll would add load to a service that has just failed."""
         self.failures = min(self.failures + 1, MAX_BACKOFF_DOUBLINGS)
         jitter = self.fleet.random.uniform(MIN_JITTER, 1.0)
         self.poll_at = self.fleet.now + int(BACKOFF_BASE_NS * 2**self.failures * jitter)
 
     def _terminate_missing(self, entries: tuple[api.EndpointEntry, ...]) -> None:
-        """Mark listed endpoints terminated that a full list no longer names."""
+        """Mark previously listed endpoints as terminated if a full list no longer contains them."""
         named = {entry.endpoint: True for entry in entries}
         for endpoint in self.fleet.endpoints.values():
             if endpoint.state != "unlisted" and endpoint.name not in named:
@@ -83,7 +83,7 @@
             endpoint.capacity_factor = endpoint.capacity_factor if factor is None else factor
         if entry.started != endpoint.started:
             endpoint.reset_outcomes()
-            if endpoint.restored_share:  # the snapshot was of another process
+            if endpoint.restored_share:  # the snapshot describes another process
                 endpoint.capacity_factor = 1.0
         endpoint.started = entry.started
         endpoint.state = entry.state
--- a/damsonpick/decisions/endpoint_state.py
+++ b/damsonpick/decisions/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What is known of one endpoint: its listing, the outcomes that proxies report, and what was learned from them."""
+"""The state of one endpoint: its list entry, the outcomes that proxies report, and the factors learned from them."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 
 EndpointListing = api.EndpointStatus | Literal["unlisted"]
 
-OUTCOME_TAU_S = 2.5  # time constant of the outcomes by which one endpoint is judged
-RECENT_TAU_S = 1.0  # time constant of the latency of the whole fleet, which rests on many answers
-ZONE_VIEW_TTL_NS = 2 * OUTCOME_TAU_S * NS_PER_SECOND  # age at which a zone's view no longer counts
+OUTCOME_TAU_S = 2.5  # time constant of the outcomes from which one endpoint is assessed
+RECENT_TAU_S = 1.0  # time constant of the fleet-wide latency; shorter, since it is computed from many responses
+ZONE_VIEW_TTL_NS = 2 * OUTCOME_TAU_S * NS_PER_SECOND  # age from which a zone's view is ignored
 
 
 @dataclass(slots=True, eq=False)
 class ZoneView:
-    """Outcomes that the proxies of one zone met at one endpoint, as exponentially decaying sums.
+    """Outcomes that the proxies of one zone observed at one endpoint, as exponentially decaying sums.
 
     Attributes:
-        last_report_at: time of the newest report, ns.
-        attempts: requests sent.
-        successes: requests answered.
-        latency_sum: latency of the answered requests, ns.
-        covered_s: time that the reports cover, s. Rates go by it, as the interval between reports grows with the fleet.
-        recent_successes: as `successes`, with the shorter time constant `RECENT_TAU_S`.
-        recent_latency_sum: as `latency_sum`, with the shorter time constant `RECENT_TAU_S`.
+        last_report_at: Time of the newest report, ns.
+        attempts: Number of attempts.
+        successes: Number of successful attempts.
+        latency_sum: Total latency of the successful attempts, ns.
+        covered_s: Time that the reports cover, s. Rates are computed from it, because the interval between reports
+            grows with the fleet.
+        recent_successes: Like `successes`, with the shorter time constant `RECENT_TAU_S`.
+        recent_latency_sum: Like `latency_sum`, with the shorter time constant `RECENT_TAU_S`.
     """
 
     last_report_at: int
@@ -39,7 +40,7 @@
     recent_latency_sum: float = 0.0
 
     def add(self, now: int, report: api.EndpointReport) -> None:
-        """Decay the sums to the present and add one report."""
+        """Decay the sums to the current time and add one report."""
         successes = report.attempts - report.failures
         age_s = max(0, now - self.last_report_at) / NS_PER_SECOND
         kept = math.exp(-age_s / OUTCOME_TAU_S)
@@ -55,25 +56,26 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """One endpoint, listed or named by a table.
+    """One endpoint that the endpoint list or a table names.
 
     Attributes:
-        name: address that identifies the endpoint.
-        state: as the endpoint list has it; `unlisted` while only a table or a report named it.
-        weight: listed weight, relative to other endpoints.
-        started: time of the process's start, ns; 0: long ago.
-        capacity_factor: learned correction of the weight, 1 for the fleet's median. It outlives a restart of the
-            process, since it belongs to the machine.
-        restored_share: how much of `capacity_factor` is restored from a snapshot and not yet confirmed, 0 to 1.
-        list_confidence: how far the list is believed in naming the endpoint, 0 to 1.
-        attempts: requests sent, over all zones, decaying.
-        failures: requests that failed, over all zones, decaying.
-        latency: mean latency of the answers, ns; 0 where there is none.
-        answer_rate: answers a second, over all zones.
-        success_ratio: share of requests answered, in the zone where it is highest: a lower one may be its zone's link.
-        reporting_zones: number of zones with a recent report.
-        last_report_at: time of the newest report, ns; 0: none.
-        zone_views: outcomes by zone of the reporting proxies.
+        name: Address that identifies the endpoint.
+        state: State in the endpoint list; `unlisted` while only a table or a report names the endpoint.
+        weight: Listed weight, relative to other endpoints.
+        started: Start time of the process, ns; 0 if it was long ago.
+        capacity_factor: Learned correction of the weight, 1 for the fleet's median. It is kept when the process
+            restarts, since it is a property of the machine.
+        restored_share: Share of `capacity_factor` that is restored from a snapshot and not yet confirmed, 0 to 1.
+        list_confidence: Confidence in what the list states about the endpoint, 0 to 1.
+        attempts: Decaying number of attempts over all zones.
+        failures: Decaying number of failed attempts over all zones.
+        latency: Mean latency of the successful responses, ns; 0 if there are none.
+        answer_rate: Successful responses per second over all zones.
+        success_ratio: Share of successful attempts in the zone where this share is highest. A lower share in another
+            zone may be caused by the network link of that zone.
+        reporting_zones: Number of zones with a recent report.
+        last_report_at: Time of the newest report, ns; 0 if there is none.
+        zone_views: Outcomes by zone of the reporting proxies.
     """
 
     name: str
@@ -93,18 +95,18 @@
     zone_views: dict[str, ZoneView] = field(default_factory=dict)
 
     def reset_outcomes(self) -> None:
-        """Discard all reports: they are of an earlier process under the same name."""
+        """Discard all reports, which describe an earlier process with the same name."""
         self.attempts = self.failures = self.latency = self.answer_rate = 0.0
         self.success_ratio = 1.0
         self.reporting_zones = self.last_report_at = 0
         self.zone_views = {}
 
     def add_report(self, now: int, report: api.EndpointReport) -> None:
-        """Add a report to its zone's view and bring the totals up to date.
+        """Add a report to its zone's view and update the totals.
 
         Args:
-            now: present time, ns.
-            report: outcomes of one period, with at least one attempt and a positive period.
+            now: Current time, ns.
+            report: Outcomes of one period, with at least one attempt and a positive period.
         """
         view = self.zone_views.setdefault(report.zone, ZoneView(now))
         view.add(now, report)
--- a/damsonpick/decisions/flow_control.py
+++ b/damsonpick/decisions/flow_control.py
@@ -1,6 +1,6 @@
-"""Flow control of the channel to the proxies: messages sent and not yet acknowledged, and the room that is left.
+"""Flow control of the channel to the proxies: unacknowledged messages and the remaining capacity of the channel.
 
-The sizes of messages are counted in table entries, the unit of the channel's stated limit.
+Message sizes are measured in table entries, the unit of the channel's configured limit.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from damsonpick import interface as api
 
 SYNC_TOKEN_MODULUS = 65536
-SYNC_ENTRIES = 2  # size of the sync request that ends each message
-MIN_CRITICAL_ENTRIES = 2  # room for critical entries in an empty channel whose limit is below one message
-UNSPACED_PART = 4  # critical messages up to one in this many of those allowed leave without spacing
+SYNC_ENTRIES = 2  # size of the sync request at the end of each message, in table entries
+MIN_CRITICAL_ENTRIES = 2  # critical entries allowed in an empty channel even if its limit is below one message
+UNSPACED_DIVISOR = 4  # critical messages need no spacing until 1/4 of the messages allowed in the window is used
 
 
 class Urgency(IntEnum):
-    """How urgent an order is; the lower, the more urgent."""
+    """Urgency of an order. A lower value is more urgent."""
 
-    CRITICAL = 0  # withdrawals, and tables without a routable entry
-    CONTROL = 1  # admission levels, and withdrawals sent again to a proxy that came back
-    REBALANCE = 2  # tables that gain or lose an endpoint in service
-    CLEANUP = 3  # entries of withdrawn endpoints to be removed
+    CRITICAL = 0  # withdrawals, and changes of tables without a routable entry
+    CONTROL = 1  # admission levels, and withdrawal states sent again to a proxy that rejoined
+    REBALANCE = 2  # changes of tables that gain or lose an endpoint in service
+    CLEANUP = 3  # removal of the entries of withdrawn endpoints
 
 
-# Share of the channel's limit that may be taken. It stays below half, as a message whose outcome is unknown is
-# sent again and both copies may wait, and the less urgent leave room for the more urgent.
+# Share of the channel's limit that orders of each urgency may use. It is below half, because a message whose outcome is
+# unknown is sent again and both copies may wait in the channel. Less urgent orders leave capacity for more urgent ones.
 LIMIT_SHARE = {
     Urgency.CRITICAL: 0.49,
     Urgency.CONTROL: 0.49,
     Urgency.REBALANCE: 0.48,
     Urgency.CLEANUP: 0.4,
 }
-# Share of the messages allowed in a window.
+# Share of the messages allowed in a window that orders of each urgency may use.
 MESSAGE_SHARE = {
     Urgency.CRITICAL: 1.0,
     Urgency.CONTROL: 0.8,
@@ -48,10 +48,10 @@
     """A message that not all of its recipients have acknowledged.
 
     Attributes:
-        token: sync token that the recipients acknowledge.
-        cost: size over all recipients, entries.
-        recipients: number of proxies it was sent to.
-        unacknowledged: recipients that have not acknowledged it, and their zones.
+        token: Sync token that the recipients acknowledge.
+        cost: Total size over all recipients, in table entries.
+        recipients: Number of proxies to which the message was sent.
+        unacknowledged: Zone by proxy, for the recipients that have not acknowledged the message.
     """
 
     token: int
@@ -60,26 +60,29 @@
     unacknowledged: dict[int, str]
 
     def outstanding_cost(self) -> float:
-        """Part of the cost that is not acknowledged, entries."""
+        """Return the unacknowledged part of the cost, in table entries."""
         return self.cost * len(self.unacknowledged) / self.recipients
 
     def is_acknowledged_by_half(self) -> bool:
-        """Whether half of the recipients have acknowledged it. Waiting for all would let one stalled proxy stop all."""
+        """Return whether half of the recipients have acknowledged the message.
+
+        Waiting for all recipients would let one stalled proxy block all others.
+        """
         return 2 * len(self.unacknowledged) <= self.recipients
 
 
 @dataclass(slots=True, eq=False)
 class FlowControl:
-    """Bounds what waits in the channel, also where it is slower than stated.
+    """Bounds the entries that wait in the channel, even if the channel is slower than configured.
 
     Attributes:
-        settings: hold the limits of the channel.
-        proxies: joined proxies and their zones.
-        in_flight: messages sent after the newest one that half of its recipients have acknowledged, in the order sent.
-        sent_at: times of the messages in the present window, ns.
-        last_sent_at: time of the newest message, ns.
-        last_token: sync token of the newest message.
-        last_move_token: sync token of the newest message that held more than cleanup.
+        settings: Settings with the limits of the channel.
+        proxies: Zone by joined proxy.
+        in_flight: Messages sent after the newest message that half of its recipients have acknowledged, in send order.
+        sent_at: Send times of the messages in the current window, ns.
+        last_sent_at: Send time of the newest message, ns.
+        last_token: Sync token of the newest message.
+        last_move_token: Sync token of the newest message that contained more than cleanup.
     """
 
     settings: api.Settings
@@ -92,45 +95,45 @@
 
     @property
     def message_overhead(self) -> float:
-        """Size of a message beside its orders, entries."""
+        """Size of a message in addition to its orders, in table entries."""
         return self.settings.message_overhead + SYNC_ENTRIES
 
     def available(self, now: int, urgency: Urgency) -> int:
-        """Number of entries that a message may hold now; below 1 where none may be sent."""
+        """Return the number of entries that a message may contain now. Below 1, no message may be sent."""
         if not self._window_admits(now, urgency):
             return 0
         room = self.message_capacity(urgency, sum(message.outstanding_cost() for message in self.in_flight))
         if urgency == Urgency.CRITICAL and not self.in_flight:
             return max(room, MIN_CRITICAL_ENTRIES)
-        # Many small messages would fill the channel with overhead.
+        # A message smaller than half of the maximum must wait, since small messages fill the channel with overhead.
         return room if 2 * room >= self.message_capacity(urgency, 0.0) else 0
 
     def message_capacity(self, urgency: Urgency, outstanding: float) -> int:
-        """Number of entries of a message to all proxies.
+        """Return the number of entries that a message to all proxies may contain.
 
         Args:
-            urgency: of what the message holds.
-            outstanding: what waits in the channel, entries over all proxies.
+            urgency: Urgency of the orders in the message.
+            outstanding: Unacknowledged entries in the channel over all proxies.
         """
         proxies = max(1, len(self.proxies))
         share = LIMIT_SHARE[urgency] * self.settings.channel_limit
         return int((share - outstanding) / proxies - self.message_overhead)
 
     def moves_acknowledged(self) -> bool:
-        """Whether no moves are in flight; cleanup may be, as it need not hold up a round."""
+        """Return whether no moves are in flight. Cleanup may be in flight, since it need not delay a round."""
         return all(message.token != self.last_move_token for message in self.in_flight)
 
     def send(self, now: int, entries: int, moves: bool) -> api.RequestSync:
-        """Record a message to all joined proxies, of which there must be one.
+        """Record a message to all joined proxies. At least one proxy must have joined.
 
         Args:
-            now: present time, ns.
-            entries: number of entries it holds.
-            moves: it holds more than cleanup.
+            now: Current time, ns.
+            entries: Number of entries in the message.
+            moves: Whether the message contains more than cleanup.
 
         Returns:
-            The sync request that ends the message. It goes to all proxies, since a withdrawal alone may reach none and
-            would never be acknowledged.
+            The sync request that ends the message. It is addressed to all proxies, since a withdrawal alone may concern
+            no proxy and would then never be acknowledged.
         """
         self.last_token = (self.last_token + 1) % SYNC_TOKEN_MODULUS
         if moves:
@@ -142,9 +145,10 @@
         return api.RequestSync(self.last_token, True)
 
     def acknowledge(self, proxy: int, token: int | None) -> None:
-        """Record that a proxy has applied the message with a token, or with None that it has left.
+        """Record that a proxy has applied the message with a token, or that it has left if the token is None.
 
-        Messages are applied in order, so that one acknowledged by half stands for those before it.
+        Proxies apply messages in order. A message that half of its recipients have acknowledged therefore counts as an
+        acknowledgement of all earlier messages.
         """
         acknowledged_count = 0
         for position, message in enumerate(self.in_flight, start=1):
@@ -156,10 +160,10 @@
             self.in_flight.popleft()
 
     def _window_admits(self, now: int, urgency: Urgency) -> bool:
-        """Whether the limit on messages in a window admits one more.
+        """Return whether the limit on messages in a window allows one more message.
 
-        Messages are evenly spaced, since a burst would use up what later withdrawals and levels need. The first
-        critical ones of a window need no spacing.
+        Messages are evenly spaced, since a burst would use up the messages that later withdrawals and admission levels
+        need. The first critical messages of a window need no spacing.
         """
         window = self.settings.message_window
         while self.sent_at and self.sent_at[0] <= now - window:
@@ -169,5 +173,5 @@
         allowed = MESSAGE_SHARE[urgency] * self.settings.messages_per_window
         if len(self.sent_at) + 1 > allowed:
             return False
-        spaced = urgency != Urgency.CRITICAL or UNSPACED_PART * len(self.sent_at) > allowed
-        return not spaced or now - self.last_sent_at >= window / allowed
+        must_be_spaced = urgency != Urgency.CRITICAL or UNSPACED_DIVISOR * len(self.sent_at) > allowed
+        return not must_be_spaced or now - self.last_sent_at >= window / allowed
--- a/damsonpick/decisions/hot_slices.py
+++ b/damsonpick/decisions/hot_slices.py
@@ -1,7 +1,7 @@
-"""Further replicas of hot slices: a slice with more load than one endpoint should carry gets further table entries.
+"""Replication of hot slices: a slice with more load than one endpoint should serve gets additional table entries.
 
-A further entry costs half of what a move costs (one entry is added, none removed) and keeps the warmth where it is.
-Each entry is placed by the search like a slice of its own.
+An additional entry costs half as much as a move (one entry is added, none is removed) and preserves the warmth of the
+existing endpoints. The search then moves each replica independently, like a separate slice.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from damsonpick.decisions.placement import Placement
 from damsonpick.decisions.slice_state import SliceState
 
-HOT_LOAD_SHARE = 0.1  # load of a slice, against the fair load of the largest endpoint, above which it is replicated
-FREE_REPLICAS = 3  # replicas that any hot slice may have; more only if it is hotter than an average slice's share
-MESSAGES_PER_ROUND = 2.0  # messages that a round may fill with further entries
+HOT_LOAD_SHARE = 0.1  # a slice is replicated if its load / fair load of the largest endpoint is above this
+BASE_REPLICA_LIMIT = 3  # replicas that any hot slice may have; more only if load / `of_largest_in_all` exceeds this
+MESSAGES_PER_ROUND = 2.0  # number of messages that a round may fill with additional entries
 MIN_ENTRIES_PER_ROUND = 4
-NON_ZERO = 1e-9  # keeps a ratio defined without load or capacity
+EPSILON = 1e-9  # keeps a ratio defined if load or capacity is 0
 
 
 @dataclass(frozen=True, slots=True)
 class FairLoad:
-    """Load of endpoints if it were spread evenly.
+    """Load of endpoints if all load were spread evenly.
 
     Attributes:
-        per_capacity: requests/s for each unit of capacity, of the owned slices.
-        of_largest: requests/s of the endpoint with the largest capacity, of the owned slices.
-        of_largest_in_all: as `of_largest`, with the slices of other instances counted in by their number.
+        per_capacity: Requests/s per unit of capacity from the owned slices.
+        of_largest: Requests/s of the endpoint with the largest capacity from the owned slices.
+        of_largest_in_all: Like `of_largest`, scaled up to the slices of all instances by the number of slices.
     """
 
     per_capacity: float
@@ -38,9 +38,9 @@
 
 
 def replicate_hot_slices(fleet: FleetState, flow_control: FlowControl) -> None:
-    """Assign a further endpoint to hot slices, the hottest first, as many as the channel carries in a round.
+    """Assign an additional endpoint to hot slices, hottest first, as many as the channel can publish in a round.
 
-    Never where a table has a sole owner.
+    Nothing is assigned if each table has a sole owner.
     """
     if fleet.settings.sole_owner:
         return
@@ -57,7 +57,7 @@
 
 
 def _fair_load(fleet: FleetState, capacities: dict[str, float], loads: dict[str, float]) -> FairLoad:
-    per_capacity = (sum(loads.values()) + NON_ZERO) / (sum(capacities.values()) + NON_ZERO)
+    per_capacity = (sum(loads.values()) + EPSILON) / (sum(capacities.values()) + EPSILON)
     of_largest = per_capacity * max(capacities.values(), default=1.0)
     of_largest_in_all = of_largest * max(1.0, fleet.settings.slices / (len(fleet.slices) or 1))
     return FairLoad(per_capacity, of_largest, of_largest_in_all)
@@ -69,7 +69,7 @@
 
 
 def _needs_replica(placement: Placement, fair: FairLoad, slice_state: SliceState) -> bool:
-    """Whether a slice has fewer replicas than its load asks for, and one of them is on an endpoint above the mean."""
+    """Return whether a slice has too few replicas for its load and one of them is on an endpoint above the mean."""
     replicas = len(slice_state.assigned)
     if slice_state.externally_assigned or replicas == 0 or replicas >= _replicas_for(slice_state.load, fair):
         return False
@@ -77,13 +77,13 @@
 
 
 def _replicas_for(load: float, fair: FairLoad) -> int:
-    """Number of replicas that a load asks for."""
+    """Return the number of replicas that a load requires."""
     by_share = max(1, math.ceil(load / (HOT_LOAD_SHARE * fair.of_largest)))
-    return min(by_share, max(FREE_REPLICAS, math.ceil(load / fair.of_largest_in_all)))
+    return min(by_share, max(BASE_REPLICA_LIMIT, math.ceil(load / fair.of_largest_in_all)))
 
 
 def _add_replica(placement: Placement, fair: FairLoad, slice_state: SliceState) -> bool:
-    """Assign one more endpoint that is below the mean. Returns whether there was one."""
+    """Assign one more endpoint whose load is below the mean. Return whether there was such an endpoint."""
     replicas, loads = len(slice_state.assigned), placement.loads
     new_share = slice_state.load / (replicas + 1)
     candidates = placement.candidates(slice_state)
--- a/damsonpick/decisions/load_reports.py
+++ b/damsonpick/decisions/load_reports.py
@@ -1,18 +1,18 @@
-"""Reports of the proxies on what they met at endpoints."""
+"""Load reports: the outcomes that proxies observed at endpoints."""
 
 from __future__ import annotations
 
 from damsonpick import interface as api
 from damsonpick.decisions.fleet_state import FleetState
 
-REPORT_SPAN_GAIN = 0.02  # part of the way by which the mean report span follows each report
+REPORT_SPAN_GAIN = 0.02  # share of its distance to a report's period by which the mean report span changes
 
 
 def apply_endpoint_report(fleet: FleetState, event: api.EndpointReport) -> None:
     """Add a report to its endpoint.
 
-    A report of an unknown endpoint, without attempts or period, or that covers time before the present process started
-    is passed over.
+    A report is ignored if its endpoint is unknown, if it has no attempts or no period, or if it covers time before the
+    start of the current process.
     """
     endpoint = fleet.endpoints.get(event.endpoint)
     if endpoint is None or event.attempts <= 0 or event.period <= 0:
--- a/damsonpick/decisions/placement.py
+++ b/damsonpick/decisions/placement.py
@@ -1,7 +1,7 @@
-"""Placement outside the rounds: assignments are repaired at once, where load adds least.
+"""Placement outside the rounds: invalid assignments are repaired at once, on the endpoints with the lowest load ratio.
 
-Endpoints that must not serve are evacuated, warming ones that hold more than their share are relieved, and slices
-without an endpoint get one.
+Slices leave endpoints that must not serve them, and warming endpoints with more load than their share. Slices without
+an endpoint are assigned one.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
     """Capacity and load of the usable endpoints while slices are being placed.
 
     Attributes:
-        fleet: state of the fleet.
-        capacities: present capacity by usable endpoint.
-        loads: load by usable endpoint, requests/s; kept up to date by who assigns.
-        warming_limit: most load of a warming endpoint for each unit of capacity, requests/s.
+        fleet: State of the fleet.
+        capacities: Current capacity by usable endpoint.
+        loads: Load by usable endpoint, requests/s. Callers update it when they change an assignment.
+        warming_limit: Maximum load of a warming endpoint per unit of capacity, requests/s.
     """
 
     fleet: FleetState
@@ -31,9 +31,10 @@
     warming_limit: float
 
     def candidates(self, slice_state: SliceState) -> dict[str, float]:
-        """Capacity of the endpoints that may take a slice.
+        """Return the capacity by endpoint of the endpoints to which a slice may be assigned.
 
-        A slice whose demand is not known yet may be hot and goes to no warming endpoint, unless all are.
+        A slice whose demand is not known yet may be hot. It is not assigned to a warming endpoint unless all endpoints
+        are warming up.
         """
         if not slice_demand.is_newly_owned(self.fleet, slice_state):
             return self.capacities
@@ -41,11 +42,13 @@
         return warm or self.capacities
 
     def least_loaded(self, candidates: dict[str, float], added_load: float) -> str:
-        """Endpoint on which load adds least for its capacity; a warming one above its limit only if all are.
+        """Return the endpoint with the lowest load ratio after load is added.
+
+        A warming endpoint that would exceed its limit is returned only if all candidates are such endpoints.
 
         Args:
-            candidates: capacity by endpoint; at least one.
-            added_load: requests/s to be placed.
+            candidates: Capacity by endpoint, for at least one endpoint.
+            added_load: Requests/s to be placed.
         """
         ratios = self._ratios(candidates, added_load, ())
         return min(self._within_limit(ratios) or ratios, key=ratios.__getitem__)
@@ -53,12 +56,16 @@
     def least_loaded_within_limit(
         self, candidates: dict[str, float], added_load: float, excluded: Collection[str]
     ) -> str | None:
-        """As `least_loaded` without the excluded endpoints; None if only warming ones above their limit are left."""
+        """Do the same as `least_loaded` without the excluded endpoints.
+
+        Returns:
+            None if only warming endpoints that would exceed their limit remain.
+        """
         ratios = self._ratios(candidates, added_load, excluded)
         return min(self._within_limit(ratios), key=ratios.__getitem__, default=None)
 
     def _ratios(self, candidates: dict[str, float], added_load: float, excluded: Collection[str]) -> dict[str, float]:
-        """Load for each unit of capacity after load was added."""
+        """Return the load ratio (load per unit of capacity) by endpoint after load is added."""
         return {n: (self.loads[n] + added_load) / c for n, c in candidates.items() if n not in excluded}
 
     def _within_limit(self, ratios: dict[str, float]) -> list[str]:
@@ -72,8 +79,8 @@
 def repair_assignments(fleet: FleetState) -> None:
     """Make all assignments valid at once, without the imbalance threshold and the move cap of the rounds.
 
-    Slices leave endpoints that are not usable, and warming endpoints that hold more than their share; slices without an
-    endpoint get one. The slices whose published table is now out of sync are left in `fleet.unpublished`.
+    Slices leave endpoints that are not usable, and warming endpoints with more load than their share. Slices without an
+    endpoint are assigned one. Slices whose published table is now out of sync are added to `fleet.unpublished`.
     """
     capacities = capacity.usable_capacities(fleet)
     loads = fleet.endpoint_loads(capacities)
@@ -88,7 +95,7 @@
 
 
 def _relieve_warming_endpoints(placement: Placement, slice_state: SliceState) -> None:
-    """Remove a slice from warming endpoints that hold more than their share, where others can take its load."""
+    """Remove a slice from warming endpoints with more load than their share if other endpoints can take its load."""
     for name in list(slice_state.assigned):
         if not slow_start.is_warming_up(placement.fleet, name):
             continue
@@ -100,14 +107,14 @@
 
 
 def _can_be_relieved(placement: Placement, slice_state: SliceState, load: float) -> bool:
-    if slice_state.externally_assigned:  # the other assigned endpoints take over
+    if slice_state.externally_assigned:  # the other assigned endpoints take over the load
         return len(slice_state.assigned) > 1
     target = placement.least_loaded_within_limit(placement.capacities, load, slice_state.assigned)
     return target is not None
 
 
 def _assign_if_unassigned(placement: Placement, slice_state: SliceState) -> None:
-    """Give a slice without an endpoint one, unless its table is meant to be empty."""
+    """Assign an endpoint to a slice that has none, unless its table is intended to be empty."""
     meant_empty = slice_state.externally_assigned and not slice_state.advised_weights
     if slice_state.assigned or not placement.capacities or meant_empty:
         return
--- a/damsonpick/decisions/planner.py
+++ b/damsonpick/decisions/planner.py
@@ -1,4 +1,4 @@
-"""The planner: the one entry point of the decisions, and the order in which their rules run."""
+"""The planner: the only entry point of the decisions. It defines the order in which the rules run."""
 
 from __future__ import annotations
 
@@ -30,37 +30,37 @@
 
 __all__ = ["EndpointState", "Planner", "SliceState"]
 
-TICK_INTERVAL_NS = NS_PER_SECOND // 4  # between looks at what depends on time alone; well below any drain grace
+TICK_INTERVAL_NS = NS_PER_SECOND // 4  # interval between runs of the time-dependent rules; well below any drain grace
 
 
 class Planner(PlannerView):
-    """Decides for one instance of the control service. `handle` is its only entry point.
+    """Makes the decisions of one instance of the control service. `handle` is its only entry point.
 
     Args:
-        settings: configuration of the instance, fixed for its lifetime.
-        seed: fixes every random draw.
+        settings: Configuration of the instance, fixed for its lifetime.
+        seed: Seed of every random draw.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Start without any knowledge of the fleet."""
+        """Create a planner with an empty fleet state."""
         self.fleet = FleetState(settings, random.Random(seed))
         self.endpoint_list = EndpointListTracker(self.fleet)
         self.admission = AdmissionController(self.fleet)
         self.publisher = Publisher(self.fleet, FlowControl(settings))
         self.rounds = BalancingRounds(self.fleet, self.publisher)
         self._next_tick_at = 0
-        self._next_review_at = 0
+        self._next_report_processing_at = 0
         self._handlers = self._event_handlers()
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
-        """Apply events, then decide what follows from them.
+        """Apply events, then decide on the resulting actions.
 
         Args:
-            now: present time, ns; not before that of the call before.
-            events: what has happened since the call before, in order.
+            now: Current time, ns; not earlier than that of the previous call.
+            events: Events since the previous call, in order.
 
         Returns:
-            Actions to carry out, in order.
+            Actions to execute, in order.
         """
         self.fleet.now = now
         actions: list[api.Action] = []
@@ -80,9 +80,10 @@
         return actions
 
     def _event_handlers(self) -> dict[type[api.Event], Callable[..., None]]:
-        """Handler by type of event.
+        """Return the handler by type of event.
 
-        Timers only cause a call. Probe results, messages of peers and demand by proxy are not used.
+        `TimerFired` needs no handler, since a timer only has to cause a call of `handle`. The planner does not use
+        `ProbeResult`, `PeerMessage` and `ProxyDemand`.
         """
         fleet, admission = self.fleet, self.admission
         return {
@@ -103,22 +104,23 @@
         }
 
     def _tick(self, actions: list[api.Action]) -> None:
-        """Run the rules that depend on time."""
+        """Run the time-dependent rules."""
         self.endpoint_list.poll_if_due(actions)
-        if self.fleet.now >= self._next_review_at:
-            self._next_review_at = self.fleet.now + self.fleet.settings.report_period
-            self._review_reports()
+        if self.fleet.now >= self._next_report_processing_at:
+            self._next_report_processing_at = self.fleet.now + self.fleet.settings.report_period
+            self._process_reports()
         self.rounds.start_if_due()
 
-    def _review_reports(self) -> None:
-        """Learn from the reports once a report period. While all of them are late, demand and levels hold.
+    def _process_reports(self) -> None:
+        """Update the learned state from the reports, once per report period.
 
-        Nothing is forgotten meanwhile either: a proxy that is cut off may still hold an endpoint that is gone.
+        While all reports are late, demand and admission levels stay unchanged. No endpoint or withdrawal is removed
+        from the state either, since a disconnected proxy may still have an entry of an endpoint that no longer exists.
         """
         if self.fleet.reports_are_recent():
             slice_demand.refresh_demand(self.fleet)
-            retention.forget_terminated_endpoints(self.fleet)
-            retention.forget_oldest_withdrawals(self.fleet)
+            retention.remove_terminated_endpoints(self.fleet)
+            retention.remove_oldest_withdrawals(self.fleet)
             capacity.learn_capacity_factors(self.fleet)
             self.admission.update()
         placement.repair_assignments(self.fleet)
--- a/damsonpick/decisions/planner_view.py
+++ b/damsonpick/decisions/planner_view.py
@@ -1,4 +1,4 @@
-"""What other packages may read of a planner: state for logs, snapshots, explanations and the solver."""
+"""The part of a planner's state that other packages may read, for logs, snapshots, explanations and the solver."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class PlannerView:
-    """Read-only access to a planner's state. What it returns must not be changed.
+    """Read-only access to a planner's state. Callers must not modify the returned objects.
 
     Attributes:
-        fleet: state that the rules share.
-        admission: the limit on the admitted rate.
-        publisher: what proxies have been sent.
-        rounds: the balancing rounds.
+        fleet: State that the rules share.
+        admission: Admission controller with the limit on the admitted rate.
+        publisher: Publisher, which tracks the orders sent to the proxies.
+        rounds: The balancing rounds.
     """
 
     fleet: FleetState
@@ -38,12 +38,12 @@
 
     @property
     def now(self) -> int:
-        """Time of the newest call, ns."""
+        """Time of the latest call of `Planner.handle`, ns."""
         return self.fleet.now
 
     @property
     def random(self) -> random.Random:
-        """Source of every random draw."""
+        """Random number generator of every random draw."""
         return self.fleet.random
 
     @property
@@ -58,32 +58,32 @@
 
     @property
     def flow_control(self) -> FlowControl:
-        """Joined proxies, and the messages on their way to them."""
+        """Flow control of the channel: the joined proxies and the messages in flight to them."""
         return self.publisher.flow_control
 
     @property
     def published_levels(self) -> tuple[float, ...]:
-        """Admission level by request class, as published."""
+        """Published admission level by request class."""
         return self.fleet.published_levels
 
     @property
     def desired_levels(self) -> tuple[float, ...]:
-        """Admission level by request class, as it should be."""
+        """Admission level to be published by request class."""
         return self.fleet.desired_levels
 
     @property
     def admitted_rate_limit(self) -> float:
-        """Requests/s to admit; infinite while nothing is shed."""
+        """Requests/s to admit; infinite while no load is shed."""
         return self.admission.admitted_rate_limit
 
     @property
     def best_throughput(self) -> float:
-        """Most answers/s seen lately."""
+        """Highest recent responses/s."""
         return self.admission.best_throughput
 
     @property
     def throughput_per_capacity(self) -> float:
-        """Most answers/s seen lately for each unit of capacity."""
+        """Highest recent responses/s per unit of capacity."""
         return self.fleet.throughput_per_capacity
 
     @property
@@ -98,7 +98,7 @@
 
     @property
     def last_report_at(self) -> int:
-        """Time of the newest report, ns; 0: none."""
+        """Time of the newest report, ns; 0 if there is none."""
         return self.fleet.last_report_at
 
     @property
@@ -108,48 +108,48 @@
 
     @property
     def withdrawn(self) -> dict[str, bool]:
-        """Endpoints whose withdrawal state a proxy may have to be sent, and whether they are withdrawn now."""
+        """Whether an endpoint is withdrawn, by name, for endpoints whose state may have to be sent to a proxy."""
         return self.fleet.withdrawn
 
     @property
     def known_proxies(self) -> dict[int, str]:
-        """Proxies that have joined since the start, and their zones."""
+        """Zone by proxy, for all proxies that have joined since the start."""
         return self.fleet.known_proxies
 
     @property
     def resync_withdrawals(self) -> list[str]:
-        """Endpoints whose withdrawal state must be sent again."""
+        """Names of the endpoints whose withdrawal state must be sent again."""
         return self.publisher.resync_withdrawals
 
     @property
     def search(self) -> Iterator[None] | None:
-        """The search under way; None between searches."""
+        """The running search; None between searches."""
         return self.rounds.search
 
     def is_unroutable(self, name: str) -> bool:
-        """Whether the endpoint list forbids that proxies send to an endpoint."""
+        """Return whether the endpoint list forbids proxies to send to an endpoint."""
         return self.fleet.is_unroutable(name)
 
     def has_recent_report(self, endpoint: EndpointState) -> bool:
-        """Whether a report of this endpoint has come within two report spans."""
+        """Return whether a report of this endpoint has been received within the last two report spans."""
         return bool(endpoint.last_report_at) and self.fleet.has_recent_report(endpoint)
 
     def is_warming_up(self, name: str) -> bool:
-        """Whether a known endpoint is in its warm-up time."""
+        """Return whether a known endpoint is in its warm-up time."""
         return slow_start.is_warming_up(self.fleet, name)
 
     def warm_up_share(self, endpoint: EndpointState) -> float:
-        """Share of its warm capacity that an endpoint has at least."""
+        """Return the minimum share of its warm capacity that an endpoint has now."""
         return slow_start.warm_up_share(self.fleet, endpoint)
 
     def capacity_of(self, endpoint: EndpointState) -> float:
-        """Present capacity of an endpoint, in units of listed weight."""
+        """Return the current capacity of an endpoint in units of listed weight."""
         return capacity.capacity_of(self.fleet, endpoint)
 
     def usable_capacities(self) -> dict[str, float]:
-        """Present capacity by endpoint that may be assigned to slices."""
+        """Return the current capacity by endpoint, for the endpoints that may be assigned to slices."""
         return capacity.usable_capacities(self.fleet)
 
     def endpoint_loads(self, names: Iterable[str]) -> dict[str, float]:
-        """Requests/s that each of the endpoints gets from the slices assigned to it."""
+        """Return the requests/s that each of the endpoints receives from the slices assigned to it."""
         return self.fleet.endpoint_loads(names)
--- a/damsonpick/decisions/publisher.py
+++ b/damsonpick/decisions/publisher.py
@@ -1,7 +1,7 @@
-"""Publishing: what differs from the published state goes out as one message to all proxies, the most urgent first.
+"""Publishing: changes of the published state are sent as one message to all proxies, the most urgent changes first.
 
-Withdrawals and admission levels go first, then tables without a routable entry, then moves, hottest slices first, then
-the entries of withdrawn endpoints. What does not fit the channel waits for the next call.
+The order is: withdrawals and admission levels, tables without a routable entry, moves (hottest slices first), and the
+removal of entries of withdrawn endpoints. Changes that exceed the capacity of the channel wait for the next call.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from damsonpick.decisions.flow_control import FlowControl, Urgency
 from damsonpick.decisions.slice_state import SliceState
 
-MIN_LEVEL_ENTRIES = 2  # room that must be left for admission levels to be sent
+MIN_LEVEL_ENTRIES = 2  # admission levels are sent only if more than this number of table entries remains available
 
-# Retry mode of all classes: once, at another endpoint, on proof that the request never ran. It is safe for requests
-# that are not idempotent, and no endpoint does work twice.
+# Retry mode of all classes: one retry at another endpoint, on proof that the request was not executed. It is safe for
+# requests that are not idempotent, and no work is done twice.
 RETRY_ON_PROOF = 1
 
 
 class TableChange(NamedTuple):
-    """What a slice's published table lacks.
+    """The difference between a slice's published table and its desired table.
 
     Attributes:
-        urgency: how urgent the change is.
-        added: endpoints whose entry is missing or has another weight.
-        removed: endpoints whose entry must go.
-        slice_state: the slice.
+        urgency: Urgency of the change.
+        added: Endpoints whose entry is missing or has another weight.
+        removed: Endpoints whose entry must be removed.
+        slice_state: The slice.
     """
 
     urgency: Urgency
@@ -39,15 +39,15 @@
 
 @dataclass(slots=True, eq=False)
 class Publisher:
-    """Sends orders to the proxies and keeps account of what they hold.
+    """Sends orders to the proxies and tracks the state that they have been sent.
 
     Attributes:
-        fleet: state that is published.
-        flow_control: room of the channel.
-        resync_due: a proxy has joined and must be sent the admission levels.
-        resync_withdrawals: endpoints whose withdrawal state must be sent again, as a proxy may have missed it.
-        moves_published: nothing but cleanup was left over by the last message.
-        limit_warning_logged: the warning that the channel's limit is too low has been given.
+        fleet: State that is published.
+        flow_control: Flow control, which tracks the available capacity of the channel.
+        resync_due: Whether a proxy has joined and must be sent the admission levels.
+        resync_withdrawals: Endpoints whose withdrawal state must be sent again, since a proxy may have missed it.
+        moves_published: Whether the last message contained all pending table changes except cleanup.
+        limit_warning_logged: Whether the warning that the channel's limit is too low has been logged.
     """
 
     fleet: FleetState
@@ -58,10 +58,10 @@
     limit_warning_logged: bool = False
 
     def apply_proxy_joined(self, event: api.ProxyJoined) -> None:
-        """Plan what a proxy must be sent. One that is not fresh holds withdrawals of earlier sessions.
+        """Schedule the orders that a joined proxy needs. A proxy that is not fresh has withdrawals of earlier sessions.
 
-        Which withdrawals of earlier incarnations of this instance it holds is not known: where this instance meets the
-        proxy for the first time, the state of every endpoint is sent.
+        It may also have unknown withdrawals of earlier incarnations of this instance. If the proxy joins this
+        incarnation for the first time, the withdrawal state of every endpoint is therefore sent.
         """
         fleet = self.fleet
         self.flow_control.proxies[event.proxy] = event.zone
@@ -73,7 +73,7 @@
         fleet.known_proxies[event.proxy] = event.zone
 
     def apply_proxy_left(self, event: api.ProxyLeft) -> None:
-        """Expect no acknowledgement of a proxy that has left."""
+        """Stop waiting for acknowledgements of a proxy that has left."""
         self.flow_control.proxies.pop(event.proxy, None)
         self.flow_control.acknowledge(event.proxy, None)
 
@@ -82,13 +82,13 @@
         self.flow_control.acknowledge(event.proxy, event.token)
 
     def publish(self, actions: list[api.Action]) -> None:
-        """Append one message with what differs from the published state, as far as the channel has room.
+        """Append one message with the changes of the published state that the channel has capacity for.
 
         Args:
-            actions: receives the orders of the message, its sync request last.
+            actions: List to which the orders of the message are appended, with its sync request last.
         """
-        returning = [n for n, out in self.fleet.withdrawn.items() if out and not self.fleet.is_unroutable(n)]
-        if not self.flow_control.proxies or not self._is_anything_pending(returning):
+        to_readmit = [n for n, out in self.fleet.withdrawn.items() if out and not self.fleet.is_unroutable(n)]
+        if not self.flow_control.proxies or not self._is_anything_pending(to_readmit):
             return
         room = [self.flow_control.available(self.fleet.now, urgency) for urgency in Urgency]
         if max(room) < 1:
@@ -99,24 +99,24 @@
         self._add_resync(message, room, withdrawn_now)
         self._add_levels(message, room)
         changes = self._table_changes()
-        self._add_returns(message, room, [n for n in returning if n not in replaced])
+        self._add_readmissions(message, room, [n for n in to_readmit if n not in replaced])
         has_moves = bool(message)
         has_moves |= self._add_table_changes(message, room, changes)
         if message:
             actions += [*message, self.flow_control.send(self.fleet.now, len(message), has_moves)]
             self._warn_if_limit_too_low(actions)
 
-    def _is_anything_pending(self, returning: list[str]) -> bool:
+    def _is_anything_pending(self, to_readmit: list[str]) -> bool:
         return bool(
             self.fleet.unpublished
             or self.resync_due
             or self.resync_withdrawals
-            or returning
+            or to_readmit
             or self.fleet.desired_levels != self.fleet.published_levels
         )
 
     def _replaced_endpoints(self) -> dict[str, bool]:
-        """Endpoints that a published table names and its slice is no longer assigned to, as keys."""
+        """Return the endpoints that a published table contains but that its slice is no longer assigned to, as keys."""
         replaced = {}
         for slice_state in self.fleet.unpublished.values():
             for name in slice_state.published:
@@ -127,10 +127,10 @@
     def _add_withdrawals(
         self, message: list[api.Action], room: list[int], replaced: dict[str, bool]
     ) -> dict[str, bool]:
-        """Withdraw the replaced endpoints that the list forbids, and return them as keys.
+        """Withdraw the replaced endpoints that are unroutable, and return them as keys.
 
-        One order withdraws an endpoint from all tables; changing the tables takes up to two entries for each slice and
-        would miss the drain grace of a large fleet. The entries are removed when nothing else waits.
+        One order withdraws an endpoint from all tables. Changing the tables instead would take up to two entries for
+        each slice and exceed the drain grace in a large fleet. The entries are removed when nothing else is pending.
         """
         fleet = self.fleet
         due = [n for n in replaced if fleet.is_unroutable(n) and not fleet.withdrawn.get(n)]
@@ -143,7 +143,7 @@
         return withdrawn_now
 
     def _add_resync(self, message: list[api.Action], room: list[int], withdrawn_now: dict[str, bool]) -> None:
-        """Send withdrawal states again, in half of the room where tables wait for the other half."""
+        """Send withdrawal states again, in half of the available entries if table changes wait for the other half."""
         withdrawn = self.fleet.withdrawn
         limit = room[Urgency.CONTROL] / (2 if self.fleet.unpublished else 1)
         while self.resync_withdrawals and len(message) < limit:
@@ -152,7 +152,7 @@
                 message.append(api.SetWithdrawn(name, withdrawn[name]))
 
     def _add_levels(self, message: list[api.Action], room: list[int]) -> None:
-        """Send the admission level of every class, if one has changed or a proxy has joined."""
+        """Send the admission level of every class if a level has changed or a proxy has joined."""
         fleet = self.fleet
         due = self.resync_due or fleet.desired_levels != fleet.published_levels
         if not due or room[Urgency.CONTROL] <= len(message) + MIN_LEVEL_ENTRIES:
@@ -162,37 +162,37 @@
         for class_index, level in enumerate(fleet.desired_levels):
             message.append(api.SetAdmission(None, (class_index,), level, RETRY_ON_PROOF))
 
-    def _add_returns(self, message: list[api.Action], room: list[int], returning: list[str]) -> None:
-        """Let endpoints return that are in service again and that no published table names needlessly.
+    def _add_readmissions(self, message: list[api.Action], room: list[int], to_readmit: list[str]) -> None:
+        """Readmit endpoints that are routable again and that no outdated entry of a published table names.
 
-        Returns alone are not worth a message that is kept for critical orders.
+        Readmissions alone do not use a message that is reserved for critical orders.
         """
         if not message and room[Urgency.REBALANCE] <= 0:
             return
-        names = returning[: max(0, room[Urgency.CRITICAL] - len(message))]
+        names = to_readmit[: max(0, room[Urgency.CRITICAL] - len(message))]
         message += [api.SetWithdrawn(name, False) for name in names]
         self.fleet.withdrawn.update(dict.fromkeys(names, False))
         if names:
             self.fleet.assignments_stale = True
 
     def _table_changes(self) -> list[TableChange]:
-        """Changes of all unpublished tables, the most urgent and hottest first."""
+        """Return the changes of all unpublished tables, sorted by urgency and then by descending load."""
         changes = [self._table_change(slice_state) for slice_state in self.fleet.unpublished.values()]
         changes.sort(key=lambda c: (c.urgency, -c.slice_state.load, c.slice_state.number))
         return changes
 
     def _table_change(self, slice_state: SliceState) -> TableChange:
-        """What a table lacks, and how urgently.
+        """Determine the change that a table needs, and its urgency.
 
-        A table without a routable entry is given its new entries alone. Entries of endpoints that are withdrawn and
-        stay away can wait until nothing else does.
+        A table without a routable entry only has its new entries added. The entries of endpoints that are withdrawn and
+        unroutable are removed when nothing else is pending.
         """
         fleet, published = self.fleet, slice_state.published
         added = [n for n in slice_state.assigned if published.get(n) != slice_state.desired_weight(n)]
         if all(fleet.is_unroutable(n) or fleet.withdrawn.get(n) for n in published):
             return TableChange(Urgency.CRITICAL, added, [], slice_state)
         removed: list[str] = []
-        if not fleet.settings.sole_owner:  # a sole owner's entry replaces the former one
+        if not fleet.settings.sole_owner:  # a sole owner's entry replaces the previous entry
             removed = [n for n in published if n not in slice_state.assigned]
         routable = [n for n in removed if not (fleet.withdrawn.get(n) and fleet.is_unroutable(n))]
         if added or routable:
@@ -200,14 +200,14 @@
         return TableChange(Urgency.CLEANUP, added, removed, slice_state)
 
     def _add_table_changes(self, message: list[api.Action], room: list[int], changes: list[TableChange]) -> bool:
-        """Add the changes that fit and record them as published. Returns whether one of them was more than cleanup."""
+        """Add the changes that fit and record them as published. Return whether one of them was more than cleanup."""
         has_moves = False
         self.moves_published = True
         for change in changes:
             slice_state, removed = change.slice_state, change.removed
             space = room[change.urgency] - len(message) - len(removed)
             added = change.added
-            if slice_state.externally_assigned:  # it may be longer than a message; the rest follows with the next
+            if slice_state.externally_assigned:  # the table may exceed one message; the next message has the rest
                 added = added[: max(0, space)]
             if len(message) + len(added) + len(removed) <= room[change.urgency]:
                 has_moves = has_moves or change.urgency != Urgency.CLEANUP
@@ -220,7 +220,7 @@
         return has_moves
 
     def _record_published(self, slice_state: SliceState, added: list[str], removed: list[str]) -> None:
-        """Bring a slice's published entries up to date after a change was sent."""
+        """Update a slice's published entries after a change was sent."""
         if self.fleet.settings.sole_owner:
             entries = {n: slice_state.desired_weight(n) for n in slice_state.assigned}
         else:
@@ -232,7 +232,7 @@
             del self.fleet.unpublished[slice_state.number]
 
     def _warn_if_limit_too_low(self, actions: list[api.Action]) -> None:
-        """Log once that a single message to all proxies takes more than the channel's limit."""
+        """Log once that a single message to all proxies exceeds the channel's limit."""
         limit = self.flow_control.settings.channel_limit
         if not self.limit_warning_logged and self.flow_control.in_flight[-1].cost > limit > 0:
             self.limit_warning_logged = True
--- a/damsonpick/decisions/retention.py
+++ b/damsonpick/decisions/retention.py
@@ -1,18 +1,18 @@
-"""What is forgotten: endpoints long gone and the oldest withdrawals, so that state stays bounded."""
+"""Retention: removal of long terminated endpoints and of the oldest withdrawals, so that the state stays bounded."""
 
 from __future__ import annotations
 
 from damsonpick.decisions.fleet_state import FleetState
 from damsonpick.decisions.time_units import NS_PER_SECOND
 
-MAX_PROXY_ABSENCE_NS = 300 * NS_PER_SECOND  # time that a proxy may be away and come back with its old tables
+MAX_PROXY_ABSENCE_NS = 300 * NS_PER_SECOND  # longest time after which a disconnected proxy may return with old tables
 MAX_WITHDRAWALS = 2000
 
 
-def forget_terminated_endpoints(fleet: FleetState) -> None:
-    """Forget endpoints that have been terminated and in no table for `MAX_PROXY_ABSENCE_NS`.
+def remove_terminated_endpoints(fleet: FleetState) -> None:
+    """Remove endpoints that have been terminated and in no table for longer than `MAX_PROXY_ABSENCE_NS`.
 
-    Until then a proxy may return with an entry of one of them and must be sent its withdrawal.
+    Until then, a proxy may return with an entry of such an endpoint and must be sent its withdrawal.
     """
     in_tables = {n: True for s in fleet.slices.values() for n in (*s.published, *s.assigned)}
     terminated = [n for n, e in fleet.endpoints.items() if e.state == "terminated" and n not in in_tables]
@@ -21,8 +21,8 @@
     fleet.endpoints = {n: e for n, e in fleet.endpoints.items() if n not in expired}
 
 
-def forget_oldest_withdrawals(fleet: FleetState) -> None:
-    """Keep the newest `MAX_WITHDRAWALS` withdrawals."""
+def remove_oldest_withdrawals(fleet: FleetState) -> None:
+    """Remove all but the newest `MAX_WITHDRAWALS` withdrawals."""
     while len(fleet.withdrawn) > MAX_WITHDRAWALS:
         oldest = next(iter(fleet.withdrawn))
         del fleet.withdrawn[oldest]
--- a/damsonpick/decisions/search.py
+++ b/damsonpick/decisions/search.py
@@ -1,8 +1,8 @@
-"""The stochastic search of a round, after HBase's StochasticLoadBalancer.
+"""The stochastic search of a round, modelled on HBase's StochasticLoadBalancer.
 
-Slices are its regions, endpoints its region servers. Random candidates are tried on a copy of the assignments. A
-candidate is accepted if the cost falls by the least gain and no more slices are away from their endpoint than the move
-cap admits.
+Slices correspond to its regions and endpoints to its region servers. The search tries random candidate moves on a copy
+of the assignments. A candidate is accepted if it lowers the cost by more than the minimum gain and if the number of
+replicas away from their initial endpoint stays within the move cap.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from damsonpick.decisions.cluster_copy import ClusterCopy, CostTerms, Move
 from damsonpick.decisions.fleet_state import FleetState
 
-SLOP = 0.3  # share by which load or number of replicas may be off the mean without a search
+SLOP = 0.3  # share by which load or number of replicas may deviate from the mean before a search is needed
 STEPS_PER_REPLICA_AND_ENDPOINT = 1.0
 MAX_STEPS = 20_000
-STEPS_PER_PART = 1000  # steps between which other events are handled
+STEPS_PER_PART = 1000  # steps after which the search pauses so that other events can be handled
 MOVE_CAP_SHARE = 0.02  # share of the owned slices that a round may move
-MIN_GAIN = 0.032  # least saving of a step, times the number of endpoints: a step changes two of them
+MIN_GAIN = 0.032  # minimum gain of a step times the number of endpoints, since a step changes only two endpoints
 
 COUNT_COST_WEIGHT = 0.025
-LOAD_COST_WEIGHT = 1.0  # load is what queues
+LOAD_COST_WEIGHT = 1.0  # load, not the number of replicas, causes queues
 WARMTH_COST_WEIGHT = 1.5
 
-SWAP_PROBABILITY = 0.5  # that a move comes with one in the other direction
+SWAP_PROBABILITY = 0.5  # probability that a move is combined with a move in the opposite direction
 
 
 def is_skewed(copy: ClusterCopy) -> bool:
-    """Whether some endpoint's load or number of replicas for its capacity is off the mean by more than `SLOP`."""
+    """Return whether an endpoint's load or replica count per capacity deviates from the mean by more than `SLOP`."""
     if len(copy.names) < 2 or not copy.replicas:
         return False
     counts = [len(replicas) for replicas in copy.replicas_on]
@@ -44,7 +44,7 @@
 
 
 def cost(copy: ClusterCopy, terms: CostTerms) -> float:
-    """The cost function: spread of the number of replicas and of load, and the warmth that moves lose."""
+    """Compute the cost from the spread of the number of replicas, the spread of load and the warmth lost by moves."""
     return (
         COUNT_COST_WEIGHT * spread(terms.count_squares, len(copy.replicas), copy.total_capacity)
         + LOAD_COST_WEIGHT * spread(terms.load_squares, copy.total_load, copy.total_capacity)
@@ -53,21 +53,22 @@
 
 
 def spread(squares: float, total: float, total_capacity: float) -> float:
-    """Standard deviation over the mean of a figure for each unit of capacity; 0 is even.
+    """Compute the standard deviation / mean of a value per unit of capacity. It is 0 for an even distribution.
 
-    HBase's balancer scales a spread to 1 where all is on the smallest endpoint. What a move saves would then fall
-    faster with the size of the fleet than the warmth that it costs, and in a large fleet no move would pay.
+    HBase's balancer scales a spread to 1 for the case that everything is on the smallest endpoint. With that scaling,
+    the gain of a move would shrink faster with the size of the fleet than the cost of its lost warmth, and no move
+    would be accepted in a large fleet.
 
     Args:
-        squares: sum of squared figures over capacity.
-        total: sum of the figures.
-        total_capacity: sum of the capacities.
+        squares: Sum of value ** 2 / capacity.
+        total: Sum of the values.
+        total_capacity: Sum of the capacities.
     """
     return math.sqrt(max(0.0, squares * total_capacity / (total * total) - 1))
 
 
 def random_swap(copy: ClusterCopy, rng: random.Random) -> list[Move]:
-    """Candidate generator: between two random endpoints."""
+    """Generate a candidate move or swap between two random endpoints."""
     endpoint_count = len(copy.names)
     source = rng.randrange(endpoint_count)
     target = rng.randrange(endpoint_count)
@@ -75,17 +76,20 @@
 
 
 def most_to_least_loaded(copy: ClusterCopy, rng: random.Random) -> list[Move]:
-    """Candidate generator: from the endpoint with the highest load for its capacity to that with the lowest."""
+    """Generate a candidate from the endpoint with the highest load per capacity to the one with the lowest."""
     ratios = copy.load_ratios
     return _move_or_swap(copy, rng, ratios.index(max(ratios)), ratios.index(min(ratios)))
 
 
 def to_warmest_endpoint(copy: ClusterCopy, rng: random.Random) -> list[Move]:
-    """Candidate generator: a random replica to the endpoint warmest to its slice (the locality of HBase's balancer)."""
+    """Generate a move of a random replica to the other endpoint with the highest warmth for its slice.
+
+    This corresponds to the locality of HBase's balancer.
+    """
     replica = rng.randrange(len(copy.replicas))
-    present = copy.endpoint_of[replica]
+    current_endpoint = copy.endpoint_of[replica]
     for endpoint in copy.warmest_first[replica]:
-        if endpoint != present:
+        if endpoint != current_endpoint:
             return [Move(replica, endpoint)]
     return []
 
@@ -103,7 +107,7 @@
 
 
 class Search:
-    """One search, from the assignments as they are to better ones."""
+    """One search for better assignments, starting from the current ones."""
 
     __slots__ = ("copy", "fleet", "rng")
 
@@ -114,15 +118,15 @@
         self.copy = ClusterCopy(fleet, capacity.usable_capacities(fleet))
 
     def is_needed(self) -> bool:
-        """Whether the assignments are uneven enough for a search."""
+        """Return whether the assignments are uneven enough for a search."""
         return is_skewed(self.copy)
 
     def run(self) -> Iterator[None]:
-        """Search in parts, between which the caller goes on with other work; the moves are made after the last one."""
+        """Search in parts, between which the caller handles other events. The moves are applied after the last part."""
         copy = self.copy
         max_moved = max(1, int(MOVE_CAP_SHARE * len(self.fleet.slices)))
         min_gain = MIN_GAIN / max(1, len(copy.names))
-        present_cost = cost(copy, copy.terms)
+        current_cost = cost(copy, copy.terms)
         for step in range(self._step_count()):
             if step % STEPS_PER_PART == STEPS_PER_PART - 1:
                 yield
@@ -133,13 +137,13 @@
             if terms.moved > max_moved:
                 continue
             new_cost = cost(copy, terms)
-            if new_cost < present_cost - min_gain:
-                present_cost = new_cost
+            if new_cost < current_cost - min_gain:
+                current_cost = new_cost
                 copy.apply(moves, terms)
-        self._make_moves()
+        self._apply_moves()
 
     def pick(self) -> list[Move]:
-        """A candidate of a random generator: no move, one, or two that swap replicas."""
+        """Return a candidate of a random generator: no move, one move, or two moves that swap replicas."""
         generate = CANDIDATE_GENERATORS[self.rng.randrange(len(CANDIDATE_GENERATORS))]
         return generate(self.copy, self.rng)
 
@@ -148,10 +152,10 @@
         return min(MAX_STEPS, steps)
 
     def _is_allowed(self, move: Move) -> bool:
-        """Whether an endpoint may take a replica.
+        """Return whether a replica may move to an endpoint.
 
-        Each endpoint takes a slice once. A warming endpoint takes load up to its limit, and no slice whose demand is
-        not known yet.
+        An endpoint may have at most one replica of a slice. A warming endpoint accepts load up to its limit, and no
+        slice whose demand is not known yet.
         """
         copy = self.copy
         replica, target = move
@@ -164,8 +168,8 @@
                 return False
         return target == copy.start_of[replica] or copy.names[target] not in slice_state.assigned
 
-    def _make_moves(self) -> None:
-        """Assign slices as in the copy, except where the list, a start or ownership has changed since."""
+    def _apply_moves(self) -> None:
+        """Assign slices as in the copy, except where usable endpoints, assignments or ownership have changed since."""
         copy, fleet = self.copy, self.fleet
         usable = capacity.usable_capacities(fleet)
         for number, (slice_state, position) in enumerate(copy.replicas):
--- a/damsonpick/decisions/slice_ownership.py
+++ b/damsonpick/decisions/slice_ownership.py
@@ -1,4 +1,4 @@
-"""Slices that this instance gains and loses, and the entries that the store holds for them."""
+"""Slices that this instance gains and loses, and their stored table entries."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 def apply_ownership(fleet: FleetState, admission: AdmissionController, event: api.SliceOwnershipChanged) -> None:
-    """Start a slice anew when it is gained, drop it when it is lost.
+    """Create a new slice state when a slice is gained, and remove it when the slice is lost.
 
-    Limits of admission are meant for the owned slices and follow their number. Reports cover a gained slice in part at
-    first, so that no limit is lowered on them.
+    The admission limit applies to the owned slices and is scaled with their number. At first, reports cover only part
+    of the time since a slice was gained. The limit is therefore held for a while and not lowered because of them.
     """
     count_before = len(fleet.slices)
     fleet.slices.pop(event.slice, None)
     fleet.unpublished.pop(event.slice, None)
     if event.owned:
-        fleet.slices[event.slice] = SliceState(event.slice, list(fleet.usual_rates), fleet.now)
+        fleet.slices[event.slice] = SliceState(event.slice, list(fleet.mean_rates), fleet.now)
         admission.hold_limit()
     if count_before and fleet.slices:
         admission.scale_limit(len(fleet.slices), count_before)
@@ -27,7 +27,7 @@
 
 
 def apply_stored_entry(fleet: FleetState, event: api.StoredEntry) -> None:
-    """Take over a table entry of an owned slice as the store holds it: it is published, and its endpoint is warm."""
+    """Apply a stored table entry of an owned slice. The entry is already published, and its endpoint is warm."""
     slice_state = fleet.slices.get(event.slice)
     if slice_state is None or event.weight <= 0:
         return
--- a/damsonpick/decisions/slice_state.py
+++ b/damsonpick/decisions/slice_state.py
@@ -1,10 +1,10 @@
-"""What is known of one slice that this instance owns: assigned endpoints, published entries, demand, warmth."""
+"""The state of one slice that this instance owns: assigned endpoints, published entries, demand and warmth."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MIN_LOAD = 0.01  # requests/s; a slice without demand still counts a little
+MIN_LOAD = 0.01  # requests/s added to the load of each slice, so that a slice without demand has a small load
 
 
 @dataclass(slots=True, eq=False)
@@ -12,16 +12,16 @@
     """One owned slice.
 
     Attributes:
-        number: number of the slice and of its table.
-        rates: demand by request class, requests/s, averaged.
-        owned_since: time at which this instance became the owner, ns.
-        assigned: endpoints that should have an entry in the table.
-        published: entries of the table as published, weight by endpoint.
-        last_reports_at: time of the newest demand report by request class, ns; 0: none.
-        rates_assumed: rates of classes without a report are set to the usual ones.
-        warmth: how far each endpoint's cache holds the slice, 0 to 1.
-        advised_weights: entry weights that were calculated outside; an endpoint without one weighs 1.
-        externally_assigned: the whole table was calculated outside, so that rounds leave it alone.
+        number: Number of the slice and of its table.
+        rates: Averaged demand by request class, requests/s.
+        owned_since: Time at which this instance became the owner, ns.
+        assigned: Endpoints that should have an entry in the table.
+        published: Published entries of the table, weight by endpoint.
+        last_reports_at: Time of the newest demand report by request class, ns; 0 if there is none.
+        rates_assumed: Whether the rates of classes without a report are set to the mean rates of the fleet.
+        warmth: Degree to which each endpoint's cache contains the slice, 0 to 1, by endpoint.
+        advised_weights: Entry weights calculated outside the decisions; an endpoint without one has weight 1.
+        externally_assigned: Whether the whole table was calculated outside the decisions. Rounds do not change it.
     """
 
     number: int
@@ -36,7 +36,7 @@
     externally_assigned: bool = False
 
     def __post_init__(self) -> None:
-        """Start without any report."""
+        """Initialize the report times of all classes to 0 (no report)."""
         self.last_reports_at = [0] * len(self.rates)
 
     @property
@@ -45,17 +45,17 @@
         return sum(self.rates) + MIN_LOAD
 
     def load_share(self, endpoint: str) -> float:
-        """Requests/s that an assigned endpoint gets of this slice."""
+        """Return the requests/s of this slice that an assigned endpoint receives."""
         if not self.advised_weights:
             return self.load / len(self.assigned)
         return self.load * self.desired_weight(endpoint) / sum(map(self.desired_weight, self.assigned))
 
     def desired_weight(self, endpoint: str) -> float:
-        """Weight that an endpoint's entry should have."""
+        """Return the weight that an endpoint's entry should have."""
         return self.advised_weights.get(endpoint, 1.0)
 
     def is_out_of_sync(self) -> bool:
-        """Whether the published entries differ from the assigned endpoints or from an advised weight."""
+        """Return whether the published entries differ from the assigned endpoints or from an advised weight."""
         if self.published.keys() != dict.fromkeys(self.assigned).keys():
             return True
         return any(self.published.get(name, weight) != weight for name, weight in self.advised_weights.items())
--- a/damsonpick/decisions/slow_start.py
+++ b/damsonpick/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: an endpoint that has just started has a part of its capacity and may get no more load than that bears."""
+"""Slow start: an endpoint that has just started has only part of its capacity, and its load is limited accordingly."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 from damsonpick.decisions.endpoint_state import EndpointState
 from damsonpick.decisions.fleet_state import FleetState
 
-WARMING_LOAD_HEADROOM = 1.2  # load that a warming endpoint may have, against its share by present capacity
-NON_ZERO = 1e-9  # keeps a ratio defined without load or capacity
+WARMING_LOAD_HEADROOM = 1.2  # maximum load of a warming endpoint / its fair load for its current capacity
+EPSILON = 1e-9  # keeps a ratio defined if load or capacity is 0
 
 
 def warm_up_share(fleet: FleetState, endpoint: EndpointState) -> float:
-    """Share of its warm capacity that an endpoint has at least.
+    """Return the minimum share of its warm capacity that an endpoint has now.
 
     Returns:
-        1 once the stated warm-up time has passed since the start; before, linear from the stated cold share to 1.
+        1 once the configured warm-up time has passed since the start. Before that, the share grows linearly from the
+        configured cold share to 1.
     """
     settings = fleet.settings
     age = fleet.now - endpoint.started
@@ -26,23 +27,23 @@
 
 
 def is_warming_up(fleet: FleetState, name: str) -> bool:
-    """Whether a known endpoint is still in its warm-up time."""
+    """Return whether a known endpoint is still in its warm-up time."""
     return warm_up_share(fleet, fleet.endpoints[name]) < 1
 
 
 def warming_load_limit(fleet: FleetState, load: float, capacity: float) -> float:
-    """Most load that a warming endpoint may get for each unit of its present capacity.
+    """Return the maximum load of a warming endpoint per unit of its current capacity.
 
-    Refused requests come again, so raw demand overstates what endpoints have to answer: only the admitted share of it
-    counts, and at most the throughput that the fleet has shown.
+    Rejected requests are retried, so raw demand overstates the load that endpoints have to serve. The limit is
+    therefore based on the admitted share of the demand, and on at most the observed throughput of the fleet.
 
     Args:
-        fleet: state of the fleet.
-        load: demand on all endpoints, requests/s.
-        capacity: present capacity of all endpoints.
+        fleet: State of the fleet.
+        load: Demand on all endpoints, requests/s.
+        capacity: Current capacity of all endpoints.
 
     Returns:
-        Requests/s for each unit of capacity.
+        Requests/s per unit of capacity.
     """
-    mean = fleet.admitted_share * (load + NON_ZERO) / (capacity + NON_ZERO)
+    mean = fleet.admitted_share * (load + EPSILON) / (capacity + EPSILON)
     return WARMING_LOAD_HEADROOM * min(mean, fleet.throughput_per_capacity or math.inf)
--- a/damsonpick/decisions/warm_restart.py
+++ b/damsonpick/decisions/warm_restart.py
@@ -1,7 +1,7 @@
-"""Warm restart: what an earlier incarnation learned counts until reports replace it.
+"""Warm restart: the state that an earlier incarnation learned is used until reports replace it.
 
-Reports replace it faster than what this incarnation learned itself. A restored figure that is wrong overloads or
-underuses its endpoint for some seconds.
+Reports replace restored values faster than values that this incarnation learned itself. A wrong restored value
+overloads or underuses its endpoint for some seconds.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def restore_endpoint(fleet: FleetState, event: api.EndpointRestored) -> None:
-    """Restore the capacity factor of an endpoint without reports whose process has not started anew since."""
+    """Restore the capacity factor of an endpoint that has no reports and whose process has not been restarted since."""
     endpoint = fleet.endpoints.get(event.endpoint)
     if endpoint is None or endpoint.started != event.started or endpoint.last_report_at:
         return
@@ -23,9 +23,9 @@
 
 
 def restore_slice(fleet: FleetState, event: api.SliceRestored) -> None:
-    """Restore rates and warmth of an owned slice without reports.
+    """Restore the rates and the warmth of an owned slice that has no reports.
 
-    The first report counts as a surge and replaces most of a restored rate.
+    The first report is treated as a surge and replaces most of a restored rate.
     """
     slice_state = fleet.slices.get(event.slice)
     if slice_state is None or any(slice_state.last_reports_at) or len(event.rates) != len(slice_state.rates):
@@ -36,10 +36,10 @@
 
 
 def restore_fleet(fleet: FleetState, admission: AdmissionController, event: api.FleetRestored) -> None:
-    """Restore the orders that proxies still follow: levels and withdrawals, and the throughput behind them.
+    """Restore the levels and withdrawals that proxies still apply, and the throughput on which they are based.
 
-    Levels hold until reports come. Without them an overloaded fleet would admit all demand at once. A withdrawn
-    endpoint that no list names stays withdrawn.
+    The levels stay in effect until reports are received. Without them, an overloaded fleet would admit all demand at
+    once. A withdrawn endpoint that no list contains stays withdrawn.
     """
     fleet.published_levels = fleet.desired_levels = event.levels
     fleet.withdrawn.update(dict.fromkeys(event.withdrawn, True))
