--- a/damsonpick/decisions/publisher.py
+++ b/damsonpick/decisions/publisher.py
@@ -41,6 +41,8 @@
 class Publisher:
     """Sends orders to the proxies and tracks the state that they have been sent.
 
+    The parameter `room` of its methods is the number of table entries that a message may contain, indexed by `Urgency`.
+
     Attributes:
         fleet: State that is published.
         flow_control: Flow control, which tracks the available capacity of the channel.
--- a/damsonpick/decisions/slice_ownership.py
+++ b/damsonpick/decisions/slice_ownership.py
@@ -13,7 +13,7 @@
     """Create a new slice state when a slice is gained, and remove it when the slice is lost.
 
     The admission limit applies to the owned slices and is scaled with their number. At first, reports cover only part
-    of the time since a slice was gained. The limit is therefore held for a while and not lowered because of them.
+    of the time since a slice was gained. They must not lower the limit, which is therefore held for a while.
     """
     count_before = len(fleet.slices)
     fleet.slices.pop(event.slice, None)
--- a/tests/decisions/large_fleet.py
+++ b/tests/decisions/large_fleet.py
@@ -1,4 +1,4 @@
-"""A planner of the full fleet's size: 200 endpoints, 241 owned slices, 40 proxies."""
+"""A planner for a fleet of full size: 200 endpoints, 241 owned slices, 40 proxies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def uneven_reports(world: World) -> list[api.Event]:
-    """Reports of all slices and endpoints: loads of many sizes, and some endpoints with twice that of others."""
+    """Return reports of all slices and endpoints. Slice loads vary; some endpoints have twice the load of others."""
     rnd = random.Random(5)
     demand = [
         api.SliceDemand(n, k, rnd.randrange(4, 12) + 12 * (n >= 160), 0, SECOND)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Load shedding: when levels fall and recover."""
+"""Load shedding: when admission levels fall and recover."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_levels_recover_when_no_requests_are_answered():
-    """Regression (varazdin-izbori, overload): levels stayed low as nothing was sent that could show low latency."""
+    """Regression (varazdin-izbori, overload): levels stayed low, since no requests were sent to show a low latency."""
     world = World()
     world.run(6)
     world.run(6, latency=dict.fromkeys("pqrs", 900))
@@ -37,7 +37,7 @@
 
 
 def test_warming_endpoints_alone_admit_only_the_throughput_that_the_fleet_has_shown():
-    """Regression (day hb1e644): warming endpoints alone must refuse what they cannot do before any answer is late."""
+    """Regression (day hb1e644): if all endpoints are warming up, load must be shed before any response is late."""
     world = World(slices=40)
     world.run(12, rate=8, tries=60)
     world.handle(api.EndpointListChanged("replace", tuple(entry(n, started=world.now) for n in "xy")))
@@ -47,7 +47,7 @@
 
 
 def test_a_slow_lossy_link_neither_sheds_load_nor_ejects_endpoints():
-    """Regression (parking-varazdin, slow_link): answers were late from one zone only, and all zones were refused."""
+    """Regression (parking-varazdin, slow_link): late responses in one zone shed the load of all zones."""
     world = World(slices=24)
     world.handle(*(api.ProxyJoined(10 + k, zone, 5.0, True) for k, zone in enumerate("abc")))
     world.proxies += [10, 11, 12]
@@ -74,7 +74,7 @@
 
 
 def test_a_planner_left_without_slices_lowers_no_level():
-    """Regression (ocitanja-vode rough-1, zone_cut): without slices there was no demand, and all was refused."""
+    """Regression (ocitanja-vode rough-1, zone_cut): without slices there was no demand, and all load was shed."""
     world = World()
     world.run(6)
     world.handle(*(api.SliceOwnershipChanged(n, False) for n in list(world.tables)))
@@ -96,7 +96,7 @@
 
 
 def test_levels_recover_soon_after_a_surge():
-    """Regression (parking-varazdin on sockets, churn): 40% were refused for 25 s after a surge."""
+    """Regression (parking-varazdin on sockets, churn): 40% of the requests were rejected for 25 s after a surge."""
     world = World()
     world.run(8, latency=dict.fromkeys("pqrs", 220), rate=20)
     world.run(10, latency=dict.fromkeys("pqrs", 1000), rate=40, tries=40)
@@ -110,12 +110,12 @@
     world = World(names=ENDPOINT_NAMES[:80], slices=160, proxies=40, channel_rate=40_000.0, channel_limit=60_000.0)
     for _ in range(8):
         world.now += SECOND
-        # 10 requests a second for each slice, 20 answers a second of each endpoint, a fifth of which are heard of.
+        # Each slice receives 10 requests/s and each endpoint sends 20 responses/s. A fifth of the endpoints report.
         world.handle(
             *(api.SliceDemand(n, k, 5, 0, SECOND) for n in world.tables for k in ("cheap", "dear")),
             *(api.EndpointReport("a", n, 20, 0, 700_000_000, SECOND, ()) for n in world.names[:16]),
         )
     planner = world.planner
-    assert planner.admitted_rate_limit < 1600, "answers are late: less is let in"
+    assert planner.admitted_rate_limit < 1600, "late answers must lower the limit"
     assert planner.admitted_rate_limit > 0.4 * 1600
     assert max(world.levels.values()) == 1.0
--- a/tests/decisions/test_capacity.py
+++ b/tests/decisions/test_capacity.py
@@ -1,4 +1,4 @@
-"""Learned capacity factors; no outlier is ejected."""
+"""Learned capacity factors. The planner ejects no outliers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_one_class_failing_at_half_of_the_fleet_leaves_both_halves_in_use():
-    """Regression (ocitanja-vode, class_fail): ejected endpoints gave their load to the rest, which failed next."""
+    """Regression (ocitanja-vode, class_fail): the load of ejected endpoints made the remaining endpoints fail next."""
     names = [chr(97 + k) for k in range(20)]
     world = World(names=names, slices=80)
     world.run(6)
@@ -53,7 +53,7 @@
 
 
 def test_overload_never_cascades_through_ejections():
-    """Regression (incident i7c3226): late failures on one endpoint after another are overload, not outliers."""
+    """Regression (incident i7c3226): late failures on one endpoint after another indicate overload, not outliers."""
     world = World(names="pqrst", slices=20)
     world.run(6)
     for k in range(5):
@@ -64,7 +64,7 @@
 
 
 def test_a_failing_endpoint_is_not_withdrawn():
-    """Regression (incident i7c3226): a proxy that missed an endpoint's return had no endpoint left."""
+    """Regression (incident i7c3226): a proxy that missed the readmission of an endpoint had no endpoint left."""
     world = World()
     world.run(6)
     world.run(4, failing={"p": 1.0})
@@ -73,7 +73,7 @@
 
 
 def test_new_endpoint_starts_with_the_capacity_factor_of_others_with_its_weight():
-    """Regression (day h116984): a warming endpoint of a slow kind was given load for the fleet's median capacity."""
+    """Regression (day h116984): a warming endpoint of a slow kind received load for the fleet's median capacity."""
     shares = {}
     for ms in (200, 800):
         world = World(names="pqrst", slices=40)
@@ -87,7 +87,7 @@
 
 
 def test_understated_load_reports_win_a_slow_endpoint_no_slices():
-    """Regression (varazdin-izbori, false_reports): slow endpoints report no load; latency is believed instead."""
+    """Regression (varazdin-izbori, false_reports): slow endpoints reported no load. Latency must be used instead."""
     world = World(slices=24, load_fields=("queue", "latency_ms"))
     world.run(6)
     before = world.slice_share("p")
--- a/tests/decisions/test_channel_at_scale.py
+++ b/tests/decisions/test_channel_at_scale.py
@@ -12,25 +12,27 @@
 
 
 class ChannelModel:
-    """The channel between a planner and its proxies: messages leave at a rate, arrive later, are counted.
+    """The channel between a planner and its proxies. It sends messages at a limited rate, delays and counts them.
 
     Attributes:
-        world: planner and tables; it no longer acknowledges by itself.
-        rate: entries/s that leave.
-        latency: ns between departure and acknowledgement.
-        max_queued: most entries that have waited.
-        sent_at: times of the messages, ns.
+        world: Planner and tables. Its automatic acknowledgements are switched off.
+        rate: Sent entries/s.
+        latency: Time between departure and acknowledgement, ns.
+        free_at: Time at which all queued messages will have been sent, ns.
+        max_queued: Largest number of entries that have waited.
+        sent_at: Send times of the messages, ns.
+        in_transit: Time of acknowledgement (ns) and sync token of each message in transit.
     """
 
     def __init__(self, world: World, rate: float, latency: int = SECOND // 4) -> None:
         self.world, self.rate, self.latency = world, rate, latency
         self.free_at, self.max_queued = world.now, 0.0
         self.sent_at: list[int] = []
-        self.in_transit: list[tuple[int, int]] = []  # time of arrival, token
+        self.in_transit: list[tuple[int, int]] = []
         world.acks = False
 
     def step(self, *events: api.Event) -> list[api.Action]:
-        """Deliver what is due, hand over events, and queue the orders that come back."""
+        """Deliver the acknowledgements that are due, pass events to the planner, and queue the resulting orders."""
         world, settings = self.world, self.world.settings
         arrived = [token for at, token in self.in_transit if at <= world.now]
         self.in_transit = [(at, token) for at, token in self.in_transit if at > world.now]
@@ -48,7 +50,7 @@
         return orders
 
     def run(self, seconds: float, **reports: object) -> list[api.Action]:
-        """Let time pass in steps of 50 ms, with a round of reports each second."""
+        """Advance time in steps of 50 ms, with one set of reports per second."""
         orders: list[api.Action] = []
         for step in range(int(seconds * 20)):
             self.world.now += SECOND // 20
@@ -57,7 +59,7 @@
         return orders
 
     def wait_until_withdrawn(self, names: list[str], notified: int, grace: int) -> None:
-        """Wait until no proxy is to send to these any more; the order must arrive within the grace."""
+        """Wait until proxies send to none of these endpoints. The orders must reach the proxies within the grace."""
         while any(map(self.world.count, names)):
             self.run(0.05)
             assert self.world.now - notified < grace
@@ -71,7 +73,7 @@
 
 @pytest.mark.parametrize("slower", [1, 4])
 def test_a_release_of_most_of_the_fleet_keeps_the_grace_and_the_limits(slower):
-    """Regression (ocitanja-vode): a step of a release drains a fifth of the fleet; tables alone took 200 entries."""
+    """Regression (ocitanja-vode): a release step drains a fifth of the fleet. Table changes alone took 200 entries."""
     world = large_fleet()
     channel = ChannelModel(world, 8500.0 / slower)
     channel.run(6)
@@ -81,7 +83,7 @@
         channel.step(api.EndpointListChanged("update", tuple(entry(n, "terminating") for n in leaving)))
         channel.wait_until_withdrawn(
             leaving, notified, slower * world.settings.drain_grace
-        )  # times grow by the same factor
+        )  # the allowed time grows by the same factor as the channel is slower
         channel.run(8 * slower)
         assert not world.has_slice_without_endpoint()
     assert channel.max_queued < 0.65 * world.settings.channel_limit
@@ -89,7 +91,7 @@
 
 
 def test_moves_are_published_at_a_hundred_proxies():
-    """Regression (ocitanja-vode): a quarter of the limit left no entry beside the overhead of a hundred messages."""
+    """Regression (ocitanja-vode): with a quarter of the limit, the overhead of a hundred messages left no entries."""
     world = large_fleet()
     channel = ChannelModel(world, 8500.0)
     channel.run(4)
@@ -101,7 +103,7 @@
 
 
 def test_messages_to_the_first_proxies_do_not_block_the_channel():
-    """Regression (ocitanja-vode big-2): a message to the first proxies waited for half of all that joined later."""
+    """Regression (ocitanja-vode big-2): a message to the first proxies waited for half of all proxies joining later."""
     world = large_fleet()
     world.acks = False
     world.proxies = [0, 1, 2]
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list, its events, polling."""
+"""The endpoint list: its events, and polling."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_flow_control.py
+++ b/tests/decisions/test_flow_control.py
@@ -1,4 +1,4 @@
-"""Room of the channel, by urgency."""
+"""Available capacity of the channel by urgency."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_one_silent_proxy_does_not_stop_the_channel():
-    """Regression (ocitanja-vode, deploy+zone_cut): proxies that were cut off and never acknowledged held up drains."""
+    """Regression (ocitanja-vode, deploy+zone_cut): disconnected proxies that never acknowledged delayed drains."""
     world = World(slices=60, proxies=4, channel_limit=1500.0)
     world.proxies = [0, 1, 2]  # the fourth never acknowledges
     for k in range(12):
@@ -48,7 +48,7 @@
 
 
 def test_rebalancing_does_not_use_up_the_messages_that_lower_levels():
-    """Regression (incident i8ae611): a burst of moves held back the admission levels for eight seconds."""
+    """Regression (incident i8ae611): a burst of moves delayed the admission levels for eight seconds."""
     world = World(slices=60, messages_per_window=12)
     for _ in range(20):
         world.run(0.5, rate=40)
@@ -59,7 +59,7 @@
 
 
 def test_cleanup_does_not_hold_up_rounds():
-    """Regression (parking-varazdin on sockets, reload): rounds waited seven seconds for a release's cleanup."""
+    """Regression (parking-varazdin on sockets, reload): rounds waited seven seconds for the cleanup after a release."""
     world = World(slices=12)
     flow_control = world.planner.flow_control
     flow_control.in_flight.clear()
@@ -85,7 +85,7 @@
 
 
 def test_a_controller_that_comes_back_keeps_messages_for_levels():
-    """Regression (incident i745c52): each proxy that joined was sent everything, and no message was left for 7 s."""
+    """Regression (incident i745c52): each joining proxy was sent all state, which used up the messages for 7 s."""
     world = World(slices=40, messages_per_window=12, proxies=0)
     for proxy in range(12):
         world.now += SECOND // 10
--- a/tests/decisions/test_hot_slices.py
+++ b/tests/decisions/test_hot_slices.py
@@ -1,4 +1,4 @@
-"""Further replicas of hot slices."""
+"""Additional replicas of hot slices."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def test_a_slice_hotter_than_several_endpoints_gets_as_many_replicas_as_keep_each_at_its_share():
     """Regression: three replicas are too few for a slice with a thirtieth of all demand on 200 endpoints."""
     world = World(names=ENDPOINT_NAMES[:60], slices=72, proxies=40, channel_rate=40_000.0, channel_limit=60_000.0)
-    world.planner.fleet.settings = world.settings._replace(slices=360)  # the other pilots' are as many for each
+    world.planner.fleet.settings = world.settings._replace(slices=360)  # five pilots own 72 slices each
     for _ in range(30):
         world.now += SECOND
         world.handle(
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Reports of endpoints that are odd or rare."""
+"""Invalid and infrequent load reports."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 
 def test_reports_every_few_seconds_keep_endpoints_and_levels():
-    """Reports are limited: in a large fleet each comes seldom and covers longer, which is no silence."""
+    """The rate of reports is limited. In a large fleet, each report is infrequent and covers a longer period.
+
+    Such gaps must not be treated as missing reports.
+    """
     world = World(slices=40)
     for _ in range(8):
         events = [api.EndpointReport("a", n, 100, 0, SECOND // 5, 5 * SECOND, ()) for n in "pqrs"]
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Evacuation, and where slices without an endpoint go."""
+"""Evacuation of endpoints, and placement of slices without an endpoint."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def test_evacuated_slices_spread_over_warming_endpoints():
-    """Regression (day hb1e644): with only warming endpoints left, all evacuated slices went to the largest."""
+    """Regression (day hb1e644): if only warming endpoints were left, all evacuated slices moved to the largest one."""
     world = World(slices=40)
     world.run(6)
     fresh = tuple(entry(n, started=world.now, weight=w) for n, w in (("w", 1.2), ("x", 1.0), ("y", 1.0)))
--- a/tests/decisions/test_planner.py
+++ b/tests/decisions/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner as a whole: odd events, determinism, random streams."""
+"""The planner as a whole: invalid events, determinism, random event streams."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_publisher.py
+++ b/tests/decisions/test_publisher.py
@@ -1,4 +1,4 @@
-"""What is published, in which order."""
+"""Contents and order of the published messages."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
 
 
 def test_in_a_small_channel_the_withdrawal_goes_first_and_slices_without_an_endpoint_follow():
-    """Regression (ocitanja-vode, overload): a draining endpoint kept its entry when the order did not fit."""
+    """Regression (ocitanja-vode, overload): a draining endpoint kept its entry if the order exceeded the channel."""
     world = World(slices=60, channel_limit=90.0)
     world.acks = False
     world.handle(api.EndpointListChanged("update", (entry("p", "terminating"),)))
     assert world.count("p") == 0
-    assert world.has_slice_without_endpoint()  # the channel is too small for all at once
+    assert world.has_slice_without_endpoint()  # the channel is too small for all changes at once
     for _ in range(8):
         world.now += SECOND // 4
         tokens = [o.token for o in world.log if isinstance(o, api.RequestSync)]
@@ -56,12 +56,12 @@
 
 
 def test_withdrawals_go_before_the_resync_of_proxies_that_came_back():
-    """Regression (parking-varazdin on sockets, reload): 39 returns filled three messages before 14 withdrawals."""
+    """Regression (parking-varazdin on sockets, reload): 39 readmissions filled three messages before 14 withdrawals."""
     world = World([f"s{n:02}" for n in range(30)], slices=30, channel_limit=120.0)
     world.run(4)
     room = world.planner.flow_control.message_capacity(Urgency.CRITICAL, 0.0)
     world.handle(api.ProxyLeft(1))
-    world.planner.known_proxies.pop(1)  # as after a restart: which withdrawals it holds is unknown
+    world.planner.known_proxies.pop(1)  # as after a restart: the withdrawals that the proxy has are unknown
     world.acks = False
     world.now += SECOND
     orders = world.handle(
@@ -75,7 +75,7 @@
 
 
 def test_a_return_waits_for_cleanup_and_reaches_proxies_that_were_away():
-    """An endpoint comes back under its old name: no proxy keeps it withdrawn, no old entry loads it."""
+    """When an endpoint returns under its old name, no proxy may keep it withdrawn or send to it from an old entry."""
     world = World(slices=40)
     world.run(6, tries=200)
     for _ in range(3):
@@ -92,7 +92,7 @@
 
 
 def test_an_endpoint_that_flaps_under_its_old_start_time_returns():
-    """Regression (ocitanja-vode, flapping): the list names it, drops it and names it again unchanged."""
+    """Regression (ocitanja-vode, flapping): the list removed the endpoint and added it again unchanged."""
     world = World(slices=24)
     world.run(6)
     for _ in range(3):
--- a/tests/decisions/test_retention.py
+++ b/tests/decisions/test_retention.py
@@ -1,4 +1,4 @@
-"""What is kept of endpoints that are gone."""
+"""State kept for endpoints that no longer exist."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_state_kept_of_replaced_endpoints_stays_bounded():
-    """Names never come again: 3,000 endpoints come and go, and entries are counted where they could pile up."""
+    """Names are never reused. 3,000 endpoints are added and removed, and entries that could accumulate are counted."""
     world, sizes = World(names=[f"a{k}" for k in range(8)], slices=24, proxies=4), []
     for turn in range(1500):
         world.now += 5 * SECOND
@@ -37,7 +37,7 @@
             )
         )
         assert not world.has_slice_without_endpoint()
-    kept = retention.MAX_PROXY_ABSENCE_NS / (6 * SECOND)  # endpoints that go in that time
+    kept = retention.MAX_PROXY_ABSENCE_NS / (6 * SECOND)  # number of endpoints removed within that time
     assert max(sizes[1000:]) <= max(sizes[:500]) and sizes[-1][0] < 8 + kept + 8
     assert len(world.planner.withdrawn) <= retention.MAX_WITHDRAWALS + len(world.planner.endpoints)
 
@@ -55,7 +55,7 @@
 
 
 def test_a_proxy_that_was_away_is_sent_the_withdrawals_of_endpoints_terminated_meanwhile():
-    """Regression (split+mass seed 8): a proxy came back with an entry of a forgotten endpoint and kept it."""
+    """Regression (split+mass seed 8): a proxy rejoined with an entry of a removed endpoint and kept the entry."""
     world = World(slices=12)
     world.run(3)
     world.handle(api.ProxyLeft(0))
--- a/tests/decisions/test_search.py
+++ b/tests/decisions/test_search.py
@@ -1,4 +1,4 @@
-"""The stochastic search in its rounds: parts, limits, what overtakes it."""
+"""The stochastic search in rounds: parts, limits, and events during a search."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def count_steps(world: World, monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Counts the steps that each call of `handle` searches; the last figure is of the call under way."""
+    """Count the search steps in each call of `handle`. The last number belongs to the current call."""
     counts = [0]
     pick, handle = search.Search.pick, world.planner.handle
 
@@ -73,7 +73,7 @@
     for name in ENDPOINT_NAMES[:20]:
         world.handle(api.EndpointListChanged("update", (entry(name, "terminating"),)))
         assert world.withdrawn[name] and counts[-1] <= search.STEPS_PER_PART
-    assert world.planner.search  # it was under way all the time
+    assert world.planner.search  # the search was running all the time
     while world.planner.search:
         world.now += SECOND // 100
         world.handle(api.TimerFired(0))
@@ -83,7 +83,7 @@
 
 
 def test_slice_lost_during_a_search_gets_no_order(monkeypatch):
-    monkeypatch.setattr(search, "MOVE_CAP_SHARE", 0.2)  # so that it moves some that are lost and some that are not
+    monkeypatch.setattr(search, "MOVE_CAP_SHARE", 0.2)  # so that lost slices and owned slices are among the moved ones
     world = large_fleet()
     run_until_searching(world)
     world.log.clear()
--- a/tests/decisions/test_slice_demand.py
+++ b/tests/decisions/test_slice_demand.py
@@ -8,7 +8,7 @@
 
 
 def test_slices_without_reports_do_not_go_to_a_warming_endpoint_by_the_dozen():
-    """Reports are limited and cover a large fleet within seconds. Drains meanwhile move slices without reports."""
+    """The rate of reports is limited: they need seconds to cover a large fleet. Drains then move unreported slices."""
     world = World(names=ENDPOINT_NAMES[:40], slices=240, proxies=40, channel_rate=40_000.0, channel_limit=60_000.0)
     drained = set(ENDPOINT_NAMES[:20])
     reported = [n for n, table in world.tables.items() if not drained & set(table)]
@@ -24,13 +24,16 @@
     world.handle(api.EndpointListChanged("update", tuple(entry(n, started=started) for n in warming)))
     world.handle(api.EndpointListChanged("update", tuple(entry(n, "terminating") for n in drained)))
     warm_up_share = 0.2 + 0.8 * 2 / 15
-    fair = warm_up_share * 240 / (20 + 4 * warm_up_share)  # slices, as all are alike
+    fair = warm_up_share * 240 / (20 + 4 * warm_up_share)  # number of slices, since all slices have the same load
     assert not world.has_slice_without_endpoint()
     assert all(world.count(name) <= 1.5 * fair for name in warming)
 
 
 def test_a_slice_whose_demand_is_known_in_part_goes_to_no_warming_endpoint():
-    """Regression (roll+mass seed 1): a slice gained a second before, 1.5 of 8.5 requests/s reported, overloaded one."""
+    """Regression (roll+mass seed 1): a slice gained a second before overloaded a warming endpoint.
+
+    Only 1.5 of its 8.5 requests/s were reported.
+    """
     world = World(names=ENDPOINT_NAMES[:40], slices=120, proxies=40, channel_rate=40_000.0, channel_limit=60_000.0)
     for _ in range(12):
         world.now += SECOND
@@ -42,7 +45,7 @@
     world.handle(api.EndpointListChanged("update", tuple(entry(n, started=world.now - 2 * SECOND) for n in warming)))
     world.now += SECOND
     world.handle(*(api.SliceDemand(n, k, 1, 0, SECOND) for n in range(120, 160) for k in ("cheap", "dear")))
-    assert min(sum(world.planner.slices[n].rates) for n in range(120, 160)) > 10  # 20 a second is usual
+    assert min(sum(world.planner.slices[n].rates) for n in range(120, 160)) > 10  # other slices have 20 requests/s
     world.handle(api.EndpointListChanged("update", (entry("e000", "terminating"),)))
     assert not world.has_slice_without_endpoint()
     assert not [n for n in range(120, 160) if world.routable(n) & set(warming)]
--- a/tests/decisions/test_slice_ownership.py
+++ b/tests/decisions/test_slice_ownership.py
@@ -1,4 +1,4 @@
-"""Slices that are gained and lost."""
+"""Slices that an instance gains and loses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_gained_slices_lower_no_limit_until_reports_cover_them():
-    """Regression (parking-varazdin on sockets, reload): after a restart 11 answers a second of 290 were admitted."""
+    """Regression (parking-varazdin on sockets, reload): after a restart, 11 of 290 requests/s were admitted."""
     world = World()
     world.run(6)
     world.handle(*(api.SliceOwnershipChanged(n, False) for n in range(6)))
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What a warming endpoint gets."""
+"""The load that a warming endpoint receives."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_warming_endpoint_shares_no_slice_while_others_shed():
-    """Regression (days h657948, hfc796c, h116984): what full endpoints refused went to a warming replica."""
+    """Regression (days h657948, hfc796c, h116984): requests rejected by full endpoints went to a warming replica."""
     world = World(slices=16)
     for _ in range(14):
         world.run(1, latency=dict.fromkeys("pqrs", 900), rate=60)
@@ -64,7 +64,7 @@
 
 
 def test_load_of_a_warming_endpoint_is_bounded_by_throughput_not_by_raw_demand():
-    """Regression (day hfdc7e0): retries made demand many times what endpoints answer."""
+    """Regression (day hfdc7e0): retries raised demand to many times the throughput of the endpoints."""
     held = {}
     for rate in (4, 200):
         world = World(slices=80)
--- a/tests/test_decision_package.py
+++ b/tests/test_decision_package.py
@@ -1,4 +1,4 @@
-"""Limits on the decision package: imports, forbidden calls, determinism."""
+"""Constraints on the decision package: size, imports, forbidden calls and determinism."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 MODULES = sorted((ROOT / "damsonpick" / "decisions").glob("*.py"))
 LINE_LENGTH = 120
 MODULE_LINES = 250
-FUNCTION_LINES = 30  # with its docstring
+FUNCTION_LINES = 30  # including the docstring
 
 
 def test_deploy_file_names_every_decision_module():
