--- a/damsonpick/decisions/search.py
+++ b/damsonpick/decisions/search.py
@@ -15,7 +15,7 @@
 from damsonpick.decisions.cluster_copy import ClusterCopy, CostTerms, Move
 from damsonpick.decisions.fleet_state import FleetState
 
-SLOP = 0.3  # share by which load or number of replicas may deviate from the mean before a search is needed
+SLOP = 0.3  # share by which load or number of replicas may deviate from the mean without a search
 STEPS_PER_REPLICA_AND_ENDPOINT = 1.0
 MAX_STEPS = 20_000
 STEPS_PER_PART = 1000  # steps after which the search pauses so that other events can be handled
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -116,6 +116,6 @@
             *(api.EndpointReport("a", n, 20, 0, 700_000_000, SECOND, ()) for n in world.names[:16]),
         )
     planner = world.planner
-    assert planner.admitted_rate_limit < 1600, "late answers must lower the limit"
+    assert planner.admitted_rate_limit < 1600, "late responses must lower the limit"
     assert planner.admitted_rate_limit > 0.4 * 1600
     assert max(world.levels.values()) == 1.0
