--- a/damsonpick/runtime/__init__.py
+++ b/damsonpick/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every process stands on: clock, the loop round the planner, backoff, logs, sockets."""
+"""Services that every process uses: clock, planner loop, backoff, logs, sockets, supervision and timeouts."""
--- a/damsonpick/runtime/backoff.py
+++ b/damsonpick/runtime/backoff.py
@@ -1,4 +1,7 @@
-"""When to try a source or peer again: exponential with jitter, reset by success. Sans I/O."""
+"""Computes the delay before the next attempt to reach a source or a peer.
+
+The delay grows exponentially with jitter, and a successful attempt resets it. This module performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,29 +13,30 @@
 
 
 class Backoff:
-    """Delays between attempts, drawn from the upper half of a doubling range.
+    """Computes delays between attempts.
 
-    The jitter spreads the attempts of many clients that lost one source at once.
+    The upper bound of the delay doubles with each failure, and each delay is drawn from the upper half of the range.
+    This jitter spreads the attempts of many clients that lost the same source at the same time.
 
     Args:
-        rng: draws the jitter.
-        min_delay_s: upper bound of the first delay.
-        max_delay_s: upper bound of any delay.
+        rng: Random generator that draws the jitter.
+        min_delay_s: Upper bound of the first delay, in seconds.
+        max_delay_s: Upper bound of every delay, in seconds.
     """
 
     def __init__(self, rng: random.Random, min_delay_s: float = MIN_DELAY_S, max_delay_s: float = MAX_DELAY_S) -> None:
-        """Start from the least delay."""
+        """Initialize the backoff with the shortest delay."""
         self.rng = rng
         self.min_delay_s = min_delay_s
         self.max_delay_s = max_delay_s
-        self.failures = 0  # in a row
+        self.failures = 0  # consecutive failed attempts
 
     def next_delay_s(self) -> float:
-        """Note a failed attempt and return the seconds until the next one."""
-        longest = min(self.max_delay_s, self.min_delay_s * 2**self.failures)
+        """Record a failed attempt and return the seconds to wait before the next attempt."""
+        upper_bound_s = min(self.max_delay_s, self.min_delay_s * 2**self.failures)
         self.failures = min(self.failures + 1, MAX_DOUBLINGS)
-        return self.rng.uniform(longest / 2, longest)
+        return self.rng.uniform(upper_bound_s / 2, upper_bound_s)
 
     def reset(self) -> None:
-        """Note a successful attempt: the next delay starts from the least again."""
+        """Record a successful attempt, which resets the next delay to the shortest."""
         self.failures = 0
--- a/damsonpick/runtime/clock.py
+++ b/damsonpick/runtime/clock.py
@@ -1,7 +1,7 @@
-"""The process's one clock: wall time at the start, monotonic from then on.
+"""The clock of the process. It reads the wall clock once, at the start, and then follows the monotonic clock.
 
-Setting the machine's wall clock, forward or back, does not move it. With a rate other than 1 (rehearsals) all
-processes of one machine still agree, as time is stretched about a fixed moment.
+Setting the wall clock of the machine forward or back does not affect it. With a rate other than 1, which rehearsals
+use, the clocks of all processes on one machine still agree, because time is scaled around a fixed moment.
 """
 
 from __future__ import annotations
@@ -9,24 +9,27 @@
 import time
 from typing import NamedTuple
 
-STRETCH_ORIGIN_NS = 1_767_225_600_000_000_000  # 2026-01-01 00:00 UTC, where stretched and true time meet
+SCALING_ORIGIN_NS = (
+    1_767_225_600_000_000_000  # 2026-01-01 00:00 UTC, the moment at which scaled and true time are equal
+)
 MAX_ORIGIN_READS = 20
-MAX_ORIGIN_GAP_NS = 5_000  # between the reads round one of the wall clock, if the process is not held up
+MAX_ORIGIN_GAP_NS = 5_000  # longest time between the two monotonic reads of an attempt in an undelayed process
 
 
 class ClockOrigin(NamedTuple):
-    """One moment on both clocks of the machine, ns."""
+    """The same moment on the wall clock and the monotonic clock of the machine, in nanoseconds."""
 
     wall_ns: int
     monotonic_ns: int
 
 
 def read_clock_origin() -> ClockOrigin:
-    """Read both clocks at one moment.
+    """Read the wall clock and the monotonic clock at the same moment.
 
-    A process may be held up between two reads, for milliseconds beside load; its clock would then be behind those of
-    all other processes for good. The wall clock is read between two reads of the monotonic one, and of a few attempts
-    the one in which these were closest counts: the error is at most half the time between them.
+    The system may suspend the process between two reads, for milliseconds under load. Its clock would then stay behind
+    the clocks of all other processes. Therefore each attempt reads the wall clock between two reads of the monotonic
+    clock, and the attempt with the shortest time between the two monotonic reads is used. Its error is at most half of
+    that time.
     """
     best_gap_ns: int | None = None
     origin = ClockOrigin(0, 0)
@@ -43,38 +46,39 @@
 
 
 class Clock:
-    """Nanoseconds since 1970 that never go back.
+    """A clock that counts nanoseconds since 1970 and never goes back.
 
     Args:
-        rate: nanoseconds of this clock in one true nanosecond.
-        origin: read by another process of this machine, so that both clocks are the same; None: read now.
+        rate: Nanoseconds of this clock per true nanosecond.
+        origin: Origin read by another process of this machine, so that both processes have the same clock. If None,
+            the constructor reads the origin.
     """
 
     def __init__(self, rate: float = 1.0, origin: ClockOrigin | None = None) -> None:
-        """Read the wall clock, this once, unless an origin is given."""
+        """Read the wall clock once, unless an origin is passed."""
         self.rate = rate
         self.origin = origin or read_clock_origin()
 
     def now(self) -> int:
-        """The present time, ns."""
-        true_ns = self.origin.wall_ns - STRETCH_ORIGIN_NS + time.monotonic_ns() - self.origin.monotonic_ns
-        return STRETCH_ORIGIN_NS + int(true_ns * self.rate)
+        """Return the current time in nanoseconds."""
+        true_ns = self.origin.wall_ns - SCALING_ORIGIN_NS + time.monotonic_ns() - self.origin.monotonic_ns
+        return SCALING_ORIGIN_NS + int(true_ns * self.rate)
 
     def seconds(self, ns: int) -> float:
-        """True seconds to sleep for a duration of this clock; 0 for a negative one."""
+        """Return the true seconds that a duration of this clock takes, or 0 if the duration is negative."""
         return max(0, ns) / 1e9 / self.rate
 
 
 class MonotonicReading:
-    """The latest time that was handed in: one that goes back is replaced by the latest so far."""
+    """Turns a series of times into one that never goes back, by replacing a lower time with the latest so far."""
 
     def __init__(self) -> None:
-        """Start at 0."""
+        """Initialize the latest time with 0."""
         self.latest = 0  # ns
-        self.steps_back = 0  # how often a time was handed in that went back
+        self.steps_back = 0  # number of received times that were lower than the latest
 
     def advance_to(self, now: int) -> int:
-        """Take in a time in ns; returns the latest so far."""
+        """Record a time in nanoseconds and return the latest time so far."""
         if now < self.latest:
             self.steps_back += 1
         self.latest = max(self.latest, now)
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -1,6 +1,7 @@
-"""The loop round the planner: event queue, timers, one call of `Planner.handle` a step, restart after an exception.
+"""Runs the planner: queues events, keeps timers, calls `Planner.handle` once per step, and schedules a restart.
 
-No sockets and no store: the owner of a loop decides how a planner is started and carries out what a step returns.
+A restart follows an exception of the planner. The loop uses no sockets and no store. The owner of the loop starts the
+planner and executes the actions that a step returns.
 """
 
 from __future__ import annotations
@@ -15,20 +16,21 @@
 from damsonpick.decisions.planner import Planner
 from damsonpick.runtime.clock import MonotonicReading
 
-BASE_RESTART_DELAY_NS = 100_000_000  # doubled with each failure: 0, 400, 800, 900, 900 ms after failures in a row
+# The delay doubles with each failure. After consecutive failures it is 0, 400, 800, 900, 900 ms, and so on.
+BASE_RESTART_DELAY_NS = 100_000_000
 MAX_RESTART_DELAY_NS = 900_000_000
 MAX_DELAY_DOUBLINGS = 8
-FAILURE_RESET_NS = 30_000_000_000  # without a failure, after which the next counts as the first
-MAX_LOGGED_EVENTS = 200  # of a failed call
+FAILURE_RESET_NS = 30_000_000_000  # time without a failure after which the next failure counts as the first
+MAX_LOGGED_EVENTS = 200  # number of events of a failed planner call that are logged
 MAX_LOGGED_EVENT_CHARS = 300
 
 
 class Step(NamedTuple):
-    """One call of the planner.
+    """Input and output of one call of the planner.
 
     Attributes:
-        events: what the planner received.
-        actions: what it ordered, without timers and log lines, which the loop carries out itself.
+        events: Events that the planner received.
+        actions: Actions that the planner ordered, except timers and log lines, which the loop executes itself.
     """
 
     events: list[api.Event]
@@ -39,22 +41,22 @@
     """Runs one planner at a time.
 
     Args:
-        log: a structlog logger.
+        log: Structured logger for planner messages and failures.
     """
 
     def __init__(self, log: FilteringBoundLogger) -> None:
-        """Start without a planner."""
+        """Initialize the loop without a planner."""
         self.log = log
-        self.inbox: list[api.Event] = []  # for the next step
-        self.timers: list[tuple[int, int]] = []  # heap of (ns when due, token)
+        self.inbox: list[api.Event] = []  # events for the next step
+        self.timers: list[tuple[int, int]] = []  # heap of (due time in ns, token)
         self.clock = MonotonicReading()
-        self.planner: Planner | None = None  # None: it failed, and the next one is due at `restart_at`
-        self.failures = 0  # in a row
+        self.planner: Planner | None = None  # None after a failure; the next planner starts at `restart_at`
+        self.failures = 0  # consecutive failures
         self.failed_at = 0  # ns
         self.restart_at = 0  # ns
 
     def begin_with(self, planner: Planner, events: list[api.Event]) -> None:
-        """Put a planner to work; `events` are the first it receives, in place of all that is queued."""
+        """Install a planner. `events` are the first events that it receives and replace all queued events."""
         self.planner = planner
         self.timers.clear()
         self.inbox = events
@@ -64,16 +66,16 @@
         self.inbox.extend(events)
 
     def next_step(self) -> int | None:
-        """When the loop must run again by itself, ns; None: only when something happens."""
+        """Return the time in ns at which the loop must run again, or None if only an event requires it to run."""
         if self.planner is None:
             return self.restart_at
         return self.timers[0][0] if self.timers else None
 
     def advance(self, now: int, more: Iterable[api.Event] = ()) -> Step | None:
-        """Hand the planner the queued events, then `more`, then the timers that are due.
+        """Pass the queued events to the planner, then `more`, then the timers that are due.
 
         Returns:
-            The step; None: nothing happened, or the planner failed.
+            The step, or None if there were no events or the planner failed.
         """
         events, self.inbox = [*self.inbox, *more], []
         while self.timers and self.timers[0][0] <= now:
@@ -83,13 +85,13 @@
             return None
         try:
             actions = self.planner.handle(now, events)
-        except Exception as error:  # whatever the planner raises must not stop the loop
+        except Exception as error:  # no exception of the planner may stop the loop
             self._planner_failed(now, events, error)
             return None
-        return Step(events, [action for action in actions if not self._carried_out(now, action)])
+        return Step(events, [action for action in actions if not self._execute_loop_action(now, action)])
 
-    def _carried_out(self, now: int, action: api.Action) -> bool:
-        """Carry out an action that concerns the loop alone; False: it is the owner's."""
+    def _execute_loop_action(self, now: int, action: api.Action) -> bool:
+        """Execute an action that concerns only the loop. Return False if the owner must execute it."""
         if isinstance(action, api.SetTimer):
             heapq.heappush(self.timers, (now + max(1, action.delay), action.token))
         elif isinstance(action, api.Log):
@@ -99,13 +101,16 @@
         return True
 
     def give_up(self, now: int, error: Exception) -> None:
-        """The owner failed to start a planner, or to carry out its orders: another planner takes its place."""
+        """Drop the planner because the owner failed to start it or to execute its orders.
+
+        Another planner replaces it after the restart delay.
+        """
         self._planner_failed(now, [], error)
 
     def _planner_failed(self, now: int, events: list[api.Event], error: Exception) -> None:
-        """Drop the planner and set when the next one starts; its last orders stay in force meanwhile."""
-        recent = now - self.failed_at < FAILURE_RESET_NS
-        self.failures = self.failures + 1 if recent else 1
+        """Drop the planner and schedule the start of the next. Until then the last orders stay in effect."""
+        failed_recently = now - self.failed_at < FAILURE_RESET_NS
+        self.failures = self.failures + 1 if failed_recently else 1
         self.failed_at = now
         delay = self._restart_delay()
         self.capture_learned_state()
@@ -122,11 +127,14 @@
         )
 
     def _restart_delay(self) -> int:
-        """ns until the next planner starts."""
+        """Return the time in ns until the next planner starts."""
         if self.failures == 1:
             return 0
         doublings = min(self.failures, MAX_DELAY_DOUBLINGS)
         return min(MAX_RESTART_DELAY_NS, BASE_RESTART_DELAY_NS * 2**doublings)
 
     def capture_learned_state(self) -> None:
-        """Called while the failed planner can still be read; an owner that hands on what it learned overrides this."""
+        """Save the learned state of a failed planner while it can still be read.
+
+        The base class does nothing. An owner that passes the learned state to the next planner overrides this method.
+        """
--- a/damsonpick/runtime/logs.py
+++ b/damsonpick/runtime/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line on standard error, as JSON or for a person."""
+"""Structured logs on standard error, one event per line, as JSON or as text for a person."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def configure(log_format: LogFormat, level: str) -> FilteringBoundLogger:
-    """Set up structlog; returns the root logger of the program.
+    """Configure structlog and return the root logger of the program.
 
     Args:
-        log_format: how an event is written.
-        level: the least severe level that is written, such as "info".
+        log_format: Format of an event.
+        level: Least severe level that is written, such as "info".
     """
     processors = [structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True)]
     if log_format == "json":
--- a/damsonpick/runtime/loop_lag.py
+++ b/damsonpick/runtime/loop_lag.py
@@ -1,7 +1,8 @@
-"""How late the event loop runs, and how much CPU the process had: whether a process was starved.
+"""Measures how late the event loop runs and how much CPU time the process used.
 
-A process that has too little of the machine, or that does too much in one turn, is late with everything. Both figures
-together tell these apart: late at little CPU is a machine that is too busy, late at a whole core is too much work.
+An event loop is late if the machine gives the process too little CPU time, or if one iteration of the loop does too
+much work. Both figures together distinguish the two causes: with little CPU time used, the machine is overloaded; with
+a whole core used, the process has too much work.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 from damsonpick.time_units import MS_PER_SECOND
 
 PROBE_PERIOD_S = 0.05
-LOG_PERIOD_S = 10.0  # at most one log line in each
-LAG_LIMIT_S = 0.25  # below it a lag is not worth a line
+LOG_PERIOD_S = 10.0  # at most one log line is written per period
+LAG_LIMIT_S = 0.25  # shorter lags are not logged
 
 
 class LoopLoad(NamedTuple):
-    """What a process met in a period, in seconds.
+    """Lag and CPU time of a process over a period, in seconds.
 
     Attributes:
-        longest_lag_s: the longest time by which the event loop was late.
-        cpu_s: CPU time of the process.
-        wall_s: the period.
+        longest_lag_s: Longest time by which the event loop was late.
+        cpu_s: CPU time that the process used.
+        wall_s: Length of the period.
     """
 
     longest_lag_s: float
@@ -33,7 +34,7 @@
     wall_s: float
 
     def log_fields(self) -> dict[str, Any]:
-        """Return the figures as the log has them."""
+        """Return the figures as fields of a log line."""
         return {
             "longest_lag_ms": round(self.longest_lag_s * MS_PER_SECOND),
             "cpu_s": round(self.cpu_s, 2),
@@ -42,10 +43,10 @@
 
 
 class LoopLagMonitor:
-    """Measures the event loop that it runs on.
+    """Measures the lag of the event loop that it runs on.
 
     Args:
-        log: for `loop_lagged`; None: nothing is logged.
+        log: Logger for the event `loop_lagged`. If None, nothing is logged.
     """
 
     def __init__(self, log: FilteringBoundLogger | None = None) -> None:
@@ -56,13 +57,13 @@
         self._started_cpu_s = time.process_time()
 
     def load(self) -> LoopLoad:
-        """Return what was met since the start."""
+        """Return the lag and the CPU time since the start."""
         return LoopLoad(
             self._longest_lag_s, time.process_time() - self._started_cpu_s, time.monotonic() - self._started_s
         )
 
     async def run(self) -> None:
-        """Measure until cancelled, and log a lag over the limit, once a period at most."""
+        """Measure until cancelled. A lag at or above the limit is logged, at most once per period."""
         while True:
             await self._measure_period()
 
@@ -80,5 +81,6 @@
         self._log.warning(
             "loop_lagged",
             **load.log_fields(),
-            remedy="late at little CPU: give the machine more room; late at a whole core: too much work for one",
+            remedy="if little CPU was used, the machine is overloaded: give it more capacity; "
+            "if a whole core was used, the process has more work than one core can do",
         )
--- a/damsonpick/runtime/port_files.py
+++ b/damsonpick/runtime/port_files.py
@@ -1,4 +1,4 @@
-"""A file that names the port a program has opened, for those on this machine that connect to it."""
+"""Writes and reads the file in which a program publishes its port to clients on the same machine."""
 
 from __future__ import annotations
 
@@ -8,19 +8,23 @@
 
 
 class PortFileError(Exception):
-    """The port file cannot be written."""
+    """Raised when the port file cannot be written. The operator can choose another path with --port-file."""
 
     def __init__(self, path: Path, cause: OSError) -> None:
-        """Name the file and what the operating system says."""
-        super().__init__(f"{path}: the port file cannot be written ({cause}); name another with --port-file")
+        """Build the message from the path and the error of the operating system."""
+        super().__init__(f"{path}: the port file cannot be written ({cause}); choose another path with --port-file")
         self.path = path
 
 
 def write(path: Path | None, port: int) -> None:
-    """Write the port; a reader sees the whole file or none. Nothing is written where `path` is None.
+    """Write the port to a file. A reader sees either the complete file or no file.
+
+    Args:
+        path: Path of the file. If None, nothing is written.
+        port: TCP port.
 
     Raises:
-        PortFileError: it cannot be written.
+        PortFileError: The file cannot be written.
     """
     if path is None:
         return
@@ -33,7 +37,7 @@
 
 
 def address(path: Path) -> str:
-    """The address to connect to; '' while there is no such file."""
+    """Return the address to connect to, or an empty string if the file cannot be read."""
     try:
         return f"{LOOPBACK}:{path.read_text().strip()}"
     except OSError:
--- a/damsonpick/runtime/sockets.py
+++ b/damsonpick/runtime/sockets.py
@@ -1,4 +1,4 @@
-"""What the state of a TCP socket tells without reading from it."""
+"""Checks the state of a TCP socket without reading from it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,10 @@
 
 
 def idle(stream: SocketStream) -> bool:
-    """Whether a connection may be used again for a request.
+    """Return whether a connection can be reused for a request.
 
-    A connection with something to read is not idle: most often its server has closed it, and a request sent on it
-    would be lost.
-
-    Returns:
-        False also for a stream that is closed on this side.
+    A connection with data or an end of stream to read is not idle. Usually its server has closed it, and a request
+    sent on it would be lost. A stream that is closed on this side is not idle either.
     """
     poller = select.poll()
     try:
--- a/damsonpick/runtime/supervision.py
+++ b/damsonpick/runtime/supervision.py
@@ -1,4 +1,7 @@
-"""What one client, connection or task raises ends that alone: it is logged with its reason, and service goes on."""
+"""Limits the effect of an exception to the client, connection or task that raised it.
+
+The exception is logged with its reason, and the service continues.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +15,22 @@
 from damsonpick.runtime.backoff import Backoff
 
 MIN_RESTART_DELAY_S = 0.1
-MAX_RESTART_DELAY_S = 1.0  # less than a drain may wait
-STEADY_AFTER_S = 10.0  # a task that ran so long starts from the least delay again
-ACCEPT_RETRY_DELAY_S = 0.05  # without a pause the loop would spin until a descriptor is free
+MAX_RESTART_DELAY_S = 1.0  # shorter than the grace period of a drain
+STABLE_RUN_S = 10.0  # a failure after a longer run resets the restart delay to the shortest
+ACCEPT_RETRY_DELAY_S = 0.05  # without this delay the loop would spin until a file descriptor is free
 REMEDY = "send this to the maintainers"
 
 
 async def keep_running(name: str, run: Callable[[], Awaitable[None]], log: FilteringBoundLogger) -> None:
-    """Run a task until it returns or is cancelled; one that raises is logged and started again after a growing delay.
+    """Run a task until it returns or is cancelled.
+
+    If the task raises an exception, the exception is logged and the task restarts after a delay that grows with each
+    failure.
 
     Args:
-        name: of the task, for the log.
-        run: the task; called anew after each failure.
-        log: for failures.
+        name: Name of the task in the log.
+        run: Runs the task. It is called again after each failure.
+        log: Logger for failures.
     """
     backoff = Backoff(random.Random(name), MIN_RESTART_DELAY_S, MAX_RESTART_DELAY_S)
     while True:
@@ -32,7 +38,7 @@
         try:
             await run()
         except Exception as error:
-            if anyio.current_time() - started_s > STEADY_AFTER_S:
+            if anyio.current_time() - started_s > STABLE_RUN_S:
                 backoff.reset()
             delay_s = backoff.next_delay_s()
             log.exception(
@@ -44,23 +50,24 @@
 
 
 class ConnectionServer:
-    """Accepts connections and serves each in a task of its own.
+    """Accepts connections and serves each in a separate task.
 
     Args:
-        name: of the server, for the log.
-        handle: serves one connection; what it raises ends that connection alone.
-        log: for failed accepts, once until one succeeds, and for faults in a connection.
+        name: Name of the server in the log.
+        handle: Serves one connection. An exception that it raises ends only that connection.
+        log: Logger for exceptions in a connection and for failed accepts. Of consecutive failed accepts only the first
+            is logged.
     """
 
     def __init__(self, name: str, handle: Callable[[SocketStream], Awaitable[None]], log: FilteringBoundLogger) -> None:
-        """Accept nothing before `serve`."""
+        """Initialize the server. It accepts no connections before `serve` is called."""
         self._name = name
         self._handle = handle
         self._log = log
-        self._accepting = True
+        self._last_accept_succeeded = True
 
     async def serve(self, listener: Listener[SocketStream], group: TaskGroup) -> None:
-        """Accept until cancelled; running out of descriptors neither ends nor spins the loop."""
+        """Accept connections until cancelled. A lack of file descriptors neither ends the loop nor makes it spin."""
         while True:
             try:
                 stream = await listener.accept()
@@ -68,16 +75,16 @@
                 self._accept_failed(error)
                 await anyio.sleep(ACCEPT_RETRY_DELAY_S)
             else:
-                self._accepting = True
-                group.start_soon(self._serve_one, stream)
+                self._last_accept_succeeded = True
+                group.start_soon(self._serve_connection, stream)
 
     def _accept_failed(self, error: Exception) -> None:
-        if self._accepting:
+        if self._last_accept_succeeded:
             reason = str(error.__cause__ or error)
-            self._log.warning("accept_failed", server=self._name, reason=reason, remedy="see the limit of open files")
-        self._accepting = False
+            self._log.warning("accept_failed", server=self._name, reason=reason, remedy="check the limit on open files")
+        self._last_accept_succeeded = False
 
-    async def _serve_one(self, stream: SocketStream) -> None:
+    async def _serve_connection(self, stream: SocketStream) -> None:
         try:
             await self._handle(stream)
         except Exception as error:
--- a/damsonpick/runtime/timeouts.py
+++ b/damsonpick/runtime/timeouts.py
@@ -1,7 +1,8 @@
-"""Timeouts that do not count the event loop's own lateness against the other side.
+"""Timeouts that do not fail an operation because the event loop itself is late.
 
-On a busy machine one turn of the loop can take longer than a timeout. What the timeout waits for may have happened long
-ago, and needs some turns more to be noticed; the timer that is due in the same turn would win each time.
+On a busy machine one iteration of the event loop can take longer than a timeout. The event that the operation waits for
+may have occurred long before, but the loop needs a few more iterations to process it. Without extra iterations the
+timer, which is due in the same iteration, would always expire first.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import anyio
 import anyio.lowlevel
 
-GRACE_TURNS = 10  # of the loop; more than a connect takes once the peer's answer is there
+GRACE_ITERATIONS = 10  # of the event loop; more than a connect needs once the answer of the peer has arrived
 
 Result = TypeVar("Result")
 
@@ -22,17 +23,17 @@
     operation: Callable[[], Awaitable[Result]],
     discard: Callable[[Result], Awaitable[None]],
 ) -> Result:
-    """Run an operation that is cancelled after a timeout and some more turns of the loop.
+    """Run an operation and cancel it after a timeout and `GRACE_ITERATIONS` further iterations of the event loop.
 
-    On a loop that is not late the turns take no time.
+    The further iterations take no time if the event loop is not late.
 
     Args:
-        timeout_s: seconds.
-        operation: what is to be done; what it raises is raised here.
-        discard: closes a result that nobody takes, as the caller was cancelled meanwhile.
+        timeout_s: Timeout in seconds.
+        operation: Operation to run. An exception that it raises is raised by this function.
+        discard: Closes the result of the operation if the caller was cancelled and cannot receive it.
 
     Raises:
-        TimeoutError: it has not ended by then.
+        TimeoutError: The operation did not end in time.
     """
     results: list[Result] = []
     errors: list[Exception] = []
@@ -50,7 +51,7 @@
             group.start_soon(run)
             with anyio.move_on_after(timeout_s):
                 await ended.wait()
-            for _ in range(GRACE_TURNS):
+            for _ in range(GRACE_ITERATIONS):
                 if ended.is_set():
                     break
                 await anyio.lowlevel.checkpoint()
