--- a/damsonpick/settings/__init__.py
+++ b/damsonpick/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the program: INI, read and checked whole before anything starts."""
+"""Settings of the program, read from an INI file and checked completely before any service starts."""
 
 from damsonpick.settings.load import load, read
 from damsonpick.settings.model import PilotSettings
--- a/damsonpick/settings/ini.py
+++ b/damsonpick/settings/ini.py
@@ -1,4 +1,4 @@
-"""Reads INI files."""
+"""Parses INI files and reports why a file cannot be used."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 def parse(path: Path) -> configparser.ConfigParser:
-    """The sections of an INI file. Keys are case-sensitive; `#` and `;` begin comments.
+    """Return the sections of an INI file. Keys are case-sensitive; `#` and `;` start comments.
 
     Raises:
-        SettingsError: the file cannot be read, or is no INI file; the problem names the line.
+        SettingsError: The file cannot be read or is not an INI file. The problem names the line.
     """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     parser.optionxform = str
     try:
         parser.read_string(path.read_text(encoding="utf-8"), source=str(path))
     except (OSError, UnicodeDecodeError) as error:
-        remedy = f"cannot be read ({error}); give a text file in UTF-8 that this user may read"
+        remedy = f"cannot be read ({error}); provide a UTF-8 text file that this user may read"
         raise SettingsError(path, [Problem("file", "", "", remedy)]) from None
     except configparser.Error as error:
         text = " ".join(str(error).split())
-        remedy = f"{text}; write [section] lines and key = value lines, each name once"
+        remedy = f"{text}; write [section] lines and key = value lines, and use each name once"
         raise SettingsError(path, [Problem("file", "", "", remedy)]) from None
     return parser
--- a/damsonpick/settings/load.py
+++ b/damsonpick/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads an INI file into `PilotSettings` and says everything that is wrong with it at once."""
+"""Reads an INI file into `PilotSettings` and reports all of its problems at once."""
 
 from __future__ import annotations
 
@@ -26,22 +26,23 @@
     "sasp",
     "log",
 )
-# Sections that carry a name of their own, as in [class page], by their first words: the key of `PilotSettings` that
-# collects them, and what each becomes.
+# Sections with a name, such as [class page], by the words before the name. The value holds the key of `PilotSettings`
+# that collects the sections, and the model of one section.
 NAMED_SECTIONS: dict[str, tuple[str, type[BaseModel]]] = {
     "class": ("classes", model.RequestClass),
     "list": ("lists", model.ListSource),
     "sasp group": ("sasp_groups", model.SaspGroup),
     "sasp balancer": ("sasp_balancers", model.SaspBalancer),
 }
-OWN_VERBS = ("is ", "has ", "names ")  # with which the messages of `units` begin; pydantic's do not
+# Each message of `units` starts with one of these words; no message of pydantic does.
+OWN_MESSAGE_PREFIXES = ("is ", "has ", "names ")
 
 
 def load(path: Path) -> model.PilotSettings:
-    """Settings of a pilot. Paths inside are taken from the file's own folder.
+    """Return the settings of a pilot. Paths in the file are relative to the folder of the file.
 
     Raises:
-        SettingsError: with every problem of the file, each with its section, key, value and remedy.
+        SettingsError: The file has problems. The error holds all of them, each with section, key, value and remedy.
     """
     settings, problems = read(path)
     if settings is None:
@@ -50,7 +51,7 @@
 
 
 def read(path: Path) -> tuple[model.PilotSettings | None, list[Problem]]:
-    """Settings, or (None and) every problem found. Paths inside are taken from the file's own folder."""
+    """Return the settings, or None and all problems. Paths in the file are relative to the folder of the file."""
     try:
         parser = parse(path)
     except SettingsError as error:
@@ -67,7 +68,7 @@
 
 
 def _collect(parser: configparser.ConfigParser) -> tuple[dict[str, dict[str, Any]], list[Problem]]:
-    """The file's sections as `PilotSettings` expects them, and sections that there are not."""
+    """Return the sections of the file in the form that `PilotSettings` expects, and a problem per unknown section."""
     raw: dict[str, dict[str, Any]] = {collection: {} for collection, _ in NAMED_SECTIONS.values()}
     problems: list[Problem] = []
     for section in parser.sections():
@@ -80,12 +81,12 @@
         else:
             problems.append(_unknown_section(section))
     if not raw["classes"]:
-        problems.append(Problem("class NAME", "", "", "is missing; add a section for each class of request"))
+        problems.append(Problem("class NAME", "", "", "is missing; add a section for each request class"))
     return raw, problems
 
 
 def _named_prefix(section: str) -> str | None:
-    """The first words of a section that carries a name; None: it carries none."""
+    """Return the words before the name of a named section, or None if the section is not a named one."""
     for prefix in NAMED_SECTIONS:
         if section.startswith(f"{prefix} ") and section[len(prefix) :].strip():
             return prefix
@@ -94,27 +95,29 @@
 
 def _unknown_section(section: str) -> Problem:
     known = [f"[{name}]" for name in SINGLE_SECTIONS] + [f"[{prefix} NAME]" for prefix in NAMED_SECTIONS]
-    return Problem(section, "", "", "is no section; the sections are " + ", ".join(known))
+    return Problem(section, "", "", "is not a known section; the sections are " + ", ".join(known))
 
 
 def _describe(details: Any) -> Problem:
-    """One of pydantic's error details in the words of the file."""
-    section, key = _place(details["loc"])
+    """Return the problem for one of pydantic's error details, with the section and key of the file."""
+    section, key = _section_and_key(details["loc"])
     value = details.get("input")
     if details["type"] == "missing":
         if key:
-            return Problem(section, key, "", "is missing; add the key, see docs/operators/running.md")
+            return Problem(section, key, "", "is missing; add the key (see docs/operators/running.md)")
         return Problem(section, "", "", "is missing; add the section")
     if details["type"] == "extra_forbidden":
-        return Problem(section, key, str(value), "is no key of this section; it has " + ", ".join(_keys(section)))
+        return Problem(
+            section, key, str(value), "is not a key of this section; it has " + ", ".join(_section_keys(section))
+        )
     text = details["msg"].removeprefix("Value error, ")
-    if not text.startswith(OWN_VERBS):
-        text = f"is wrong: {text[0].lower()}{text[1:]}; correct the value"
+    if not text.startswith(OWN_MESSAGE_PREFIXES):
+        text = f"is invalid: {text[0].lower()}{text[1:]}; correct the value"
     return Problem(section, key, "" if isinstance(value, dict) else str(value), text)
 
 
-def _place(location: tuple[int | str, ...]) -> tuple[str, str]:
-    """Section and key of an error's location, which begins with a key of `PilotSettings`."""
+def _section_and_key(location: tuple[int | str, ...]) -> tuple[str, str]:
+    """Return the section and the key for the location of an error, which starts with a key of `PilotSettings`."""
     first, *rest = [str(part) for part in location]
     for prefix, (collection, _) in NAMED_SECTIONS.items():
         if first == collection:
@@ -123,8 +126,8 @@
     return first, ".".join(rest)
 
 
-def _keys(section: str) -> list[str]:
-    """The keys that a section may have."""
+def _section_keys(section: str) -> list[str]:
+    """Return the keys that a section may have."""
     prefix = _named_prefix(section)
     if prefix is not None:
         _, section_model = NAMED_SECTIONS[prefix]
@@ -136,7 +139,7 @@
 
 
 def _with_absolute_paths(settings: model.PilotSettings, folder: Path) -> model.PilotSettings:
-    """Settings whose paths do not depend on the process's working folder."""
+    """Return the settings with paths that do not depend on the working folder of the process."""
 
     def resolve(source: model.ListSource) -> model.ListSource:
         return source.model_copy(update={"file": folder / source.file if source.file else None})
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -1,7 +1,7 @@
-"""What a pilot is told at its start, section by section. Facts of a deployment only.
+"""Models of a pilot's settings, one per section of the file. The settings describe facts of a deployment only.
 
-Fields are named in the terms of the code; an alias is the key in the file, where it differs. Durations are integer
-nanoseconds of the pilot's clock, whatever unit the file uses.
+Field names are the terms of the code. An alias is the key in the file, where it differs from the field name. Durations
+are integer nanoseconds of the pilot's clock, regardless of the unit in the file.
 """
 
 from __future__ import annotations
@@ -18,84 +18,86 @@
 SECOND = 1_000 * MS
 MINUTE = 60 * SECOND
 DAY = 24 * 60 * MINUTE
-NEVER_FULL = 1e12  # table entries: rate and limit of an unlimited channel
+UNLIMITED_ENTRIES = 1e12  # rate (table entries per second) and limit (table entries) of an unlimited channel
 
-SaspRights = Literal["refuse", "read", "register", "state"]  # each includes those before it
+SaspRights = Literal["refuse", "read", "register", "state"]  # each right includes the rights before it
 
 
 class Section(BaseModel):
-    """One section of the file; unknown keys are refused."""
+    """Base of all sections of the file. Unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 def keys_of(section: type[BaseModel]) -> list[str]:
-    """The keys of a section as the file has them."""
+    """Return the keys of a section as they appear in the file."""
     return [field.alias or name for name, field in section.model_fields.items()]
 
 
 class Pilot(Section):
-    """[pilot]: who this pilot is and where it keeps its state."""
+    """[pilot]: Identity of this pilot and the folder of its state."""
 
     name: str = Field("pilot-0", min_length=1)
     zone: str
     zones: Names
     state: Path  # folder for the store and the control socket
     seed: int = Field(1, ge=0)
-    clock_rate: float = Field(1.0, gt=0, le=100)  # seconds of the pilot's clock to one of the wall: rehearsals
+    clock_rate: float = Field(1.0, gt=0, le=100)  # seconds of the pilot's clock per second of wall time, for rehearsals
 
 
 class Listen(Section):
-    """[listen]: where gateways find the pilot."""
+    """[listen]: Address at which gateways connect to the pilot."""
 
     xds: Address = "127.0.0.1:0"
-    largest_request: int = Field(1_048_576, ge=4096)  # bytes; a larger one ends its stream
+    largest_request: int = Field(1_048_576, ge=4096)  # bytes; a larger request ends its stream
 
 
 class Tables(Section):
-    """[tables]: how keys are cut into slices and how gateways choose from a table."""
+    """[tables]: How keys are divided into slices and how gateways choose an endpoint from a table."""
 
-    slices: int = Field(ge=0, le=65_000)  # 0: no slices, a table for each zone of gateways and class
+    slices: int = Field(ge=0, le=65_000)  # 0 for no slices and one table per zone of gateways and request class
     balancing_policy: Literal["pair", "wheel", "lottery"] = Field("pair", alias="pick")
     sole_owner: bool = False
     admission: Literal["ratio", "none"] = "ratio"
-    attempt_timeout_objectives: float = Field(1.2, gt=0, alias="try_aims")  # of a retryable attempt, in objectives
-    ejection_failures: int = Field(5, ge=0, alias="strikes")  # in a row, seen by one gateway; 0: it never ejects
+    # Timeout of a retryable attempt, as a multiple of the latency objective.
+    attempt_timeout_objectives: float = Field(1.2, gt=0, alias="try_aims")
+    # Consecutive failures, seen by one gateway, after which it ejects a server. If 0, it never ejects one.
+    ejection_failures: int = Field(5, ge=0, alias="strikes")
 
 
 class Rules(Section):
-    """[rules]: the figures behind the five rules."""
+    """[rules]: Parameters of the five rules."""
 
     drain_grace: Duration
-    empty_table_limit: Duration = Field(alias="bare_limit")  # that a slice may be without an endpoint
+    empty_table_limit: Duration = Field(alias="bare_limit")  # longest time that a slice may be without an endpoint
     cold_capacity_share: float = Field(gt=0, le=1, alias="cold_share")
     warm_up_time: Duration = Field(alias="cold_time")
-    overload_multiple: float = Field(gt=1, alias="fall_multiple")  # of its capacity; a server under more fails
-    overload_time: Duration = Field(alias="fall_time")  # after which it fails
+    overload_multiple: float = Field(gt=1, alias="fall_multiple")  # load, in capacities, above which a server fails
+    overload_time: Duration = Field(alias="fall_time")  # time of such overload after which the server fails
     write_linger: Duration = 20 * MS
     write_lease: Duration = 800 * MS
 
 
 class ChannelBudget(Section):
-    """[channel]: what the way to the gateways carries, in table entries ("lines"). 0 a second: unlimited."""
+    """[channel]: Budget of the channel to the gateways, in table entries ("lines"). A rate of 0 is unlimited."""
 
     lines_per_second: float = Field(ge=0)
-    limit: float = Field(gt=0)  # entries that may wait
+    limit: float = Field(gt=0)  # most entries that may wait to be sent
     message_overhead: float = Field(8, ge=0, alias="head")  # entries added to each message
-    messages_per_window: int = Field(0, ge=0, alias="messages")  # to one gateway; 0: unlimited
+    messages_per_window: int = Field(0, ge=0, alias="messages")  # to one gateway; 0 for no limit
     message_window: Duration = Field(10 * SECOND, alias="window")
     max_transit: Duration = Field(500 * MS, alias="transit_most")
 
 
 class Reports(Section):
-    """[reports]: load reports of the gateways."""
+    """[reports]: Load reports of the gateways."""
 
     period: Duration = Field(1 * SECOND, alias="every")
-    max_age: Duration = Field(15 * SECOND, alias="oldest")  # a report that covers more, or comes later, is dropped
+    max_age: Duration = Field(15 * SECOND, alias="oldest")  # reports that cover more time or arrive later are dropped
 
 
 class ListSource(Section):
-    """[list] and [list NAME]: where the endpoint list comes from."""
+    """[list] and [list NAME]: A source of the endpoint list."""
 
     source: Literal["file", "eds"]
     file: Path | None = None
@@ -105,73 +107,77 @@
 
 
 class Solver(Section):
-    """[solver]: weights solved under capacity and cost. Costs are priority weight for each core-second of work."""
+    """[solver]: Weights computed under capacity and cost. Costs are in priority weight per core-second of work."""
 
     period: Duration = Field(2 * SECOND, alias="every")
     time_limit: Duration = 1 * SECOND
-    solve_entries: bool = Field(False, alias="lines")  # also weigh the entries of slices with several endpoints
-    advise_capacity: bool = Field(False, alias="levels")  # also tell the planner what load the fleet bears
+    solve_entries: bool = Field(False, alias="lines")  # also compute weights for slices with several endpoints
+    advise_capacity: bool = Field(False, alias="levels")  # also notify the planner of the load that the fleet sustains
     cross_zone_cost: float = Field(0.02, ge=0, alias="cross")
-    zone_pair_costs: ZonePairCosts = Field((), alias="pairs")  # in place of it: from>to cost, ...
+    zone_pair_costs: ZonePairCosts = Field((), alias="pairs")  # from>to cost, ...; used instead of `cross_zone_cost`
     move_cost: float = Field(0.05, ge=0, alias="move")
-    min_share: float = Field(0.1, ge=0, le=0.5, alias="least")  # of an even share, kept by every server
-    max_move_share: float = Field(0.2, gt=0, le=1, alias="bound")  # of all work, in one plan
-    headroom: float = Field(0.1, ge=0, le=1, alias="margin")  # part of demand for which capacity is kept free
-    demand_spread: float = Field(0.35, ge=0, lt=1, alias="spread")  # how far a zone's demand may be from its estimate
+    min_share: float = Field(0.1, ge=0, le=0.5, alias="least")  # fraction of an even share that every server keeps
+    max_move_share: float = Field(0.2, gt=0, le=1, alias="bound")  # largest share of all work that one plan may move
+    headroom: float = Field(0.1, ge=0, le=1, alias="margin")  # share of the demand for which capacity is kept free
+    # Largest deviation of a zone's demand from its estimate, as a share of the estimate.
+    demand_spread: float = Field(0.35, ge=0, lt=1, alias="spread")
 
 
 class Versions(Section):
-    """[versions]: the history of the tables and rollback."""
+    """[versions]: History of the tables, and rollback."""
 
     max_count: int = Field(10_000, ge=2, alias="keep")
     max_age: Duration = Field(7 * DAY, alias="age")
-    pin_time: Duration = Field(10 * MINUTE, alias="pin")  # that a rollback pins tables, if the operator names no time
-    stop_share: float = Field(0.5, gt=0, le=1, alias="stop")  # of gateways that reject a resource: it goes no further
+    # How long a rollback pins the tables if the operator specifies no time.
+    pin_time: Duration = Field(10 * MINUTE, alias="pin")
+    # Share of the gateways that must reject a resource before its rollout stops.
+    stop_share: float = Field(0.5, gt=0, le=1, alias="stop")
 
 
 class LearnedState(Section):
-    """[knowledge]: what is kept over a restart of what the pilot learns."""
+    """[knowledge]: Learned state that the pilot keeps across a restart."""
 
     enabled: bool = Field(True, alias="keep")
-    period: Duration = Field(2 * SECOND, alias="every")  # between snapshots
+    period: Duration = Field(2 * SECOND, alias="every")  # time between snapshots
 
 
 class SaspServer(Section):
-    """[sasp]: the server for balancers that speak RFC 4678."""
+    """[sasp]: The server for balancers that use SASP (RFC 4678)."""
 
-    listen: Address | None = None  # no address: no such server
-    default_rights: SaspRights = Field("register", alias="unknown")  # of balancers that are not named
-    default_coverage: Literal["fleet", "refuse"] = Field("fleet", alias="unmapped")  # of groups that are not named
-    sessions: int = Field(100, ge=1)  # from one address
-    groups: int = Field(2000, ge=1)  # of one balancer
-    members: int = Field(1000, ge=1)  # of one group
-    messages_per_second: float = Field(50, gt=0, alias="messages")  # of one session
-    send_timeout: Duration = Field(10 * SECOND, alias="patience")  # after which the session is ended
-    members_as_list: bool = Field(False, alias="feed")  # quiesced members drain; members are the last list source
+    listen: Address | None = None  # without an address the server is off
+    default_rights: SaspRights = Field("register", alias="unknown")  # rights of balancers without a section
+    default_coverage: Literal["fleet", "refuse"] = Field("fleet", alias="unmapped")  # for groups without a section
+    sessions: int = Field(100, ge=1)  # most sessions from one address
+    groups: int = Field(2000, ge=1)  # most groups of one balancer
+    members: int = Field(1000, ge=1)  # most members of one group
+    messages_per_second: float = Field(50, gt=0, alias="messages")  # highest rate of one session
+    send_timeout: Duration = Field(10 * SECOND, alias="patience")  # time after which the session is ended
+    # Use the members as the last list source. Quiesced members drain.
+    members_as_list: bool = Field(False, alias="feed")
 
 
 class SaspGroup(Section):
-    """[sasp group NAME]: what a group stands for."""
+    """[sasp group NAME]: The tables that a group covers."""
 
     covers: Coverage = "fleet"
 
 
 class SaspBalancer(Section):
-    """[sasp balancer UID]: what one balancer may do."""
+    """[sasp balancer UID]: Rights and zone of one balancer."""
 
     rights: SaspRights = Field("register", alias="may")
-    zone: str = ""  # where it stands; empty: the pilot's
+    zone: str = ""  # zone of the balancer; empty for the zone of the pilot
 
 
 class Logs(Section):
-    """[log]: structured logs on standard error."""
+    """[log]: Structured logs on standard error."""
 
     format: Literal["console", "json"] = "console"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class RequestClass(Section):
-    """[class NAME]: one kind of request and what it is worth."""
+    """[class NAME]: A request class, its latency objective and its priority weight."""
 
     latency_objective: Duration = Field(alias="aim")
     deadline: Duration
@@ -180,13 +186,13 @@
     key_scope: api.KeyScope = "all"
     key_window: Duration = 0
     writes: bool = False
-    mean_work: Duration = Field(0, alias="work")  # core time at speed 1; the solver needs it
-    late_weight: float = Field(0.1, ge=0, alias="late_worth")  # of an answer after the objective
-    own_zone_only: bool = Field(False, alias="own_zone")  # may go only to servers in the gateway's zone
+    mean_work: Duration = Field(0, alias="work")  # mean core time of a request at speed 1; the solver needs it
+    late_weight: float = Field(0.1, ge=0, alias="late_worth")  # weight of a response after the latency objective
+    own_zone_only: bool = Field(False, alias="own_zone")  # send requests only to servers in the zone of the gateway
 
 
 class PilotSettings(Section):
-    """All settings of a pilot. The aliases are sections of the file, or collect those that carry a name."""
+    """All settings of a pilot. An alias is a section of the file, or the collection of all named sections of a kind."""
 
     pilot: Pilot
     listen: Listen = Listen()
@@ -195,7 +201,7 @@
     channel: ChannelBudget
     reports: Reports = Reports()
     list_source: ListSource = Field(alias="list")
-    fallback_sources: dict[str, ListSource] = Field({}, alias="lists")  # asked after `list_source`, in this order
+    fallback_sources: dict[str, ListSource] = Field({}, alias="lists")  # used after `list_source`, in this order
     solver: Solver = Solver()
     versions: Versions = Versions()
     learned_state: LearnedState = Field(LearnedState(), alias="knowledge")
@@ -207,31 +213,31 @@
 
     @property
     def solved(self) -> bool:
-        """Whether the solver has anything to do."""
+        """Return whether the solver has anything to compute."""
         return not self.tables.slices or self.solver.solve_entries or self.solver.advise_capacity
 
     def table_count(self) -> int:
-        """Tables published: slices, or one for each zone and class."""
+        """Return the number of published tables: the number of slices, or one table per zone and request class."""
         return self.tables.slices or len(self.pilot.zones) * len(self.classes)
 
     def store_path(self) -> Path:
-        """The database of tables and the endpoint list."""
+        """Return the path of the database of the tables and the endpoint list."""
         return self.pilot.state / "tables.db"
 
     def history_path(self) -> Path:
-        """The database of former versions."""
+        """Return the path of the database of earlier versions."""
         return self.pilot.state / "versions.db"
 
     def learned_path(self) -> Path:
-        """The folder of snapshots of learned state."""
+        """Return the path of the folder of snapshots of learned state."""
         return self.pilot.state / "knowledge"
 
     def control_path(self) -> Path:
-        """The socket for the command line."""
+        """Return the path of the control socket, which the command line connects to."""
         return self.pilot.state / "control.sock"
 
     def planner(self, instances: int = 1, instance: int = 0, proxies: int = 0) -> api.Settings:
-        """The planner's own settings. An unlimited channel is handed over as one that never fills."""
+        """Return the settings of the planner. An unlimited channel becomes one with a limit that is never reached."""
         channel, rules = self.channel, self.rules
         unlimited = channel.lines_per_second == 0
         return api.Settings(
@@ -245,8 +251,8 @@
             admission=self.tables.admission,
             list_on_request=False,
             poll_interval=0,
-            channel_rate=NEVER_FULL if unlimited else channel.lines_per_second,
-            channel_limit=NEVER_FULL if unlimited else channel.limit,
+            channel_rate=UNLIMITED_ENTRIES if unlimited else channel.lines_per_second,
+            channel_limit=UNLIMITED_ENTRIES if unlimited else channel.limit,
             message_overhead=channel.message_overhead,
             messages_per_window=channel.messages_per_window,
             message_window=channel.message_window,
--- a/damsonpick/settings/problems.py
+++ b/damsonpick/settings/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file, for the operator who has to correct it."""
+"""Problems of a settings file, reported to the operator who has to correct it."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Problem(NamedTuple):
-    """One thing that is wrong."""
+    """One problem of a settings file."""
 
     section: str
-    key: str  # '': the section itself
-    value: str  # as written; '': none is
-    remedy: str  # what is wrong with it and what to do
+    key: str  # empty if the problem concerns the section itself
+    value: str  # as written in the file; empty if there is no value
+    remedy: str  # what is wrong and how to correct it
 
     def __str__(self) -> str:
-        """One line: section, key, value and remedy."""
+        """Return one line with section, key, value and remedy."""
         place = f"[{self.section}]"
         if self.key:
             place += f" {self.key}"
@@ -26,10 +26,10 @@
 
 
 class SettingsError(Exception):
-    """A settings file cannot be used; `problems` holds everything that is wrong with it."""
+    """Raised when a settings file cannot be used. `problems` holds all problems, which the operator must correct."""
 
     def __init__(self, path: Path, problems: Sequence[Problem]) -> None:
-        """The problems found in the file `path`."""
+        """Build the message from the problems found in the file `path`, one line per problem."""
         self.path = path
         self.problems = list(problems)
         super().__init__("\n".join(f"{path}: {problem}" for problem in problems))
--- a/damsonpick/settings/sections.py
+++ b/damsonpick/settings/sections.py
@@ -1,4 +1,7 @@
-"""An INI file into one pydantic model, with every problem of the file at once: for programs other than the pilot."""
+"""Reads an INI file into a pydantic model and reports all problems of the file at once.
+
+Programs other than the pilot use this module.
+"""
 
 from __future__ import annotations
 
@@ -18,21 +21,22 @@
 def read(
     path: Path, model: type[Model], single: tuple[str, ...], named: Mapping[str, str], whole: str = ""
 ) -> tuple[Model, list[Problem]]:
-    """The model and what is wrong beside it, for the caller to add to.
+    """Return the model, and a list of the other problems, to which the caller may add.
 
     Args:
-        path: the INI file.
-        model: what the file becomes.
-        single: sections that stand once and are fields of their name.
-        named: first word of sections with a name, to the field that collects them: {"class": "classes"}.
-        whole: a field that collects the sections of `single` that are no fields, as they stand; or none.
+        path: Path of the INI file.
+        model: Model of the file.
+        single: Sections that occur once. Each is a field of the same name, unless `whole` collects it.
+        named: Field that collects the named sections of a kind, by the first word of the section:
+            {"class": "classes"}.
+        whole: Field that collects, unchanged, the sections of `single` that are not fields. Empty if there is none.
 
     Raises:
-        SettingsError: the file cannot be parsed or does not fit the model.
+        SettingsError: The file cannot be parsed or does not fit the model.
     """
     raw, problems = _collect(parse(path), model, single, named, whole)
     if "classes" in raw and not raw["classes"]:
-        problems.append(Problem("class NAME", "", "", "is missing; add a section for each class of request"))
+        problems.append(Problem("class NAME", "", "", "is missing; add a section for each request class"))
     first_words = {field: word for word, field in named.items()}
     try:
         return model.model_validate(raw), problems
@@ -48,7 +52,7 @@
     named: Mapping[str, str],
     whole: str,
 ) -> tuple[dict[str, Any], list[Problem]]:
-    """The file's sections as the model expects them, and sections that there are not."""
+    """Return the sections of the file in the form that the model expects, and a problem per unknown section."""
     raw: dict[str, Any] = {field: {} for field in named.values()}
     if whole:
         raw[whole] = {}
@@ -63,17 +67,17 @@
             raw[named[first_word]][name.strip()] = dict(parser[section])
         else:
             known = [f"[{section}]" for section in single] + [f"[{word} NAME]" for word in named]
-            problems.append(Problem(section, "", "", "is no section here; there are " + ", ".join(known)))
+            problems.append(Problem(section, "", "", "is not a known section; the sections are " + ", ".join(known)))
     return raw, problems
 
 
 def _describe(details: Any, first_words: Mapping[str, str]) -> Problem:
-    """One of pydantic's error details in the words of the file."""
-    place = [str(part) for part in details["loc"]]
-    if place[0] in first_words and len(place) > 1:
-        place = [f"{first_words[place[0]]} {place[1]}", *place[2:]]
-    section, key = place[0], ".".join(place[1:])
+    """Return the problem for one of pydantic's error details, with the section and key of the file."""
+    location = [str(part) for part in details["loc"]]
+    if location[0] in first_words and len(location) > 1:
+        location = [f"{first_words[location[0]]} {location[1]}", *location[2:]]
+    section, key = location[0], ".".join(location[1:])
     value = details.get("input")
     text = details["msg"].removeprefix("Value error, ")
-    remedy = f"is wrong: {text[0].lower()}{text[1:]}; correct it"
+    remedy = f"is invalid: {text[0].lower()}{text[1:]}; correct the value"
     return Problem(section, key, "" if isinstance(value, dict) else str(value), remedy)
--- a/damsonpick/settings/units.py
+++ b/damsonpick/settings/units.py
@@ -1,7 +1,7 @@
-"""Values as operators write them: durations with a unit, addresses, lists.
+"""Parses values of a settings file: durations with a unit, addresses and lists.
 
-Each parser takes the text of a value, or a value that was parsed before, and raises ValueError with what is wrong with
-it and what to write instead (`value_errors`).
+Each parser accepts the text of a value or a value that is already parsed. It raises a ValueError of `value_errors`,
+whose message describes the problem and the correct form.
 """
 
 from __future__ import annotations
@@ -33,7 +33,10 @@
 
 
 def parse_duration(text: object) -> int:
-    """Nanoseconds from '2.2 s', '250 ms', '15 min'. A bare number is refused: its unit would be a guess."""
+    """Return the nanoseconds of a duration such as '2.2 s', '250 ms' or '15 min'.
+
+    A number without a unit is rejected, because its unit would be a guess.
+    """
     if isinstance(text, int) and not isinstance(text, bool):
         return text
     match = _DURATION.match(str(text).strip())
@@ -43,7 +46,7 @@
 
 
 def parse_address(text: object) -> str:
-    """'127.0.0.1:18000' or '[::1]:18000'; port 0 lets the system choose. Loopback only."""
+    """Return a loopback address such as '127.0.0.1:18000' or '[::1]:18000'. With port 0 the system chooses the port."""
     stripped = str(text).strip()
     host, _, port = stripped.rpartition(":")
     try:
@@ -58,7 +61,7 @@
 
 
 def parse_names(text: object) -> tuple[str, ...]:
-    """A comma-separated list without repeats."""
+    """Return the names of a comma-separated list without repeated names."""
     names = tuple(text) if isinstance(text, tuple | list) else _split(text)
     if len(set(names)) != len(names):
         raise RepeatedNameError
@@ -68,7 +71,7 @@
 
 
 def parse_zone_pair_costs(text: object) -> tuple[ZonePairCost, ...]:
-    """'north>south 0.05, south>north 0.02': a cost for each ordered pair of zones."""
+    """Return the cost of each ordered pair of zones in a text such as 'north>south 0.05, south>north 0.02'."""
     if isinstance(text, tuple):
         return text
     costs = []
@@ -81,7 +84,7 @@
 
 
 def parse_coverage(text: object) -> str:
-    """'fleet', 'class NAME' or 'slices 0-9, 12', with single spaces."""
+    """Return a coverage ('fleet', 'class NAME' or 'slices 0-9, 12') with single spaces."""
     coverage = " ".join(str(text).split())
     kind, _, rest = coverage.partition(" ")
     if coverage == "fleet" or (kind == "class" and rest):
@@ -97,7 +100,7 @@
 
 
 def slice_numbers(coverage: str) -> list[int]:
-    """The slices of a checked coverage such as 'slices 0-9, 12'."""
+    """Return the slices of a coverage such as 'slices 0-9, 12' that `parse_coverage` returned."""
     numbers: list[int] = []
     for part in coverage.partition(" ")[2].split(","):
         low, _, high = part.strip().partition("-")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -41,7 +41,7 @@
     found = problems(tmp_path, bad)
     text = "\n".join(found)
     for part in (
-        "[lsit]: is no section",
+        "[lsit]: is not a known section",
         "[rules] drain_grace = 'two'",
         "[channel] limit = '-1'",
         "[class page] deadlin",
@@ -56,11 +56,11 @@
     ("old", "new", "part"),
     [
         ("zone = a\n", "zone = q\n", "[pilot] zone = 'q': is not among zones"),
-        ("aim = 1.5 s", "aim = 9 s", "is before the aim"),
+        ("aim = 1.5 s", "aim = 9 s", "is shorter than aim"),
         ("file = servers.ini", "", "[list] file: is missing"),
         ("source = file", "source = eds", "[list] upstream: is missing"),
         ("effect = non_idempotent", "effect = idempotency_key", "key_window: is missing"),
-        ("zones = a, b", "zones = a, a", "names one thing twice"),
+        ("zones = a, b", "zones = a, a", "names an item twice"),
         ("[tables]", "[listen]\nxds = 10.0.0.1:80\n[tables]", "is not a loopback address"),
         ("[tables]", "[tables]\n[tables]", "already exists"),
         ("slices = 6", "slices = 6\nslices = 7", "already exists"),
@@ -100,7 +100,7 @@
     path.write_text("[day]\nlength = 10\n[class page]\naim = 1 s\n[trouble x]\nkind = plague\nat = 1 s\n[odd]\n")
     with pytest.raises(SettingsError) as error:
         script.load(path)
-    for part in ("[day] length", "[class page] deadline", "[trouble x] kind", "[odd]: is no section"):
+    for part in ("[day] length", "[class page] deadline", "[trouble x] kind", "[odd]: is not a known section"):
         assert part in str(error.value)
 
 
@@ -134,4 +134,4 @@
 @pytest.mark.parametrize("key", ["latency_objective = 1 s", "priority_weight = 2"])
 def test_names_of_fields_are_no_keys_of_the_file(tmp_path, key):
     found = problems(tmp_path, GOOD.replace("aim = 1.5 s", f"aim = 1.5 s\n{key}", 1))
-    assert len(found) == 1 and "is no key of this section; it has aim, deadline, worth" in found[0]
+    assert len(found) == 1 and "is not a key of this section; it has aim, deadline, worth" in found[0]
