--- a/damsonpick/__init__.py
+++ b/damsonpick/__init__.py
@@ -1,1 +1,1 @@
-"""damsonpick: a central planner behind a layer of plain proxies."""
+"""damsonpick: a central planner for a layer of plain proxies."""
--- a/damsonpick/__main__.py
+++ b/damsonpick/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m damsonpick`: the command line."""
+"""`python -m damsonpick`: runs the command line."""
 
 from damsonpick.cli.main import main
 
--- a/damsonpick/edge.py
+++ b/damsonpick/edge.py
@@ -1,4 +1,4 @@
-"""`python -m damsonpick.edge`: the platform's pilot under the name that the deploy file and the README give it."""
+"""`python -m damsonpick.edge`: runs the platform's pilot under the name that the deploy file and the README use."""
 
 import sys
 
--- a/damsonpick/protocols/__init__.py
+++ b/damsonpick/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""One package per protocol; none imports another. `shared` holds what several of them use."""
+"""One package per protocol. No protocol imports another. `shared` holds the code that several protocols use."""
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -1,4 +1,4 @@
-"""The endpoint list as a watched INI file: the default list source.
+"""Reads the endpoint list from an INI file and watches the file. This is the default list source.
 
     [server 127.0.0.1:9001]
     zone = north
@@ -6,7 +6,8 @@
     weight = 6
     started = 0
 
-`started` is the wall-clock time of the last start in nanoseconds since 1970; 0 or absent: long ago.
+`started` is the wall-clock time of the last start in nanoseconds since 1970. If it is 0 or absent, the server started
+long ago.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from damsonpick.state.endpoint_list.sources import ListError
 from damsonpick.state.endpoint_list.validation import STATES_BY_SAFETY
 
-SECTION_KIND = "server"  # first word of a section's name; the endpoint follows
+SECTION_KIND = "server"  # first word of a section name, which the endpoint follows
 KEYS = ("zone", "state", "weight", "started")
 DEFAULT_STATE, DEFAULT_WEIGHT, DEFAULT_STARTED = "in_service", "1", "0"
 
@@ -31,41 +32,42 @@
 
 
 class ListFileError(ListError):
-    """A list file cannot be used.
+    """Raised when a list file cannot be used.
 
     Attributes:
-        place: the file, or a section of it.
-        problem: what is wrong there, and the remedy.
+        place: Name of the file, or of the file and a section.
+        problem: Problem at that place, and the remedy.
     """
 
     def __init__(self, place: str, problem: str) -> None:
-        """Put place and problem into one text."""
+        """Build the message from the place and the problem."""
         super().__init__(f"{place} {problem}")
         self.place = place
         self.problem = problem
 
 
 def parse(text: str, name: str = "list") -> list[api.EndpointEntry]:
-    """All entries of a list file.
+    """Return all entries of a list file.
 
     Args:
-        text: contents of the file.
-        name: of the file, for errors.
+        text: Contents of the file.
+        name: Name of the file, for error messages.
 
     Raises:
-        ListFileError: the first thing wrong. No entry is used then, as half a list would be a smaller fleet.
+        ListFileError: The file has an error; the first one is reported. No entry is used then, because an incomplete
+            list would mean a smaller fleet.
     """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     try:
         parser.read_string(text, source=name)
     except configparser.Error as error:
         problem = " ".join(str(error).split())
-        raise ListFileError(f"{name}:", f"{problem}; write [server IP:PORT] sections, each once") from None
+        raise ListFileError(f"{name}:", f"{problem}; write [server IP:PORT] sections, each server once") from None
     return [_entry(f"{name}: [{section}]", section, parser[section]) for section in parser.sections()]
 
 
 def _entry(place: str, section: str, values: configparser.SectionProxy) -> api.EndpointEntry:
-    """The entry of one section; `place` names file and section in errors."""
+    """Return the entry of a section. `place` names the file and the section in errors."""
     kind, _, endpoint = section.partition(" ")
     if kind != SECTION_KIND:
         raise ListFileError(place, "is no section of a list; write [server IP:PORT]")
@@ -80,7 +82,7 @@
     if state not in STATES_BY_SAFETY:
         raise ListFileError(place, f"state = {state!r}: write one of {', '.join(STATES_BY_SAFETY)}")
     if "zone" not in values:
-        raise ListFileError(place, "zone is missing; name the building the server stands in")
+        raise ListFileError(place, "zone is missing; give the zone of the server")
     weight = _number(place, values, "weight", DEFAULT_WEIGHT, float)
     started = _number(place, values, "started", DEFAULT_STARTED, int)
     return api.EndpointEntry(endpoint, values["zone"], state, weight, started)
@@ -96,7 +98,7 @@
 
 
 def render(entries: list[api.EndpointEntry]) -> str:
-    """The text of a list file; `parse` gives the entries again."""
+    """Return the text of a list file, from which `parse` returns the same entries."""
     return "".join(_render_entry(entry) for entry in entries)
 
 
@@ -111,11 +113,12 @@
 
 
 class _FileContent(NamedTuple):
-    """One look at a list file.
+    """Result of one read of a list file.
 
     Attributes:
-        text: by which a change is noticed; an error in reading stands for it.
-        result: what the text says.
+        text: Text of the file, which is compared to detect a change. If the file cannot be read, the read error is
+            stored instead.
+        result: Entries of the file, or the error.
     """
 
     text: str
@@ -123,20 +126,20 @@
 
 
 class FileSource:
-    """Gives whole lists as the file changes; a file that cannot be used is reported once and skipped.
+    """Provides the complete list each time the file changes. An unusable file is reported once and skipped.
 
     Args:
-        path: of the file.
-        poll_s: seconds between reads.
+        path: Path of the file.
+        poll_s: Seconds between reads.
     """
 
     def __init__(self, path: Path, poll_s: float) -> None:
-        """Read nothing yet."""
+        """Initialize the source without reading the file."""
         self.path = path
         self.poll_s = poll_s
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        """Endless; an error stands in the place of a list, and the next text that can be used follows it."""
+        """Yield the list each time the text changes, or an error if the file cannot be used. Iterates forever."""
         last: str | None = None
         while True:
             content = await self._read()
--- a/damsonpick/protocols/shared/__init__.py
+++ b/damsonpick/protocols/shared/__init__.py
@@ -1,1 +1,1 @@
-"""What several protocols use: sessions, the send queue, gRPC streams, instance settings."""
+"""Code that several protocols use: sessions, the send queue, gRPC streams and instance settings."""
--- a/damsonpick/protocols/shared/grpc_stream.py
+++ b/damsonpick/protocols/shared/grpc_stream.py
@@ -1,8 +1,9 @@
-"""Reads and writes of a client's gRPC stream that end in one kind of error.
+"""Reads and writes on the gRPC stream of a client, with one error type for every end of the stream.
 
 grpc.aio raises `asyncio.CancelledError` in a reader when the *peer* ended the call with CANCELLED, as a killed process
-may, and `InvalidStateError` in a writer whose call is over. The first would cancel the reader's whole task group
-silently. Here both are `StreamEndedError`; a true cancellation of the task stays what it is.
+may do. It raises `InvalidStateError` in a writer whose call is over. The first error would silently cancel the whole
+task group of the reader. The functions of this module raise `StreamEndedError` instead of both. A real cancellation of
+the task is raised unchanged.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 
 
 class StreamEndedError(Exception):
-    """The stream is over; the text says how."""
+    """Raised when a stream has ended. The message states how it ended."""
 
 
 async def read(call: grpc.aio.StreamStreamCall) -> Message:
-    """The next message.
+    """Return the next message.
 
     Raises:
-        StreamEndedError: there is none.
+        StreamEndedError: The stream has ended.
     """
     message = await guarded(call.read())
     if message is grpc.aio.EOF:
@@ -42,16 +43,18 @@
     """Send a message.
 
     Raises:
-        StreamEndedError: the call is over.
+        StreamEndedError: The call is over.
     """
     await guarded(call.write(message))
 
 
 async def guarded(awaitable: Awaitable[Result]) -> Result:
-    """Await one operation of a call, or a whole session: a call cut off on this side may end with a cancellation too.
+    """Await one operation of a call, or a whole session.
+
+    A call that this side cut off may end with a cancellation too.
 
     Raises:
-        StreamEndedError: the call is over.
+        StreamEndedError: The call is over.
     """
     try:
         return await awaitable
--- a/damsonpick/protocols/shared/instance_settings.py
+++ b/damsonpick/protocols/shared/instance_settings.py
@@ -1,7 +1,7 @@
-"""The settings of an instance, read into `interface.Settings`. Standard library only.
+"""Reads the settings of an instance into `interface.Settings`. This module uses the standard library only.
 
-The simulator's wire hands in text by path; a configuration file hands in nested JSON, which `flatten` maps to the same
-paths. Settings that are not known are ignored.
+The wire protocol of the simulator provides the settings as text by path. A configuration file provides them as nested
+JSON, which `flatten` maps to the same paths. Unknown settings are ignored.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 
 from damsonpick import interface as api
 
-INTEGER_LIMIT = 1 << 62  # a number beyond it is no time and no count
-NUMBER_LIMIT = 1e15  # likewise for rates, shares and weights; their products stay finite
-MIN_POSITIVE = 1e-9  # of numbers that are divided by
-MAX_TABLES = 65_535  # the wire's number above them stands for all tables
-MAX_PROXIES = 65_536  # numbers on the wire lie below
-MAX_CLASSES = 63  # the wire names classes by bits of a number below 2^63
+INTEGER_LIMIT = 1 << 62  # no valid time or count reaches this number
+NUMBER_LIMIT = 1e15  # highest valid rate, share or weight; products of such numbers stay finite
+MIN_POSITIVE = 1e-9  # lowest valid value of a number that is used as a divisor
+MAX_TABLES = 65_535  # table numbers are lower; on the wire this number stands for all tables
+MAX_PROXIES = 65_536  # proxy numbers on the wire are lower
+MAX_CLASSES = 63  # the wire identifies classes by the bits of a number below 2^63
 DISCOVERY_MODES = ("automatic", "subscribe")
 MAX_LOGGED_VALUE = 60  # characters
 
-Word = TypeVar("Word", bound=str)
+Choice = TypeVar("Choice", bound=str)
 
 
 class SettingError(ValueError):
-    """A setting is absent, of the wrong kind or out of range.
+    """Raised when a setting is absent, has the wrong type or is out of range.
 
     Attributes:
-        path: of the setting.
+        path: Path of the setting.
     """
 
     def __init__(self, path: str, text: str) -> None:
-        """Take the path of the setting and the whole text for the log."""
+        """Initialize the error with the path of the setting and the complete message."""
         super().__init__(text)
         self.path = path
 
@@ -43,13 +43,13 @@
 
     @classmethod
     def invalid(cls, path: str, expected: str, value: object) -> SettingError:
-        """Return the error for a setting of the wrong kind."""
+        """Return the error for a setting that has the wrong type or is out of range."""
         shown = "a list or an object" if isinstance(value, list | dict) else str(value)[:MAX_LOGGED_VALUE]
         return cls(path, f"{path}: {expected}: {shown}")
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
-    """Yield the leaves of nested JSON with their paths; a list of objects also yields its length, as `.count`."""
+    """Yield the leaves of nested JSON with their paths. A list of objects also yields its length as `.count`."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
@@ -62,10 +62,10 @@
 
 
 class SettingsReader:
-    """Typed access to settings by path. Values are text or plain JSON; `-` and null count as absent."""
+    """Typed access to settings by path. Values are text or plain JSON. A value of `-` or null counts as absent."""
 
     def __init__(self, values: Mapping[str, Any]) -> None:
-        """Take the values by path."""
+        """Initialize the reader with the values by path."""
         self._values = values
 
     def integer(
@@ -74,13 +74,13 @@
         """Return a whole number.
 
         Args:
-            path: of the setting.
-            default: if it is absent; None: it must be there.
-            minimum: the least allowed value.
-            maximum: the greatest allowed value.
+            path: Path of the setting.
+            default: Value if the setting is absent. If None, the setting is required.
+            minimum: Lowest allowed value.
+            maximum: Highest allowed value.
 
         Raises:
-            SettingError: it is absent without a default, no whole number or out of range.
+            SettingError: The setting is absent and has no default, is not a whole number, or is out of range.
         """
         value = self._value(path, default)
         number = _whole_number(value)
@@ -96,13 +96,13 @@
         """Return a finite number.
 
         Args:
-            path: of the setting.
-            default: if it is absent; None: it must be there.
-            minimum: the least allowed value.
-            maximum: the greatest allowed value.
+            path: Path of the setting.
+            default: Value if the setting is absent. If None, the setting is required.
+            minimum: Lowest allowed value.
+            maximum: Highest allowed value.
 
         Raises:
-            SettingError: it is absent without a default, no finite number or out of range.
+            SettingError: The setting is absent and has no default, is not a finite number, or is out of range.
         """
         value = self._value(path, default)
         number = _finite_number(value)
@@ -116,30 +116,30 @@
         """Return text.
 
         Raises:
-            SettingError: it is absent without a default, or not text.
+            SettingError: The setting is absent and has no default, or is not text.
         """
         value = self._value(path, default)
         if not isinstance(value, str):
             raise SettingError.invalid(path, "not text", value)
         return value
 
-    def choice(self, path: str, allowed: tuple[Word, ...], default: Word | None = None) -> Word:
-        """Return one of several words.
+    def choice(self, path: str, allowed: tuple[Choice, ...], default: Choice | None = None) -> Choice:
+        """Return a setting that must equal one of the allowed texts.
 
         Raises:
-            SettingError: it is absent without a default, or none of them.
+            SettingError: The setting is absent and has no default, or equals none of the allowed texts.
         """
         text = self.text(path, default)
-        for word in allowed:
-            if text == word:
-                return word
+        for option in allowed:
+            if text == option:
+                return option
         raise SettingError.invalid(path, f"none of {', '.join(allowed)}", text)
 
     def names(self, path: str) -> tuple[str, ...]:
-        """Return a list of names, given as JSON or as text with commas; empty if it is absent.
+        """Return a list of names, given as a JSON list or as text separated by commas. Empty if the setting is absent.
 
         Raises:
-            SettingError: it is neither.
+            SettingError: The setting is neither.
         """
         value = self._value(path, "")
         parts = value.split(",") if isinstance(value, str) else value
@@ -148,10 +148,10 @@
         return tuple(part for part in parts if part and part != "-")
 
     def flag(self, path: str) -> bool:
-        """Return a truth value; false if it is absent.
+        """Return a Boolean value, or False if the setting is absent.
 
         Raises:
-            SettingError: it is neither true nor false.
+            SettingError: The setting is neither true nor false.
         """
         value = self._value(path, False)
         if value in (True, "true"):
@@ -170,7 +170,7 @@
 
 
 def _whole_number(value: Any) -> int | None:
-    """Return a value, or the text of one, as a whole number; None if it is none, or beyond `INTEGER_LIMIT`."""
+    """Return a number or its text as a whole number, or None if it is not one or reaches `INTEGER_LIMIT`."""
     try:
         number = int(value)
     except (TypeError, ValueError, OverflowError):
@@ -182,7 +182,7 @@
 
 
 def _finite_number(value: Any) -> float | None:
-    """Return a value, or the text of one, as a finite number; None if it is none."""
+    """Return a number or its text as a finite number, or None if it is not one."""
     try:
         number = float(value)
     except (TypeError, ValueError, OverflowError):
@@ -193,13 +193,14 @@
 
 
 def read_settings(values: Mapping[str, Any]) -> api.Settings:
-    """Return the planner's settings.
+    """Return the settings of the planner.
 
     Args:
-        values: by path, as `flatten` yields them.
+        values: Values by path, as `flatten` yields them.
 
     Raises:
-        SettingError: one is absent, of the wrong kind or out of range; the text names path, value and what is allowed.
+        SettingError: A setting is absent, has the wrong type or is out of range. The message states the path, the value
+            and what is allowed.
     """
     get = SettingsReader(values)
     class_count = get.integer("grades.count", minimum=1, maximum=MAX_CLASSES)
@@ -208,7 +209,7 @@
         instances=get.integer("peersTotal", minimum=1),
         zone=get.text("zone", ""),
         classes=tuple(_read_class(get, f"grades.{index}.") for index in range(class_count)),
-        slices=get.integer("domain.shards", maximum=MAX_TABLES),  # 0: no slices
+        slices=get.integer("domain.shards", maximum=MAX_TABLES),  # 0 for no slices
         proxies=get.integer("domain.agents", maximum=MAX_PROXIES),
         sole_owner=get.flag("domain.soleOwner"),
         admission=get.choice("domain.admission", get_args(api.AdmissionMode), "none"),
@@ -217,7 +218,7 @@
         channel_rate=get.number("domain.egressPerS", minimum=MIN_POSITIVE),
         channel_limit=get.number("domain.mostWaiting", minimum=MIN_POSITIVE),
         message_overhead=get.number("domain.overhead"),
-        messages_per_window=get.integer("domain.pushesAllowed", 0),  # 0: no limit
+        messages_per_window=get.integer("domain.pushesAllowed", 0),  # 0 for no limit
         message_window=get.integer("domain.updateWindowNs", 0),
         max_transit=get.integer("domain.transitMaxNs", 0),
         report_period=get.integer("domain.reportEveryNs", minimum=1),
@@ -235,7 +236,7 @@
     """Return the names of all zones.
 
     Raises:
-        SettingError: they are no list of names.
+        SettingError: The setting is not a list of names.
     """
     return SettingsReader(values).names("zones")
 
--- a/damsonpick/protocols/shared/send_queue.py
+++ b/damsonpick/protocols/shared/send_queue.py
@@ -1,9 +1,12 @@
-"""Changes that wait for each client, under one budget of entries. Sans I/O: time comes in as nanoseconds.
+"""Queues changes for each client, under one budget of entries for all clients.
 
-What waits for a client is a set of entries by unit, not a list of messages: an entry that changes again before it left
-is still one entry, so a client that does not read costs at most one entry for each of the published state. The budget
-is a token bucket over all clients (entries, and the overhead of each message), first come first served; withdrawals go
-before the rest, as the grace of a drain does not wait for balance.
+This module performs no I/O. The caller passes the time in nanoseconds.
+
+The queue of a client is a set of entries by unit, not a list of messages. An entry that changes again before it is sent
+is still one entry, so a client that does not read occupies at most one entry per entry of the published state. The
+budget is a token bucket over all clients. It counts entries and the overhead of each message. Clients are served in
+order of arrival, but clients with a withdrawal are served first, because the grace period of a drain does not wait for
+balancing.
 """
 
 from __future__ import annotations
@@ -14,19 +17,19 @@
 
 from damsonpick.time_units import NS_PER_SECOND
 
-BURST_S = 0.05  # seconds of the rate that an idle queue may send at once
-REFILL_MARGIN_NS = 1_000_000  # added to the time until tokens are there, so that they are
+BURST_S = 0.05  # an idle queue may send the budget of this time at once
+REFILL_MARGIN_NS = 1_000_000  # added to the time until tokens are available, so that they are available by then
 
 
 class OutboundMessage(NamedTuple):
-    """What leaves for one client now.
+    """A message that may be sent to a client now.
 
     Attributes:
-        client: number of the client.
-        units: changed entries by unit.
-        ordered_at: ns; when the oldest of them was ordered.
-        first_seq: the lowest sequence number of a change among them.
-        entries: how many entries there are.
+        client: Number of the client.
+        units: Changed entries by unit.
+        ordered_at: Time in ns at which the oldest of the changes was ordered.
+        first_seq: Lowest sequence number of the changes.
+        entries: Number of entries.
     """
 
     client: int
@@ -37,15 +40,15 @@
 
 
 class PendingChanges:
-    """What waits for one client."""
+    """Changes that wait to be sent to one client."""
 
     def __init__(self) -> None:
-        """Start with nothing waiting."""
+        """Initialize the object without changes."""
         self.units: dict[str, set[str]] = {}  # changed entries by unit
-        self.ordered_at = 0  # ns; when the oldest of them was ordered
-        self.first_seq = 0  # the lowest sequence number of a change among them
+        self.ordered_at = 0  # time in ns at which the oldest change was ordered
+        self.first_seq = 0  # lowest sequence number of the changes
         self.entries = 0
-        self.urgent = False  # a withdrawal is among them
+        self.urgent = False  # whether the changes include a withdrawal
 
     def add(self, now: int, seq: int, entries: Mapping[str, set[str]], urgent: bool) -> None:
         """Merge the entries of one change."""
@@ -61,53 +64,54 @@
 
 
 class SendQueue:
-    """The queues of all clients of one controller.
+    """The send queues of all clients of one controller.
 
     Args:
-        rate: entries a second over all clients; 0: no budget.
-        message_overhead: entries that a message costs beside its own.
-        limit: entries that may wait; exceeding it is reported, not acted on (the planner keeps within it).
-        messages: to one client within `window`; 0: no such limit.
-        window: ns.
+        rate: Entries per second over all clients, or 0 for no limit.
+        message_overhead: Entries that each message costs in addition to its own entries.
+        limit: Most entries that may wait. The queue reports a higher number but does not enforce the limit, because the
+            planner stays within it.
+        messages: Most messages to one client within `window`, or 0 for no limit.
+        window: Length of the window in ns.
     """
 
     def __init__(self, rate: float, message_overhead: float, limit: float, messages: int = 0, window: int = 0) -> None:
-        """Start without clients."""
+        """Initialize the queue without clients."""
         self.rate = rate
         self.message_overhead = message_overhead
         self.limit = limit
         self.messages = messages
         self.window = window
         self.pending: dict[int, PendingChanges] = {}  # by client
-        self.service_order: OrderedDict[int, None] = OrderedDict()  # clients with something waiting
-        self.urgent: OrderedDict[int, None] = OrderedDict()  # those of them with a withdrawal
-        self.blocked: set[int] = set()  # clients that take nothing now
-        self.sent_at: dict[int, deque[int]] = {}  # by client: ns of the messages within the window
-        self.tokens = 0.0  # entries that may leave; negative: paid in advance
+        self.service_order: OrderedDict[int, None] = OrderedDict()  # clients with pending changes
+        self.urgent: OrderedDict[int, None] = OrderedDict()  # clients whose pending changes include a withdrawal
+        self.blocked: set[int] = set()  # clients that do not accept another message now
+        self.sent_at: dict[int, deque[int]] = {}  # by client: times in ns of the messages within the window
+        self.tokens = 0.0  # entries that may be sent; negative after a message that used the budget in advance
         self.refilled_at = 0  # ns
-        self.most_waiting = 0.0  # entries ever waiting at once, overhead included
+        self.most_waiting = 0.0  # most entries that ever waited at the same time, including overhead
 
     def join(self, client: int) -> None:
-        """A client has connected."""
+        """Add a client that has connected."""
         self.pending[client] = PendingChanges()
         self.sent_at[client] = deque()
         self.blocked.discard(client)
 
     def leave(self, client: int) -> None:
-        """A client has left: what waits for it is dropped."""
+        """Remove a client that has disconnected and drop its pending changes."""
         for by_client in (self.pending, self.service_order, self.urgent, self.sent_at):
             by_client.pop(client, None)
         self.blocked.discard(client)
 
     def enqueue(self, now: int, client: int, seq: int, entries: Mapping[str, set[str]], urgent: bool) -> None:
-        """Queue changed entries for a client; one that has left is ignored.
+        """Queue changed entries for a client. Entries for a disconnected client are ignored.
 
         Args:
-            now: ns.
-            client: number of the client.
-            seq: sequence number of the change.
-            entries: by unit.
-            urgent: a withdrawal is among them.
+            now: Current time in ns.
+            client: Number of the client.
+            seq: Sequence number of the change.
+            entries: Changed entries by unit.
+            urgent: Whether the change includes a withdrawal.
         """
         pending = self.pending.get(client)
         if pending is None or not entries:
@@ -119,41 +123,47 @@
         self.most_waiting = max(self.most_waiting, self.waiting())
 
     def set_ready(self, client: int, ready: bool) -> None:
-        """Note whether a client takes another message: one that does not read or acknowledge delays nobody else."""
+        """Record whether a client accepts another message.
+
+        A client that does not read or acknowledge must not delay other clients.
+        """
         if ready:
             self.blocked.discard(client)
         elif client in self.pending:
             self.blocked.add(client)
 
     def charge(self, entries: float) -> None:
-        """Count entries of a message that turned out longer than what was queued: what follows waits for them."""
+        """Charge the budget for entries, also for those by which a message is longer than what was queued.
+
+        Later messages wait until the budget has recovered.
+        """
         if self.rate:
             self.tokens -= entries
 
     def waiting(self) -> float:
-        """Entries that wait, overhead included."""
+        """Return the number of waiting entries, including the overhead of their messages."""
         return sum(self.pending[client].entries + self.message_overhead for client in self.service_order)
 
     def next_message(self, now: int) -> OutboundMessage | None:
-        """Take the next message to leave; None: nothing waits, or the budget does not allow it yet."""
+        """Dequeue the next message, or return None if no change can be sent now or the budget does not allow it yet."""
         self._refill(now)
-        for client in list(self._clients_in_turn()):
+        for client in list(self._clients_by_urgency()):
             if client in self.blocked or not self._within_window(now, client):
                 continue
             if self.rate and self.tokens <= 0:
                 return None
             pending = self.pending[client]
             self.charge(pending.entries + self.message_overhead)
-            return self._take(now, client, pending)
+            return self._dequeue(now, client, pending)
         return None
 
-    def _clients_in_turn(self) -> Iterator[int]:
+    def _clients_by_urgency(self) -> Iterator[int]:
         yield from self.urgent
         for client in self.service_order:
             if client not in self.urgent:
                 yield client
 
-    def _take(self, now: int, client: int, pending: PendingChanges) -> OutboundMessage:
+    def _dequeue(self, now: int, client: int, pending: PendingChanges) -> OutboundMessage:
         self.pending[client] = PendingChanges()
         self.service_order.pop(client, None)
         self.urgent.pop(client, None)
@@ -162,9 +172,10 @@
         return OutboundMessage(client, pending.units, pending.ordered_at, pending.first_seq, pending.entries)
 
     def _refill(self, now: int) -> None:
-        """Add the tokens of the time since the last refill.
+        """Add the tokens for the time since the last refill.
 
-        A message may leave while tokens are above zero, and takes them below: so a large one is never stuck.
+        A message may be sent while the number of tokens is above zero, and may reduce it below zero. Therefore a large
+        message never waits forever.
         """
         if self.rate:
             burst = self.rate * BURST_S
@@ -173,7 +184,7 @@
         self.refilled_at = max(self.refilled_at, now)
 
     def _within_window(self, now: int, client: int) -> bool:
-        """Whether a client may be sent another message within the window."""
+        """Return whether another message to a client is allowed within the window."""
         if not self.messages:
             return True
         sent_at = self.sent_at[client]
@@ -182,7 +193,11 @@
         return len(sent_at) < self.messages
 
     def next_due(self, now: int) -> int | None:
-        """ns until `next_message` may give something; None: nothing waits that could go."""
+        """Return the time in ns until `next_message` may return a message.
+
+        Returns:
+            The time, or None if no client that accepts messages has pending changes.
+        """
         ready = [client for client in self.service_order if client not in self.blocked]
         if not ready:
             return None
--- a/damsonpick/protocols/shared/session.py
+++ b/damsonpick/protocols/shared/session.py
@@ -1,7 +1,7 @@
-"""What the session manager asks of a session, whatever protocol it speaks. Types only.
+"""The interface that the session manager requires of a session of any protocol. This module defines types only.
 
-A session takes changes by unit and reports how far its peer has come. What is published, in what order, within which
-budget, and which events the planner receives of it is common to all protocols.
+A session accepts changes by unit and reports what its peer has acknowledged. Common to all protocols are the published
+state, the order and the budget of sending, and the events that the planner receives.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 
 class CoveredChanges(NamedTuple):
-    """The changes that a message brings to a client.
+    """The changes that a message delivers to a client.
 
     Attributes:
-        first_seq: the lowest sequence number among them; 0: the message answers a request of the client.
-        ordered_at: ns; when the oldest of them was ordered.
-        entries: how many entries they changed.
+        first_seq: Lowest sequence number of the changes, or 0 if the message answers a request of the client.
+        ordered_at: Time in ns at which the oldest of the changes was ordered.
+        entries: Number of entries that changed.
     """
 
     first_seq: int
@@ -25,31 +25,31 @@
 
 
 class SeqRange(NamedTuple):
-    """Changes by their sequence numbers, both ends included."""
+    """A range of changes by sequence number, including both ends."""
 
     first: int
     last: int
 
 
 class RejectedVersion(NamedTuple):
-    """A version of a unit that a peer would not take."""
+    """A version of a unit that a peer has rejected."""
 
     unit: str
     version: str
 
 
 class Session(Protocol):
-    """One peer on one stream.
+    """The session of one peer on one stream.
 
     Attributes:
-        variant: the name of its protocol.
-        node: the name of the peer.
-        zone: of the peer.
-        fresh: the peer holds nothing from earlier streams.
-        verifies_roots: the peer checks the root of what it holds itself.
-        rejected_ranges: changes of messages that the peer rejected.
-        rejections: why the peer rejected a unit, in its words, by unit.
-        newly_rejected: versions rejected since the session manager last looked.
+        variant: Name of the protocol.
+        node: Name of the peer.
+        zone: Zone of the peer.
+        fresh: Whether the peer has no state from earlier streams.
+        verifies_roots: Whether the peer itself checks the root of the state that it has.
+        rejected_ranges: Changes in messages that the peer rejected.
+        rejections: Reasons of the peer for rejecting a unit, in its own words, by unit.
+        newly_rejected: Versions that were rejected since the session manager last processed this list.
     """
 
     variant: str
@@ -62,25 +62,25 @@
     newly_rejected: list[RejectedVersion]
 
     def subscribes_to(self, unit: str) -> bool:
-        """Whether a unit concerns the peer."""
+        """Return whether the peer subscribes to a unit."""
 
     def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
-        """Take units that have changed and may be sent now."""
+        """Queue changed units that may be sent now."""
 
     def ready(self) -> bool:
-        """Whether it takes another message now."""
+        """Return whether the session accepts another message now."""
 
     def oldest_unacknowledged(self) -> int:
-        """The lowest sequence number that the peer has not acknowledged, or a number above all."""
+        """Return the lowest sequence number that the peer has not acknowledged, or a number above all of them."""
 
     def unacknowledged_messages(self) -> int:
-        """Messages sent and not acknowledged."""
+        """Return the number of messages that were sent but not acknowledged."""
 
     def acknowledged_versions(self) -> dict[str, str]:
-        """Versions that the peer has acknowledged, by unit; empty where the protocol tells none."""
+        """Return the versions that the peer has acknowledged, by unit. Empty if the protocol does not report them."""
 
     def acknowledged_at(self) -> int:
-        """When the peer last acknowledged anything, ns; 0: never."""
+        """Return the time in ns at which the peer last acknowledged anything, or 0 if it never did."""
 
     def held_counts(self) -> dict[str, int]:
-        """How much the peer holds, by kind; for operators."""
+        """Return the amount of state that the peer has, by kind, for operators."""
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -1,6 +1,6 @@
-"""All sessions of one controller, in any protocol: who is connected, what goes to whom, how far each has come.
+"""Manages all sessions of one controller, of any protocol: connections, distribution of changes and acknowledgements.
 
-Sans I/O: time comes in as nanoseconds.
+This module performs no I/O. The caller passes the time in nanoseconds.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from damsonpick.state.history.digest import Digest
 from damsonpick.state.published_tables import FLEET, Change, PublishedTables
 
-MAX_REMEMBERED_REJECTIONS = 10_000  # versions whose rejecting nodes are remembered
-FIRST_DUPLICATE_NUMBER = 60_000  # client numbers from here on are for second streams under a node id in use
+MAX_REMEMBERED_REJECTIONS = 10_000  # most versions whose rejecting nodes are remembered
+FIRST_DUPLICATE_NUMBER = 60_000  # first of the client numbers for additional streams of a node id already in use
 LAST_DUPLICATE_NUMBER = 65_534
-NO_CHANGE = 1 << 62  # above all sequence numbers
+NO_CHANGE = 1 << 62  # higher than every sequence number
 
 
 class Catalogue(Protocol):
-    """Keeps the units ready to be sent, in step with what is published.
+    """Keeps the units in a form that is ready to be sent, consistent with the published state.
 
     Attributes:
-        stopped: by unit, a version that too many clients rejected: it goes to nobody else.
+        stopped: Version, by unit, that too many clients rejected. It is not sent to any other client.
     """
 
     stopped: dict[str, str]
 
     def refresh(self, units: Iterable[str]) -> object:
-        """Take over what is published of some units."""
+        """Update some units from the published state."""
 
 
 class PendingToken(NamedTuple):
@@ -44,7 +44,7 @@
 
 
 class StagedChange(NamedTuple):
-    """Changed entries that a client is sent later, for a rollout by zone. The order of the fields orders the heap."""
+    """Changed entries that are sent to a client later, for a rollout by zone. The field order orders the heap."""
 
     due_at: int  # ns
     client: int
@@ -53,19 +53,19 @@
 
 
 class StoppedRollout(NamedTuple):
-    """A version that goes to no further client."""
+    """A version that is not sent to any further client."""
 
     unit: str
     version: str
-    rejections: int  # nodes that rejected it
+    rejections: int  # number of nodes that rejected the version
 
 
 class Dispatch(NamedTuple):
-    """What `SessionManager.dispatch` has done.
+    """Result of `SessionManager.dispatch`.
 
     Attributes:
-        sessions: those that have something to send now.
-        next_due: ns until more may leave; None: nothing waits.
+        sessions: Sessions that have messages to send now.
+        next_due: Time in ns until more may be sent, or None if nothing waits.
     """
 
     sessions: list[Session]
@@ -76,52 +76,52 @@
     """A connected client.
 
     Args:
-        number: the lasting number of its node id, or one for a second stream under it.
-        session: its session.
-        now: ns.
+        number: Permanent number of the node id, or a duplicate number for an additional stream of that node id.
+        session: Session of the client.
+        now: Current time in ns.
     """
 
     def __init__(self, number: int, session: Session, now: int) -> None:
-        """Start with nothing to acknowledge."""
+        """Initialize the client without pending sync tokens."""
         self.number = number
         self.session = session
-        self.pending_tokens: deque[PendingToken] = deque()  # by sequence number
-        self.acknowledged_at = now  # ns; when it last acknowledged a sync token
+        self.pending_tokens: deque[PendingToken] = deque()  # in order of sequence numbers
+        self.acknowledged_at = now  # time in ns at which the client last acknowledged a sync token
 
 
 class SessionManager:
-    """The sessions, what waits for them, and the sync tokens they have not acknowledged.
+    """Keeps the sessions, the changes that wait for them, and the sync tokens that they have not acknowledged.
 
     Args:
-        published: the published state.
-        catalogue: keeps its units ready to be sent.
-        send_queue: what waits for each client.
-        number_of: the lasting number of a node id.
+        published: Published state.
+        catalogue: Keeps the units of the published state ready to be sent.
+        send_queue: Changes that wait for each client.
+        number_of: Returns the permanent number of a node id.
     """
 
     def __init__(
         self, published: PublishedTables, catalogue: Catalogue, send_queue: SendQueue, number_of: Callable[[str], int]
     ) -> None:
-        """Start without clients."""
+        """Initialize the manager without clients."""
         self.published = published
         self.catalogue = catalogue
         self.send_queue = send_queue
         self.number_of = number_of
         self.clients: dict[int, Client] = {}  # by number
         self.by_session: dict[Session, Client] = {}
-        self.events: list[api.Event] = []  # for the planner, in order
-        self.stop_share = 1.0  # of the clients; a version that so many rejected goes to no further one
-        self.stopped_rollouts: list[StoppedRollout] = []  # newly stopped, for the log
+        self.events: list[api.Event] = []  # events for the planner, in order
+        self.stop_share = 1.0  # share of the clients; a version that so many reject is not sent to further clients
+        self.stopped_rollouts: list[StoppedRollout] = []  # newly stopped rollouts, for the log
         self._next_duplicate_number = FIRST_DUPLICATE_NUMBER
         self._rejecting_nodes: dict[RejectedVersion, set[str]] = {}
         self._staged: list[StagedChange] = []  # heap
 
-    # -- who is connected
+    # -- connections
 
     def join(self, now: int, session: Session) -> Client:
-        """A session has asked for tables.
+        """Register a session that has requested tables.
 
-        Two sessions under one node id are two clients: a drain must bind both.
+        Two sessions with the same node id are two clients, because a drain must reach both.
         """
         number = self.number_of(session.node)
         if number in self.clients:
@@ -139,30 +139,30 @@
         return number
 
     def leave(self, session: Session) -> None:
-        """A session has ended; one that never asked for tables is ignored."""
+        """Remove a session that has ended. A session that never requested tables is ignored."""
         client = self.by_session.pop(session, None)
         if client is not None:
             del self.clients[client.number]
             self.send_queue.leave(client.number)
             self.events.append(api.ProxyLeft(client.number))
 
-    # -- what goes to whom
+    # -- distribution of changes
 
     def publish(self, now: int, change: Change, delay_by_zone: Mapping[str, int] | None = None) -> list[Session]:
-        """Queue a change for every client it concerns.
+        """Queue a change for every client that subscribes to a changed unit.
 
         Args:
-            now: ns.
-            change: what has changed.
-            delay_by_zone: ns that clients of a zone wait. A client that needs a unit earlier, for a later change of it
-                or because it joins, is sent it whole at once.
+            now: Current time in ns.
+            change: Change of the published state.
+            delay_by_zone: Delay in ns for the clients of a zone. If a client needs a unit earlier, because the unit
+                changes again or because the client joins, the complete unit is sent to it at once.
 
         Returns:
-            Sessions that the change does not concern, and which may acknowledge its sync tokens now.
+            Sessions that subscribe to none of the changed units. They may acknowledge the change's sync tokens now.
         """
         self.catalogue.refresh(change.entries)
         tokens = [PendingToken(change.seq, token, now) for token in change.sync_tokens]
-        idle: list[Session] = []
+        unaffected: list[Session] = []
         for client in self.clients.values():
             client.pending_tokens.extend(tokens)
             entries = _subscribed_entries(client.session, change)
@@ -172,17 +172,17 @@
             elif entries:
                 self.send_queue.enqueue(now, client.number, change.seq, entries, change.urgent)
             elif tokens:
-                idle.append(client.session)
-        return idle
+                unaffected.append(client.session)
+        return unaffected
 
     def enqueue(self, now: int, session: Session, entries: Mapping[str, set[str]], urgent: bool) -> None:
-        """Queue entries for one session that no change of the tables brings; they count against the budget as any."""
+        """Queue entries for one session that are not part of a change of the tables. They count against the budget."""
         client = self.by_session.get(session)
         if client is not None:
             self.send_queue.enqueue(now, client.number, self.published.seq, entries, urgent)
 
     def dispatch(self, now: int) -> Dispatch:
-        """Hand sessions what may leave now."""
+        """Pass to the sessions the messages that may be sent now."""
         sessions: list[Session] = []
         self._enqueue_staged(now)
         while (message := self.send_queue.next_message(now)) is not None:
@@ -193,7 +193,7 @@
         return Dispatch(sessions, self._next_due(now))
 
     def _next_due(self, now: int) -> int | None:
-        """ns until more may leave; None: nothing waits."""
+        """Return the time in ns until more may be sent, or None if nothing waits."""
         due = self.send_queue.next_due(now)
         if not self._staged:
             return due
@@ -201,21 +201,21 @@
         return staged_due if due is None else min(due, staged_due)
 
     def _enqueue_staged(self, now: int) -> None:
-        """Queue staged changes whose time has come."""
+        """Queue the staged changes that are due."""
         while self._staged and self._staged[0].due_at <= now:
             staged = heapq.heappop(self._staged)
             if staged.client in self.clients:
                 self.send_queue.enqueue(now, staged.client, staged.seq, staged.entries, False)
 
     def release_staged(self, now: int) -> None:
-        """Let no staged change wait any longer: endpoints may drain now that only the new tables have dropped."""
+        """Make all staged changes due now, because endpoints may now drain that only the new tables have removed."""
         self._staged = [staged._replace(due_at=now) for staged in self._staged]
 
     def update_ready(self, session: Session) -> bool:
-        """A session was answered or has sent something: note whether it takes more.
+        """Record whether a session accepts another message, after it received an answer or sent a message.
 
         Returns:
-            Whether something waits that it takes now.
+            Whether changes are waiting that the session accepts now.
         """
         client = self.by_session.get(session)
         if client is None:
@@ -224,10 +224,10 @@
         self.send_queue.set_ready(client.number, ready)
         return ready and bool(self.send_queue.pending[client.number].units)
 
-    # -- how far each has come
+    # -- acknowledgements and rejections
 
     def acknowledge(self, now: int, session: Session) -> None:
-        """Tell the planner of every sync token that a client has now acknowledged, and note what it rejected."""
+        """Notify the planner of every sync token that a client has now acknowledged, and record what it rejected."""
         if session.newly_rejected:
             self._count_rejections(session)
         client = self.by_session.get(session)
@@ -237,7 +237,7 @@
         while client.pending_tokens and client.pending_tokens[0].seq < unacknowledged:
             pending = client.pending_tokens.popleft()
             if _rejected(session, pending.seq):
-                continue  # the change was not applied; a later token tells the planner what is
+                continue  # the client did not apply the change; a later token reports what it applied
             client.acknowledged_at = now
             delay = max(0, now - pending.ordered_at)
             self.events.append(api.SyncAcknowledged(pending.token, client.number, delay))
@@ -245,7 +245,7 @@
             session.rejected_ranges.clear()
 
     def _oldest_unacknowledged(self, client: Client) -> int:
-        """The lowest sequence number that is queued for a client or sent to it, or a number above all."""
+        """Return the lowest sequence number that is queued or unacknowledged, or a number above all if none is."""
         return min(client.session.oldest_unacknowledged(), self._oldest_queued(client.number))
 
     def _oldest_queued(self, number: int) -> int:
@@ -253,7 +253,7 @@
         return pending.first_seq if pending is not None and pending.units else NO_CHANGE
 
     def _count_rejections(self, session: Session) -> None:
-        """Count which nodes reject a version; one that too many reject goes to no further client."""
+        """Count the nodes that reject a version. A version that too many reject is not sent to further clients."""
         for rejected in session.newly_rejected:
             nodes = self._rejecting_nodes.setdefault(rejected, set())
             nodes.add(session.node)
@@ -265,7 +265,7 @@
             self._forget_rejections()
 
     def _stops_rollout(self, rejected: RejectedVersion, rejections: int) -> bool:
-        """Whether a version is rejected by too many; withdrawals are never stopped."""
+        """Return whether too many nodes reject a version. Withdrawals are never stopped."""
         if rejected.unit == FLEET or not rejected.version:
             return False
         if self.catalogue.stopped.get(rejected.unit) == rejected.version:
@@ -273,7 +273,7 @@
         return rejections >= self.stop_share * max(2, len(self.clients))
 
     def _forget_rejections(self) -> None:
-        """Keep only those of versions that are stopped."""
+        """Forget the rejections of all versions that are not stopped."""
         stopped = self.catalogue.stopped
         self._rejecting_nodes = {
             rejected: nodes
@@ -281,17 +281,18 @@
             if stopped.get(rejected.unit) == rejected.version
         }
 
-    # -- for operators; the keys are part of the commands' interface
+    # -- state for operators; the keys are part of the interface of the commands
 
     def held_versions(self, now: int, numbers_by_root: Mapping[str, int]) -> Iterator[dict[str, object]]:
-        """Which version of the tables each client holds, as `damsonpick versions who` answers it.
+        """Yield the version of the tables that each client has, as `damsonpick versions who` shows it.
 
-        `verified`: the client checks roots itself; otherwise the version is what it has acknowledged. `version` None:
-        what it holds is no kept version, such as halfway between two.
+        If `verified` is true, the client checks roots itself. Otherwise the version is the one that the client has
+        acknowledged. `version` is None if the state of the client is not a stored version, for example while the client
+        is between two versions.
 
         Args:
-            now: ns.
-            numbers_by_root: kept versions.
+            now: Current time in ns.
+            numbers_by_root: Numbers of the stored versions by root.
         """
         for number, client in sorted(self.clients.items()):
             session = client.session
@@ -309,12 +310,12 @@
             }
 
     def _waiting_units(self, number: int) -> int:
-        """Units queued for a client, and changes staged for it."""
+        """Return the number of units queued for a client plus the number of changes staged for it."""
         staged = sum(staged.client == number for staged in self._staged)
         return len(self.send_queue.pending[number].units) + staged
 
     def view(self, now: int) -> Iterator[dict[str, object]]:
-        """What each client holds, what is under way and what it rejected, as `damsonpick status` answers it."""
+        """Yield the state of each client, its waiting changes and its rejections, as `damsonpick status` shows them."""
         for number, client in sorted(self.clients.items()):
             session = client.session
             pending = self.send_queue.pending[number]
@@ -335,12 +336,15 @@
 
 
 def _subscribed_entries(session: Session, change: Change) -> dict[str, set[str]]:
-    """Changed entries of the units that concern a session."""
+    """Return the changed entries of the units that a session subscribes to."""
     return {unit: keys for unit, keys in change.entries.items() if session.subscribes_to(unit)}
 
 
 def _rejected(session: Session, seq: int) -> bool:
-    """Whether a change was in a message that the client rejected; messages without a change number do not count."""
+    """Return whether a message that the client rejected contained a change.
+
+    Messages without a sequence number of a change do not count.
+    """
     return any(changes.first <= seq <= changes.last for changes in session.rejected_ranges if changes.first)
 
 
--- a/damsonpick/protocols/shared/validation.py
+++ b/damsonpick/protocols/shared/validation.py
@@ -1,4 +1,4 @@
-"""What msgspec says of a message that does not fit its type, taken apart. No I/O."""
+"""Splits the error of msgspec for an invalid message into field and reason. This module performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 import msgspec
 
-_PATH_MARK = " - at `$."
+_PATH_SEPARATOR = " - at `$."
 
 
 class InvalidField(NamedTuple):
-    """A field that has another type than it should, is missing or out of range.
+    """A field that has the wrong type, is missing or is out of range.
 
     Attributes:
-        path: of the field, with dots; empty: the message as a whole.
-        reason: what is wrong.
+        path: Path of the field, with dots. Empty if the error concerns the message as a whole.
+        reason: Description of the error.
     """
 
     path: str
@@ -22,6 +22,6 @@
 
 
 def invalid_field(error: msgspec.ValidationError) -> InvalidField:
-    """Return the field that an error of msgspec names at its end."""
-    reason, _, path = str(error).partition(_PATH_MARK)
+    """Return the field that the message of a msgspec error names at its end, with the reason."""
+    reason, _, path = str(error).partition(_PATH_SEPARATOR)
     return InvalidField(path.rstrip("`"), reason)
--- a/damsonpick/protocols/simulator/__init__.py
+++ b/damsonpick/protocols/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: codec and host. Translates and nothing else."""
+"""Adapter for the wire protocol of the simulator: codec and host. It only translates and takes no decisions."""
--- a/damsonpick/protocols/simulator/__main__.py
+++ b/damsonpick/protocols/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m damsonpick.simhost`: batches on standard input, replies on standard output."""
+"""`python -m damsonpick.simhost`: reads batches from standard input and writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends; a malformed one ends the program with a message."""
+    """Answer batches until the input ends. A malformed batch ends the program with a message and exit code 2."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
     host = Host()
--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -1,6 +1,7 @@
-"""The simulator's wire: lines of tab-separated values to events, actions to lines.
+"""Codec for the wire protocol of the simulator, which consists of lines of tab-separated values.
 
-The wire's own names of messages stand in this module alone, beside the interface's terms. No decision is made here.
+It reads lines as events and writes actions as lines. Only this module contains the message names of the wire; it maps
+them to the terms of the interface. It takes no decisions.
 """
 
 from __future__ import annotations
@@ -11,16 +12,16 @@
 from damsonpick import interface as api
 from damsonpick.protocols.shared import instance_settings
 
-ALL_TABLES = 65535  # on the wire: the order holds for all tables of the instance
-ABSENT = "-"
+ALL_TABLES = 65535  # table number on the wire that stands for all tables of the instance
+ABSENT = "-"  # value on the wire that stands for an absent value
 
 
 class WireError(Exception):
-    """Input that does not follow the wire; the text names line number, message and reason."""
+    """Raised for input that violates the wire protocol. The text states the line number, the message and the reason."""
 
 
 class Start(NamedTuple):
-    """An instance starts: its number, seed and settings."""
+    """The start of an instance, with its name, seed and settings."""
 
     instance: str
     seed: int
@@ -28,7 +29,7 @@
 
 
 class Stop(NamedTuple):
-    """An instance ends."""
+    """The end of an instance."""
 
     instance: str
 
@@ -44,7 +45,7 @@
 
 
 class Batch(NamedTuple):
-    """What happened up to `now` (ns)."""
+    """The starts, stops and events up to the time `now` (ns)."""
 
     now: int
     items: list[Item]
@@ -104,7 +105,7 @@
     return api.ProxyJoined(proxy, zone, rate, fresh)
 
 
-# name -> (readers of the values after the instance, builder)
+# By message name: the readers of the values that follow the instance, and the function that builds the event.
 _EVENTS: dict[str, tuple[tuple[Callable, ...], Callable[..., api.Event]]] = {
     "FIRED": ((_int,), api.TimerFired),
     "PONG": ((str, str, _optional_int, _floats), api.ProbeResult),
@@ -121,7 +122,7 @@
 
 
 class Reader:
-    """Cuts an input stream into batches and names the line where it goes wrong."""
+    """Splits an input stream into batches. An error names the line of the input that caused it."""
 
     def __init__(self, lines: Iterable[str]) -> None:
         self._lines = iter(lines)
@@ -138,7 +139,7 @@
         return WireError(f"line {self._line_number}: {reason}")
 
     def batches(self) -> Iterator[Batch]:
-        """Yield batches until the input ends between two of them."""
+        """Yield batches until the input ends. An end inside a batch is an error."""
         while (line := self._next()) is not None:
             parts = line.split("\t")
             if parts == [""]:
@@ -206,7 +207,7 @@
 
 
 def read_settings(pairs: list[str]) -> api.Settings:
-    """Pick the known settings out of path=value pairs; unknown ones are ignored."""
+    """Read the settings from path=value pairs. Unknown settings are ignored."""
     known: dict[str, str] = {}
     for pair in pairs:
         path, equals, value = pair.partition("=")
@@ -247,12 +248,12 @@
 
 
 def write_action(instance: str, action: api.Action) -> str:
-    """One reply line for one action."""
+    """Return the reply line for an action."""
     name, *values = _WRITERS[type(action)](action)
     return "\t".join([str(name), instance, *(str(value) for value in values)])
 
 
 def write_fault(instance: str, error: BaseException) -> str:
-    """The line that reports a planner's exception."""
+    """Return the reply line that reports an exception of a planner."""
     text = " ".join(f"{type(error).__name__}: {error}".split())
     return f"GIVE_IN\t{instance}\t{text}"
--- a/damsonpick/protocols/simulator/host.py
+++ b/damsonpick/protocols/simulator/host.py
@@ -1,4 +1,4 @@
-"""Many independent planners behind one stream of batches."""
+"""Runs many independent planners on one stream of batches."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Host:
-    """Starts, feeds and stops planners as the batches say. Planners share nothing."""
+    """Starts planners, passes them events and stops them, as the batches require. The planners share no state."""
 
     def __init__(self) -> None:
         self._planners: dict[str, Planner] = {}
 
     def reply(self, batch: codec.Batch) -> list[str]:
-        """Hand each instance its events of this batch, in order, and collect the reply lines."""
+        """Pass to each instance its events of the batch, in order, and return the reply lines."""
         pending: dict[str, list[api.Event]] = {}
         lines: list[str] = []
         for item in batch.items:
@@ -43,6 +43,6 @@
         try:
             actions = self._planners[instance].handle(now, events)
             return [codec.write_action(instance, action) for action in actions]
-        except Exception as error:  # the simulator ends the run; the traceback is for the engineer
+        except Exception as error:  # the simulator ends the run; the traceback helps the engineer
             traceback.print_exc(file=sys.stderr)
             return [codec.write_fault(instance, error)]
--- a/damsonpick/simhost.py
+++ b/damsonpick/simhost.py
@@ -1,4 +1,4 @@
-"""`python -m damsonpick.simhost`: the simulator adapter under the name that the deploy file and the README give it."""
+"""`python -m damsonpick.simhost`: runs the simulator adapter under the name that the deploy file and the README use."""
 
 import sys
 
