--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The process's clock."""
+"""Tests of the clock of a process."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 WALL_NS = 1_800_000_000_000 * MS
 
 
-class HeldUpProcess:
-    """A time module whose first reads are each followed by a hold of 5 ms, as beside load."""
+class DelayedProcess:
+    """A time module with a delay of 5 ms after each of its first reads, as it occurs under load."""
 
-    def __init__(self, held_up_reads: int) -> None:
-        self.elapsed_ns, self.reads, self.held_up_reads = 0, 0, held_up_reads
+    def __init__(self, delayed_reads: int) -> None:
+        self.elapsed_ns, self.reads, self.delayed_reads = 0, 0, delayed_reads
 
     def read(self, offset_ns: int) -> int:
         self.reads += 1
         value = offset_ns + self.elapsed_ns
-        self.elapsed_ns += 5 * MS if self.reads <= self.held_up_reads else 100
+        self.elapsed_ns += 5 * MS if self.reads <= self.delayed_reads else 100
         return value
 
     def time_ns(self) -> int:
@@ -32,13 +32,13 @@
         return self.read(0)
 
 
-@pytest.mark.parametrize("held_up_reads", [1, 2, 3, 7])
-def test_a_process_that_is_held_up_while_it_reads_the_clocks_agrees_with_others(held_up_reads, monkeypatch):
-    """A clock that was behind put the run of a request before its sending: "sent again after it had run"."""
-    process = HeldUpProcess(held_up_reads)
+@pytest.mark.parametrize("delayed_reads", [1, 2, 3, 7])
+def test_a_process_that_is_delayed_while_it_reads_the_clocks_agrees_with_others(delayed_reads, monkeypatch):
+    """A clock that was behind dated the execution of a request before its sending: "sent again after it had run"."""
+    process = DelayedProcess(delayed_reads)
     monkeypatch.setattr(clock, "time", process)
-    made = Clock()
-    assert abs(made.now() - (WALL_NS + process.elapsed_ns)) < 1_000
+    delayed_clock = Clock()
+    assert abs(delayed_clock.now() - (WALL_NS + process.elapsed_ns)) < 1_000
 
 
 def test_processes_that_share_an_origin_have_the_same_clock():
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -1,4 +1,4 @@
-"""Imports run down the layers that docs/architecture.md states, and no protocol imports another."""
+"""Modules import only from lower layers, as docs/architecture.md defines them, and no protocol imports another."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 PACKAGE = Path(__file__).resolve().parent.parent / "damsonpick"
-LAYERS = (  # lowest first; a module imports its own group and lower layers only
+LAYERS = (  # lowest layer first; a module may import only from its own group and from lower layers
     ("interface", "time_units"),
     ("decisions",),
     ("state",),
@@ -34,7 +34,7 @@
 
 
 def imported(path: Path) -> Iterator[tuple[str, ...]]:
-    """Modules of this package that a file imports anywhere, as parts below the package."""
+    """Yield the modules of this package that a file imports anywhere, as name parts below the package."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             names = [alias.name for alias in node.names]
--- a/tests/test_instance_settings.py
+++ b/tests/test_instance_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance: what cannot be served is rejected where it enters, and what is accepted is served."""
+"""Settings of an instance that the planner cannot serve are rejected when they are read; it serves all others."""
 
 from __future__ import annotations
 
@@ -81,14 +81,14 @@
 
 
 def with_setting(path: str, value) -> dict:
-    """The settings with one of them replaced."""
-    made = copy.deepcopy(SETTINGS)
+    """Return the settings with one of them replaced."""
+    settings = copy.deepcopy(SETTINGS)
     *parents, last = path.split(".")
-    inner = made
+    inner = settings
     for key in parents:
         inner = inner[int(key) if key.isdigit() else key]
     inner[last] = value
-    return made
+    return settings
 
 
 def read(path: str, value) -> api.Settings:
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize(("path", "value"), REJECTED)
 def test_a_setting_that_cannot_be_served_is_rejected_with_its_path(path, value):
-    """An objective of 0 was accepted, and raised in every review of the planner."""
+    """A latency objective of 0 was accepted, and the planner then raised an exception in every review."""
     with pytest.raises(ConfigError, match=f"settings: (missing setting ')?{path}"):
         read(path, value)
 
--- a/tests/test_send_queue.py
+++ b/tests/test_send_queue.py
@@ -1,4 +1,7 @@
-"""What waits for each client: merged, within the budget, drains first, nobody delayed by one that does not read."""
+"""The send queue merges changes, keeps the budget and sends withdrawals first.
+
+A client that does not read delays no other client.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,8 @@
 def entries(*names):
     units = {}
     for name in names:
-        unit, line = name.split(":")
-        units.setdefault(unit, set()).add(line)
+        unit, key = name.split(":")
+        units.setdefault(unit, set()).add(key)
     return units
 
 
@@ -36,22 +39,22 @@
 
 def test_the_budget_is_kept_over_all_clients():
     queue = SendQueue(1000, 8, 1e9)
-    for g in range(10):
-        queue.join(g)
+    for client in range(10):
+        queue.join(client)
     now, cost = SECOND, 0
     for step in range(200):
         now = SECOND + step * 10_000_000
-        for g in range(10):
-            queue.enqueue(now, g, step, entries(*(f"slice/{g}:{k}" for k in range(5))), False)
-        cost += sum(p.entries + 8 for p in drain(queue, now))
+        for client in range(10):
+            queue.enqueue(now, client, step, entries(*(f"slice/{client}:{k}" for k in range(5))), False)
+        cost += sum(message.entries + 8 for message in drain(queue, now))
     assert 1900 <= cost <= 2 * 1000 + 1000 * 0.05 + 2 * 58
 
 
 def test_withdrawals_go_before_the_rest():
     queue = SendQueue(100, 8, 1e9)
-    for g in range(5):
-        queue.join(g)
-        queue.enqueue(SECOND, g, 1, entries("slice/1:a"), False)
+    for client in range(5):
+        queue.join(client)
+        queue.enqueue(SECOND, client, 1, entries("slice/1:a"), False)
     queue.enqueue(SECOND, 4, 2, entries("fleet:x"), True)
     assert queue.next_message(SECOND).client == 4
 
@@ -62,12 +65,12 @@
     queue.join(2)
     queue.set_ready(1, False)
     for seq in range(1000):
-        for g in (1, 2):
-            queue.enqueue(seq, g, seq, entries(f"slice/{seq % 7}:a"), False)
-    assert {p.client for p in drain(queue, 2000)} == {2}
+        for client in (1, 2):
+            queue.enqueue(seq, client, seq, entries(f"slice/{seq % 7}:a"), False)
+    assert {message.client for message in drain(queue, 2000)} == {2}
     assert queue.pending[1].entries == 7 and queue.next_due(2000) is None
     queue.set_ready(1, True)
-    assert [p.entries for p in drain(queue, 2000)] == [7]
+    assert [message.entries for message in drain(queue, 2000)] == [7]
 
 
 def test_messages_within_a_window_are_limited_for_each_client():
@@ -93,28 +96,28 @@
 
 
 def test_random_entries_lose_nothing_and_never_go_back():
-    """Whatever is ordered leaves, each line at or after its order, in some message of its gateway."""
+    """Every ordered entry is sent in a message to its client, at the time of its order or later."""
     for seed in range(50):
         rng = random.Random(seed)
         queue = SendQueue(rng.choice((0, 500)), 8, 1e9, rng.choice((0, 4)), SECOND)
         due, now = {}, SECOND
-        for g in range(4):
-            queue.join(g)
+        for client in range(4):
+            queue.join(client)
         for seq in range(1, 120):
             now += rng.randrange(50_000_000)
-            g, unit = rng.randrange(4), f"slice/{rng.randrange(5)}"
-            queue.enqueue(now, g, seq, {unit: {str(rng.randrange(9))}}, rng.random() < 0.1)
-            due.setdefault(g, {})[unit] = seq
+            client, unit = rng.randrange(4), f"slice/{rng.randrange(5)}"
+            queue.enqueue(now, client, seq, {unit: {str(rng.randrange(9))}}, rng.random() < 0.1)
+            due.setdefault(client, {})[unit] = seq
             queue.set_ready(rng.randrange(4), rng.random() < 0.7)
-            for p in drain(queue, now):
-                assert p.first_seq <= seq and p.ordered_at <= now
-                for unit in p.units:
-                    due[p.client].pop(unit)
-        for g in range(4):
-            queue.set_ready(g, True)
+            for message in drain(queue, now):
+                assert message.first_seq <= seq and message.ordered_at <= now
+                for unit in message.units:
+                    due[message.client].pop(unit)
+        for client in range(4):
+            queue.set_ready(client, True)
         for _ in range(1000):
             now += 100_000_000
-            for p in drain(queue, now):
-                for unit in p.units:
-                    due[p.client].pop(unit)
+            for message in drain(queue, now):
+                for unit in message.units:
+                    due[message.client].pop(unit)
         assert not any(due.values()), seed
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every problem at once, each with section, key, value and remedy."""
+"""Reading settings reports every problem at once, each with section, key, value and remedy."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from damsonpick.testing.scenarios import script
 from tests.pilots import SETTINGS
 
-GOOD = SETTINGS.format(slices=6, rate=0)
+VALID_SETTINGS = SETTINGS.format(slices=6, rate=0)
 
 
 def problems(tmp_path, text):
@@ -22,21 +22,25 @@
     path.write_text(text)
     settings, found = read(path)
     assert settings is None
-    return [str(p) for p in found]
+    return [str(problem) for problem in found]
 
 
-def test_good_settings_become_the_modules_own(tmp_path):
+def test_valid_settings_become_settings_of_the_planner(tmp_path):
     path = tmp_path / "pilot.ini"
-    path.write_text(GOOD)
+    path.write_text(VALID_SETTINGS)
     settings = load(path)
-    own = settings.planner()
-    assert own.drain_grace == 2_200_000_000 and own.slices == 6
-    assert [c.name for c in own.classes] == ["page", "tally"] and own.channel_limit == 1e12
+    planner_settings = settings.planner()
+    assert planner_settings.drain_grace == 2_200_000_000 and planner_settings.slices == 6
+    assert [c.name for c in planner_settings.classes] == ["page", "tally"] and planner_settings.channel_limit == 1e12
     assert settings.store_path() == tmp_path / "state" / "tables.db"
 
 
 def test_all_problems_are_listed_not_the_first(tmp_path):
-    bad = GOOD.replace("2.2 s", "two").replace("limit = 6000", "limit = -1").replace("zone = a\n", "zone = z\n", 1)
+    bad = (
+        VALID_SETTINGS.replace("2.2 s", "two")
+        .replace("limit = 6000", "limit = -1")
+        .replace("zone = a\n", "zone = z\n", 1)
+    )
     bad = bad.replace("[list]", "[lsit]").replace("deadline = 4 s", "deadlin = 4 s", 1) + "\n[class third]\naim=1\n"
     found = problems(tmp_path, bad)
     text = "\n".join(found)
@@ -49,7 +53,7 @@
         "[class third] aim = '1'",
     ):
         assert part in text, text
-    assert all(";" in line for line in found), "each names a remedy"
+    assert all(";" in line for line in found), "each problem names a remedy"
 
 
 @pytest.mark.parametrize(
@@ -67,7 +71,7 @@
     ],
 )
 def test_each_problem_names_its_place_and_remedy(tmp_path, old, new, part):
-    assert part in "\n".join(problems(tmp_path, GOOD.replace(old, new, 1)))
+    assert part in "\n".join(problems(tmp_path, VALID_SETTINGS.replace(old, new, 1)))
 
 
 def test_file_that_cannot_be_read(tmp_path):
@@ -87,10 +91,10 @@
 
 def test_check_command_prints_all_and_says_so_by_its_exit_code(tmp_path):
     path = tmp_path / "pilot.ini"
-    path.write_text(GOOD.replace("2.2 s", "two").replace("slices = 6", "slices = none"))
+    path.write_text(VALID_SETTINGS.replace("2.2 s", "two").replace("slices = 6", "slices = none"))
     done = subprocess.run([sys.executable, "-m", "damsonpick", "check", str(path)], capture_output=True, text=True)
     assert done.returncode == 2 and len(done.stdout.splitlines()) == 2
-    path.write_text(GOOD)
+    path.write_text(VALID_SETTINGS)
     done = subprocess.run([sys.executable, "-m", "damsonpick", "check", str(path)], capture_output=True, text=True)
     assert done.returncode == 0
 
@@ -124,7 +128,7 @@
 
 
 def test_keys_of_the_file_are_those_that_operators_know():
-    """Fields have names of their own inside; a file written for an earlier version must go on working."""
+    """Fields have other names than the keys. A file written for an earlier version must still be accepted."""
     fields = {field.alias or name: field.annotation for name, field in PilotSettings.model_fields.items()}
     sections = {name: fields[name] for name in SINGLE_SECTIONS}
     sections |= {prefix: section for prefix, (_, section) in NAMED_SECTIONS.items()}
@@ -133,5 +137,5 @@
 
 @pytest.mark.parametrize("key", ["latency_objective = 1 s", "priority_weight = 2"])
 def test_names_of_fields_are_no_keys_of_the_file(tmp_path, key):
-    found = problems(tmp_path, GOOD.replace("aim = 1.5 s", f"aim = 1.5 s\n{key}", 1))
+    found = problems(tmp_path, VALID_SETTINGS.replace("aim = 1.5 s", f"aim = 1.5 s\n{key}", 1))
     assert len(found) == 1 and "is not a key of this section; it has aim, deadline, worth" in found[0]
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""One client, one connection or one task that raises ends alone."""
+"""An exception ends only the client, connection or task that raised it."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 
 
 def test_a_task_that_fails_again_and_again_waits_a_second_at_most(captured, log):
-    """A drive loop that stood still for longer would keep a drain waiting past its grace."""
+    """A drive loop that paused for longer would delay a drain beyond its grace period."""
     delays_s = []
 
-    async def scene() -> None:
+    async def run_test() -> None:
         async def skip(delay_s: float) -> None:
             delays_s.append(delay_s)
             if len(delays_s) == 20:
@@ -59,17 +59,17 @@
                 patch.setattr(supervision.anyio, "sleep", skip)
                 await keep_running("sample", fail, log)
 
-    anyio.run(scene)
+    anyio.run(run_test)
     assert len(delays_s) == 20 and max(delays_s) <= 1.0
 
 
 def test_a_task_that_is_cancelled_ends(log):
-    async def scene() -> None:
+    async def run_test() -> None:
         with anyio.move_on_after(0.05) as scope:
             await keep_running("sample", anyio.sleep_forever, log)
         assert scope.cancelled_caught
 
-    anyio.run(scene)
+    anyio.run(run_test)
 
 
 async def echo(stream) -> None:
@@ -89,8 +89,8 @@
                 return b""
 
 
-def serving(scene, log) -> None:
-    """Run a scene beside a server that echoes."""
+def run_with_echo_server(run_test, log) -> None:
+    """Run a test against a server that echoes."""
 
     async def run() -> None:
         async with (
@@ -99,26 +99,26 @@
         ):
             server = ConnectionServer("sample", echo, log)
             group.start_soon(server.serve, listener.listeners[0], group)
-            await scene(listener.extra(anyio.abc.SocketAttribute.local_port))
+            await run_test(listener.extra(anyio.abc.SocketAttribute.local_port))
             group.cancel_scope.cancel()
 
     anyio.run(run)
 
 
 def test_a_fault_in_one_connection_ends_it_alone(captured, log):
-    async def scene(port: int) -> None:
+    async def run_test(port: int) -> None:
         assert await exchange(port, b"raise") == b""
         assert await exchange(port, b"hello") == b"hello"
 
-    serving(scene, log)
+    run_with_echo_server(run_test, log)
     assert [(entry["event"], entry["server"]) for entry in captured.entries] == [("connection_failed", "sample")]
 
 
 def test_running_out_of_descriptors_does_not_end_the_server(captured, log):
-    """An accept that failed for want of a descriptor ended the program."""
+    """An accept that failed because no file descriptor was free ended the program."""
 
-    async def scene(port: int) -> None:
-        client = socket.create_connection(("127.0.0.1", port))  # its descriptor is open before the last ones go
+    async def run_test(port: int) -> None:
+        client = socket.create_connection(("127.0.0.1", port))  # opens its descriptor before the last ones are used up
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         highest = max(int(name) for name in os.listdir("/proc/self/fd"))
         resource.setrlimit(resource.RLIMIT_NOFILE, (highest, hard))
@@ -127,7 +127,7 @@
             with pytest.raises(OSError):
                 while True:
                     taken.append(os.dup(0))
-            await anyio.sleep(0.2)  # the accept fails meanwhile, more than once
+            await anyio.sleep(0.2)  # meanwhile the accept fails more than once
         finally:
             for number in taken:
                 os.close(number)
@@ -136,5 +136,5 @@
             client.sendall(b"hello")
             assert await anyio.to_thread.run_sync(client.recv, 16) == b"hello"
 
-    serving(scene, log)
+    run_with_echo_server(run_test, log)
     assert [entry["event"] for entry in captured.entries] == ["accept_failed"]
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts beside a loop that is late."""
+"""Tests of timeouts on an event loop that is late."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from damsonpick.runtime.timeouts import complete_within
 from damsonpick.testing.fakes.http import ClientConnection
 
-TURN_S = 0.05  # that each turn of the loop takes
-TIMEOUT_S = 0.02  # less than a turn
+ITERATION_S = 0.05  # duration of each iteration of the event loop
+TIMEOUT_S = 0.02  # shorter than an iteration
 
 
 class Resource:
@@ -25,9 +25,9 @@
         self.closed = True
 
 
-async def hold_up_the_loop() -> None:
+async def block_the_loop() -> None:
     while True:
-        time.sleep(TURN_S)
+        time.sleep(ITERATION_S)
         await anyio.sleep(0)
 
 
@@ -40,28 +40,28 @@
 
 
 @pytest.mark.parametrize("dial", [dial_platform, dial_fake])
-def test_a_connection_opens_though_each_turn_of_the_loop_takes_longer_than_the_timeout(dial):
-    """A busy process failed each time, opened connections anew for each request and was busier still."""
+def test_a_connection_opens_though_each_iteration_of_the_loop_takes_longer_than_the_timeout(dial):
+    """Each connect of a busy process failed. It opened a new connection for each request and became busier."""
 
-    async def scene() -> None:
+    async def run_test() -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(hold_up_the_loop)
+            group.start_soon(block_the_loop)
             for _ in range(5):
                 await dial(port)
             group.cancel_scope.cancel()
 
     with socket.create_server(("127.0.0.1", 0)) as server:
         port = server.getsockname()[1]
-        anyio.run(scene)
+        anyio.run(run_test)
 
 
 def test_an_operation_that_does_not_end_is_cancelled_in_time():
-    async def scene() -> None:
+    async def run_test() -> None:
         with pytest.raises(TimeoutError):
             await complete_within(TIMEOUT_S, anyio.sleep_forever, Resource.close)
 
     began = time.monotonic()
-    anyio.run(scene)
+    anyio.run(run_test)
     assert time.monotonic() - began < 2
 
 
@@ -69,23 +69,23 @@
     async def fail() -> Resource:
         raise ConnectionRefusedError("nobody listens")
 
-    async def scene() -> None:
+    async def run_test() -> None:
         with pytest.raises(ConnectionRefusedError):
             await complete_within(1.0, fail, Resource.close)
 
-    anyio.run(scene)
+    anyio.run(run_test)
 
 
 def test_a_result_that_nobody_takes_is_closed():
-    made = Resource()
+    result = Resource()
 
-    async def scene() -> None:
+    async def run_test() -> None:
         async def operation() -> Resource:
-            scope.cancel()  # the caller is cancelled in the turn in which the result is there
-            return made
+            scope.cancel()  # cancels the caller in the iteration in which the result arrives
+            return result
 
         with anyio.CancelScope() as scope:
             await complete_within(1.0, operation, Resource.close)
 
-    anyio.run(scene)
-    assert made.closed
+    anyio.run(run_test)
+    assert result.closed
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec in both directions and the host, on batches written by hand."""
+"""Tests of the simulator codec in both directions and of the host, with batches written by hand."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return list(codec.Reader(row + "\n" for row in rows).batches())
 
 
-def one(row: str) -> api.Event:
+def read_event(row: str) -> api.Event:
     (batch,) = read("TICK\t5", row, "OVER_TO_YOU")
     (item,) = batch.items
     assert isinstance(item, codec.InstanceEvent) and item.instance == "pilot/3"
@@ -84,7 +84,7 @@
     ],
 )
 def test_events(row, event):
-    assert one(row) == event
+    assert read_event(row) == event
 
 
 def test_lists_read_their_items():
