--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -114,7 +114,7 @@
         self.stopped_rollouts: list[StoppedRollout] = []  # newly stopped rollouts, for the log
         self._next_duplicate_number = FIRST_DUPLICATE_NUMBER
         self._rejecting_nodes: dict[RejectedVersion, set[str]] = {}
-        self._staged: list[StagedChange] = []  # heap
+        self._staged: list[StagedChange] = []  # heap ordered by due time
 
     # -- connections
 
--- a/damsonpick/runtime/clock.py
+++ b/damsonpick/runtime/clock.py
@@ -9,9 +9,7 @@
 import time
 from typing import NamedTuple
 
-SCALING_ORIGIN_NS = (
-    1_767_225_600_000_000_000  # 2026-01-01 00:00 UTC, the moment at which scaled and true time are equal
-)
+SCALING_ORIGIN_NS = 1_767_225_600_000_000_000  # 2026-01-01 00:00 UTC, when scaled and true time are equal
 MAX_ORIGIN_READS = 20
 MAX_ORIGIN_GAP_NS = 5_000  # longest time between the two monotonic reads of an attempt in an undelayed process
 
@@ -26,10 +24,10 @@
 def read_clock_origin() -> ClockOrigin:
     """Read the wall clock and the monotonic clock at the same moment.
 
-    The system may suspend the process between two reads, for milliseconds under load. Its clock would then stay behind
-    the clocks of all other processes. Therefore each attempt reads the wall clock between two reads of the monotonic
-    clock, and the attempt with the shortest time between the two monotonic reads is used. Its error is at most half of
-    that time.
+    The system may suspend the process between two reads, for milliseconds under load. The clock of the process would
+    then stay behind the clocks of all other processes permanently. Therefore each attempt reads the wall clock between
+    two reads of the monotonic clock, and the attempt with the shortest time between its two monotonic reads is used.
+    The error is at most half of that time.
     """
     best_gap_ns: int | None = None
     origin = ClockOrigin(0, 0)
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -84,7 +84,7 @@
     lines_per_second: float = Field(ge=0)
     limit: float = Field(gt=0)  # most entries that may wait to be sent
     message_overhead: float = Field(8, ge=0, alias="head")  # entries added to each message
-    messages_per_window: int = Field(0, ge=0, alias="messages")  # to one gateway; 0 for no limit
+    messages_per_window: int = Field(0, ge=0, alias="messages")  # messages to each gateway; 0 for no limit
     message_window: Duration = Field(10 * SECOND, alias="window")
     max_transit: Duration = Field(500 * MS, alias="transit_most")
 
