--- a/damsonpick/controller/__init__.py
+++ b/damsonpick/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: the engine round the planner, its tasks, and the control socket."""
+"""The controller daemon: the engine that drives the planner, the background tasks and the control socket."""
--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -1,4 +1,4 @@
-"""Composes one pilot: makes its parts from the settings and connects them. Nothing is opened but the state folder."""
+"""Builds the components of one pilot from the settings and connects them. Opens only the state folder, no sockets."""
 
 from __future__ import annotations
 
@@ -44,18 +44,18 @@
 
 
 class Components:
-    """The parts of one pilot, connected.
+    """The connected components of one pilot.
 
     Args:
-        settings: checked settings.
-        log: the program's logger.
-        planner_factory: makes a planner from its settings and a seed.
-        advisor_factory: makes the solver's advisor.
-        solve: what the solver's worker runs.
+        settings: Validated settings.
+        log: Logger of the program.
+        planner_factory: Creates a planner from its settings and a seed.
+        advisor_factory: Creates the advisor of the solver.
+        solve: Function that the solver's worker process runs.
 
     Raises:
-        LockError: another process works on the state folder.
-        StoreError: the store cannot be used.
+        LockError: Another process uses the state folder.
+        StoreError: The store cannot be used.
     """
 
     def __init__(
@@ -66,13 +66,13 @@
         advisor_factory: AdvisorFactory,
         solve: Callable,
     ) -> None:
-        """Open the state folder and make the parts."""
+        """Open the state folder and create the components."""
         self.settings = settings
         self.log = log
         self.clock = Clock(settings.pilot.clock_rate)
         self.wakeup = Wakeup()
         self.ports = Ports()
-        # Each step needs what those before it made.
+        # The order matters: each step uses components that the previous steps created.
         self._open_state()
         self._make_publication()
         self._make_engine(planner_factory)
@@ -83,13 +83,13 @@
         self._make_queries()
 
     def close(self) -> None:
-        """Close what the state folder holds, and leave the folder to another process."""
+        """Close the databases in the state folder and release its lock for another process."""
         self.store.close()
         self.history.close()
         self.lock.release()
 
     def _open_state(self) -> None:
-        """The state folder's lock before anything that is kept in the folder."""
+        """Lock the state folder before opening any file in it."""
         settings = self.settings
         self.lock = FolderLock(settings.pilot.state)
         self.store = Store(settings.store_path(), settings.table_count())
@@ -97,7 +97,7 @@
         self.history = open_history(settings.history_path())
 
     def _make_publication(self) -> None:
-        """What is published, and the way to the sessions that read it."""
+        """Create the published state and the queue and session manager that deliver it to clients."""
         settings = self.settings
         budget = settings.channel
         self.published = PublishedTables(tuple(settings.classes), settings.table_count())
@@ -136,7 +136,7 @@
         )
 
     def _make_list_watch(self) -> None:
-        """The endpoint list, how far it is believed, and what gateways report of its endpoints."""
+        """Create the components for the endpoint list, the confidence in its entries, and gateway load reports."""
         settings, reports = self.settings, self.settings.reports
         self.load_reports = LoadReports(
             tuple(settings.classes), settings.table_count(), reports.period, reports.max_age
@@ -247,25 +247,25 @@
         )
 
     def _zone_of(self, endpoint: str) -> str:
-        """The zone that an endpoint was last listed in; '': it never was."""
+        """Return the zone in which an endpoint was last listed, or an empty string if it was never listed."""
         return self.endpoint_list.known_zones.get(endpoint, "")
 
     def _list_changed(self) -> None:
-        """Tables that the solver assigns follow a change of the endpoint list at once, and so does SASP advice."""
+        """Update SASP advice and solver-assigned tables immediately after a change of the endpoint list."""
         if self.sasp is not None:
             self.sasp.update_statuses()
         if self.settings.solved:
             self.engine.step(self.clock.now())
-            self.solver_task.advise_at_once()
+            self.solver_task.send_immediate_advice()
 
     def _answer_versions(self, request: VersionsRequest) -> Reply:
         reply = self.version_queries.answer(self.clock.now(), request)
-        self.wakeup.notify()  # a rollback or pin gives the engine work
+        self.wakeup.notify()  # a rollback or pin requires an engine step
         return reply
 
     def _forget(self, request: ControlRequest) -> Reply:
-        """Drop what was learned, on disk and in the planner."""
-        del request  # it has no parameters
+        """Discard the learned state on disk and in the planner."""
+        del request  # the request has no parameters
         self.snapshot_task.forget()
         self.engine.forget(self.clock.now())
         self.wakeup.notify()
--- a/damsonpick/controller/control_requests.py
+++ b/damsonpick/controller/control_requests.py
@@ -1,6 +1,6 @@
-"""Requests on the control socket, decoded once where they enter. The keys are the command line's interface.
+"""Typed requests of the control socket, decoded once on arrival. Their keys are the interface of the command line.
 
-What decodes has the right types and ranges; whether a slice, a version or a zone exists is for the answerer to say.
+Decoding checks types and ranges. The handler of a request checks whether a slice, a version or a zone exists.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from damsonpick.protocols.shared.validation import invalid_field
 from damsonpick.time_units import NS_PER_SECOND
 
-MAX_DURATION_NS = 10 * 365 * 86_400 * NS_PER_SECOND
+MAX_DURATION_NS = 10 * 365 * 86_400 * NS_PER_SECOND  # ten years
 MAX_SLICE_NUMBER = 1 << 31
-MAX_ACT_NUMBER = 1 << 62
+MAX_GENERATION = 1 << 62
 MAX_LOGGED_VALUE = 60  # characters
 
 DurationNs = Annotated[int, Meta(ge=0, le=MAX_DURATION_NS)]
 SliceNumber = Annotated[int, Meta(ge=0, le=MAX_SLICE_NUMBER)]
-ActNumber = Annotated[int, Meta(ge=0, le=MAX_ACT_NUMBER)]
+Generation = Annotated[int, Meta(ge=0, le=MAX_GENERATION)]
 
 JsonObject = Mapping[str, Any]
 
 
 class Query(StrEnum):
-    """What can be asked, as the request's `ask` names it."""
+    """Kinds of requests, with the values of the request key `ask`."""
 
     STATUS = "status"
     TABLES = "tables"
@@ -40,81 +40,81 @@
 
 
 class InvalidRequestError(ValueError):
-    """A request that cannot be carried out as it is written.
+    """A request has a field that is missing, malformed or out of range.
 
     Attributes:
-        field: of the request.
+        field: Path of the invalid field. Empty if the error does not belong to one field.
     """
 
     def __init__(self, field: str, reason: str) -> None:
-        """Name the field and what is wrong with it."""
+        """Build the message from the field and the reason."""
         super().__init__(f"{field}: {reason}" if field else reason)
         self.field = field
 
 
 class UnknownOrderError(InvalidRequestError):
-    """A request gives an order that there is not.
+    """The key `do` of a request names an unknown operation.
 
     Attributes:
-        order: as the request gives it.
+        order: Value of `do` as received.
     """
 
     def __init__(self, order: object, known: Iterable[str]) -> None:
-        """Name the orders there are as the remedy."""
+        """Build a message that lists the known operations."""
         *names, last = known
         super().__init__("", f"unknown order {str(order)[:MAX_LOGGED_VALUE]!r}; use {', '.join(names)} or {last}")
         self.order = order
 
 
-class PlainRequest(Struct, frozen=True):
-    """A question without parameters."""
+class EmptyRequest(Struct, frozen=True):
+    """A request without parameters."""
 
 
 class TablesRequest(Struct, frozen=True):
-    """The tables of some slices; None: of all."""
+    """Return the tables of the given slices, or of all slices if `slices` is None."""
 
     slices: list[SliceNumber] | None = None
 
 
 class ShowList(Struct, frozen=True):
-    """The endpoint list."""
+    """Return the endpoint list."""
 
 
 class AcceptList(Struct, frozen=True):
-    """Missing endpoints are gone."""
+    """Confirm that endpoints missing from the list no longer exist."""
 
 
 class ListVersions(Struct, frozen=True):
-    """The newest versions."""
+    """Return up to `most` of the newest versions."""
 
     most: int = 20
 
 
 class ShowVersion(Struct, frozen=True):
-    """One version, by number or the beginning of its root."""
+    """Return one version, identified by its number or a prefix of its root."""
 
     version: str | int
 
 
 class DiffVersions(Struct, frozen=True):
-    """The difference between two versions."""
+    """Return the difference between two versions."""
 
     one: str | int
     other: str | int
 
 
 class WhoHolds(Struct, frozen=True):
-    """Which gateways hold a version; None: the newest."""
+    """Return which gateways have a version, or the newest version if `version` is None."""
 
     version: str | int | None = None
 
 
 class Rollback(Struct, frozen=True):
-    """Go back to a version."""
+    """Roll the tables back to a version and pin them."""
 
     version: str | int
-    pin_ns: DurationNs | None = None  # None: as in the settings
-    expected: ActNumber | None = None
+    pin_ns: DurationNs | None = None  # None selects the duration in the settings
+    expected: Generation | None = None
     dry: bool = False
     stages: list[str] | None = None
     hold_ns: DurationNs | None = None
@@ -122,21 +122,21 @@
 
 
 class Pin(Struct, frozen=True):
-    """Pin the tables as they are."""
+    """Pin the current tables."""
 
     pin_ns: DurationNs | None = None
-    expected: ActNumber | None = None
+    expected: Generation | None = None
 
 
 class ReleasePin(Struct, frozen=True):
-    """End a pin."""
+    """Release the pin."""
 
-    expected: ActNumber | None = None
+    expected: Generation | None = None
 
 
 ListRequest = ShowList | AcceptList
 VersionsRequest = ListVersions | ShowVersion | DiffVersions | WhoHolds | Rollback | Pin | ReleasePin
-ControlRequest = PlainRequest | TablesRequest | ListRequest | VersionsRequest
+ControlRequest = EmptyRequest | TablesRequest | ListRequest | VersionsRequest
 
 LIST_ORDERS: dict[str, type[ListRequest]] = {"show": ShowList, "accept": AcceptList}
 VERSION_ORDERS: dict[str, type[VersionsRequest]] = {
@@ -154,11 +154,11 @@
     """Return the typed request.
 
     Args:
-        query: what the request asks.
-        request: its JSON object; keys that are not known are ignored.
+        query: Kind of the request.
+        request: JSON object of the request. Unknown keys are ignored.
 
     Raises:
-        InvalidRequestError: names the field that is missing, of another type or out of range.
+        InvalidRequestError: A field is missing, has the wrong type or is out of range. The message names the field.
     """
     request_type = _request_type(query, request)
     try:
@@ -173,7 +173,7 @@
         return _order_type(request.get("do", "list"), VERSION_ORDERS)
     if query is Query.LIST:
         return _order_type(request.get("do", "show"), LIST_ORDERS)
-    return TablesRequest if query is Query.TABLES else PlainRequest
+    return TablesRequest if query is Query.TABLES else EmptyRequest
 
 
 def _order_type(order: object, known: Mapping[str, type[ControlRequest]]) -> type[ControlRequest]:
--- a/damsonpick/controller/control_socket.py
+++ b/damsonpick/controller/control_socket.py
@@ -1,4 +1,4 @@
-"""The local socket by which the command line asks a running pilot. One JSON object a line, each way."""
+"""Unix socket through which the command line queries a running pilot. Each request and reply is one line of JSON."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 from damsonpick.runtime.supervision import ConnectionServer
 
-Request = dict[str, Any]  # `ask` names the query, the rest are its parameters
-Reply = dict[str, Any]  # the answer, or `error` alone
+Request = dict[str, Any]  # the key `ask` names the query; the other keys are its parameters
+Reply = dict[str, Any]  # the result, or a single key `error`
 
 MAX_REQUEST_BYTES = 65_536
 MAX_REPLY_BYTES = 64_000_000
 REPLY_TIMEOUT_S = 5.0
 OWNER_ONLY = 0o600
-CLIENT_GONE = (
+CLIENT_DISCONNECTED = (
     anyio.EndOfStream,
     anyio.IncompleteRead,
     anyio.DelimiterNotFound,
@@ -32,10 +32,10 @@
 
 
 class ControlError(Exception):
-    """The pilot cannot be asked; the text says why and what to do."""
+    """The pilot cannot be queried. The message gives the reason and a remedy."""
 
     def __init__(self, path: Path, reason: str) -> None:
-        """Name the socket and why there is no reply."""
+        """Build the message from the socket path and the reason."""
         super().__init__(f"{path}: {reason}")
         self.path = path
 
@@ -44,48 +44,48 @@
     """The control socket cannot be opened."""
 
     def __init__(self, path: Path, cause: OSError) -> None:
-        """Name the socket and what the operating system says."""
-        super().__init__(path, f"the control socket cannot be opened ({cause}); name another folder in [pilot] state")
+        """Build the message from the socket path and the error of the operating system."""
+        super().__init__(path, f"the control socket cannot be opened ({cause}); set another folder in [pilot] state")
 
 
 class NoPilotError(ControlError):
-    """Nobody listens on the socket."""
+    """No process listens on the socket."""
 
     def __init__(self, path: Path, cause: OSError) -> None:
-        """Name the socket and what the operating system says."""
+        """Build the message from the socket path and the error of the operating system."""
         super().__init__(path, f"no pilot answers ({cause}); start it with `damsonpick run`")
 
 
 class NotPermittedError(ControlError):
-    """The socket may not be used by this user: a pilot may well be running."""
+    """This user has no permission to use the socket. A pilot may be running nevertheless."""
 
     def __init__(self, path: Path) -> None:
-        """Name the socket and the remedy."""
-        super().__init__(path, "the control socket is another user's; ask as the user that runs the pilot")
+        """Build the message from the socket path."""
+        super().__init__(path, "the control socket belongs to another user; ask as the user that runs the pilot")
 
 
 class NoReplyError(ControlError):
-    """The pilot took the request and did not reply."""
+    """The pilot sent no reply in time, or closed the connection before it replied."""
 
     def __init__(self, path: Path, timeout_s: float) -> None:
-        """Name the socket and for how long was waited."""
-        super().__init__(path, f"the pilot gave no answer in {timeout_s:g} s; see its log")
+        """Build the message from the socket path and the timeout."""
+        super().__init__(path, f"the pilot sent no answer in {timeout_s:g} s; see its log")
         self.timeout_s = timeout_s
 
 
 class RequestError(ValueError):
-    """A request that is no JSON object."""
+    """A request is not a JSON object."""
 
     def __init__(self) -> None:
-        """The text is the same for every request."""
-        super().__init__("a request is a JSON object")
+        """Build the message, which does not depend on the request."""
+        super().__init__("a request must be a JSON object")
 
 
 async def listen(path: Path) -> SocketListener:
-    """Open the control socket. One left by a killed pilot is replaced.
+    """Open the control socket. Replaces a socket file that a killed pilot left behind.
 
     Raises:
-        ControlListenError: it cannot be opened there.
+        ControlListenError: The socket cannot be opened at this path.
     """
     try:
         path.unlink(missing_ok=True)
@@ -97,13 +97,13 @@
 async def serve(
     listener: SocketListener, path: Path, answer: Callable[[Request], Reply], log: FilteringBoundLogger
 ) -> None:
-    """Answer requests until cancelled, and remove the socket.
+    """Answer requests until cancelled, then remove the socket file.
 
     Args:
-        listener: as `listen` has opened it.
-        path: of the socket.
-        answer: gives the reply to one request; ValueError and KeyError become an `error` reply.
-        log: for a client that ends with a fault of the program; the others and the program go on.
+        listener: Listener that `listen` returned.
+        path: Path of the socket.
+        answer: Returns the reply to one request. A ValueError or KeyError becomes an `error` reply.
+        log: Logger for an unexpected exception, which ends only the connection of the client that triggered it.
     """
 
     async def serve_client(stream: SocketStream) -> None:
@@ -114,7 +114,7 @@
                     text = await requests.receive_until(b"\n", MAX_REQUEST_BYTES)
                     reply = _answer_text(answer, text)
                     await stream.send(json.dumps(reply).encode() + b"\n")
-            except CLIENT_GONE:
+            except CLIENT_DISCONNECTED:
                 return
 
     try:
@@ -142,12 +142,12 @@
 
 
 async def ask(path: Path, request: Request, timeout_s: float = REPLY_TIMEOUT_S) -> Reply:
-    """One reply from the pilot that listens on `path`.
+    """Send one request to the pilot that listens on `path` and return its reply.
 
     Raises:
-        NoPilotError: nobody listens.
-        NotPermittedError: this user may not ask.
-        NoReplyError: no reply within `timeout_s` seconds, or the connection ended before it.
+        NoPilotError: No process listens on the socket.
+        NotPermittedError: This user has no permission to use the socket.
+        NoReplyError: No reply arrived within `timeout_s` seconds, or the connection ended before the reply.
     """
     try:
         with anyio.fail_after(timeout_s):
@@ -155,7 +155,7 @@
                 await stream.send(json.dumps(request).encode() + b"\n")
                 text = await BufferedByteReceiveStream(stream).receive_until(b"\n", MAX_REPLY_BYTES)
     except (TimeoutError, anyio.EndOfStream, anyio.IncompleteRead, anyio.BrokenResourceError):
-        # Before OSError, which TimeoutError is one of: a pilot that hangs is there.
+        # This clause must precede `except OSError`: TimeoutError is an OSError, but a pilot that hangs is running.
         raise NoReplyError(path, timeout_s) from None
     except PermissionError:
         raise NotPermittedError(path) from None
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -1,4 +1,4 @@
-"""The life cycle of one pilot: opens its sockets, runs its tasks, and ends them in order."""
+"""Life cycle of one pilot: opens its sockets, runs its tasks and shuts them down in order."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from damsonpick.solver import work
 from damsonpick.solver.advice import Advisor
 
-XDS_STOP_GRACE_S = 0.2  # wall time that open streams have to end
+XDS_STOP_GRACE_S = 0.2  # wall time that open streams have to finish at shutdown
 
 
 class XdsListenError(Exception):
-    """The xDS address cannot be opened."""
+    """The xDS server cannot listen on its address."""
 
     def __init__(self, address: str, cause: Exception) -> None:
-        """Name the address and what the operating system says."""
+        """Build the message from the address and the cause."""
         super().__init__(
             f"[listen] xds = {address}: cannot be opened ({cause}); free the port or choose another address"
         )
@@ -36,18 +36,18 @@
 
 
 class Pilot:
-    """One pilot, from settings to open sockets.
+    """One pilot with its components, sockets and tasks.
 
     Args:
-        settings: checked settings.
-        log: the program's logger.
-        planner_factory: makes a planner from its settings and a seed; tests hand in planners that fail.
-        advisor_factory: makes the solver's advisor; benchmarks hand in hand-made weights.
-        solve: what the solver's worker runs; tests hand in slow and failing functions.
+        settings: Validated settings.
+        log: Logger of the program.
+        planner_factory: Creates a planner from its settings and a seed. Tests pass planners that fail.
+        advisor_factory: Creates the advisor of the solver. Benchmarks pass an advisor with hand-made weights.
+        solve: Function that the solver's worker process runs. Tests pass slow and failing functions.
 
     Raises:
-        LockError: another process works on the state folder.
-        StoreError: the store cannot be used.
+        LockError: Another process uses the state folder.
+        StoreError: The store cannot be used.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         advisor_factory: AdvisorFactory = Advisor,
         solve: Callable = work.solve,
     ) -> None:
-        """Compose the pilot; sockets are opened by `running`."""
+        """Create the components. `running` opens the sockets."""
         self.settings = settings
         self.log = log
         self.components = Components(settings, log, planner_factory, advisor_factory, solve)
@@ -66,17 +66,17 @@
 
     @property
     def ports(self) -> Ports:
-        """The ports that are open."""
+        """Ports on which the pilot listens."""
         return self.components.ports
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[TaskGroup]:
-        """Serve while the block runs, and end in order after it.
+        """Serve while the `async with` block runs, then shut down in order.
 
         Raises:
-            ListenError: the SASP address cannot be opened.
-            XdsListenError: the xDS address cannot be opened.
-            ControlListenError: the control socket cannot be opened.
+            ListenError: The SASP server cannot listen on its address.
+            XdsListenError: The xDS server cannot listen on its address.
+            ControlListenError: The control socket cannot be opened.
         """
         components = self.components
         self._restore()
@@ -110,14 +110,14 @@
             self.log.info("pilot_ended", name=self.settings.pilot.name, **self.loop_lag.load().log_fields())
 
     def _restore(self) -> None:
-        """Start the engine on what an earlier incarnation stored and learned."""
+        """Start the engine from the stored and learned state of the previous incarnation."""
         components = self.components
         learned = components.snapshot_task.read() if self.settings.learned_state.enabled else NOTHING_LEARNED
         components.engine.start(components.clock.now(), learned.snapshot, learned.away)
         components.list_updater.start(learned.snapshot, learned.away)
 
     def _start_tasks(self, group: TaskGroup) -> None:
-        """Start the tasks of the daemon. A fault in one of them is logged and costs that task a restart."""
+        """Start the tasks of the daemon. An exception in a task is logged and restarts only that task."""
         components = self.components
         tasks: dict[str, Callable[[], Awaitable[None]]] = {
             "list watch": components.list_watch.run,
@@ -139,6 +139,6 @@
         listen = self.settings.listen
         try:
             xds_server, self.ports.xds = await self.components.xds.start(listen.xds, listen.largest_request)
-        except (RuntimeError, OSError) as error:  # gRPC raises a RuntimeError for an address that is in use
+        except (RuntimeError, OSError) as error:  # gRPC raises RuntimeError if the address is in use
             raise XdsListenError(listen.xds, error) from None
         return xds_server
--- a/damsonpick/controller/drive_loop.py
+++ b/damsonpick/controller/drive_loop.py
@@ -1,4 +1,4 @@
-"""The loop that steps the engine, sends what the channel has room for, and sleeps until there is work again."""
+"""Main loop: steps the engine, sends changes within the channel's budget, and sleeps until there is work again."""
 
 from __future__ import annotations
 
@@ -14,48 +14,48 @@
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.runtime.clock import Clock
 
-BATCH_WINDOW_S = 0.001  # wall time; events within it are handed to the engine in one step: a thousand joins are one
-SHORTEST_WAIT_S = 0.001  # wall time
+BATCH_WINDOW_S = 0.001  # wall time; the engine handles all events of this window in one step, such as a thousand joins
+MIN_WAIT_S = 0.001  # wall time
 
 
 class Wakeup:
-    """A flag that any task raises and one loop waits for. Raising it twice before the loop looks wakes it once."""
+    """A flag that any task can set and one loop waits for. Setting it twice before the loop checks it wakes it once."""
 
     def __init__(self) -> None:
-        """Not raised yet."""
+        """Start with the flag cleared."""
         self._event = anyio.Event()
 
     def notify(self) -> None:
-        """Wake the loop, or keep it from going to sleep."""
+        """Wake the loop, or prevent it from sleeping if it is running."""
         self._event.set()
 
     def clear(self) -> None:
-        """Forget earlier notifications. Call it before looking for work, so that none is lost."""
+        """Clear the flag. Must be called before checking for work, so that no notification is lost."""
         self._event = anyio.Event()
 
     async def wait(self) -> None:
-        """Return once `notify` was called after the last `clear`."""
+        """Wait until `notify` has been called after the last `clear`."""
         await self._event.wait()
 
 
 class StreamServer(Protocol):
-    """A protocol server whose streams are written by tasks of its own."""
+    """A protocol server that writes its streams in its own tasks."""
 
     def wake(self, sessions: list[Session]) -> None:
-        """Wake the writers of the streams of these sessions."""
+        """Wake the tasks that write the streams of these sessions."""
 
 
 @dataclass(slots=True, eq=False)
 class DriveLoop:
-    """Steps the engine whenever something happened or a timer is due.
+    """Steps the engine after every event and when a timer is due.
 
     Args:
-        engine: takes decisions and says when it must run again.
-        session_manager: sends pending changes to sessions within the channel's budget.
-        servers: protocol servers that are told which sessions have something to write.
-        clock: the pilot's clock.
-        wakeup: raised by every task that gives the engine work.
-        log: names resources whose rollout was stopped.
+        engine: Makes the decisions and returns when it must run again.
+        session_manager: Sends pending changes to sessions within the channel's budget.
+        servers: Protocol servers, which are notified of the sessions that have data to write.
+        clock: Clock of the pilot.
+        wakeup: Set by every task that adds work for the engine.
+        log: Logger for resources whose rollout was stopped.
     """
 
     engine: Engine
@@ -74,22 +74,26 @@
             await anyio.sleep(BATCH_WINDOW_S)
             if self.session_manager.events or self.engine.inbox:
                 continue
-            with anyio.move_on_after(self._longest_wait_s(now, send_pause)):
+            with anyio.move_on_after(self._max_wait_s(now, send_pause)):
                 await self.wakeup.wait()
 
     def _step(self, now: int) -> int | None:
-        """One step of the engine and of sending; returns ns until the channel has room again, None: nothing waits."""
-        acknowledging = self.engine.step(now)
+        """Run one step of the engine and send pending changes.
+
+        Returns:
+            Time in ns until the channel's budget allows more sends, or None if no change is waiting.
+        """
+        acknowledging_sessions = self.engine.step(now)
         dispatch = self.session_manager.dispatch(now)
-        for session in acknowledging:
+        for session in acknowledging_sessions:
             self.session_manager.acknowledge(now, session)
         self._log_stopped_rollouts()
         for server in self.servers:
             server.wake(dispatch.sessions)
         return dispatch.next_due
 
-    def _longest_wait_s(self, now: int, send_pause: int | None) -> float | None:
-        """Wall seconds until the engine or the channel must run by itself; None: until notified."""
+    def _max_wait_s(self, now: int, send_pause: int | None) -> float | None:
+        """Return wall seconds until the engine or the channel must run, or None to wait for a notification only."""
         waits_ns = []
         if send_pause is not None:
             waits_ns.append(send_pause)
@@ -98,7 +102,7 @@
             waits_ns.append(due_at - now)
         if not waits_ns:
             return None
-        return max(SHORTEST_WAIT_S, self.clock.seconds(min(waits_ns)))
+        return max(MIN_WAIT_S, self.clock.seconds(min(waits_ns)))
 
     def _log_stopped_rollouts(self) -> None:
         for stopped in self.session_manager.stopped_rollouts:
@@ -107,6 +111,6 @@
                 resource=stopped.unit,
                 version=stopped.version,
                 rejections=stopped.rejections,
-                remedy="others keep the former one; see `versions who`, then go back or change the table",
+                remedy="other gateways keep the previous version; see `versions who`, then roll back or fix the table",
             )
         self.session_manager.stopped_rollouts.clear()
--- a/damsonpick/controller/queries.py
+++ b/damsonpick/controller/queries.py
@@ -1,4 +1,4 @@
-"""Answers what the command line asks a running pilot over the control socket."""
+"""Answers the requests that the command line sends to a running pilot over the control socket."""
 
 from __future__ import annotations
 
@@ -26,48 +26,48 @@
 from damsonpick.solver.advice import Advisor
 from damsonpick.state.published_tables import PublishedTables
 
-QueryAnswerer = Callable[[ControlRequest], Reply]
+QueryHandler = Callable[[ControlRequest], Reply]
 MAX_SHOWN_KIND = 60  # characters
 
 
 class UnknownSliceError(InvalidRequestError):
-    """A slice that there is not."""
+    """A request names a slice that does not exist."""
 
     def __init__(self, number: int, slice_count: int) -> None:
-        """Name the slice and how many there are."""
-        super().__init__(f"slice {number}", f"there are {slice_count}, from 0")
+        """Build the message from the slice number and the number of slices."""
+        super().__init__(f"slice {number}", f"does not exist; the number of slices is {slice_count}, counted from 0")
         self.number = number
         self.slice_count = slice_count
 
 
 @dataclass(slots=True, eq=False)
 class QueryRouter:
-    """Decodes each request and hands it to what answers its kind.
+    """Decodes each request and dispatches it to the handler of its query.
 
     Args:
-        answerers: one for each query that this pilot supports.
+        handlers: Handler of each query that this pilot supports.
     """
 
-    answerers: dict[Query, QueryAnswerer]
+    handlers: dict[Query, QueryHandler]
 
     def answer(self, request: JsonObject) -> Reply:
-        """The reply to one request; a request that is not understood is answered with `error`.
+        """Return the reply to one request. The reply to an unknown query has the single key `error`.
 
         Raises:
-            InvalidRequestError: a field of the request is wrong; the text names it.
-            ValueError, KeyError: the request cannot be carried out; the text says why.
+            InvalidRequestError: A field of the request is invalid. The message names the field.
+            ValueError, KeyError: The request cannot be executed. The message gives the reason.
         """
         kind = request.get("ask")
-        if not isinstance(kind, str) or kind not in self.answerers:
+        if not isinstance(kind, str) or kind not in self.handlers:
             shown = repr(kind)[:MAX_SHOWN_KIND]
             return {"error": f"unknown question {shown}; ask status, tables, weights, versions, list, sasp or forget"}
         query = Query(kind)
-        return self.answerers[query](decode_request(query, request))
+        return self.handlers[query](decode_request(query, request))
 
 
 @dataclass(slots=True)
 class Ports:
-    """The ports that are open; 0: not open."""
+    """Ports on which the pilot listens. A port is 0 while it is not open."""
 
     xds: int = 0
     sasp: int = 0
@@ -75,14 +75,14 @@
 
 @dataclass(slots=True, eq=False)
 class StatusQuery:
-    """Answers `status`: the pilot, its sessions and its endpoints.
+    """Answers `status` requests with the state of the pilot, its sessions and its endpoints.
 
     Args:
-        name: the pilot's name.
-        epoch: number of this start.
-        ports: read when asked: they are known once the servers listen.
-        clock: the pilot's clock.
-        engine, published, session_manager, send_queue, list_watch, snapshot_task: what is shown.
+        name: Name of the pilot.
+        epoch: Number of this start of the pilot.
+        ports: Open ports. Read for each request, because they are known only once the servers listen.
+        clock: Clock of the pilot.
+        engine, published, session_manager, send_queue, list_watch, snapshot_task: Components whose state is shown.
     """
 
     name: str
@@ -97,8 +97,8 @@
     snapshot_task: SnapshotTask
 
     def answer(self, request: ControlRequest) -> Reply:
-        """The whole status."""
-        del request  # it has no parameters
+        """Return the complete status."""
+        del request  # the request has no parameters
         classes = self.published.classes
         return {
             "pilot": self.name,
@@ -125,16 +125,16 @@
 
 @dataclass(slots=True, eq=False)
 class TablesQuery:
-    """Answers `tables`: the published tables, all or those of the `slices` asked for."""
+    """Answers `tables` requests with the published tables of all slices or of the requested slices."""
 
     published: PublishedTables
     catalogue: Catalogue
 
     def answer(self, request: TablesRequest) -> Reply:
-        """The tables.
+        """Return the requested tables and the withdrawn endpoints.
 
         Raises:
-            UnknownSliceError: a slice is asked for that there is not.
+            UnknownSliceError: A requested slice does not exist.
         """
         slices = range(self.published.slices) if request.slices is None else request.slices
         rows = [self._row(number) for number in slices]
@@ -153,32 +153,34 @@
         }
 
 
-def weights_query(advisor: Advisor, solver_enabled: bool) -> QueryAnswerer:
-    """Answers `weights`: the solver's last plan."""
+def weights_query(advisor: Advisor, solver_enabled: bool) -> QueryHandler:
+    """Return the handler of `weights` requests, which explains the solver's last plan."""
 
     def answer(request: ControlRequest) -> Reply:
-        del request  # it has no parameters
+        del request  # the request has no parameters
         if not solver_enabled:
-            return {"error": "the solver has nothing to do here; see [solver] in docs/operators/weights.md"}
+            return {
+                "error": "the solver has nothing to do with these settings; see [solver] in docs/operators/weights.md"
+            }
         return advisor.explain()
 
     return answer
 
 
 class BalancerView(Protocol):
-    """The SASP server, as an operator sees it."""
+    """Operator view of the SASP server."""
 
     def view(self) -> Reply:
-        """Registered balancers, their groups and members."""
+        """Return the registered balancers, their groups and members."""
 
 
-def sasp_query(server: BalancerView | None) -> QueryAnswerer:
-    """Answers `sasp`: who is registered; `server` None: this pilot does not speak SASP."""
+def sasp_query(server: BalancerView | None) -> QueryHandler:
+    """Return the handler of `sasp` requests. `server` is None if this pilot does not serve SASP."""
 
     def answer(request: ControlRequest) -> Reply:
-        del request  # it has no parameters
+        del request  # the request has no parameters
         if server is None:
-            return {"error": "there is no SASP front; give [sasp] listen an address"}
+            return {"error": "this pilot does not serve SASP; set an address in [sasp] listen"}
         return server.view()
 
     return answer
--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -1,4 +1,4 @@
-"""Runs the solver beside the loop, in a worker process, so that changes never wait for a solve."""
+"""Runs the solver in a worker process, so that table changes in the main loop never wait for a solve."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 from damsonpick.time_units import NS_PER_SECOND
 
 DUE_CHECK_PERIOD_NS = 100_000_000
-WORKER_START_S = 5.0  # wall time that the worker may take to start, beside the solve's own limit
+WORKER_START_S = 5.0  # wall time allowed for the start of the worker, in addition to the time limit of the solve
 
-LineWeights = dict[int, tuple[tuple[str, float], ...]]
+SliceWeights = dict[int, tuple[tuple[str, float], ...]]
 
 
 class SolveError(Exception):
-    """The solver ended without an optimal plan; the text is its status."""
+    """The solver ended without an optimal plan. The message is the solver's status."""
 
 
 @dataclass(slots=True, eq=False)
 class SolverTask:
-    """Solves when the advisor says so and hands its advice to the engine.
+    """Runs a solve when the advisor requests it and passes the resulting advice to the engine.
 
     Args:
-        advisor: poses the problem and turns a plan into advice.
-        engine: receives the advice.
-        clock: the pilot's clock.
-        notify: wakes the drive loop.
-        log: says what a plan changed, or why there is none.
-        solve: solves whole tables in the worker; tests hand in slow or failing ones.
+        advisor: Formulates the problem and converts a plan into advice.
+        engine: Receives the advice.
+        clock: Clock of the pilot.
+        notify: Wakes the drive loop.
+        log: Logger for the results and failures of solves.
+        solve: Function that computes complete tables in the worker. Tests pass slow or failing functions.
     """
 
     advisor: Advisor
@@ -48,11 +48,14 @@
     notify: Callable[[], None]
     log: FilteringBoundLogger
     solve: Callable
-    planner: Planner | None = field(default=None, init=False)  # the one that has all advice
+    planner: Planner | None = field(default=None, init=False)  # the planner that has received all advice
     worker: SolverWorker = field(default_factory=SolverWorker, init=False)
 
-    def advise_at_once(self) -> None:
-        """Advice that needs no solve: tables before the first plan, and all advice again to a restarted planner."""
+    def send_immediate_advice(self) -> None:
+        """Send advice that needs no solve.
+
+        This covers tables before the first plan, repaired tables, and all previous advice for a restarted planner.
+        """
         planner = self.engine.planner
         if planner is None:
             return
@@ -62,11 +65,11 @@
         self._send(self.advisor.initial_tables(planner) or self.advisor.repaired_tables(planner))
 
     async def run(self) -> None:
-        """Solve whenever it is due until cancelled."""
+        """Solve whenever a solve is due, until cancelled."""
         try:
             while True:
                 await anyio.sleep(self.clock.seconds(DUE_CHECK_PERIOD_NS))
-                self.advise_at_once()
+                self.send_immediate_advice()
                 planner, now = self.engine.planner, self.clock.now()
                 if planner is not None and planner.endpoints and self.advisor.is_due(now, planner):
                     self.advisor.begin_solve(now, planner)
@@ -75,16 +78,16 @@
             await self.worker.stop()
 
     async def _solve_once(self) -> None:
-        """One solve; the last good weights stay if it does not end well, whatever went wrong."""
+        """Run one solve. If it fails for any reason, the last good weights stay in use."""
         has_slices = self.advisor.settings.tables.slices > 0
         try:
             result = await self._solve(has_slices)
             planner = self.engine.planner
             if planner is None:
-                return  # it is being restarted: the next plan is for the new one
+                return  # the planner is being restarted; the next plan is computed for the new planner
             events = self._advice(result, planner)
         except TimeoutError:
-            self._failed("took too long")
+            self._failed("the solve took too long")
         except Exception as error:
             self._failed(str(error) or repr(error))
         else:
@@ -92,8 +95,8 @@
                 self._log_advice(result, events)
                 self._send(events)
 
-    async def _solve(self, has_slices: bool) -> Plan | LineWeights:
-        """What the worker answers to the problem of this moment."""
+    async def _solve(self, has_slices: bool) -> Plan | SliceWeights:
+        """Solve the current problem in the worker and return the result."""
         planner = self.engine.planner
         if has_slices:
             task, problem = work.solve_slices, self.advisor.slice_problem(planner)
@@ -103,14 +106,14 @@
         start_s = 0.0 if self.worker.is_running else WORKER_START_S
         return await self.worker.call(task, problem, limit_s, timeout_s=limit_s + start_s)
 
-    def _advice(self, result: Plan | LineWeights, planner: Planner) -> list[api.Event]:
+    def _advice(self, result: Plan | SliceWeights, planner: Planner) -> list[api.Event]:
         if not isinstance(result, Plan):
             return self.advisor.accept_slice_weights(result)
         if result.status != "optimal":
             raise SolveError(result.status)
         return self.advisor.accept(result, planner)
 
-    def _log_advice(self, result: Plan | LineWeights, events: list[api.Event]) -> None:
+    def _log_advice(self, result: Plan | SliceWeights, events: list[api.Event]) -> None:
         fields: dict[str, Any] = {}
         if isinstance(result, Plan):
             fields["objective"] = round(result.objective, 2)
@@ -126,5 +129,5 @@
     def _failed(self, reason: str) -> None:
         self.advisor.note_failure(self.clock.now(), reason)
         self.log.warning(
-            "solver_failed", reason=reason, weights="the last good ones stay", failures=self.advisor.failures
+            "solver_failed", reason=reason, weights="the last good weights stay in use", failures=self.advisor.failures
         )
--- a/damsonpick/controller/solver_worker.py
+++ b/damsonpick/controller/solver_worker.py
@@ -1,8 +1,9 @@
-"""A worker process for solves: the loop never waits for one, and one that takes too long is killed.
+"""A worker process for solves. The event loop never blocks on a solve, and a solve that takes too long is killed.
 
-`python -m damsonpick.controller.solver_worker` reads requests on standard input and writes replies on standard output,
-each a length and a pickle. What the solver library prints goes to standard error, so that replies alone are on the
-pipe. Only the parent's own objects pass, over a pipe of its own, so unpickling them is safe.
+`python -m damsonpick.controller.solver_worker` reads requests from standard input and writes replies to standard
+output, each as a length and a pickle. Output of the solver library is redirected to standard error, so that the pipe
+carries only replies. Unpickling is safe, because only the parent process and its worker exchange objects, over a
+private pipe.
 """
 
 from __future__ import annotations
@@ -20,56 +21,56 @@
 MODULE = "damsonpick.controller.solver_worker"
 LENGTH_BYTES = 8
 STDOUT, STDERR = 1, 2  # file descriptors
-PIPE_BROKEN = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, anyio.IncompleteRead)
+PIPE_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, anyio.IncompleteRead)
 
 
 class WorkerError(RuntimeError):
-    """The task raised in the worker, or the worker died; the text says what."""
+    """The task raised an exception in the worker, or the worker process ended. The message gives the cause."""
 
 
 class WorkerDiedError(WorkerError):
-    """The worker ended without a reply."""
+    """The worker process ended without a reply."""
 
     def __init__(self) -> None:
-        """There is nothing to say of how it ended."""
+        """Build the message, which gives no cause because none is known."""
         super().__init__("the worker process died")
 
 
 class SolverWorker:
-    """One worker process, started at the first call and after each call that failed."""
+    """Manages one worker process, which starts at the first call and restarts at the next call after a failed call."""
 
     def __init__(self) -> None:
-        """Nothing is started before the first call."""
+        """Start no process; the first call does."""
         self.process: anyio.abc.Process | None = None
         self.replies: BufferedByteReceiveStream | None = None
 
     @property
     def is_running(self) -> bool:
-        """Whether the next call finds a worker that has started."""
+        """Return whether the worker process has been started."""
         return self.process is not None
 
     async def call(self, task: Callable, *arguments: Any, timeout_s: float) -> Any:
         """Run `task(*arguments)` in the worker.
 
         Args:
-            task: a module-level function.
-            arguments: what pickle can carry.
-            timeout_s: wall seconds after which the worker is killed.
+            task: A module-level function.
+            arguments: Arguments of the task, which must be picklable.
+            timeout_s: Wall seconds after which the worker is killed.
 
         Raises:
-            TimeoutError: no reply in time.
-            WorkerError: the task raised, or the worker died.
+            TimeoutError: The worker sent no reply in time.
+            WorkerError: The task raised an exception, or the worker process ended.
         """
         if self.process is None:
             await self._start()
         succeeded = False
         try:
             with anyio.fail_after(timeout_s):
-                await self.process.stdin.send(_framed((task, arguments)))
+                await self.process.stdin.send(_encode_frame((task, arguments)))
                 length = int.from_bytes(await self.replies.receive_exactly(LENGTH_BYTES), "big")
                 returned, result = pickle.loads(await self.replies.receive_exactly(length))
             succeeded = True
-        except PIPE_BROKEN:
+        except PIPE_ERRORS:
             raise WorkerDiedError from None
         finally:
             if not succeeded:
@@ -83,7 +84,7 @@
         self.replies = BufferedByteReceiveStream(self.process.stdout)
 
     async def stop(self) -> None:
-        """Kill the worker, whatever it does."""
+        """Kill the worker process, even while it runs a task."""
         process, self.process = self.process, None
         if process is None:
             return
@@ -93,13 +94,13 @@
             await process.aclose()
 
 
-def _framed(message: Any) -> bytes:
+def _encode_frame(message: Any) -> bytes:
     body = pickle.dumps(message)
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def main() -> None:
-    """Serve requests until standard input ends."""
+    """Process requests until standard input ends."""
     replies = os.fdopen(os.dup(STDOUT), "wb")
     os.dup2(STDERR, STDOUT)
     requests = sys.stdin.buffer
@@ -109,7 +110,7 @@
             reply = (True, task(*arguments))
         except Exception as error:
             reply = (False, repr(error))
-        replies.write(_framed(reply))
+        replies.write(_encode_frame(reply))
         replies.flush()
 
 
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -1,4 +1,4 @@
-"""What `damsonpick versions` asks of a running controller. Keys of requests and replies are the command's interface."""
+"""Handles `damsonpick versions` requests. The keys of requests and replies are part of the command's interface."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.state.history.recorder import HistoryRecorder
 
-MAX_VERSIONS = 1000  # in one reply
+MAX_VERSIONS = 1000  # most versions in one reply
 
 
 class UnknownZoneError(InvalidRequestError):
-    """A request names a zone that there is not.
+    """A request names a zone that does not exist.
 
     Attributes:
-        zone: as the request names it.
+        zone: Name of the zone in the request.
     """
 
     def __init__(self, zone: str, known: Iterable[str]) -> None:
-        """Name the zones there are as the remedy."""
-        super().__init__(f"zone {zone}", f"there are {', '.join(known)}")
+        """Build a message that lists the known zones."""
+        super().__init__(f"zone {zone}", f"does not exist; the zones are {', '.join(known)}")
         self.zone = zone
 
 
 class VersionQueries:
-    """Answers questions about the versions of the tables, and carries out orders on them.
+    """Answers queries about versions of the tables and executes operations on them.
 
     Args:
-        engine: the decision loop.
-        recorder: the history of the tables.
-        session_manager: the connected clients.
-        settings: of the controller.
+        engine: The decision loop.
+        recorder: Records the history of the tables and stores the pin.
+        session_manager: Manages the connected clients.
+        settings: Settings of the controller.
     """
 
     def __init__(
         self, engine: Engine, recorder: HistoryRecorder, session_manager: SessionManager, settings: PilotSettings
     ) -> None:
-        """Map the orders of the command to what carries them out."""
+        """Map each request type to its handler."""
         self.engine = engine
         self.recorder = recorder
         self.session_manager = session_manager
@@ -71,12 +71,12 @@
         """Answer one request.
 
         Raises:
-            ValueError, KeyError: the request cannot be carried out; the text says why.
+            ValueError, KeyError: The request cannot be executed. The message gives the reason.
         """
         return self.handlers[type(request)](now, request)
 
     def _state(self, now: int) -> Reply:
-        """The newest version and the pin."""
+        """Return the newest version and the state of the pin."""
         pin, newest = self.recorder.pin, self.recorder.history.newest()
         pinned = pin.is_active(now)
         return {
@@ -88,7 +88,7 @@
             "waiting_for_disk": len(self.recorder.pending),
         }
 
-    # -- questions
+    # -- queries
 
     def _list(self, now: int, request: ListVersions) -> Reply:
         most = min(MAX_VERSIONS, max(1, request.most))
@@ -122,7 +122,7 @@
             "stopped": dict(self.session_manager.catalogue.stopped),
         }
 
-    # -- orders
+    # -- operations
 
     def _rollback(self, now: int, request: Rollback) -> Reply:
         rollback = RollbackRequest(
@@ -136,7 +136,7 @@
         return self.engine.roll_back(now, rollback)
 
     def _pin(self, now: int, request: Pin) -> Reply:
-        """Pin the tables as they are."""
+        """Pin the current tables."""
         self.recorder.pin.check_generation(request.expected)
         self.recorder.set_pin(self.recorder.history.newest().number, self._pin_end(now, request.pin_ns))
         return self._state(now)
@@ -147,14 +147,14 @@
         return self._state(now)
 
     def _pin_end(self, now: int, duration_ns: int | None) -> int:
-        """When a pin that is asked for ends, ns; without a duration it is that of the settings."""
+        """Return the end of a requested pin in ns. `duration_ns` None selects the duration in the settings."""
         return now + (self.settings.versions.pin_time if duration_ns is None else duration_ns)
 
     def _delay_by_zone(self, first_zones: Sequence[str], hold_ns: int) -> dict[str, int]:
-        """ns that clients of a zone wait: the zones named in their order, then all others.
+        """Return the delay in ns for the clients of each zone: `first_zones` in their order, then all other zones.
 
         Raises:
-            UnknownZoneError: there is no such zone.
+            UnknownZoneError: A zone in `first_zones` does not exist.
         """
         known = self.settings.pilot.zones
         for zone in first_zones:
