--- a/damsonpick/controller/decision_log.py
+++ b/damsonpick/controller/decision_log.py
@@ -1,4 +1,4 @@
-"""Log lines for the planner's decisions, and the cause that the history notes for a change."""
+"""Logs the planner's decisions and determines the cause that the history records for a change."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def change_cause(events: list[api.Event]) -> Cause:
-    """What set off a step of the planner."""
+    """Return which kind of event triggered a step of the planner."""
     if any(isinstance(event, api.TableAdvised | api.CapacityAdvised) for event in events):
         return "solver"
     if any(isinstance(event, api.EndpointListChanged) for event in events):
@@ -31,28 +31,28 @@
     """Writes one log line for each decision that an operator should see.
 
     Args:
-        published: the state that the orders were applied to.
-        log: a structlog logger.
+        published: State to which the orders were applied.
+        log: Logger.
     """
 
     def __init__(self, published: PublishedTables, log: FilteringBoundLogger) -> None:
-        """Start with nothing logged."""
+        """Assume that no withdrawal and no admission level has been logged."""
         self.published = published
         self.log = log
-        self.withdrawn: set[str] = set()  # endpoints last logged as withdrawn
-        self.levels: tuple[float, ...] = ()  # as last logged
+        self.withdrawn: set[str] = set()  # endpoints whose last log entry says withdrawn
+        self.levels: tuple[float, ...] = ()  # admission levels that were logged last
 
     def restored(self) -> None:
-        """Take what was withdrawn before this start for logged, so that its readmission is."""
+        """Mark endpoints withdrawn before this start as logged, so that their readmission is logged."""
         self.withdrawn = set(self.published.withdrawn)
 
     def write(self, planner: Planner, orders: list[api.Action], changed_entries: int) -> None:
         """Log the orders of one step.
 
         Args:
-            planner: the planner that gave the orders.
-            orders: those that were applied.
-            changed_entries: how many entries, withdrawals and levels they changed.
+            planner: Planner that issued the orders.
+            orders: Orders that were applied.
+            changed_entries: Number of entries, withdrawals and levels that the orders changed.
         """
         self._write_withdrawals(planner, orders)
         self._write_admission(planner)
@@ -77,7 +77,7 @@
             return
         self.levels = planner.published_levels
         if planner.admitted_share >= 1:
-            why = "all requests fit"
+            why = "all requests are admitted"
         else:
             why = f"responses are late: {planner.admitted_rate_limit:.0f} responses/s are admitted"
         admitted = dict(zip(self.published.classes, self.levels, strict=True))
@@ -101,7 +101,7 @@
 
 
 def _table_cause(planner: Planner, orders: list[api.SetEntry]) -> TableCause:
-    """Why entries of one table changed, as far as the orders show it."""
+    """Return why entries of one table changed, as far as the orders show the cause."""
     removed = [order.endpoint for order in orders if order.weight <= 0]
     if any(name in planner.endpoints and planner.is_unroutable(name) for name in removed):
         return "unroutable endpoint"
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -1,8 +1,8 @@
-"""Hands events to the planner and carries out its orders. No sockets; the store and the history are what it writes.
+"""Passes events to the planner and applies its orders. Opens no sockets; writes only the store and the history.
 
-The engine is the only caller of `Planner.handle` and the only writer of the published state. An exception in the
-planner leaves the last tables in service: they stay published, the events that led to it are logged, and a new planner
-is started from the store, at once the first time and within a second ever after.
+The engine is the only caller of `Planner.handle` and the only writer of the published state. If the planner raises an
+exception, the last tables stay published, the engine logs the events that led to the exception, and a new planner
+starts from the store: immediately after the first failure, within a second after each further one.
 """
 
 from __future__ import annotations
@@ -32,21 +32,21 @@
 from damsonpick.state.published_tables import Change, PublishedTables
 from damsonpick.state.store.sqlite import Store
 
-PLANNERS_A_SEED = 1000  # planners started under one seed of the settings draw differently up to this many
+MAX_PLANNERS_PER_SEED = 1000  # planners that get distinct random seeds from one seed of the settings
 
 
 class Engine(DecisionLoop):
-    """The decision loop of one controller, with what it owns, publishes and stores.
+    """The decision loop of one controller, with the state that it owns, publishes and stores.
 
     Args:
-        settings: the settings of the controller.
-        store: tables, standing orders and slice leases.
-        published: the published state.
-        session_manager: connected clients.
-        endpoint_list: the endpoint list in force.
-        log: a structlog logger.
-        make: makes a planner from settings and seed; tests hand in ones that fail.
-        recorder: history of the tables, with the pin.
+        settings: Settings of the controller.
+        store: Stores tables, persistent orders and slice leases.
+        published: The published state.
+        session_manager: Manages the connected clients.
+        endpoint_list: The current endpoint list.
+        log: Logger.
+        make_planner: Creates a planner from settings and a seed. Tests pass planners that fail.
+        recorder: Records the history of the tables and stores the pin.
     """
 
     def __init__(
@@ -57,17 +57,17 @@
         session_manager: SessionManager,
         endpoint_list: EndpointList,
         log: FilteringBoundLogger,
-        make: Callable[[api.Settings, int], Planner],
+        make_planner: Callable[[api.Settings, int], Planner],
         recorder: HistoryRecorder,
     ) -> None:
-        """Build the parts; `start` takes up the stored state."""
+        """Create the components. `start` loads the stored state."""
         super().__init__(log)
         self.settings = settings
         self.store = store
         self.published = published
         self.session_manager = session_manager
         self.endpoint_list = endpoint_list
-        self.make = make
+        self.make_planner = make_planner
         self.recorder = recorder
         self.ownership = SliceOwnership(store, settings.pilot.name)
         self.persistence = TablePersistence(store, published, log)
@@ -76,28 +76,28 @@
             endpoint_list, published, session_manager, self.ownership, self.pin.removed_entries, log
         )
         self.decision_log = DecisionLog(published, log)
-        self.list_changed = False  # since the last step
-        self.captured_state: Snapshot | None = None  # what a planner that failed had learned
+        self.list_changed = False  # whether the endpoint list changed since the last step
+        self.captured_state: Snapshot | None = None  # learned state of a planner that failed
 
     @property
     def owned(self) -> set[int]:
-        """Slices that this controller owns."""
+        """Numbers of the slices that this controller owns."""
         return self.ownership.owned
 
     @property
     def unsaved(self) -> set[int]:
-        """Slices whose tables the store does not hold yet."""
+        """Numbers of the slices whose current tables are not in the store yet."""
         return self.persistence.unsaved
 
     # -- starting a planner
 
     def start(self, now: int, learned: Snapshot | None = None, away: int | None = None) -> None:
-        """Publish what the store holds and start a planner on it.
+        """Publish the stored tables and start a planner from them.
 
         Args:
-            now: ns.
-            learned: what an earlier process learned, aged.
-            away: ns since that process was last seen; None: not known.
+            now: Current time in ns.
+            learned: Learned state of an earlier process, with its aging applied.
+            away: Time in ns since that process was last seen, or None if unknown.
         """
         now = self.clock.advance_to(now)
         self.persistence.load(ageing.admission_levels_valid(away))
@@ -111,28 +111,28 @@
         self._start_planner(learned)
 
     def forget(self, now: int) -> None:
-        """Replace the planner by one that has learned nothing; tables and orders stay."""
+        """Replace the planner by a planner without learned state. Tables and persistent orders stay."""
         self.clock.advance_to(now)
         self._start_planner(replaces_planner=True)
 
     def _start_planner(self, learned: Snapshot | None = None, replaces_planner: bool = False) -> None:
-        """Start a planner and queue the present state as its first events.
+        """Start a planner and queue the current state as its first events.
 
         Args:
-            learned: what an earlier planner learned, aged.
-            replaces_planner: a planner of this process is at work. One that has failed is replaced in any case.
+            learned: Learned state of an earlier planner, with its aging applied.
+            replaces_planner: Whether a planner of this process is running. Always treated as true after a failure.
         """
         replaces_planner = replaces_planner or bool(self.failures)
-        seed = self.settings.pilot.seed * PLANNERS_A_SEED + self.failures
+        seed = self.settings.pilot.seed * MAX_PLANNERS_PER_SEED + self.failures
         events = self.planner_start.events(learned, replaces_planner)
         self._drop_stale_events(replaces_planner)
-        self.begin_with(self.make(self.settings.planner(), seed), events)
+        self.begin_with(self.make_planner(self.settings.planner(), seed), events)
 
     def _drop_stale_events(self, replaces_planner: bool) -> None:
-        """Drop what clients did before the new planner starts.
+        """Drop client events that are older than the new planner.
 
-        The sync tokens of an earlier planner mean nothing to it, and clients that joined under one are among its first
-        events.
+        Sync tokens of an earlier planner are meaningless to the new planner. If it replaces a planner of this process,
+        its first events already include the clients that joined earlier.
         """
         manager = self.session_manager
         if replaces_planner:
@@ -141,24 +141,24 @@
             manager.events = [event for event in manager.events if not isinstance(event, api.SyncAcknowledged)]
 
     def set_confidence_source(self, events: Callable[[], list[api.Event]]) -> None:
-        """Set what tells a new planner the present confidence in entries of the endpoint list."""
+        """Set the function whose events report the current confidence in endpoint list entries to a new planner."""
         self.planner_start.confidence_events = events
 
     def learned_state(self) -> Snapshot | None:
-        """What the planner at work has learned, to be handed to the next one; None: it cannot be read."""
+        """Return the learned state of the running planner for its successor, or None if no `Planner` is running."""
         if not isinstance(self.planner, Planner):
             return None
         return capture.take_snapshot(self.planner, capture.SnapshotInfo(0, self.ownership.owner, HostTime(0, "", 0)))
 
     def capture_learned_state(self) -> None:
-        """Keep what a planner that failed had learned, if it can be read.
+        """Capture the learned state of a planner that failed, if it can be read.
 
-        It may be the cause of the failure: it is handed on once, and not after a second failure.
+        The learned state may have caused the failure, so a new planner receives it only after the first failure.
         """
         self.captured_state = None
         try:
             self.captured_state = self.learned_state() if self.failures == 1 else None
-        except Exception as error:  # the planner failed: anything of it may be damaged
+        except Exception as error:  # any state of the failed planner may be corrupt
             self.log.warning("learned_state_not_captured", error=repr(error))
 
     # -- events from outside the planner
@@ -169,7 +169,7 @@
         self.list_changed |= any(isinstance(event, api.EndpointListChanged) for event in events)
 
     def relocate(self, now: int, endpoints: Iterable[str]) -> list[Session]:
-        """Publish the tables again that name endpoints whose zone has changed.
+        """Publish again the tables that contain endpoints whose zone has changed.
 
         Returns:
             Sessions that may acknowledge sync tokens now.
@@ -179,7 +179,7 @@
         return self._publish(now, change, "list", "endpoints that moved") if change.entries else []
 
     def renew(self, now: int) -> None:
-        """Renew the leases; tell the planner of slices lost to another controller, and of slices taken over."""
+        """Renew the leases and notify the planner of slices that were lost to or taken over from another controller."""
         claimed = self.ownership.claim(self.clock.advance_to(now))
         for number in sorted(self.owned - claimed):
             self.enqueue(api.SliceOwnershipChanged(number, False))
@@ -188,7 +188,9 @@
             stored = self.store.load_tables()
             for number in taken_over:
                 self._take_over(number, stored[number])
-        self.ownership.owned = claimed  # last: if the store fails, the next renewal finds the same difference
+        self.ownership.owned = (
+            claimed  # assigned last: if the store fails above, the next renewal computes the same difference
+        )
 
     def _take_over(self, number: int, entries: Mapping[str, float]) -> None:
         self.published.restore(number, entries)
@@ -198,7 +200,7 @@
     # -- one step
 
     def due(self) -> int | None:
-        """When the next step must run, ns; None: only when something happens."""
+        """Return the time in ns at which the next step must run, or None if only an event requires a step."""
         times: list[int] = []
         next_step = self.next_step()
         if next_step is not None:
@@ -212,13 +214,13 @@
         return min(times, default=None)
 
     def step(self, now: int) -> list[Session]:
-        """Hand the planner what happened and carry out its orders.
+        """Pass pending events to the planner and apply its orders.
 
         Returns:
             Sessions that may acknowledge sync tokens now.
         """
         now = self.clock.advance_to(now)
-        self._retry_writes(now)
+        self._retry_failed_writes(now)
         if self.planner is None:
             if now < self.restart_at:
                 return []
@@ -232,18 +234,18 @@
         step = self.advance(now, client_events)
         return self._carry_out(now, step) if step else []
 
-    def _retry_writes(self, now: int) -> None:
+    def _retry_failed_writes(self, now: int) -> None:
         if self.persistence.retry_due(now):
             self.persistence.save(now)
         if self.recorder.pending and now >= self.recorder.retry_at:
             self.recorder.flush(now)
 
     def _carry_out(self, now: int, step: Step) -> list[Session]:
-        """Apply the planner's orders: first to memory, then to the store, then to the clients."""
+        """Apply the planner's orders: first to the published state, then to the store, then to the clients."""
         orders = self._owned_orders(step.actions)
         if not orders:
             return []
-        orders = self.pin.filter(orders, self.may_not_be_picked)
+        orders = self.pin.filter(orders, self.is_unroutable)
         change = self.published.apply(orders)
         touched = {order.table for order in orders if isinstance(order, api.SetEntry | api.ClearTable)}
         self.persistence.save(now, touched)
@@ -251,7 +253,7 @@
         return self._publish(now, change, change_cause(step.events))
 
     def _owned_orders(self, actions: list[api.Action]) -> list[api.Action]:
-        """Orders to publish, without those on slices whose lease was lost meanwhile."""
+        """Return the table orders without orders on slices whose lease has been lost in the meantime."""
         orders: list[api.Action] = []
         for action in actions:
             if not isinstance(action, api.TableOrder):
@@ -272,16 +274,16 @@
     # -- pin and rollback
 
     def roll_back(self, now: int, request: RollbackRequest) -> dict[str, Any]:
-        """Set the tables as a kept version had them, as far as is safe, and pin them.
+        """Restore the tables of a kept version as far as is safe, and pin them.
 
         Returns:
-            What was, or would be, changed, as `damsonpick versions rollback` answers it.
+            The changes made, or planned in a dry run, in the reply format of `damsonpick versions rollback`.
 
         Raises:
-            ValueError: no such version is kept, or another operator acted meanwhile.
+            ValueError: The version is not kept, or another operator changed the pin in the meantime.
         """
         now = self.clock.advance_to(now)
-        plan = self.pin.plan_rollback(request, self.owned, self.may_not_be_picked, self.is_warming_up)
+        plan = self.pin.plan_rollback(request, self.owned, self.is_unroutable, self.is_warming_up)
         if request.dry_run:
             return plan.reply() | {"done": False, "generation": self.recorder.pin.generation}
         self._apply_rollback(now, plan, request)
@@ -311,7 +313,7 @@
         self._apply_pin(now)
 
     def _apply_pin(self, now: int) -> None:
-        """A pin has begun or ended: a new planner goes on from the tables as they are, so that none of them jumps."""
+        """Start a new planner from the current tables when a pin begins or ends, so that no table changes abruptly."""
         self.pin.applied = self.pin.holds(now)
         if not self.pin.applied:
             self.pin.removed_entries.clear()
@@ -322,13 +324,13 @@
         )
         self._start_planner(self.learned_state(), replaces_planner=True)
 
-    def may_not_be_picked(self, name: str) -> bool:
-        """Whether an endpoint may not be picked now: unlisted, draining, gone or withdrawn."""
+    def is_unroutable(self, name: str) -> bool:
+        """Return whether an endpoint must not receive requests: it is unlisted, draining, gone or withdrawn."""
         entry = self.endpoint_list.entries.get(name)
         return entry is None or entry.state != "in_service" or name in self.published.withdrawn
 
     def is_warming_up(self, name: str) -> bool:
-        """Whether an endpoint has not reached its full share since its start."""
+        """Return whether an endpoint has not reached its full share of requests since its start."""
         planner = self.planner
         endpoint = planner.endpoints.get(name) if planner else None
         return planner is not None and endpoint is not None and planner.warm_up_share(endpoint) < 1
@@ -336,5 +338,5 @@
     # -- for operators
 
     def view(self) -> list[dict[str, object]]:
-        """Endpoints as the planner sees them; empty while it is being restarted."""
+        """Return the planner's view of each endpoint. Empty while the planner is being restarted."""
         return list(explain.endpoint_rows(self.planner, self.published)) if self.planner else []
--- a/damsonpick/controller/explain.py
+++ b/damsonpick/controller/explain.py
@@ -1,4 +1,4 @@
-"""Why an endpoint is treated as it is, in words, from what the planner knows. Read only."""
+"""Describes the state of each endpoint, and the reasons for it, from the planner's state. Changes nothing."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from damsonpick.decisions.planner import Planner
 from damsonpick.state.published_tables import PublishedTables
 
-SLOW_CAPACITY_FACTOR = 0.75  # below it `why` names the endpoint as slow; no decision depends on it
+SLOW_CAPACITY_FACTOR = 0.75  # below this factor `why` calls the endpoint slow; no decision depends on it
 
 
 def endpoint_rows(planner: Planner, published: PublishedTables) -> Iterator[dict[str, object]]:
-    """One row an endpoint, as `damsonpick status` answers it; the keys are part of the command's interface.
+    """Yield one row per endpoint for `damsonpick status`. The keys are part of the command's interface.
 
     Args:
-        planner: the planner at work.
-        published: tables and withdrawals in force.
+        planner: The running planner.
+        published: The published tables and withdrawals.
     """
     entry_counts = Counter(name for table in published.tables.values() for name in table)
     for name, endpoint in sorted(planner.endpoints.items()):
@@ -34,11 +34,13 @@
 
 
 def _limitations(planner: Planner, published: PublishedTables, name: str) -> Iterator[str]:
-    """What keeps an endpoint from its full share of requests."""
+    """Yield the reasons why an endpoint does not receive its full share of requests."""
     endpoint = planner.endpoints[name]
     if planner.is_unroutable(name):
         yield f"unroutable: the endpoint list says {endpoint.state}"
-    elif name in published.withdrawn:  # its change number is 0 if it was withdrawn before this start
+    elif (
+        name in published.withdrawn
+    ):  # tests for the key: the change number is 0 if the endpoint was withdrawn before this start
         yield "withdrawn: not all tables have dropped it yet"
     warm_up_share = planner.warm_up_share(endpoint)
     if warm_up_share < 1:
@@ -50,7 +52,7 @@
 
 
 def withdrawal_reason(planner: Planner, name: str) -> str:
-    """Why an endpoint was withdrawn or readmitted."""
+    """Return why an endpoint was withdrawn or readmitted."""
     endpoint = planner.endpoints.get(name)
     if endpoint is None:
         return "not in the endpoint list"
--- a/damsonpick/controller/lease_task.py
+++ b/damsonpick/controller/lease_task.py
@@ -1,4 +1,4 @@
-"""Renews the pilot's leases on its slices before they run out."""
+"""Renews the pilot's slice leases before they expire."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     """Renews leases periodically.
 
     Args:
-        engine: holds the leases.
-        clock: the pilot's clock.
-        notify: wakes the drive loop: slices may have been won or lost.
-        log: says why a renewal failed.
+        engine: Owns the leases.
+        clock: Clock of the pilot.
+        notify: Wakes the drive loop after a renewal, because slices may have been gained or lost.
+        log: Logger for failed renewals.
     """
 
     engine: Engine
@@ -31,7 +31,7 @@
     log: FilteringBoundLogger
 
     async def run(self) -> None:
-        """Renew until cancelled. A failed renewal is logged and tried again: the lease outlives several periods."""
+        """Renew until cancelled. A failed renewal is logged and retried: a lease lasts for several renewal periods."""
         while True:
             await anyio.sleep(self.clock.seconds(RENEWAL_PERIOD_NS))
             try:
@@ -41,4 +41,6 @@
             self.notify()
 
     def _renewal_failed(self, error: Exception) -> None:
-        self.log.error("lease_renewal_failed", error=str(error), remedy="see space and rights of the state folder")
+        self.log.error(
+            "lease_renewal_failed", error=str(error), remedy="check free space and permissions of the state folder"
+        )
--- a/damsonpick/controller/list_queries.py
+++ b/damsonpick/controller/list_queries.py
@@ -1,4 +1,4 @@
-"""Answers `damsonpick list`: which source is believed, how far each endpoint is, and what is held."""
+"""Answers `damsonpick list`: the active source, the confidence in each endpoint, and the endpoints held in the list."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclass(slots=True, eq=False)
 class ListQuery:
-    """Answers `list`.
+    """Answers `list` requests.
 
     Args:
-        watch: the sources.
-        updater: the list in force.
-        clock: the pilot's clock.
+        watch: Provides the state of the list sources.
+        updater: Provides the current list and the confidence in its entries.
+        clock: Clock of the pilot.
     """
 
     watch: ListWatch
@@ -29,7 +29,7 @@
     clock: Clock
 
     def answer(self, request: ListRequest) -> Reply:
-        """Show the list, or accept that missing endpoints are gone."""
+        """Return the list, or confirm that missing endpoints are gone."""
         if isinstance(request, AcceptList):
             return {"accepted": self.updater.accept()}
         return self._show()
@@ -61,7 +61,7 @@
         }
 
     def _confirmed_s_ago(self, now: int, endpoint: str) -> float | None:
-        """Seconds since a source named an endpoint or it last gave a good answer; None: not known."""
+        """Return the seconds since a source or a successful response last confirmed an endpoint, or None if unknown."""
         latest = self.updater.confidence.last_evidence_at(endpoint)
         return _seconds_since(now, latest) if latest > 0 else None
 
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint lists: validates them, stores them, and tells the engine, with the confidence in each entry."""
+"""Validates and stores endpoint lists and passes them to the engine, with the confidence in each entry."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from damsonpick.state.load_reports import LoadReports
 from damsonpick.state.store.sqlite import ListedAt, Store
 
-MOST_LOGGED_ENDPOINTS = 20  # of one change of confidence
+MAX_LOGGED_ENDPOINTS = 20  # per log entry about changes of confidence
 
 
 @dataclass(slots=True, eq=False)
 class ListUpdater:
-    """The way of a list from its source to the engine.
+    """Processes a list from its source and passes the changes to the engine.
 
     Args:
-        clock: the pilot's clock.
-        endpoint_list: the list as the engine has been told it.
-        confidence: how far each entry is believed.
-        engine: receives list events.
-        load_reports: accepts reports on endpoints that were ever listed.
-        store: keeps the list over a restart.
-        on_change: called after the engine was told of a change.
-        notify: wakes the drive loop.
-        log: names what is wrong with a list.
+        clock: Clock of the pilot.
+        endpoint_list: The list as the engine has received it.
+        confidence: Confidence in each entry.
+        engine: Receives list events.
+        load_reports: Accepts load reports on every endpoint that was ever listed.
+        store: Keeps the list across restarts.
+        on_change: Called after a change has been queued for the engine.
+        notify: Wakes the drive loop.
+        log: Logger for invalid lists and changes of the list.
     """
 
     clock: Clock
@@ -46,14 +46,14 @@
     on_change: Callable[[], None]
     notify: Callable[[], None]
     log: FilteringBoundLogger
-    source: str = field(default="", init=False)  # whose list was applied last
+    source: str = field(default="", init=False)  # source of the list that was applied last
 
     def start(self, learned: Snapshot | None, away: int | None) -> None:
-        """The stored list is in force until a source answers.
+        """Restore the confidence in the stored list, which is used until a source returns a list.
 
         Args:
-            learned: what an earlier incarnation learned, aged; None: nothing is kept.
-            away: ns since that incarnation was last seen; None: not known.
+            learned: Learned state of an earlier incarnation, with its aging applied, or None if there is none.
+            away: Time in ns since that incarnation was last seen, or None if unknown.
         """
         now = self.clock.now()
         entries = self.endpoint_list.entries
@@ -62,17 +62,17 @@
         self.confidence.restore(now, times)
 
     def apply(self, source: str, entries: list[api.EndpointEntry]) -> None:
-        """Apply a list of `source`."""
+        """Apply a list that `source` returned."""
         now = self.clock.now()
         self.source = source
         self._apply(self.endpoint_list.apply(now, entries, lambda name: self.confidence.is_lost(now, name)))
 
     def list_unavailable(self) -> None:
-        """No source answers: the list stays in force, and the engine knows that it may be out of date."""
+        """Notify the engine that no source is available and that the list, which stays in use, may be out of date."""
         self.engine.enqueue(self.endpoint_list.failed())
 
     def accept(self) -> list[str]:
-        """An operator confirms that endpoints missing from the list are gone; returns those held until now."""
+        """Apply an operator's confirmation that missing endpoints are gone. Returns the endpoints held until now."""
         held = sorted(self.endpoint_list.held)
         validation = self.endpoint_list.accept(self.clock.now(), lambda name: False)
         if validation is not None:
@@ -81,14 +81,14 @@
         return held
 
     def recheck(self) -> None:
-        """Apply what only time changes: how long missing endpoints are held, how far entries are believed."""
+        """Apply changes due to elapsed time: the end of holds on missing endpoints and changes of confidence."""
         now = self.clock.now()
         validation = self.endpoint_list.recheck(now, lambda name: self.confidence.is_lost(now, name))
         if validation is not None:
             self._apply(validation)
         changes = self.confidence.changes(now)
         if changes:
-            confidences = {change.endpoint: change.confidence for change in changes[:MOST_LOGGED_ENDPOINTS]}
+            confidences = {change.endpoint: change.confidence for change in changes[:MAX_LOGGED_ENDPOINTS]}
             self.log.info("list_confidence_changed", confidences=confidences, changes=len(changes))
             self.engine.enqueue(*changes)
             self.notify()
@@ -120,4 +120,6 @@
             self._store_failed(error)
 
     def _store_failed(self, error: Exception) -> None:
-        self.log.error("list_not_stored", error=str(error), remedy="free space or rights on the state folder")
+        self.log.error(
+            "list_not_stored", error=str(error), remedy="check free space and permissions of the state folder"
+        )
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list's sources and hands on what the active one says, as merged with the others."""
+"""Watches the sources of the endpoint list and applies the active source's list, merged with the other lists."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from damsonpick.settings.model import ListSource, PilotSettings
 from damsonpick.state.endpoint_list.sources import ListError, Sources
 
-RECHECK_PERIOD_NS = 250_000_000  # between looks at what only time changes
-FIRST_SOURCE = "list"  # the source of the section [list]
-SASP_SOURCE = "sasp members"  # the last source: what trusted members and balancers say over SASP
+RECHECK_PERIOD_NS = 250_000_000  # between checks for changes that depend only on elapsed time
+FIRST_SOURCE = "list"  # source that the settings section [list] configures
+SASP_SOURCE = "sasp members"  # lowest-ranked source: members that trusted members and balancers report over SASP
 
 ListResult = list[api.EndpointEntry] | ListError
 
@@ -29,18 +29,18 @@
     """A connection to one source."""
 
     def lists(self) -> AsyncIterator[ListResult]:
-        """Each list that the source gives, or why there is none."""
+        """Yield each list that the source returns, or an error that says why it returned none."""
 
 
 class ListWatch:
-    """Follows every source and decides with `Sources` which list is in force.
+    """Follows every source and selects with `Sources` the list to apply.
 
     Args:
-        settings: the pilot's settings.
-        clock: the pilot's clock.
-        updater: applies a list that has changed.
-        notify: wakes the drive loop.
-        log: names the source and the reason.
+        settings: Settings of the pilot.
+        clock: Clock of the pilot.
+        updater: Applies a list that has changed.
+        notify: Wakes the drive loop.
+        log: Logger for failures and disagreements of sources.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         notify: Callable[[], None],
         log: FilteringBoundLogger,
     ) -> None:
-        """No source is asked before `run`."""
+        """Register the configured sources. `run` starts to watch them."""
         self.settings = settings
         self.clock = clock
         self.updater = updater
@@ -62,13 +62,13 @@
         if settings.sasp.members_as_list:
             names.append(SASP_SOURCE)
         self.sources = Sources(tuple(names), clock.now())
-        self.summary = "nothing yet"  # for `status`
-        self.applied_source = ""  # the source of the list that was applied last
-        self.applied_entries: list[api.EndpointEntry] | None = None  # None: none was applied yet
+        self.summary = "no list yet"  # summary of the list for `status`
+        self.applied_source = ""  # source of the list that was applied last
+        self.applied_entries: list[api.EndpointEntry] | None = None  # None until the first list is applied
         self.disagreements: list[str] = []
 
     def confirmed_at(self) -> int:
-        """Clock time when the active source last confirmed the list; 0: it does not at present."""
+        """Return the current clock time if the active source is up and so confirms the list, otherwise 0."""
         active = self.sources.active
         is_up = bool(active) and self.sources.all[active].up
         return self.clock.now() if is_up else 0
@@ -95,9 +95,9 @@
         return UpstreamSource(source_settings.upstream, source_settings.cluster, self.settings.pilot.name, backoff)
 
     def receive_members(self, entries: list[api.EndpointEntry]) -> None:
-        """Take members registered over SASP as a list of the last source.
+        """Process the members registered over SASP as a list of the lowest-ranked source.
 
-        A quiesced member drains by the rule that a drain of any live source binds.
+        A quiesced member drains, because a drain that any live source reports is binding.
         """
         if entries:
             self.receive(SASP_SOURCE, entries)
@@ -105,10 +105,12 @@
             self.receive(SASP_SOURCE, ListError("no members are registered"))
 
     def receive(self, name: str, result: ListResult) -> None:
-        """Take a list of one source, or the reason why it gave none."""
+        """Process a list of one source, or the error that says why it returned none."""
         now = self.clock.now()
         if not isinstance(result, ListError) and not result and self.updater.endpoint_list.entries:
-            result = ListError(f"{name}: the list is empty: taken as a failed source, the kept list stays in force")
+            result = ListError(
+                f"{name}: the list is empty; the source counts as failed and the kept list stays in force"
+            )
             self.log.warning("list_validation_failed", reason=str(result))
         if isinstance(result, ListError):
             self._source_failed(now, name, str(result))
@@ -127,7 +129,7 @@
             self.updater.list_unavailable()
 
     def _merge(self, now: int) -> None:
-        """Apply the list in force, if it differs from the one applied last."""
+        """Merge the lists of the sources and apply the result if it differs from the list that was applied last."""
         merged = self.sources.merged(now)
         for disagreement in merged.disputes:
             if disagreement not in self.disagreements:
--- a/damsonpick/controller/load_report_task.py
+++ b/damsonpick/controller/load_report_task.py
@@ -1,4 +1,4 @@
-"""Takes load reports of gateways in and hands their sums to the engine once a report period."""
+"""Receives load reports from gateways and passes their sums to the engine once per report period."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from damsonpick.state.learned.list_confidence import ListConfidence
 from damsonpick.state.load_reports import ClientReport, LoadReports
 
-MOST_LOGGED_PROBLEMS = 3  # of one load report
+MAX_LOGGED_PROBLEMS = 3  # per load report
 
 
 @dataclass(slots=True, eq=False)
@@ -21,13 +21,13 @@
     """Collects load reports and flushes them periodically.
 
     Args:
-        load_reports: checks and sums what gateways report.
-        confidence: learns from the same sums which listed endpoints answer.
-        engine: receives the sums as events.
-        clock: the pilot's clock.
-        period: ns between two flushes.
-        notify: wakes the drive loop.
-        log: names the gateway of a report that cannot be true, and the reason.
+        load_reports: Validates and sums the load reports of gateways.
+        confidence: Uses the same sums to determine which listed endpoints respond.
+        engine: Receives the sums as events.
+        clock: Clock of the pilot.
+        period: Time between two flushes in ns.
+        notify: Wakes the drive loop.
+        log: Logger for invalid load reports, with the gateway and the reason.
     """
 
     load_reports: LoadReports
@@ -39,15 +39,15 @@
     log: FilteringBoundLogger
 
     def receive(self, report: ClientReport) -> None:
-        """Take one load report of one gateway in."""
+        """Add one load report of a gateway."""
         now = self.clock.now()
         self.load_reports.join(now, report.client)
         problems = self.load_reports.add(now, report)
-        for problem in problems[:MOST_LOGGED_PROBLEMS]:
+        for problem in problems[:MAX_LOGGED_PROBLEMS]:
             self.log.info("load_report_invalid", gateway=report.client, reason=problem)
 
     async def run(self) -> None:
-        """Flush once a period until cancelled."""
+        """Flush once per period until cancelled."""
         while True:
             await anyio.sleep(self.clock.seconds(self.period))
             self._flush()
--- a/damsonpick/controller/planner_start.py
+++ b/damsonpick/controller/planner_start.py
@@ -1,8 +1,8 @@
-"""The first events of a new planner: the state in force when it starts. Sans I/O.
+"""Builds the first events of a new planner from the state at its start. Performs no I/O.
 
 A planner starts empty: after a restart of the process, after an exception, when a pin begins or ends, and when an
 operator discards the learned state. In each case it first receives the endpoint list, the tables of the owned slices
-and whatever an earlier planner learned.
+and the learned state of an earlier planner, if there is any.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
     """Builds the first events of a planner.
 
     Args:
-        endpoint_list: the list in force.
-        published: tables and standing orders in force.
-        session_manager: connected clients.
-        ownership: which slices are owned.
-        removed_entries: by slice, entries that a rollback removed; clients may hold them still.
-        log: a structlog logger.
+        endpoint_list: The current endpoint list.
+        published: The published tables and persistent orders.
+        session_manager: Manages the connected clients.
+        ownership: The slices that this controller owns.
+        removed_entries: Entries that a rollback removed, by slice. Clients may still have them.
+        log: Logger.
     """
 
     def __init__(
@@ -43,21 +43,21 @@
         removed_entries: Mapping[int, Mapping[str, float]],
         log: FilteringBoundLogger,
     ) -> None:
-        """Read the collaborators only when a planner starts."""
+        """Store the components. They are read only when a planner starts."""
         self.endpoint_list = endpoint_list
         self.published = published
         self.session_manager = session_manager
         self.ownership = ownership
         self.removed_entries = removed_entries
         self.log = log
-        self.confidence_events: Callable[[], list[api.Event]] = list  # the last confidence in list entries
+        self.confidence_events: Callable[[], list[api.Event]] = list  # returns the latest confidence in list entries
 
     def events(self, learned: Snapshot | None, replaces_planner: bool) -> list[api.Event]:
-        """The events, in the order the planner must receive them.
+        """Return the events in the order in which the planner must receive them.
 
         Args:
-            learned: what an earlier planner learned, aged; None: nothing is known.
-            replaces_planner: an earlier planner of this process was at work: clients joined under it.
+            learned: Learned state of an earlier planner, with its aging applied, or None if there is none.
+            replaces_planner: Whether an earlier planner of this process was running, so that clients have joined.
         """
         events = [
             *self._list_events(),
@@ -65,7 +65,7 @@
             *self._learned_events(learned),
             *self.confidence_events(),
         ]
-        if replaces_planner:  # clients may hold withdrawals of the planner that is replaced
+        if replaces_planner:  # clients may have withdrawals of the replaced planner
             events += self._client_events()
         return events
 
@@ -77,7 +77,10 @@
         return events
 
     def _table_events(self) -> list[api.Event]:
-        """Entries that a rollback removed count as present: if their endpoint drains now, it must be withdrawn."""
+        """Return the owned slices and their entries.
+
+        Entries that a rollback removed are included: if their endpoint drains now, it must be withdrawn.
+        """
         events: list[api.Event] = []
         for number in sorted(self.ownership.owned):
             events.append(api.SliceOwnershipChanged(number, True))
@@ -86,7 +89,7 @@
         return events
 
     def _learned_events(self, learned: Snapshot | None) -> list[api.Event]:
-        """What an earlier planner learned, and its orders that are still in force."""
+        """Return the learned state of an earlier planner and those of its orders that still apply."""
         events = self._snapshot_events(learned) if learned is not None else []
         classes = range(len(self.published.classes))
         levels = tuple(self.published.level(None, class_index) for class_index in classes)
--- a/damsonpick/controller/snapshot_task.py
+++ b/damsonpick/controller/snapshot_task.py
@@ -1,4 +1,4 @@
-"""Writes snapshots of learned state, periodically and at the end. Files are written in a worker thread."""
+"""Writes snapshots of the learned state periodically and at shutdown. A worker thread writes the files."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 
 class LearnedState(NamedTuple):
-    """What an earlier incarnation left."""
+    """Learned state of an earlier incarnation."""
 
-    snapshot: Snapshot | None  # aged; None: nothing is kept
-    away: int | None  # ns of the pilot's clock since it was written; None: not known
+    snapshot: Snapshot | None  # with its aging applied; None if there is none
+    away: int | None  # time since it was written, in ns of the pilot's clock; None if unknown
 
 
 NOTHING_LEARNED = LearnedState(None, None)
 
 
 class WriteReport(NamedTuple):
-    """How the last write of a snapshot went."""
+    """Result of the last snapshot write."""
 
     sequence: int
     bytes: int
-    stall_ms: float  # the longest time for which the loop stood still
-    error: str  # '': it succeeded
+    stall_ms: float  # longest time for which the capture blocked the event loop
+    error: str  # empty if the write succeeded
 
 
 NOTHING_WRITTEN = WriteReport(0, 0, 0.0, "")
@@ -49,12 +49,12 @@
     """Reads the newest snapshot at the start and writes new ones while the pilot runs.
 
     Args:
-        settings: the pilot's settings.
-        clock: the pilot's clock.
-        engine: its planner is what is captured.
-        list_confirmed_at: clock time when a source last confirmed the endpoint list; 0: none does.
-        last_success_at: for each endpoint, clock time of its last successful response.
-        log: names the file or the error.
+        settings: Settings of the pilot.
+        clock: Clock of the pilot.
+        engine: Runs the planner whose state is captured.
+        list_confirmed_at: Returns the clock time when a source last confirmed the endpoint list, or 0 if none does.
+        last_success_at: Returns the clock time of the last successful response of each endpoint.
+        log: Logger for rejected files and failed writes.
     """
 
     settings: PilotSettings
@@ -64,22 +64,26 @@
     last_success_at: Callable[[], Mapping[str, int]]
     log: FilteringBoundLogger
     disk: generations.Disk = field(default_factory=OsDisk, init=False)
-    found: generations.LoadedSnapshot = field(default=generations.NOTHING_LOADED, init=False)  # what the folder holds
-    sequence: int = field(default=0, init=False)  # of the newest snapshot
-    failing: bool = field(default=False, init=False)  # the last write failed
+    loaded: generations.LoadedSnapshot = field(default=generations.NOTHING_LOADED, init=False)  # files in the folder
+    sequence: int = field(default=0, init=False)  # sequence number of the newest snapshot
+    failing: bool = field(default=False, init=False)  # whether the last write failed
     last_write: WriteReport = field(default=NOTHING_WRITTEN, init=False)
 
     @property
     def folder(self) -> Path:
-        """Where the generations are."""
+        """Folder that contains the snapshot generations."""
         return self.settings.learned_path()
 
     def read(self) -> LearnedState:
-        """The newest snapshot, faded by its age."""
-        self.found = generations.load(self.disk, self.folder)
-        for problem in self.found.problems:
-            self.log.error("snapshot_rejected", reason=problem, remedy="the other generation, or nothing, is used")
-        snapshot = self.found.snapshot
+        """Return the newest snapshot with the decay for its age applied."""
+        self.loaded = generations.load(self.disk, self.folder)
+        for problem in self.loaded.problems:
+            self.log.error(
+                "snapshot_rejected",
+                reason=problem,
+                remedy="the other generation is used, or no snapshot if there is none",
+            )
+        snapshot = self.loaded.snapshot
         if snapshot is None:
             return NOTHING_LEARNED
         self.sequence = snapshot.sequence
@@ -90,28 +94,31 @@
         return LearnedState(ageing.decay(snapshot, away), away)
 
     def forget(self) -> None:
-        """Remove every generation."""
+        """Remove all snapshot generations."""
         generations.remove(self.folder)
-        self.found = generations.NOTHING_LOADED
+        self.loaded = generations.NOTHING_LOADED
 
     async def run(self) -> None:
-        """Write a snapshot once a period until cancelled; nothing, where a newer program's file must not be lost."""
-        if self.found.newer_format:
+        """Write a snapshot once per period until cancelled.
+
+        Returns immediately if the folder contains a file of a newer program version, which must not be overwritten.
+        """
+        if self.loaded.newer_format:
             return
         while True:
             await anyio.sleep(self.clock.seconds(self.settings.learned_state.period))
             try:
                 await self.write()
-            except Exception as error:  # what learns must not stop what serves
+            except Exception as error:  # a failure of the learned state must not stop the service
                 self._failed(error)
 
     def _failed(self, error: Exception) -> None:
         self.log.error("snapshot_failed", error=repr(error), remedy="send this to the maintainers")
 
     async def write(self) -> None:
-        """Write one snapshot. A folder that cannot be written is logged once, and tried again each time."""
+        """Write one snapshot. Of consecutive failed writes only the first is logged; each call tries again."""
         planner = self.engine.planner
-        if planner is None or self.found.newer_format:
+        if planner is None or self.loaded.newer_format:
             return
         captured, stall_s = await self._capture(planner)
         try:
@@ -126,9 +133,9 @@
         self.last_write = WriteReport(self.sequence, size, stall_ms=round(stall_s * 1e3, 3), error="")
 
     async def _capture(self, planner: Planner) -> tuple[PreEncodedSnapshot, float]:
-        """A snapshot, and the longest time in wall seconds for which the loop stood still.
+        """Return a snapshot and the longest time in wall seconds for which the capture blocked the event loop.
 
-        The planner is read in steps between which the loop runs on.
+        The planner is read in steps, and the event loop runs other tasks between them.
         """
         info = SnapshotInfo(
             sequence=self.sequence + 1,
@@ -153,14 +160,14 @@
             self.log.error(
                 "snapshot_not_written",
                 error=str(error),
-                remedy="free space or rights on the state folder; the pilot goes on without",
+                remedy="check free space and permissions of the state folder; the pilot runs on without snapshots",
             )
         self.failing = True
         self.last_write = self.last_write._replace(error=str(error))
 
     def _save(self, snapshot: PreEncodedSnapshot) -> int:
-        """Write a generation in a worker thread; returns its bytes."""
+        """Write one generation and return its size in bytes. Runs in a worker thread."""
         data = codec.encode(snapshot)
-        generations.save(self.disk, self.folder, data, rotate=self.found.generation == generations.CURRENT)
-        self.found = generations.LoadedSnapshot(None, generations.CURRENT, (), False)
+        generations.save(self.disk, self.folder, data, rotate=self.loaded.generation == generations.CURRENT)
+        self.loaded = generations.LoadedSnapshot(None, generations.CURRENT, (), False)
         return len(data)
--- a/damsonpick/controller/table_persistence.py
+++ b/damsonpick/controller/table_persistence.py
@@ -9,17 +9,17 @@
 
 from damsonpick.state.published_tables import PublishedTables
 
-RETRY_NS = 1_000_000_000  # between attempts while the store cannot be written
+RETRY_NS = 1_000_000_000  # delay between attempts while writes to the store fail
 
 
 class TableStore(Protocol):
-    """Keeps tables and persistent actions across restarts."""
+    """Stores tables and persistent actions across restarts."""
 
     def load_tables(self) -> dict[int, dict[str, float]]:
-        """All tables by slice."""
+        """Return all tables by slice."""
 
     def load_persistent_actions(self) -> dict[str, float]:
-        """Persistent actions, in the format of `persistent_actions`."""
+        """Return the persistent actions in the format of `PublishedTables.persistent_actions`."""
 
     def save_tables(
         self, tables: Mapping[int, Mapping[str, float]], persistent_actions: Mapping[str, float] | None = None
@@ -28,31 +28,33 @@
 
 
 class TablePersistence:
-    """Keeps the store in step with the published state.
+    """Writes the published state to the store.
 
-    While the store cannot be written, tables are served from memory and the write is tried again.
+    While writes to the store fail, tables are served from memory and the write is retried.
 
     Args:
-        store: where tables and persistent actions are kept.
-        published: the state to write.
-        log: a structlog logger.
+        store: Stores tables and persistent actions.
+        published: The published state.
+        log: Logger.
     """
 
     def __init__(self, store: TableStore, published: PublishedTables, log: FilteringBoundLogger) -> None:
-        """Assume an empty store until `load`."""
+        """Assume an empty store until `load` is called."""
         self.store = store
         self.published = published
         self.log = log
-        self.unsaved: set[int] = set()  # slices whose tables the store does not hold yet
-        self.failing = False  # the last write failed: tables, or withdrawals and levels alone, are to be written
-        self.retry_at = 0  # ns; meaningful while `failing`
-        self.stored_actions: dict[str, float] = {}  # persistent actions as the store holds them
+        self.unsaved: set[int] = set()  # slices whose current tables are not in the store yet
+        self.failing = (
+            False  # whether the last write failed, so that tables, or only withdrawals and levels, remain to be written
+        )
+        self.retry_at = 0  # time of the next attempt in ns; valid only while `failing`
+        self.stored_actions: dict[str, float] = {}  # persistent actions in the store
 
     def load(self, restore_admission: bool) -> None:
-        """Publish what the store holds.
+        """Publish the tables and persistent actions in the store.
 
         Args:
-            restore_admission: admission levels too; they are left out when they are too old to hold.
+            restore_admission: Whether to restore admission levels. Levels that are too old to apply are not restored.
         """
         for number, entries in self.store.load_tables().items():
             self.published.restore(number, entries)
@@ -60,26 +62,26 @@
         self.stored_actions = self.published.persistent_actions()
 
     def retry_due(self, now: int) -> bool:
-        """Whether a write that failed should be tried again."""
+        """Return whether a failed write should be retried now."""
         return self.failing and now >= self.retry_at
 
     def save(self, now: int, slices: Iterable[int] = ()) -> None:
-        """Write the tables of some slices, those still unsaved, and persistent actions that have changed.
+        """Write the tables of the given slices, all unsaved tables, and the persistent actions if they have changed.
 
         Args:
-            now: ns.
-            slices: whose tables have changed.
+            now: Current time in ns.
+            slices: Numbers of the slices whose tables have changed.
         """
         numbers = dict.fromkeys([*self.unsaved, *slices])
         actions = self.published.persistent_actions()
         actions_changed = actions != self.stored_actions
         if not numbers and not actions_changed:
-            self.failing = False  # what could not be written has been taken back meanwhile
+            self.failing = False  # the changes that could not be written have been reverted in the meantime
             return
         tables = {number: self.published.tables[number] for number in numbers}
         try:
             self.store.save_tables(tables, actions if actions_changed else None)
-        except Exception as error:  # a store that fails in any way must not stop what is served
+        except Exception as error:  # no failure of the store may stop the service
             self._defer(now, set(numbers), error)
             return
         self.stored_actions = actions
@@ -96,5 +98,5 @@
             "store_write_failed",
             error=str(error),
             slices=len(self.unsaved),
-            remedy="free space or rights on the state folder; tables are served from memory meanwhile",
+            remedy="check free space and permissions of the state folder; tables are served from memory meanwhile",
         )
--- a/damsonpick/controller/table_pin.py
+++ b/damsonpick/controller/table_pin.py
@@ -1,4 +1,4 @@
-"""Tables pinned by an operator: when the pin holds, what it lets through, and what a rollback would change."""
+"""Applies an operator's pin on the tables: when it is active, which orders pass it, and what a rollback changes."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RollbackRequest:
-    """What an operator asks for.
+    """An operator's request to roll the tables back.
 
     Attributes:
-        version: number or beginning of a root.
-        pinned_until: ns; how long the tables stay pinned.
-        expected_generation: the generation of the pin that the operator saw; None: not checked.
-        dry_run: only report what would be done.
-        delay_by_zone: ns that clients of a zone wait.
-        restore_admission: admission levels and retry modes too; while pinned, levels may then fall and not rise.
+        version: Number of the version, or a prefix of its root.
+        pinned_until: Time in ns until which the tables stay pinned.
+        expected_generation: Generation of the pin that the operator saw, or None to skip the check.
+        dry_run: Whether only to report what the rollback would change.
+        delay_by_zone: Delay in ns before the change is sent to clients of a zone.
+        restore_admission: Whether to restore admission levels and retry modes as well. While the tables are pinned,
+            levels may then fall but not rise.
     """
 
     version: str
@@ -37,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionRollback:
-    """What a rollback would change.
+    """The changes of a rollback.
 
     Attributes:
-        target: the version to go back to.
-        table_plan: orders on table entries, and what was kept for safety.
-        admission_orders: orders on admission levels and retry modes.
+        target: The version to restore.
+        table_plan: Orders for table entries, and the entries that are kept for safety.
+        admission_orders: Orders for admission levels and retry modes.
     """
 
     target: Version
@@ -50,11 +51,11 @@
     admission_orders: list[api.SetAdmission]
 
     def slices(self) -> set[int]:
-        """Slices whose tables change."""
+        """Return the numbers of the slices whose tables change."""
         return {order.table for order in self.table_plan.actions}
 
     def reply(self) -> dict[str, Any]:
-        """The plan as `damsonpick versions rollback` answers it; the keys are part of the command's interface."""
+        """Return the reply to `damsonpick versions rollback`. The keys are part of the command's interface."""
         return {
             "version": self.target.number,
             "root": self.target.root,
@@ -69,33 +70,33 @@
     """The pin on the published tables of one controller.
 
     Args:
-        recorder: history of the tables, with the stored pin.
-        published: the tables.
+        recorder: Records the history of the tables and stores the pin.
+        published: The published tables.
     """
 
     def __init__(self, recorder: HistoryRecorder, published: PublishedTables) -> None:
-        """Start with no pin applied."""
+        """Assume that no pin is applied."""
         self.recorder = recorder
         self.published = published
-        self.applied = False  # the planner at work was started under the pin
-        self.withheld_orders = 0  # of the last step, held back by the pin
-        self.removed_entries: dict[int, dict[str, float]] = {}  # by slice; clients may hold them still
+        self.applied = False  # whether the running planner was started while the tables were pinned
+        self.withheld_orders = 0  # number of orders in the last step that the pin withheld
+        self.removed_entries: dict[int, dict[str, float]] = {}  # by slice; clients may still have them
 
     def holds(self, now: int) -> bool:
-        """Whether the tables are pinned at this time."""
+        """Return whether the tables are pinned at this time."""
         return self.recorder.pin.is_active(now)
 
-    def filter(self, orders: list[api.Action], may_not_be_picked: Callable[[str], bool]) -> list[api.Action]:
-        """Orders that pass the pin: all of them while there is none.
+    def filter(self, orders: list[api.Action], is_unroutable: Callable[[str], bool]) -> list[api.Action]:
+        """Return the orders that the pin allows, or all orders if no pin is applied.
 
         Args:
-            orders: orders of the planner on tables, withdrawals and admission.
-            may_not_be_picked: whether an endpoint may not be picked now.
+            orders: Orders of the planner for tables, withdrawals and admission.
+            is_unroutable: Returns whether an endpoint must not receive requests now.
         """
         if not self.applied:
             return orders
         filtered = self.recorder.pin.filter_actions(
-            orders, self.published.tables, may_not_be_picked, self.published.level, len(self.published.classes)
+            orders, self.published.tables, is_unroutable, self.published.level, len(self.published.classes)
         )
         self.withheld_orders = filtered.held_back_count
         return filtered.passed
@@ -104,20 +105,20 @@
         self,
         request: RollbackRequest,
         owned: set[int],
-        may_not_be_picked: Callable[[str], bool],
+        is_unroutable: Callable[[str], bool],
         is_warming_up: Callable[[str], bool],
     ) -> VersionRollback:
-        """What would bring the owned tables back to a kept version, as far as is safe.
+        """Compute the orders that restore the owned tables to a kept version, as far as is safe.
 
         Raises:
-            ValueError: no such version is kept, or another operator acted meanwhile.
+            ValueError: The version is not kept, or another operator changed the pin in the meantime.
         """
         recorder = self.recorder
         recorder.pin.check_generation(request.expected_generation)
         version = recorder.history.find(request.version)
         target = recorder.history.state_at(version.number)
         tables = {number: self.published.tables[number] for number in owned}
-        table_plan = rollback.plan_rollback(target, tables, may_not_be_picked, is_warming_up)
+        table_plan = rollback.plan_rollback(target, tables, is_unroutable, is_warming_up)
         admission_orders: list[api.SetAdmission] = []
         if request.restore_admission:
             classes = len(self.published.classes)
@@ -125,16 +126,16 @@
         return VersionRollback(version, table_plan, admission_orders)
 
     def remember_removed(self, orders: list[api.SetEntry]) -> None:
-        """Note the entries that a rollback is about to remove."""
+        """Record the entries that a rollback is about to remove."""
         for order in orders:
             if not order.weight:
                 weight = self.published.tables[order.table][order.endpoint]
                 self.removed_entries.setdefault(order.table, {})[order.endpoint] = weight
 
     def restore_removed(self) -> None:
-        """Find the entries that rollbacks under this pin removed before the process was restarted.
+        """Record the entries that rollbacks under this pin removed before the process was restarted.
 
-        Clients may hold them still, so an endpoint that drains now must be withdrawn although no table names it.
+        Clients may still have them, so an endpoint that drains now must be withdrawn although no table contains it.
         """
         pin = self.recorder.pin
         for version in self.recorder.history.versions.values():
