--- a/tests/slow_solver_pilot.py
+++ b/tests/slow_solver_pilot.py
@@ -1,4 +1,4 @@
-"""A pilot whose solver is slow, or fails: `python -m tests.slow_solver_pilot WHICH run FILE`."""
+"""A pilot whose solver is slow, raises or dies: `python -m tests.slow_solver_pilot WHICH run FILE`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def slow(problem, limit):
-    """Far longer than any limit, and deaf to signals that ask."""
+    """Run far longer than any time limit in a busy loop that does not check for a request to stop."""
     end = time.monotonic() + 60
     while time.monotonic() < end:
         pass
@@ -27,9 +27,9 @@
 
 
 if __name__ == "__main__":
-    from tests import slow_solver_pilot as here  # functions that the worker process can load
+    from tests import slow_solver_pilot as this_module  # the worker process can load functions of a named module
 
-    work = getattr(here, sys.argv.pop(1))
+    work = getattr(this_module, sys.argv.pop(1))
     run_pilot = pilot_commands.run_pilot
     pilot_commands.run_pilot = lambda settings, port_file: run_pilot(settings, port_file, solve=work)
     main()
--- a/tests/test_control_requests.py
+++ b/tests/test_control_requests.py
@@ -1,4 +1,4 @@
-"""Requests on the control socket: typed where they enter; one that is malformed costs itself alone."""
+"""Decoding of control socket requests. A malformed request must fail without affecting other requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from damsonpick.controller import control_requests
 from damsonpick.controller.control_requests import InvalidRequestError, Query, decode_request
 
-DEEP = "[" * 20_000
+DEEPLY_NESTED = "[" * 20_000
 MALFORMED = [
     {"ask": "tables", "slices": 5},
     {"ask": "tables", "slices": [[]]},
@@ -41,15 +41,22 @@
 def test_what_the_command_line_sends_is_read():
     rollback = {"ask": "versions", "do": "rollback", "version": "7", "dry": True, "pin_ns": None, "expected": 3}
     rollback |= {"stages": ["a"], "hold_ns": 5, "levels": False}
-    made = decode_request(Query.VERSIONS, rollback)
-    assert made == control_requests.Rollback("7", None, 3, True, ["a"], 5, False)
+    decoded = decode_request(Query.VERSIONS, rollback)
+    assert decoded == control_requests.Rollback("7", None, 3, True, ["a"], 5, False)
     assert decode_request(Query.TABLES, {"ask": "tables", "slices": None}).slices is None
     assert isinstance(decode_request(Query.LIST, {"ask": "list"}), control_requests.ShowList)
 
 
 def test_malformed_requests_end_neither_the_daemon_nor_its_control_socket(pilot):
-    """Eight of fifteen such requests ended one or the other."""
-    texts = [json.dumps(request) for request in MALFORMED] + [DEEP, '{"ask":' + DEEP, "\x00", "{}", "null", "1e999"]
+    """Eight of fifteen such requests ended the daemon or its control socket."""
+    texts = [json.dumps(request) for request in MALFORMED] + [
+        DEEPLY_NESTED,
+        '{"ask":' + DEEPLY_NESTED,
+        "\x00",
+        "{}",
+        "null",
+        "1e999",
+    ]
     for text in texts:
         with socket.socket(socket.AF_UNIX) as client:
             client.settimeout(10)
--- a/tests/test_control_socket.py
+++ b/tests/test_control_socket.py
@@ -1,4 +1,4 @@
-"""Asking a daemon that hangs, one that is not there, and one of another user."""
+"""Requests to a daemon that hangs, that is not running, or that belongs to another user."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.pilots import SETTINGS, until
 
 
-def command(*words: str) -> subprocess.CompletedProcess:
+def run_command(*words: str) -> subprocess.CompletedProcess:
     return subprocess.run(
         [sys.executable, "-m", "damsonpick", *words], capture_output=True, text=True, timeout=30, check=False
     )
@@ -26,7 +26,7 @@
 
 
 def test_a_pilot_that_takes_a_request_and_is_silent_is_not_taken_for_none(tmp_path):
-    """A timeout is an OSError, so that one handler took it for "no pilot answers"."""
+    """TimeoutError is an OSError, so the handler for OSError reported "no pilot answers" for a pilot that hung."""
     with socket.socket(socket.AF_UNIX) as listener:
         listener.bind(str(tmp_path / "control.sock"))
         listener.listen()
@@ -49,7 +49,7 @@
 
 
 def test_forget_leaves_the_files_of_a_pilot_that_hangs_or_lost_its_socket(pilot):
-    """What decides that no pilot runs is the lock of its folder; files were deleted under one that hung."""
+    """The command deleted the files of a running pilot that hung. Only the folder's lock shows whether a pilot runs."""
     folder = pilot.folder / "state"
     until(lambda: pilot.ask("status")["knowledge"]["sequence"])
 
@@ -60,45 +60,45 @@
     assert kept
     control = folder / "control.sock"
     control.rename(folder / "elsewhere")
-    done = command("learned", "forget", str(pilot.file))
+    done = run_command("learned", "forget", str(pilot.file))
     assert done.returncode == 3 and "nothing was forgotten" in done.stderr and snapshots() >= kept
     (folder / "elsewhere").rename(control)
     os.kill(pilot.process.pid, signal.SIGSTOP)
     try:
-        done = command("learned", "forget", str(pilot.file))
+        done = run_command("learned", "forget", str(pilot.file))
         assert done.returncode == 3 and "no answer in" in done.stderr and "no file was touched" in done.stderr
         assert snapshots() >= kept
     finally:
         os.kill(pilot.process.pid, signal.SIGCONT)
     pilot.stop()
-    done = command("learned", "forget", str(pilot.file))
+    done = run_command("learned", "forget", str(pilot.file))
     assert done.returncode == 0 and "forgotten: " in done.stdout and not snapshots()
 
 
-def started_on(folder, change: str = "", port_file: str = "port") -> subprocess.CompletedProcess:
-    """Run a pilot that cannot start."""
+def run_pilot_in(folder, change: str = "", port_file: str = "port") -> subprocess.CompletedProcess:
+    """Run `damsonpick run` with settings that prevent the start, and return the finished process."""
     file = folder / "pilot.ini"
     file.write_text(SETTINGS.format(slices=2, rate=0) + change)
     (folder / "servers.ini").write_text("")
-    return command("run", str(file), "--port-file", str(folder / port_file))
+    return run_command("run", str(file), "--port-file", str(folder / port_file))
 
 
 def test_an_address_that_is_taken_is_named(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = f"127.0.0.1:{taken.getsockname()[1]}"
-        done = started_on(tmp_path, f"[listen]\nxds = {address}\n")
+        done = run_pilot_in(tmp_path, f"[listen]\nxds = {address}\n")
     assert done.returncode == 2 and f"[listen] xds = {address}: cannot be opened" in done.stderr
 
 
 def test_a_state_folder_whose_name_is_too_long_for_a_socket_is_named(tmp_path):
-    """It ended with a traceback, or as an address that cannot be opened."""
+    """The start failed with a traceback, or with a message that an address cannot be opened."""
     folder = tmp_path / ("x" * 120)
     folder.mkdir()
-    done = started_on(folder)
+    done = run_pilot_in(folder)
     assert done.returncode == 2 and "the control socket cannot be opened" in done.stderr
     assert "Traceback" not in done.stderr and "[listen]" not in done.stderr
 
 
 def test_a_port_file_that_cannot_be_written_is_named(tmp_path):
-    done = started_on(tmp_path, port_file="nowhere/port")
+    done = run_pilot_in(tmp_path, port_file="nowhere/port")
     assert done.returncode == 2 and "the port file cannot be written" in done.stderr
--- a/tests/test_daemon_tasks.py
+++ b/tests/test_daemon_tasks.py
@@ -1,4 +1,4 @@
-"""A fault in one task of the daemon costs that task a restart, and nobody else anything."""
+"""An exception in one task of the daemon restarts that task and affects nothing else."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     (tmp_path / "servers.ini").write_text("[server 127.0.0.1:9001]\nzone = a\n")
     settings = load(file)
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         pilot = Pilot(settings, structlog.wrap_logger(None, processors=[captured]))
         async with pilot.running():
             with anyio.fail_after(10):
@@ -56,6 +56,6 @@
     async def status() -> dict:
         return await control_socket.ask(settings.control_path(), {"ask": "status"})
 
-    anyio.run(scene)
+    anyio.run(run_scenario)
     failed = [entry for entry in captured.entries if entry["event"] == "task_failed"]
     assert [(entry["task"], entry["error"]) for entry in failed] == [(name, "LookupError('told to')")]
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine: failures of the planner, clock steps, a store that cannot be written, leases lost."""
+"""The engine under planner failures, clock steps, failed writes to the store, and lost leases."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FailingPlanner(Planner):
-    """Fails at the calls that it is told to."""
+    """Raises in the calls of `handle` whose numbers are in `fail_at`."""
 
     fail_at: tuple[int, ...] = ()
     calls = 0
@@ -38,14 +38,14 @@
     def handle(self, now, events):
         FailingPlanner.calls += 1
         if FailingPlanner.calls in FailingPlanner.fail_at:
-            raise ZeroDivisionError("told to")
+            raise ZeroDivisionError("injected failure")
         return super().handle(now, events)
 
 
-class World:
-    """An engine with a joined stream that takes all it is sent."""
+class EngineHarness:
+    """An engine whose connected sessions receive and acknowledge every response."""
 
-    def __init__(self, folder, make=Planner):
+    def __init__(self, folder, make_planner=Planner):
         (folder / "pilot.ini").write_text(SETTINGS.format(slices=6, rate=0))
         self.settings = load(folder / "pilot.ini")
         self.store = Store(folder / "t.db", 6)
@@ -60,7 +60,14 @@
         history = open_history(folder / "versions.db")
         recorder = HistoryRecorder(self.published, self.catalogue.versions, history, Retention(100, 3600 * SECOND), log)
         self.engine = Engine(
-            self.settings, self.store, self.published, self.session_manager, self.endpoint_list, log, make, recorder
+            self.settings,
+            self.store,
+            self.published,
+            self.session_manager,
+            self.endpoint_list,
+            log,
+            make_planner,
+            recorder,
         )
         self.now = NOW
         self.engine.start(NOW)
@@ -68,9 +75,9 @@
 
     def list(self, *states):
         entries = [api.EndpointEntry(f"127.0.0.1:{9001 + k}", "a", s, 1.0, 0) for k, s in enumerate(states)]
-        verdict = self.endpoint_list.apply(self.now, entries)
-        if verdict.event:
-            self.engine.enqueue(verdict.event)
+        validation = self.endpoint_list.apply(self.now, entries)
+        if validation.event:
+            self.engine.enqueue(validation.event)
 
     def join(self, node="gw"):
         from envoy.service.discovery.v3 import discovery_pb2
@@ -105,102 +112,115 @@
     def events(self, name):
         return [e for e in self.log.entries if e["event"] == name]
 
-    def open(self):
+    def all_slices_routable(self):
         return all(self.published.routable_endpoints(n) for n in range(6))
 
 
 def test_tables_are_stored_before_they_are_sent_and_sync_tokens_come_back(tmp_path):
-    world = World(tmp_path)
-    session = world.join()
-    world.run(1)
-    assert world.open() and world.store.load_tables() == world.published.tables
-    assert world.session_manager.by_session[session].session is session and world.engine.planner.flow_control.last_token
-    assert not world.engine.planner.flow_control.in_flight, "every sync token was acknowledged"
+    harness = EngineHarness(tmp_path)
+    session = harness.join()
+    harness.run(1)
+    assert harness.all_slices_routable() and harness.store.load_tables() == harness.published.tables
+    assert (
+        harness.session_manager.by_session[session].session is session
+        and harness.engine.planner.flow_control.last_token
+    )
+    assert not harness.engine.planner.flow_control.in_flight, "every sync token was acknowledged"
 
 
 def test_a_failing_planner_keeps_the_tables_and_starts_over_from_the_store(tmp_path):
     FailingPlanner.fail_at, FailingPlanner.calls = (6,), 0
-    world = World(tmp_path, FailingPlanner)
-    world.join()
-    world.run(0.3)
-    before = {n: dict(t) for n, t in world.published.tables.items()}
-    world.run(2)
-    (failed,) = world.events("planner_failed")
+    harness = EngineHarness(tmp_path, FailingPlanner)
+    harness.join()
+    harness.run(0.3)
+    before = {n: dict(t) for n, t in harness.published.tables.items()}
+    harness.run(2)
+    (failed,) = harness.events("planner_failed")
     assert "ZeroDivisionError" in failed["error"] and failed["events"] and failed["restart_in_ms"] == 0
-    assert world.engine.planner is not None and world.published.tables == before
-    world.list("terminating", "in_service", "in_service")
-    world.run(1)
-    assert all("127.0.0.1:9001" not in world.published.routable_endpoints(n) for n in range(6)) and world.open()
+    assert harness.engine.planner is not None and harness.published.tables == before
+    harness.list("terminating", "in_service", "in_service")
+    harness.run(1)
+    assert (
+        all("127.0.0.1:9001" not in harness.published.routable_endpoints(n) for n in range(6))
+        and harness.all_slices_routable()
+    )
 
 
 def test_what_a_failed_planner_had_learned_is_handed_on_once_and_not_after_a_second_failure(tmp_path):
-    world = World(tmp_path)
-    world.run(1)
-    world.engine.planner.endpoints["127.0.0.1:9001"].capacity_factor = 0.25
-    world.engine.planner.endpoints["127.0.0.1:9001"].last_report_at = 1
-    kept = world.engine.learned_state()
+    harness = EngineHarness(tmp_path)
+    harness.run(1)
+    harness.engine.planner.endpoints["127.0.0.1:9001"].capacity_factor = 0.25
+    harness.engine.planner.endpoints["127.0.0.1:9001"].last_report_at = 1
+    kept = harness.engine.learned_state()
     assert [s.capacity_factor for s in kept.endpoints] == [0.25]
-    world.engine._planner_failed(world.now, [], ValueError("first"))
-    world.engine._start_planner(world.engine.captured_state)
-    assert world.engine.captured_state is not None
-    world.engine._planner_failed(world.now + 1, [], ValueError("second"))
-    assert world.engine.captured_state is None
+    harness.engine._planner_failed(harness.now, [], ValueError("first"))
+    harness.engine._start_planner(harness.engine.captured_state)
+    assert harness.engine.captured_state is not None
+    harness.engine._planner_failed(harness.now + 1, [], ValueError("second"))
+    assert harness.engine.captured_state is None
 
 
 def test_a_planner_that_fails_again_and_again_is_tried_within_a_second_each_time(tmp_path):
     FailingPlanner.fail_at, FailingPlanner.calls = tuple(range(3, 60)), 0
-    world = World(tmp_path, FailingPlanner)
-    world.join()
-    world.run(30)
-    waits = [e["restart_in_ms"] for e in world.events("planner_failed")]
+    harness = EngineHarness(tmp_path, FailingPlanner)
+    harness.join()
+    harness.run(30)
+    waits = [e["restart_in_ms"] for e in harness.events("planner_failed")]
     assert waits[0] == 0 and max(waits) <= 1000 and len(waits) >= 20
 
 
 def test_a_clock_that_jumps_back_stands_still_and_forward_does_no_harm(tmp_path):
-    world = World(tmp_path)
-    world.join()
-    world.run(2)
-    seen = world.engine.planner.now
-    world.now -= 3600 * SECOND
-    world.run(1)
-    assert world.engine.planner.now >= seen and world.engine.clock.steps_back > 0
-    world.now = seen + 7200 * SECOND
-    world.list("terminating", "in_service", "in_service")
-    world.run(1)
-    assert all("127.0.0.1:9001" not in world.published.routable_endpoints(n) for n in range(6)) and world.open()
+    harness = EngineHarness(tmp_path)
+    harness.join()
+    harness.run(2)
+    seen = harness.engine.planner.now
+    harness.now -= 3600 * SECOND
+    harness.run(1)
+    assert harness.engine.planner.now >= seen and harness.engine.clock.steps_back > 0
+    harness.now = seen + 7200 * SECOND
+    harness.list("terminating", "in_service", "in_service")
+    harness.run(1)
+    assert (
+        all("127.0.0.1:9001" not in harness.published.routable_endpoints(n) for n in range(6))
+        and harness.all_slices_routable()
+    )
 
 
 def test_a_store_that_cannot_be_written_is_logged_and_orders_go_on(tmp_path, monkeypatch):
-    world = World(tmp_path)
-    world.join()
+    harness = EngineHarness(tmp_path)
+    harness.join()
 
     def full(tables):
         raise sqlite3.OperationalError("database or disk is full")
 
-    monkeypatch.setattr(world.store, "save_tables", full)
-    world.run(1)
-    assert world.open() and world.events("store_write_failed") and not any(world.store.load_tables().values())
+    monkeypatch.setattr(harness.store, "save_tables", full)
+    harness.run(1)
+    assert (
+        harness.all_slices_routable()
+        and harness.events("store_write_failed")
+        and not any(harness.store.load_tables().values())
+    )
     monkeypatch.undo()
-    world.run(2)
-    assert world.store.load_tables() == world.published.tables and world.events("store_write_recovered")
+    harness.run(2)
+    assert harness.store.load_tables() == harness.published.tables and harness.events("store_write_recovered")
 
 
 def test_a_lost_slice_is_given_up_and_orders_for_it_are_dropped(tmp_path):
-    world = World(tmp_path)
-    world.join()
-    world.run(1)
-    world.store.db.execute("UPDATE slices SET owner = 'other', until = ? WHERE slice < 3", (world.now * 2,))
-    world.engine.renew(world.now)
-    world.run(1)
-    assert world.engine.owned == {3, 4, 5} and set(world.engine.planner.slices) == {3, 4, 5}
-    kept = {n: dict(world.published.tables[n]) for n in range(3)}
-    world.list("terminating", "in_service", "in_service")
-    world.run(1)
-    assert {n: world.published.tables[n] for n in range(3)} == kept
-    world.store.release("other")
-    world.engine.renew(world.now)
-    world.run(1)
-    assert set(world.engine.planner.slices) == set(range(6))
+    harness = EngineHarness(tmp_path)
+    harness.join()
+    harness.run(1)
+    harness.store.db.execute("UPDATE slices SET owner = 'other', until = ? WHERE slice < 3", (harness.now * 2,))
+    harness.engine.renew(harness.now)
+    harness.run(1)
+    assert harness.engine.owned == {3, 4, 5} and set(harness.engine.planner.slices) == {3, 4, 5}
+    kept = {n: dict(harness.published.tables[n]) for n in range(3)}
+    harness.list("terminating", "in_service", "in_service")
+    harness.run(1)
+    assert {n: harness.published.tables[n] for n in range(3)} == kept
+    harness.store.release("other")
+    harness.engine.renew(harness.now)
+    harness.run(1)
+    assert set(harness.engine.planner.slices) == set(range(6))
 
 
 FAULTY = "tests.faulty_pilot"
@@ -227,14 +247,15 @@
 
 
 def test_a_withdrawal_from_before_a_restart_is_shown_and_its_readmission_logged(tmp_path):
-    """The endpoint was shown as in full service, and its readmission was not logged."""
-    world = World(tmp_path)
-    world.published.apply([api.SetWithdrawn("127.0.0.1:9002", True)])
-    world.engine.persistence.save(world.now)
-    again = World(tmp_path)
-    assert "127.0.0.1:9002" in again.published.withdrawn
-    again.engine.step(again.now)
-    rows = {row["endpoint"]: row["why"] for row in again.engine.view()}
+    """A restarted engine showed an endpoint withdrawn before the restart as in full service and did not log its
+    readmission."""
+    harness = EngineHarness(tmp_path)
+    harness.published.apply([api.SetWithdrawn("127.0.0.1:9002", True)])
+    harness.engine.persistence.save(harness.now)
+    restarted = EngineHarness(tmp_path)
+    assert "127.0.0.1:9002" in restarted.published.withdrawn
+    restarted.engine.step(restarted.now)
+    rows = {row["endpoint"]: row["why"] for row in restarted.engine.view()}
     assert rows["127.0.0.1:9002"].startswith("withdrawn")
-    again.engine.decision_log.write(again.engine.planner, [api.SetWithdrawn("127.0.0.1:9002", False)], 1)
-    assert [entry["endpoint"] for entry in again.events("endpoint_readmitted")] == ["127.0.0.1:9002"]
+    restarted.engine.decision_log.write(restarted.engine.planner, [api.SetWithdrawn("127.0.0.1:9002", False)], 1)
+    assert [entry["endpoint"] for entry in restarted.events("endpoint_readmitted")] == ["127.0.0.1:9002"]
--- a/tests/test_queries.py
+++ b/tests/test_queries.py
@@ -1,4 +1,4 @@
-"""Queries of the control socket: routed by kind; what is not understood gets an error, whatever it is."""
+"""Queries of the control socket are routed by kind. Every request that cannot be understood gets an error reply."""
 
 from __future__ import annotations
 
--- a/tests/test_solver_pilot.py
+++ b/tests/test_solver_pilot.py
@@ -1,4 +1,4 @@
-"""The solver in the running pilot: through real sockets and the real command line."""
+"""The solver in a running pilot, tested through real sockets and the real command line."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 TABLES = [f"slice/{n}" for n in range(4)]
 
 
-class Solved(Pilot):
-    """No slices: a table for each of two zones and two classes."""
+class SolverPilot(Pilot):
+    """A pilot with a solver and without slices: one table for each pair of two zones and two request classes."""
 
     def __init__(self, folder, which=None):
         super().__init__(folder, module="tests.slow_solver_pilot" if which else "damsonpick")
@@ -49,15 +49,15 @@
 
 
 @pytest.fixture
-def solved(tmp_path):
-    made = []
+def start_solver_pilot(tmp_path):
+    started_pilots = []
 
-    def make(which=None):
-        made.append(Solved(tmp_path, which).start())
-        return made[-1]
+    def start_pilot(which=None):
+        started_pilots.append(SolverPilot(tmp_path, which).start())
+        return started_pilots[-1]
 
-    yield make
-    for pilot in made:
+    yield start_pilot
+    for pilot in started_pilots:
         pilot.stop()
 
 
@@ -68,8 +68,8 @@
     return client
 
 
-def test_tables_without_slices_are_laid_at_once_and_then_solved(solved):
-    pilot = solved()
+def test_tables_without_slices_are_laid_at_once_and_then_solved(start_solver_pilot):
+    pilot = start_solver_pilot()
     client = join(pilot)
     client.until(lambda: all(len(client.tables.get(t, ())) >= 1 for t in TABLES))
     plan = until(lambda: (p := explain(pilot))["status"] == "optimal" and p)
@@ -101,8 +101,8 @@
 
 
 @pytest.mark.parametrize("which", ["slow", "failing", "dying"])
-def test_orders_flow_while_the_solver_is_slow_fails_or_dies(solved, which):
-    pilot = solved(which)
+def test_orders_flow_while_the_solver_is_slow_fails_or_dies(start_solver_pilot, which):
+    pilot = start_solver_pilot(which)
     client = join(pilot)
     client.until(lambda: all(client.tables.get(t) for t in TABLES))
     states, waits = {"s1": "in_service", "s2": "in_service", "s3": "in_service"}, []
--- a/tests/test_table_persistence.py
+++ b/tests/test_table_persistence.py
@@ -1,4 +1,4 @@
-"""What is published reaches the store, also after writes that failed."""
+"""The published state reaches the store, even after failed writes."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 NOW = 10**18
 
 
-class Store:
-    """A store that can be made to fail."""
+class FakeStore:
+    """A store whose writes fail with ENOSPC while `full` is set."""
 
     def __init__(self) -> None:
         self.full, self.tables, self.actions = False, {}, {}
@@ -26,9 +26,9 @@
             self.actions = dict(persistent_actions)
 
 
-def made() -> tuple[TablePersistence, Store, LogCapture]:
+def make_persistence() -> tuple[TablePersistence, FakeStore, LogCapture]:
     captured = LogCapture()
-    store = Store()
+    store = FakeStore()
     published = PublishedTables(("page",), 2)
     return TablePersistence(store, published, structlog.wrap_logger(None, processors=[captured])), store, captured
 
@@ -38,8 +38,8 @@
 
 
 def test_a_withdrawal_alone_is_written_again_after_a_failed_write():
-    """It was tried again only beside an unsaved table: a kill would have brought the endpoint back."""
-    persistence, store, captured = made()
+    """The write was retried only together with an unsaved table, so a kill would have readmitted the endpoint."""
+    persistence, store, captured = make_persistence()
     store.full = True
     apply(persistence, api.SetWithdrawn("p", True))
     persistence.save(NOW)
@@ -53,7 +53,7 @@
 
 
 def test_a_withdrawal_that_is_taken_back_before_it_was_written_leaves_nothing_to_do():
-    persistence, store, _ = made()
+    persistence, store, _ = make_persistence()
     store.full = True
     apply(persistence, api.SetWithdrawn("p", True))
     persistence.save(NOW)
@@ -63,7 +63,7 @@
 
 
 def test_tables_and_levels_are_written_together_after_a_failed_write():
-    persistence, store, _ = made()
+    persistence, store, _ = make_persistence()
     store.full = True
     apply(persistence, api.SetEntry(1, "p", 1.0), api.SetAdmission(None, (0,), 0.5, 1))
     persistence.save(NOW, {1})
