--- a/damsonpick/controller/control_requests.py
+++ b/damsonpick/controller/control_requests.py
@@ -114,11 +114,11 @@
 
     version: str | int
     pin_ns: DurationNs | None = None  # None selects the duration in the settings
-    expected: Generation | None = None
-    dry: bool = False
-    stages: list[str] | None = None
-    hold_ns: DurationNs | None = None
-    levels: bool = False
+    expected: Generation | None = None  # generation of the pin that the operator saw; None skips the check
+    dry: bool = False  # whether only to report what the rollback would change
+    stages: list[str] | None = None  # zones that receive the change first, in this order
+    hold_ns: DurationNs | None = None  # delay between two zones
+    levels: bool = False  # whether to restore admission levels and retry modes as well
 
 
 class Pin(Struct, frozen=True):
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -188,9 +188,8 @@
             stored = self.store.load_tables()
             for number in taken_over:
                 self._take_over(number, stored[number])
-        self.ownership.owned = (
-            claimed  # assigned last: if the store fails above, the next renewal computes the same difference
-        )
+        # Assigned last: if the store fails above, the next renewal computes the same difference.
+        self.ownership.owned = claimed
 
     def _take_over(self, number: int, entries: Mapping[str, float]) -> None:
         self.published.restore(number, entries)
--- a/damsonpick/controller/explain.py
+++ b/damsonpick/controller/explain.py
@@ -38,9 +38,7 @@
     endpoint = planner.endpoints[name]
     if planner.is_unroutable(name):
         yield f"unroutable: the endpoint list says {endpoint.state}"
-    elif (
-        name in published.withdrawn
-    ):  # tests for the key: the change number is 0 if the endpoint was withdrawn before this start
+    elif name in published.withdrawn:  # the change number is 0 if the withdrawal precedes this start
         yield "withdrawn: not all tables have dropped it yet"
     warm_up_share = planner.warm_up_share(endpoint)
     if warm_up_share < 1:
--- a/damsonpick/controller/table_persistence.py
+++ b/damsonpick/controller/table_persistence.py
@@ -44,9 +44,8 @@
         self.published = published
         self.log = log
         self.unsaved: set[int] = set()  # slices whose current tables are not in the store yet
-        self.failing = (
-            False  # whether the last write failed, so that tables, or only withdrawals and levels, remain to be written
-        )
+        # Whether the last write failed, so that tables, or only withdrawals and levels, remain to be written.
+        self.failing = False
         self.retry_at = 0  # time of the next attempt in ns; valid only while `failing`
         self.stored_actions: dict[str, float] = {}  # persistent actions in the store
 
