--- a/damsonpick/state/__init__.py
+++ b/damsonpick/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the control service keeps: endpoint list, load reports, published tables, store, history, learned state."""
+"""State of the control service: endpoint list, load reports, published tables, store, history and learned state."""
--- a/damsonpick/state/endpoint_list/__init__.py
+++ b/damsonpick/state/endpoint_list/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: choosing among its sources and validating what they say. Sans I/O."""
+"""The endpoint list: selects the active list source and validates the lists that the sources send. Sans I/O."""
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -1,8 +1,9 @@
-"""Several list sources, best first: which one is active, and what the others add. Sans I/O.
+"""Selects the active list source from several, ordered by preference, and merges their lists. Sans I/O.
 
-The active source decides which endpoints there are. A drain or an end that any reachable source states holds, as it is
-the safer state; an endpoint that only another source names is left out. When the active source falls silent it stays
-active for a while, so that a blip changes nothing, and a better one that returns must be steady before it takes over.
+The active source determines which endpoints exist. If any reachable source reports an endpoint as terminating or
+terminated, the merged list uses that state because it is the safer one. An endpoint that only another source lists is
+ignored. An unreachable source stays active for `UNREACHABLE_TIMEOUT_NS`, so that a short outage changes nothing. A
+preferred source that becomes reachable again takes over after it has been reachable for `STABLE_TIME_NS`.
 """
 
 from __future__ import annotations
@@ -14,44 +15,44 @@
 from damsonpick.state.endpoint_list.validation import STATES_BY_SAFETY
 from damsonpick.time_units import NS_PER_SECOND
 
-FIRST_ANSWER_NS = NS_PER_SECOND  # that better sources have to answer at the start
-SILENCE_NS = 5 * NS_PER_SECOND  # that the active source may be unreachable before another takes over
-STEADY_NS = 3 * NS_PER_SECOND  # that a better source must have been reachable before it takes over
-MAX_CALLS = 20  # to one source within `CALL_WINDOW_NS`
+FIRST_LIST_TIMEOUT_NS = NS_PER_SECOND  # time after the start in which a preferred source may send its first list
+UNREACHABLE_TIMEOUT_NS = 5 * NS_PER_SECOND  # time that the active source may be unreachable before another takes over
+STABLE_TIME_NS = 3 * NS_PER_SECOND  # time that a preferred source must be reachable before it takes over
+MAX_CALLS = 20  # calls to one source within `CALL_WINDOW_NS`
 CALL_WINDOW_NS = 60 * NS_PER_SECOND
 
 
 class ListError(Exception):
-    """An endpoint list cannot be used; the text names source, place and remedy."""
+    """Raised if an endpoint list cannot be used. The text names the source, the place of the error and the remedy."""
 
 
 class Source:
-    """The last answer of one source."""
+    """Reachability and last list of one source."""
 
     def __init__(self) -> None:
-        """Start with no answer."""
-        self.entries: list[api.EndpointEntry] | None = None  # its last list; None: it has given none
-        self.up = False  # it answered the last time
-        self.since = 0  # ns: when `up` last changed; 0: it never answered
-        self.why = "has not answered yet"  # why it is not up; '': it is
-
-    def set_up(self, now: int, up: bool) -> None:
-        """Note whether it answered."""
+        """Create the state of a source that has not responded yet."""
+        self.entries: list[api.EndpointEntry] | None = None  # the last list; None if the source has sent none
+        self.up = False  # whether the last call to the source returned a usable list
+        self.since = 0  # time when `up` last changed, ns; 0 if the source has never responded
+        self.why = "has not responded yet"  # reason why the source is not up; empty if it is up
+
+    def set_reachable(self, now: int, up: bool) -> None:
+        """Set whether the source is reachable, and the time if that changed."""
         if up != self.up:
             self.up = up
             self.since = now
 
-    def has_answered(self) -> bool:
-        """Whether it has answered at least once."""
+    def has_responded(self) -> bool:
+        """Return whether the source has responded at least once."""
         return self.since != 0
 
 
 class MergedList(NamedTuple):
-    """The list in force.
+    """The effective endpoint list, merged from all sources.
 
     Attributes:
-        entries: None: no source has given a list.
-        disputes: where the sources disagree, in words.
+        entries: Entries of the list. None if the active source has sent no list, or no source is active.
+        disputes: Differences between the sources, as text for operators.
     """
 
     entries: list[api.EndpointEntry] | None
@@ -59,79 +60,79 @@
 
 
 class Sources:
-    """The sources of one endpoint list.
+    """All sources of one endpoint list, and the selection of the active one.
 
     Args:
-        names: the sources, the best first.
-        now: ns.
+        names: Names of the sources, the most preferred first.
+        now: Present time, ns.
     """
 
     def __init__(self, names: Sequence[str], now: int) -> None:
-        """Start with no active source."""
+        """Create the sources; none of them is active."""
         self.all = {name: Source() for name in names}
         self.started = now
-        self.active = ""  # name of the active source; '': none yet
+        self.active = ""  # name of the active source; empty if there is none yet
 
     def received(self, now: int, name: str, entries: list[api.EndpointEntry]) -> None:
-        """A source has given a list."""
+        """Process a list that a source has sent."""
         source = self.all[name]
-        source.set_up(now, True)
+        source.set_reachable(now, True)
         source.entries = entries
         source.why = ""
         self.choose(now)
 
     def failed(self, now: int, name: str, why: str) -> None:
-        """A source cannot be reached, or its list cannot be used."""
+        """Process a failure: a source cannot be reached, or its list cannot be used."""
         source = self.all[name]
-        source.set_up(now, False)
+        source.set_reachable(now, False)
         source.why = why
         self.choose(now)
 
     # -- which source is active
 
     def choose(self, now: int) -> str:
-        """The name of the active source; '': none yet."""
+        """Select the active source; return its name, or an empty string if there is none yet."""
         if not self.active:
             self.active = self._first_choice(now)
             return self.active
         better = self._better_source(now)
         if better:
             self.active = better
-        elif self._is_silent(now):
-            self.active = self._best_up() or self.active
+        elif self._has_timed_out(now):
+            self.active = self._best_reachable() or self.active
         return self.active
 
-    def _best_up(self) -> str:
+    def _best_reachable(self) -> str:
         return next((name for name, source in self.all.items() if source.up), "")
 
-    def _better_than(self, name: str) -> list[str]:
+    def _preferred_to(self, name: str) -> list[str]:
         names = list(self.all)
         return names[: names.index(name)]
 
     def _first_choice(self, now: int) -> str:
-        """The best source that is up, unless a better one may still answer in time."""
-        best = self._best_up()
-        if not best or now - self.started >= FIRST_ANSWER_NS:
+        """Return the preferred reachable source, or an empty string while a more preferred one may still respond."""
+        best = self._best_reachable()
+        if not best or now - self.started >= FIRST_LIST_TIMEOUT_NS:
             return best
-        may_answer = any(not self.all[name].has_answered() for name in self._better_than(best))
-        return "" if may_answer else best
+        may_respond = any(not self.all[name].has_responded() for name in self._preferred_to(best))
+        return "" if may_respond else best
 
     def _better_source(self, now: int) -> str:
-        """A source that is better than the active one, and steady; '': there is none."""
-        best = self._best_up()
-        if best in self._better_than(self.active) and now - self.all[best].since >= STEADY_NS:
+        """Return a stable source that is preferred to the active one, or an empty string if there is none."""
+        best = self._best_reachable()
+        if best in self._preferred_to(self.active) and now - self.all[best].since >= STABLE_TIME_NS:
             return best
         return ""
 
-    def _is_silent(self, now: int) -> bool:
-        """Whether the active source has been unreachable for too long."""
+    def _has_timed_out(self, now: int) -> bool:
+        """Return whether the active source has been unreachable for at least `UNREACHABLE_TIMEOUT_NS`."""
         source = self.all[self.active]
-        return not source.up and now - source.since >= SILENCE_NS
+        return not source.up and now - source.since >= UNREACHABLE_TIMEOUT_NS
 
-    # -- what the list in force is
+    # -- merged list
 
     def merged(self, now: int) -> MergedList:
-        """The list of the active source, with the drains and ends that other reachable sources state."""
+        """Return the list of the active source, with the safer states that other reachable sources report."""
         chosen = self.choose(now)
         chosen_entries = self.all[chosen].entries if chosen else None
         if chosen_entries is None:
@@ -140,33 +141,33 @@
         disputes: list[str] = []
         for name, source in self.all.items():
             if name != chosen and source.up:
-                disputes += self._add_safer_states(entries, chosen, name)
+                disputes += self._apply_safer_states(entries, chosen, name)
         return MergedList(list(entries.values()), disputes)
 
-    def _add_safer_states(self, entries: dict[str, api.EndpointEntry], chosen: str, other: str) -> list[str]:
-        """Take over the safer states of another source into `entries`; returns the disputes, in words."""
+    def _apply_safer_states(self, entries: dict[str, api.EndpointEntry], chosen: str, other: str) -> list[str]:
+        """Apply the safer states of another source to `entries`; return the differences as text."""
         disputes: list[str] = []
-        for claimed in self.all[other].entries or ():
-            entry = entries.get(claimed.endpoint)
+        for reported in self.all[other].entries or ():
+            entry = entries.get(reported.endpoint)
             if entry is None:
-                disputes.append(f"{other} names {claimed.endpoint}, {chosen} does not: left out")
-            elif claimed.started == entry.started and _is_safer(claimed, entry):
+                disputes.append(f"{reported.endpoint} is listed by {other} but not by {chosen}: ignored")
+            elif reported.started == entry.started and _is_safer(reported, entry):
                 disputes.append(
-                    f"{claimed.endpoint} is {claimed.state} by {other}, {entry.state} by {chosen}: "
-                    f"{claimed.state} binds"
+                    f"{reported.endpoint} is {reported.state} according to {other}, "
+                    f"{entry.state} according to {chosen}: {reported.state} is used"
                 )
-                entries[claimed.endpoint] = entry._replace(state=claimed.state)
+                entries[reported.endpoint] = entry._replace(state=reported.state)
         return disputes
 
     def view(self, now: int) -> list[dict[str, object]]:
-        """The sources as `damsonpick list` answers them; the keys are part of the command's interface."""
+        """Return the sources as `damsonpick list` shows them. The keys are part of the command's interface."""
         return [
             {
                 "source": name,
                 "up": source.up,
                 "believed": name == self.active,
                 "why": source.why,
-                "since_s": round((now - source.since) / NS_PER_SECOND, 1) if source.has_answered() else None,
+                "since_s": round((now - source.since) / NS_PER_SECOND, 1) if source.has_responded() else None,
                 "servers": len(source.entries or ()),
             }
             for name, source in self.all.items()
@@ -178,26 +179,26 @@
 
 
 class CallBudget:
-    """Limits the calls to one source, so that one which accepts and hangs up at once is not called in a tight loop.
+    """Limits the call rate to one source, so that a source which accepts and closes at once is not called in a loop.
 
     Args:
-        calls: allowed within any window.
-        window: ns.
+        calls: Most calls within any window.
+        window: Length of the window, ns.
     """
 
     def __init__(self, calls: int = MAX_CALLS, window: int = CALL_WINDOW_NS) -> None:
-        """Start with no call."""
+        """Create a budget from which no call has been spent."""
         self.calls = calls
         self.window = window
-        self.recent: list[int] = []  # ns: times of the calls within the last window
+        self.recent: list[int] = []  # times of the calls within the last window, ns
 
     def wait(self, now: int) -> int:
-        """ns until the next call may go."""
+        """Return the time until the next call is allowed, ns."""
         self.recent = [at for at in self.recent if at > now - self.window]
         if len(self.recent) < self.calls:
             return 0
         return self.recent[-self.calls] + self.window - now
 
     def spend(self, now: int) -> None:
-        """Note a call."""
+        """Count a call against the budget."""
         self.recent.append(now)
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -1,12 +1,13 @@
-"""Turns the lists of a source into the planner's list events. Sans I/O.
+"""Validates the lists of a source and converts them to the planner's list events. Sans I/O.
 
-A list is a claim and may be wrong. Here it is made consistent: an endpoint named twice takes the safer state, a start
-in the future is the moment it was first seen, and an empty list after a full one is a failed source (a real fleet does
-not vanish in one answer), so the list in force stays.
+A list may be wrong, so it is made consistent first. An endpoint that is listed twice gets the safer of its states. A
+start time in the future is replaced by the time when the endpoint was first seen. An empty list after one with entries
+is treated as a failure of the source, because a real fleet does not disappear within one response: the effective list
+does not change.
 
-So does, for a while, what a list no longer names, if that is a large part of the endpoints in service: the missing
-entries stay until the list has omitted them for `CONFIRM_NS`, an operator accepts the list, or nothing speaks for them
-any more (clients get nothing but failures). A drain or an end that a list states holds at once, however many it names.
+Entries that are missing from a list are held if they are a large part of the endpoints in service. They are held until
+the list has omitted them for `CONFIRM_NS`, an operator accepts the list, or nothing indicates any more that they exist
+(all requests of clients to them fail). The states terminating and terminated apply at once, for any number of entries.
 """
 
 from __future__ import annotations
@@ -17,27 +18,27 @@
 from damsonpick import interface as api
 from damsonpick.time_units import NS_PER_SECOND
 
-MAX_MISSING_SHARE = 0.4  # of the endpoints in service, that may be missing from a list at once
-MIN_MISSING = 3  # endpoints; fewer may always be missing
-CONFIRM_NS = 30 * NS_PER_SECOND  # that a list must go on omitting endpoints
-MAX_WEIGHT = 1e6  # exclusive
+MAX_MISSING_SHARE = 0.4  # share of the endpoints in service that may be missing from a list without being held
+MIN_MISSING = 3  # endpoints; if fewer are missing, none is held
+CONFIRM_NS = 30 * NS_PER_SECOND  # time for which a list must omit held endpoints before they are removed
+MAX_WEIGHT = 1e6  # exclusive upper bound
 DEFAULT_WEIGHT = 1.0
-STATES_BY_SAFETY: tuple[api.EndpointStatus, ...] = ("in_service", "terminating", "terminated")  # the safest last
+STATES_BY_SAFETY: tuple[api.EndpointStatus, ...] = ("in_service", "terminating", "terminated")  # safest last
 
-IsLost = Callable[[str], bool]  # whether nothing speaks for an endpoint any more
+IsLost = Callable[[str], bool]  # whether nothing indicates any more that an endpoint exists
 
 
 def never_lost(_endpoint: str) -> bool:
-    """An `IsLost` for callers that know nothing of endpoints."""
+    """Return False: an `IsLost` for callers that have no information about endpoints."""
     return False
 
 
 class ListValidation(NamedTuple):
-    """What became of a list.
+    """Result of the validation of a list.
 
     Attributes:
-        event: for the planner; None: nothing has changed.
-        problems: what was wrong with the list, in words.
+        event: Event for the planner. None if nothing has changed.
+        problems: Faults of the list, as text for operators.
     """
 
     event: api.EndpointListChanged | None
@@ -45,53 +46,53 @@
 
 
 class EndpointList:
-    """The endpoint list in force, as the planner knows it.
+    """The effective endpoint list, as sent to the planner.
 
     Args:
-        zones: names of the zones that endpoints may be in.
+        zones: Names of the zones that endpoints may be in.
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
-        """Start with an empty list."""
+        """Create an empty list that no source has confirmed."""
         self.zones = zones
         self.entries: dict[str, api.EndpointEntry] = {}
-        self.confirmed = False  # a source has given a list since the start
-        self.claim: list[api.EndpointEntry] = []  # the last list of a source, as it came
-        self.held: dict[str, api.EndpointEntry] = {}  # missing from it, and kept
-        self.held_since = 0  # ns; meaningful while `held` is not empty
-        self.accepted = False  # an operator accepts what is missing
-        self.known_zones: dict[str, str] = {}  # by endpoint, kept after it has left the list
+        self.confirmed = False  # whether a source has sent a list since the start
+        self.received_entries: list[api.EndpointEntry] = []  # the last list of a source, before validation
+        self.held: dict[str, api.EndpointEntry] = {}  # entries that are missing from that list but still effective
+        self.held_since = 0  # time since which entries are held, ns; valid only while `held` is not empty
+        self.accepted = False  # whether an operator has accepted the missing entries
+        self.known_zones: dict[str, str] = {}  # zone by endpoint, also of endpoints that are no longer listed
 
     def restore(self, entries: Iterable[api.EndpointEntry]) -> api.EndpointListChanged:
-        """Take the stored list, before any source has answered."""
+        """Use the stored list until a source responds; return the event for the planner."""
         self.entries = {entry.endpoint: entry for entry in entries}
         self.known_zones = {entry.endpoint: entry.zone for entry in self.entries.values()}
         return api.EndpointListChanged("restored", tuple(self.entries.values()))
 
     def update_zones(self, entries: Iterable[api.EndpointEntry]) -> list[str]:
-        """Note the zones of endpoints; returns the endpoints whose zone is new or has changed."""
+        """Store the zones of endpoints; return the endpoints whose zone is new or has changed."""
         entries = list(entries)
         changed = [entry.endpoint for entry in entries if self.known_zones.get(entry.endpoint) != entry.zone]
         self.known_zones.update((entry.endpoint, entry.zone) for entry in entries)
         return changed
 
     def failed(self) -> api.EndpointListChanged:
-        """The event for a source that gives no list."""
+        """Return the event for a source that sends no list."""
         return api.EndpointListChanged("unavailable", ())
 
-    def apply(self, now: int, claimed: Iterable[api.EndpointEntry], is_lost: IsLost = never_lost) -> ListValidation:
-        """Take a whole list from a source.
+    def apply(self, now: int, received: Iterable[api.EndpointEntry], is_lost: IsLost = never_lost) -> ListValidation:
+        """Validate and apply a complete list from a source.
 
         Args:
-            now: ns.
-            claimed: the list as the source gave it.
-            is_lost: tells which endpoints need not be held when the list omits them.
+            now: Present time, ns.
+            received: The list as the source sent it.
+            is_lost: Returns whether an endpoint need not be held when the list omits it.
         """
-        self.claim = list(claimed)
+        self.received_entries = list(received)
         problems: list[str] = []
         listed = self._consistent_entries(now, problems)
         if not listed and self.entries:
-            problems.append("the list is empty: taken as a failed source, the list in force stays")
+            problems.append("the list is empty: treated as a failed source, the previous list stays effective")
             return ListValidation(self.failed(), problems)
         self._update_held(now, listed, is_lost, problems)
         listed.update(self.held)
@@ -101,11 +102,11 @@
         return ListValidation(api.EndpointListChanged("replace", tuple(listed.values())), problems)
 
     def recheck(self, now: int, is_lost: IsLost) -> ListValidation | None:
-        """Look whether entries that are held can go by now; None: none are held."""
-        return self.apply(now, self.claim, is_lost) if self.held else None
+        """Check whether held entries can be removed now; return None if no entry is held."""
+        return self.apply(now, self.received_entries, is_lost) if self.held else None
 
     def accept(self, now: int, is_lost: IsLost) -> ListValidation | None:
-        """An operator accepts the list as it is; None: nothing is held."""
+        """Remove the held entries, as an operator has accepted the list; return None if no entry is held."""
         self.accepted = True
         return self.recheck(now, is_lost)
 
@@ -114,11 +115,11 @@
     def _update_held(
         self, now: int, listed: dict[str, api.EndpointEntry], is_lost: IsLost, problems: list[str]
     ) -> None:
-        """Set `held` to the missing entries that stay in force for now."""
+        """Set `held` to the missing entries that stay effective for now."""
         serving = [endpoint for endpoint, entry in self.entries.items() if entry.state == "in_service"]
         missing = [endpoint for endpoint in serving if endpoint not in listed]
         held: dict[str, api.EndpointEntry] = {}
-        if _too_many(len(missing), len(serving)):
+        if _exceeds_missing_limit(len(missing), len(serving)):
             held = {endpoint: self.entries[endpoint] for endpoint in missing if not is_lost(endpoint)}
         if held and not self.held:
             self.held_since = now
@@ -127,52 +128,54 @@
         if held and held.keys() != self.held.keys():
             problems.append(
                 f"{len(missing)} of {len(serving)} servers are missing at once: {len(held)} of them are kept "
-                f"for {CONFIRM_NS // NS_PER_SECOND} s unless they fail; `damsonpick list accept` ends it"
+                f"for {CONFIRM_NS // NS_PER_SECOND} s unless they fail; `damsonpick list accept` removes them now"
             )
         self.held = held
         self.accepted = False
 
-    # -- entries that cannot be as they are
+    # -- invalid entries
 
     def _consistent_entries(self, now: int, problems: list[str]) -> dict[str, api.EndpointEntry]:
-        """The claimed entries by endpoint, each once and with possible figures."""
+        """Return the listed entries by endpoint, without duplicates and with invalid values replaced."""
         listed: dict[str, api.EndpointEntry] = {}
-        for claimed in self.claim:
-            entry = self._corrected(now, claimed, problems)
+        for received in self.received_entries:
+            entry = self._corrected(now, received, problems)
             other = listed.get(entry.endpoint)
             if other is not None and other != entry:
-                problems.append(f"{entry.endpoint} is listed twice and differently: the safer state counts")
-                entry = max(other, entry, key=_safety)
+                problems.append(
+                    f"{entry.endpoint} is listed twice with different values: the entry with the safer state is used"
+                )
+                entry = max(other, entry, key=_safety_rank)
             listed[entry.endpoint] = entry
         return listed
 
     def _corrected(self, now: int, entry: api.EndpointEntry, problems: list[str]) -> api.EndpointEntry:
-        """An entry with what cannot be replaced by the safer assumption."""
+        """Return an entry in which each invalid value, except an unknown zone, is replaced by a safe one."""
         if entry.started > now:
-            problems.append(f"{entry.endpoint} started in the future: taken as started when first seen")
+            problems.append(f"{entry.endpoint} has a start time in the future: the time when it was first seen is used")
             entry = entry._replace(started=self._first_seen(now, entry))
         if entry.state not in STATES_BY_SAFETY:
-            problems.append(f"{entry.endpoint} has the unknown state {entry.state!r}: taken as terminating")
+            problems.append(f"{entry.endpoint} has the unknown state {entry.state!r}: treated as terminating")
             entry = entry._replace(state="terminating")
         if entry.zone not in self.zones:
-            problems.append(f"{entry.endpoint} is in {entry.zone!r}, which is not among the zones")
+            problems.append(f"{entry.endpoint} is in {entry.zone!r}, which is not a known zone")
         if not 0 < entry.weight < MAX_WEIGHT:
-            problems.append(f"{entry.endpoint} has the weight {entry.weight}: taken as {DEFAULT_WEIGHT:g}")
+            problems.append(f"{entry.endpoint} has the invalid weight {entry.weight}: replaced by {DEFAULT_WEIGHT:g}")
             entry = entry._replace(weight=DEFAULT_WEIGHT)
         return entry
 
     def _first_seen(self, now: int, entry: api.EndpointEntry) -> int:
-        """When an entry with an impossible start was first seen in its state, ns."""
+        """Return the time when an entry with an impossible start time was first seen in its state, ns."""
         known = self.entries.get(entry.endpoint)
         if known is not None and 0 < known.started <= now and known.state == entry.state:
             return known.started
         return now
 
 
-def _too_many(missing: int, serving: int) -> bool:
-    """Whether more endpoints are missing at once than a real change would explain."""
+def _exceeds_missing_limit(missing: int, serving: int) -> bool:
+    """Return whether more endpoints are missing at once than a real change would explain."""
     return missing >= MIN_MISSING and missing > MAX_MISSING_SHARE * serving
 
 
-def _safety(entry: api.EndpointEntry) -> int:
+def _safety_rank(entry: api.EndpointEntry) -> int:
     return STATES_BY_SAFETY.index(entry.state)
--- a/tests/test_endpoint_list_sources.py
+++ b/tests/test_endpoint_list_sources.py
@@ -7,7 +7,13 @@
 import pytest
 
 from damsonpick.runtime.backoff import Backoff
-from damsonpick.state.endpoint_list.sources import FIRST_ANSWER_NS, SILENCE_NS, STEADY_NS, CallBudget, Sources
+from damsonpick.state.endpoint_list.sources import (
+    FIRST_LIST_TIMEOUT_NS,
+    STABLE_TIME_NS,
+    UNREACHABLE_TIMEOUT_NS,
+    CallBudget,
+    Sources,
+)
 from tests.helpers import SECOND, entry
 
 NOW = 10**18
@@ -21,14 +27,14 @@
     made = Sources(("main", "spare"), NOW)
     made.received(NOW, "spare", some(1))
     assert made.merged(NOW)[0] is None, "the better one has a moment"
-    assert made.merged(NOW + FIRST_ANSWER_NS)[0] == some(1)
-    made.received(NOW + FIRST_ANSWER_NS, "main", some(1, 2))
-    assert made.merged(NOW + FIRST_ANSWER_NS)[0] == some(1), "it must be steady first"
-    now = NOW + FIRST_ANSWER_NS + STEADY_NS
+    assert made.merged(NOW + FIRST_LIST_TIMEOUT_NS)[0] == some(1)
+    made.received(NOW + FIRST_LIST_TIMEOUT_NS, "main", some(1, 2))
+    assert made.merged(NOW + FIRST_LIST_TIMEOUT_NS)[0] == some(1), "it must be steady first"
+    now = NOW + FIRST_LIST_TIMEOUT_NS + STABLE_TIME_NS
     assert made.merged(now)[0] == some(1, 2) and made.active == "main"
     made.failed(now, "main", "broke")
-    assert made.choose(now + SILENCE_NS - 1) == "main"
-    assert made.choose(now + SILENCE_NS) == "spare"
+    assert made.choose(now + UNREACHABLE_TIMEOUT_NS - 1) == "main"
+    assert made.choose(now + UNREACHABLE_TIMEOUT_NS) == "spare"
     assert [v["up"] for v in made.view(now)] == [False, True]
 
 
@@ -54,7 +60,7 @@
     made = Sources(("main",), NOW)
     made.received(NOW, "main", some(1))
     made.failed(NOW, "main", "broke")
-    assert made.merged(NOW + SILENCE_NS)[0] == some(1)
+    assert made.merged(NOW + UNREACHABLE_TIMEOUT_NS)[0] == some(1)
 
 
 def test_a_drain_that_any_live_source_tells_of_binds_and_strangers_stay_out():
