--- a/damsonpick/state/history/__init__.py
+++ b/damsonpick/state/history/__init__.py
@@ -1,1 +1,1 @@
-"""Versions of the published tables: their digests, their history, rollback and pin. Only the database does I/O."""
+"""Versions of the published tables: digests, history, rollback and pin. Only `database` does I/O."""
--- a/damsonpick/state/history/database.py
+++ b/damsonpick/state/history/database.py
@@ -1,7 +1,7 @@
-"""The history on disk, in a database of its own, so that a full history never stops the tables' store.
+"""Stores the history in a database of its own, so that a full history never blocks writes to the store of the tables.
 
-One row for each version, one transaction for each write. Differences are compressed JSON under a checksum (XXH3): a row
-that does not read as it was written is refused, and with it everything older.
+Each version is one row, and each write is one transaction. A difference is stored as compressed JSON. A checksum (XXH3)
+covers each row. If a row's checksum does not match, this row and all older ones are ignored.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 """
 COMPRESSION_LEVEL = 1
 
-VersionColumns = tuple[int, str, int, int, str, str]  # of a row, without difference and checksum
+VersionColumns = tuple[int, str, int, int, str, str]  # columns of a row, without difference and checksum
 
 
 class LoadedVersions(NamedTuple):
-    """Versions, oldest first, and what was wrong with those that are left out ('': nothing)."""
+    """Versions, oldest first, and the reason why others were ignored; empty if none was ignored."""
 
     versions: list[Version]
     problem: str
 
 
 class StoredPin(NamedTuple):
-    """The pin as stored (see `pin.Pin`)."""
+    """The stored fields of a pin (see `pin.Pin`)."""
 
     version: int
     until: int
@@ -49,16 +49,16 @@
 
 
 class VersionDatabase(Protocol):
-    """What keeps versions and the pin."""
+    """Persistent storage of the versions and the pin."""
 
     def load(self) -> LoadedVersions:
-        """The versions that can be read."""
+        """Return the versions that can be read."""
 
     def append(self, versions: list[Version], lowest: int) -> None:
-        """Add versions and forget those below `lowest`."""
+        """Add versions and remove those with numbers below `lowest`."""
 
     def load_pin(self) -> StoredPin:
-        """The pin as last saved."""
+        """Return the pin as last saved, or `NO_PIN` if none was saved."""
 
     def save_pin(self, pin: StoredPin) -> None:
         """Replace the pin."""
@@ -68,25 +68,25 @@
 
 
 class HistoryDatabase:
-    """The history in SQLite."""
+    """History database in SQLite."""
 
     def __init__(self, path: Path) -> None:
         """Open or create a database.
 
         Raises:
-            HistoryDatabaseError: it cannot be opened.
+            HistoryDatabaseError: The database cannot be opened.
         """
         self.path = path
         try:
             self.db = connect(path)
             self.db.executescript(SCHEMA)
-            if not has_column(self.db, "pin", "levels"):  # written by an earlier release
+            if not has_column(self.db, "pin", "levels"):  # the database was created by an earlier release
                 self.db.execute("ALTER TABLE pin ADD COLUMN levels INTEGER NOT NULL DEFAULT 0")
         except (sqlite3.Error, OSError) as error:
             raise HistoryDatabaseError(path, error) from None
 
     def load(self) -> LoadedVersions:
-        """The unbroken sequence of versions up to the newest."""
+        """Return the longest sequence of valid versions without a gap that ends at the newest."""
         newest_first: list[Version] = []
         problem = ""
         try:
@@ -94,7 +94,7 @@
                 version = _version_of(row)
                 is_parent = not newest_first or (version is not None and newest_first[-1].parent == version.number)
                 if version is None or not is_parent:
-                    problem = f"version {row[0]} is damaged: it and older ones are left out"
+                    problem = f"version {row[0]} is damaged: it and all older versions are ignored"
                     break
                 newest_first.append(version)
         except sqlite3.DatabaseError as error:
@@ -102,10 +102,10 @@
         return LoadedVersions(newest_first[::-1], problem)
 
     def append(self, versions: list[Version], lowest: int) -> None:
-        """Add versions and forget those below `lowest`, in one transaction.
+        """Add versions and remove those with numbers below `lowest`, in one transaction.
 
         Raises:
-            sqlite3.Error: nothing is changed.
+            sqlite3.Error: The write failed; the database is unchanged.
         """
         self.db.execute("BEGIN IMMEDIATE")
         try:
@@ -118,7 +118,7 @@
             raise
 
     def load_pin(self) -> StoredPin:
-        """The pin as last saved."""
+        """Return the pin as last saved, or `NO_PIN` if none was saved."""
         row = self.db.execute("SELECT version, until, generation, levels FROM pin").fetchone()
         if row is None:
             return NO_PIN
@@ -138,45 +138,45 @@
 
 
 class UnavailableDatabase:
-    """In place of a database that cannot be opened: service goes on and versions are kept in memory.
+    """Replaces a database that cannot be opened: the pilot continues to serve and keeps versions in memory.
 
-    What is on disk is left alone; a restart takes it up again once it can be opened.
+    The file is not modified. A restart uses it again once it can be opened.
     """
 
     def __init__(self, error: HistoryDatabaseError) -> None:
-        """Name why the database cannot be opened."""
+        """Create the replacement; `error` is the reason why the database cannot be opened."""
         self.error = error
 
     def load(self) -> LoadedVersions:
-        """No versions, and why."""
+        """Return no versions, and the reason."""
         return LoadedVersions([], str(self.error))
 
     def append(self, versions: list[Version], lowest: int) -> None:
-        """Refuse to write.
+        """Reject the write.
 
         Raises:
-            HistoryDatabaseError: always.
+            HistoryDatabaseError: Always.
         """
         raise self.error
 
     def load_pin(self) -> StoredPin:
-        """No pin."""
+        """Return `NO_PIN`."""
         return NO_PIN
 
     def save_pin(self, pin: StoredPin) -> None:
-        """Refuse to write.
+        """Reject the write.
 
         Raises:
-            HistoryDatabaseError: always.
+            HistoryDatabaseError: Always.
         """
         raise self.error
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, as no database is open."""
 
 
 def open_history(path: Path) -> VersionDatabase:
-    """The database of a history, or what stands in for one that cannot be opened."""
+    """Open a history database; return an `UnavailableDatabase` if it cannot be opened."""
     try:
         return HistoryDatabase(path)
     except HistoryDatabaseError as error:
@@ -198,12 +198,12 @@
 
 
 def _checksum(columns: VersionColumns, compressed: bytes) -> str:
-    """Over the columns as Python writes them and the compressed difference."""
+    """Return the checksum of the columns' Python representation and the compressed difference."""
     return xxhash.xxh3_128_hexdigest(repr(columns).encode() + compressed)
 
 
 def _version_of(row: tuple) -> Version | None:
-    """The version of a row; None: the row is damaged."""
+    """Return the version in a row, or None if the checksum does not match."""
     number, root, parent, published_at, cause, note, compressed, checksum = row
     if _checksum((number, root, parent, published_at, cause, note), compressed) != checksum:
         return None
--- a/damsonpick/state/history/errors.py
+++ b/damsonpick/state/history/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the history: what was asked for or failed, and the remedy."""
+"""Errors of the version history. Each message names the failed operation or invalid input, and the remedy."""
 
 from __future__ import annotations
 
@@ -6,45 +6,45 @@
 
 
 class HistoryError(Exception):
-    """The history cannot do what was asked."""
+    """Base class of errors of the version history."""
 
 
 class HistoryDatabaseError(HistoryError):
-    """The database of the history cannot be opened."""
+    """Raised if the history database cannot be opened; the operator must repair or move the file."""
 
     def __init__(self, path: Path, cause: Exception) -> None:
-        """Name the file and what SQLite or the operating system says."""
+        """Create the error from the file and the exception of SQLite or the operating system."""
         super().__init__(
-            f"{path}: the history cannot be opened ({cause}); check folder, rights and space, "
-            "or move the file away to begin a new one"
+            f"{path}: the history cannot be opened ({cause}); check the folder, its permissions and the free space, "
+            "or move the file away to start a new history"
         )
         self.path = path
 
 
 class UnknownVersionError(HistoryError, ValueError):
-    """No such version is kept."""
+    """Raised if a requested version is not in the history."""
 
     def __init__(self, name: str, lowest: int, highest: int) -> None:
-        """Name what was asked for, and the numbers that are kept."""
-        super().__init__(f"version {name}: not kept; there are {lowest} to {highest}, by number or by root")
+        """Create the error from the requested name and the range of version numbers in the history."""
+        super().__init__(f"version {name} is not kept; there are {lowest} to {highest}, selected by number or by root")
         self.name = name
 
 
 class GenerationMismatchError(HistoryError, ValueError):
-    """Somebody else has changed the pin since the operator looked."""
+    """Raised if the pin has changed since the operator read its generation; the operator must check it again."""
 
     def __init__(self, expected: int, actual: int) -> None:
-        """Name the generation that the operator saw, and the present one."""
+        """Create the error from the generation that the operator expected and the present generation."""
         super().__init__(
-            f"somebody else acted meanwhile (act {actual}, not {expected}); look at `versions list` and decide anew"
+            f"the pin has been changed meanwhile (generation {actual}, expected {expected}); check `versions list`"
         )
         self.expected = expected
         self.actual = actual
 
 
 class RangeSumsError(HistoryError, ValueError):
-    """A text is not the range sums of a digest."""
+    """Raised if a text has the wrong length to be the range sums of a digest."""
 
     def __init__(self, expected_digits: int, actual_digits: int) -> None:
-        """Name the number of hex digits that there must be, and that there are."""
-        super().__init__(f"ranges have {expected_digits} hex digits, not {actual_digits}")
+        """Create the error from the required number of hex digits and the number found."""
+        super().__init__(f"range sums must have {expected_digits} hex digits, not {actual_digits}")
--- a/damsonpick/state/history/history.py
+++ b/damsonpick/state/history/history.py
@@ -1,6 +1,6 @@
-"""The versions of the published state that are kept, and the states of the past. Sans I/O.
+"""History of the published state: the kept versions, and the state of each of them. Sans I/O.
 
-A state of the past is found by reverting the differences of all later versions from the newest state.
+The state of an earlier version is computed from the newest state by reverting the differences of all later versions.
 """
 
 from __future__ import annotations
@@ -24,45 +24,45 @@
 )
 from damsonpick.state.published_tables import PublishedTables
 
-MIN_ROOT_DIGITS = 4  # of an abbreviated root
+MIN_ROOT_DIGITS = 4  # least number of digits of an abbreviated root
 
 
 class Retention(NamedTuple):
-    """How many versions are kept, and for how long (ns). The newest is always kept."""
+    """Most versions that are kept, and their maximum age in ns. The newest version is always kept."""
 
     max_versions: int
     max_age_ns: int
 
 
 class History:
-    """Versions in order, and the newest state."""
+    """Versions in ascending order, and the newest state."""
 
     def __init__(self, retention: Retention) -> None:
-        """Begin without versions."""
+        """Create a history without versions."""
         self.retention = retention
         self.versions: OrderedDict[int, Version] = OrderedDict()
         self.state: State = {}
-        self.roots: dict[str, int] = {}  # the newest version with a root
+        self.roots: dict[str, int] = {}  # number of the newest version by root
 
-    # -- growing
+    # -- adding and removing versions
 
     def load(self, versions: Iterable[Version]) -> None:
-        """Take versions from the database, oldest first; `begin` or `resume` then sets the newest state."""
+        """Add versions from the database, oldest first; call `begin` or `resume` next to set the newest state."""
         for version in versions:
             self.versions[version.number] = version
             self.roots[version.root] = version.number
 
     def begin(self, published: PublishedTables, origin: VersionOrigin) -> Version:
-        """Add the state at a start: what changed since the last version, unrecorded, is its difference."""
+        """Add a version for the state at a start. Its difference is what changed unrecorded since the last version."""
         self.resume(published)
         return self._append(origin, state_difference(self._last_recorded_state(), self.state))
 
     def resume(self, published: PublishedTables) -> None:
-        """The newest version is what is published: nothing has changed since."""
+        """Set the newest state to the published one, if nothing has changed since the newest version."""
         self.state = {unit: unit_content(published, unit) for unit in published.units()}
 
     def add(self, published: PublishedTables, units: Iterable[str], origin: VersionOrigin) -> Version | None:
-        """Add the state after a change of some units; None: nothing differs."""
+        """Add a version after a change of some units; return None if no value differs."""
         difference: Difference = {}
         for unit in units:
             content = unit_content(published, unit)
@@ -77,18 +77,17 @@
         number, parent, published_at = 1, 0, origin.time
         if last is not None:
             number, parent = last.number + 1, last.number
-            published_at = max(
-                origin.time, last.published_at
-            )  # a clock set back makes no version older than its parent
+            # A version must not be older than its parent, even if the clock was set back.
+            published_at = max(origin.time, last.published_at)
         version = Version(number, origin.root, parent, published_at, origin.cause, origin.note, difference)
         self.versions[version.number] = version
         self.roots[version.root] = version.number
         return version
 
     def _last_recorded_state(self) -> State:
-        """The state after the newest kept version, as far as the kept differences tell.
+        """Return the state after the newest kept version, computed from the kept differences.
 
-        What none of them names has not changed since, so it is as it is now.
+        A key that is in no kept difference has the value of the present state.
         """
         state = copy_state(self.state)
         for version in self.versions.values():
@@ -96,7 +95,7 @@
         return state
 
     def prune(self, now: int) -> int:
-        """Forget versions beyond the retention; returns the lowest number that is kept."""
+        """Remove the versions that exceed the retention; return the lowest number that is kept."""
         while len(self.versions) > 1:
             number, version = next(iter(self.versions.items()))
             is_within_count = len(self.versions) <= self.retention.max_versions
@@ -106,25 +105,27 @@
             del self.versions[number]
             if self.roots.get(version.root) == number:
                 del self.roots[version.root]
-        return self._lowest()
+        return self._lowest_number()
 
-    # -- looking
+    # -- lookup
 
-    def _lowest(self) -> int:
+    def _lowest_number(self) -> int:
         return next(iter(self.versions), 0)
 
-    def _highest(self) -> int:
+    def _highest_number(self) -> int:
         return next(reversed(self.versions), 0)
 
     def newest(self) -> Version | None:
-        """The newest version; None: there is none yet."""
-        return self.versions[self._highest()] if self.versions else None
+        """Return the newest version, or None if there is none yet."""
+        return self.versions[self._highest_number()] if self.versions else None
 
     def find(self, name: str) -> Version:
-        """A version by number, or by the beginning of a root (at least four digits; the newest of several).
+        """Return a version by its number or by the beginning of its root.
+
+        The beginning of a root needs at least four digits. If several versions match, the newest is returned.
 
         Raises:
-            UnknownVersionError: none is kept.
+            UnknownVersionError: No kept version matches.
         """
         if name.isdecimal() and int(name) in self.versions:
             return self.versions[int(name)]
@@ -132,21 +133,21 @@
             for version in reversed(self.versions.values()):
                 if version.root.startswith(name):
                     return version
-        raise UnknownVersionError(name, self._lowest(), self._highest())
+        raise UnknownVersionError(name, self._lowest_number(), self._highest_number())
 
     def state_at(self, number: int) -> State:
-        """The state of a kept version.
+        """Return the state of a kept version.
 
         Raises:
-            UnknownVersionError: it is not kept.
+            UnknownVersionError: The version is not kept.
         """
         state = copy_state(self.state)
         for version in reversed(self.versions.values()):
             if version.number == number:
                 return state
             revert_difference(state, version.difference)
-        raise UnknownVersionError(str(number), self._lowest(), self._highest())
+        raise UnknownVersionError(str(number), self._lowest_number(), self._highest_number())
 
     def difference(self, from_number: int, to_number: int) -> Difference:
-        """What is to change to come from one kept version to another."""
+        """Return the difference between the states of two kept versions."""
         return state_difference(self.state_at(from_number), self.state_at(to_number))
--- a/damsonpick/state/history/pin.py
+++ b/damsonpick/state/history/pin.py
@@ -1,7 +1,8 @@
-"""The pin: published tables held at a version until a time, and which actions flow meanwhile. Sans I/O.
+"""Pin: keeps the published tables at a version until a given time, and filters the planner's actions. Sans I/O.
 
-While pinned, the planner's moves of weight are held back. What safety needs flows: withdrawals, levels, the removal of
-entries of unroutable endpoints, and an entry for a slice that has no routable one.
+While the tables are pinned, the planner's moves of weight are held back. The actions that safety requires pass:
+withdrawals, admission levels, the removal of entries of unroutable endpoints, and an entry for a slice that has no
+routable one.
 """
 
 from __future__ import annotations
@@ -14,57 +15,57 @@
 
 
 class FilteredActions(NamedTuple):
-    """Actions that flow while pinned, in their order, and how many were held back."""
+    """Actions that pass while pinned, in their order, and the number of actions held back."""
 
     passed: list[api.Action]
     held_back_count: int
 
 
 class Pin:
-    """Whether, and until when, the tables are held.
+    """State of the pin of the tables.
 
     Attributes:
-        version: that they are held at; 0: none.
-        until: clock time, ns; 0: not pinned.
-        generation: grows with each pin and release, so that of two operators who act at once the second is refused.
-        caps_levels: admission levels were rolled back as well; until the pin ends they may fall and not rise.
+        version: Number of the pinned version; 0 if not pinned.
+        until: Clock time when the pin ends, ns; 0 if not pinned.
+        generation: Incremented by each pin and release. If two operators act at the same time, the second is rejected.
+        caps_levels: Whether admission levels were rolled back too; until the pin ends they may fall but not rise.
     """
 
     def __init__(self) -> None:
-        """Begin unpinned."""
+        """Create a pin that is not active."""
         self.version = 0
         self.until = 0
         self.generation = 0
         self.caps_levels = False
 
     def check_generation(self, expected: int | None) -> None:
-        """Compare before an operator's change.
+        """Check the generation before an operator's change.
 
         Args:
-            expected: the generation that the operator saw; None: any.
+            expected: Generation that the operator saw, or None to accept any.
 
         Raises:
-            GenerationMismatchError: somebody else has acted since.
+            GenerationMismatchError: The pin has been set or released since.
         """
         if expected is not None and expected != self.generation:
             raise GenerationMismatchError(expected, self.generation)
 
     def set(self, version: int, until: int, caps_levels: bool = False) -> None:
-        """Hold the tables at a version until a clock time in ns."""
+        """Pin the tables at a version until a clock time in ns."""
         self.version = version
         self.until = until
         self.caps_levels = caps_levels
         self.generation += 1
 
     def release(self) -> None:
-        """Let all actions flow again."""
+        """End the pin, so that all actions pass again."""
         self.version = 0
         self.until = 0
         self.caps_levels = False
         self.generation += 1
 
     def is_active(self, now: int) -> bool:
-        """Whether the tables are held at a clock time in ns."""
+        """Return whether the tables are pinned at a clock time in ns."""
         return self.until > now
 
     def filter_actions(
@@ -75,14 +76,14 @@
         admitted_share: Callable[[int | None, int], float],
         class_count: int = 0,
     ) -> FilteredActions:
-        """Separate actions that flow while pinned from those that are held back.
+        """Separate the actions that pass while pinned from those that are held back.
 
         Args:
-            actions: of the planner, in order. Each is judged by the tables as the ones before it leave them.
-            tables: the published weights, by slice and endpoint; not changed.
-            is_unroutable: whether requests may not be sent to an endpoint now.
-            admitted_share: admitted now, 0 to 1, by table (None: the fleet's) and class index.
-            class_count: of the request classes, for an action that is for all of them.
+            actions: Actions of the planner, in order. Each is checked against the tables after the preceding ones.
+            tables: Published weights, by slice and endpoint; not modified.
+            is_unroutable: Returns whether requests must not be sent to an endpoint now.
+            admitted_share: Returns the share admitted now, 0 to 1, by table (None for the fleet) and class index.
+            class_count: Number of request classes, for an action that applies to all of them.
         """
         passed: list[api.Action] = []
         held_back_count = 0
@@ -90,12 +91,12 @@
         for action in actions:
             if isinstance(action, api.SetEntry):
                 entries = tables_after.setdefault(action.table, dict(tables.get(action.table, {})))
-                flows = _is_needed(action, entries, is_unroutable)
-                if flows:
+                passes = _is_required_for_safety(action, entries, is_unroutable)
+                if passes:
                     _apply(action, entries)
             else:
-                flows = not self._holds_back(action, admitted_share, class_count)
-            if flows:
+                passes = not self._holds_back(action, admitted_share, class_count)
+            if passes:
                 passed.append(action)
             else:
                 held_back_count += 1
@@ -104,7 +105,10 @@
     def _holds_back(
         self, action: api.Action, admitted_share: Callable[[int | None, int], float], class_count: int
     ) -> bool:
-        """Whether an action other than of an entry must wait: one that clears a table, or only raises capped levels."""
+        """Return whether an action other than `SetEntry` is held back.
+
+        These are actions that clear a table, and actions that only raise capped admission levels.
+        """
         if isinstance(action, api.ClearTable):
             return True
         if not (self.caps_levels and isinstance(action, api.SetAdmission)):
@@ -115,11 +119,13 @@
         return raises_any and not lowers_any
 
 
-def _is_needed(action: api.SetEntry, entries: Mapping[str, float], is_unroutable: Callable[[str], bool]) -> bool:
-    """Whether safety needs a change of one entry.
+def _is_required_for_safety(
+    action: api.SetEntry, entries: Mapping[str, float], is_unroutable: Callable[[str], bool]
+) -> bool:
+    """Return whether safety requires a change of one entry.
 
-    A removal is needed of an unroutable endpoint, if the slice has another routable entry. An entry is needed of a
-    routable endpoint, if the slice has no other routable entry.
+    The entry of an unroutable endpoint must be removed if the slice has another routable entry. An entry for a routable
+    endpoint must be added if the slice has no other routable entry.
     """
     has_other_routable = any(name != action.endpoint and not is_unroutable(name) for name in entries)
     if action.weight > 0:
--- a/damsonpick/state/history/recorder.py
+++ b/damsonpick/state/history/recorder.py
@@ -1,6 +1,7 @@
-"""Records the history of one pilot: digest of what is published, versions, pin, and their database.
+"""Records the history of one pilot: the digest of the published state, the versions, the pin, and their database.
 
-A history that cannot be written is logged once and kept in memory, bounded; service goes on.
+If the history cannot be written, this is logged once, and a bounded number of versions is kept in memory. The pilot
+continues to serve.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 from damsonpick.state.published_tables import PublishedTables
 
 RETRY_INTERVAL_NS = 1_000_000_000
-MAX_PENDING_VERSIONS = 1000  # that wait for a database that cannot be written
+MAX_PENDING_VERSIONS = 1000  # versions kept in memory while the database cannot be written
 
 
 class HistoryRecorder:
-    """The one writer of the history.
+    """The only writer of the history.
 
     Attributes:
-        history: the versions.
-        pin: of the tables.
-        digest: over the versions of all resources, as published.
-        pending: versions that the database does not hold yet.
-        retry_at: clock time, ns, from which `flush` is to be called again while versions are pending.
+        history: Versions in memory.
+        pin: Pin of the tables.
+        digest: Digest over the versions of all published resources.
+        pending: Versions that are not in the database yet.
+        retry_at: Clock time from which `flush` must be called again while versions are pending, ns.
     """
 
     def __init__(
@@ -39,14 +40,14 @@
         retention: Retention,
         log: FilteringBoundLogger,
     ) -> None:
-        """Begin without versions; `start` loads them.
+        """Create a recorder without versions; `start` loads them.
 
         Args:
-            published: the published state, read only.
-            resource_versions: versions of resources by unit, of the units named.
-            database: where versions and pin are kept.
-            retention: how many versions are kept, and for how long.
-            log: for what cannot be read or written.
+            published: Published state; it is only read.
+            resource_versions: Returns the versions of the resources of given units, by unit.
+            database: Persistent storage of versions and pin.
+            retention: Limits on the number and age of kept versions.
+            log: Logger for failures to read or write.
         """
         self.published = published
         self.resource_versions = resource_versions
@@ -57,15 +58,17 @@
         self.digest = Digest()
         self.pending: list[Version] = []
         self.retry_at = 0
-        self._digested: dict[str, str] = {}  # version by unit, as the digest has it
+        self._digested: dict[str, str] = {}  # resource version by unit that `digest` includes
         self._is_failing = False
 
     def start(self, now: int) -> None:
-        """Continue the history where it was left, with a version of its own if something has changed since."""
+        """Load the history and continue it; add a version if the published state has changed since the newest one."""
         loaded = self.database.load()
         if loaded.problem:
             self.log.error(
-                "history_damaged", reason=loaded.problem, remedy="what is left is used; nothing else depends on it"
+                "history_damaged",
+                reason=loaded.problem,
+                remedy="the remaining versions are used; nothing else depends on the history",
             )
         self.history.load(loaded.versions)
         self._restore_pin(self.database.load_pin())
@@ -85,7 +88,7 @@
         self.pin.caps_levels = stored.caps_levels
 
     def record(self, now: int, units: Iterable[str], cause: Cause, note: str = "") -> Version | None:
-        """Record that a change of some units has been published; returns its version, None if nothing differs."""
+        """Record a published change of some units; return its version, or None if no value differs."""
         changed_units = list(units)
         for unit, resource_version in self.resource_versions(changed_units).items():
             self.digest.change(unit, self._digested.get(unit, ""), resource_version)
@@ -101,7 +104,7 @@
         self.flush(now)
 
     def flush(self, now: int) -> None:
-        """Write pending versions; where that fails it is to be tried again at `retry_at`."""
+        """Write the pending versions. If that fails, it must be called again at `retry_at`."""
         lowest = self.history.prune(now)
         error = self._write_pending(lowest)
         if error is None:
@@ -116,13 +119,13 @@
                 "history_not_written",
                 error=str(error),
                 pending_versions=len(self.pending),
-                remedy="free space or rights on the state folder; tables keep flowing meanwhile",
+                remedy="check free space and permissions of the state folder; tables are still published meanwhile",
             )
         self._is_failing = True
         del self.pending[:-MAX_PENDING_VERSIONS]
 
     def _write_pending(self, lowest: int) -> Exception | None:
-        """Any error is returned: the history must not stop service."""
+        """Write the pending versions; return any error instead of raising it: the history must not stop the pilot."""
         try:
             self.database.append(self.pending, lowest)
         except Exception as error:
@@ -130,18 +133,18 @@
         return None
 
     def set_pin(self, version: int, until: int, caps_levels: bool = False) -> None:
-        """Hold the tables at a version until a clock time in ns.
+        """Pin the tables at a version until a clock time, and save the pin.
 
         Args:
-            version: its number.
-            until: clock time, ns.
-            caps_levels: admission levels may only fall meanwhile.
+            version: Number of the version.
+            until: Clock time when the pin ends, ns.
+            caps_levels: Whether admission levels may only fall until the pin ends.
         """
         self.pin.set(version, until, caps_levels)
         self._save_pin()
 
     def release_pin(self) -> None:
-        """Let all actions flow again."""
+        """End the pin, so that all actions pass again, and save that."""
         self.pin.release()
         self._save_pin()
 
@@ -149,10 +152,12 @@
         pin = self.pin
         error = self._write_pin(StoredPin(pin.version, pin.until, pin.generation, pin.caps_levels))
         if error is not None:
-            self.log.error("pin_not_written", error=str(error), remedy="it holds until this pilot ends; free space")
+            self.log.error(
+                "pin_not_written", error=str(error), remedy="the pin is active until this pilot ends; free disk space"
+            )
 
     def _write_pin(self, stored: StoredPin) -> Exception | None:
-        """Any error is returned: the pin holds in memory."""
+        """Write the pin; return any error instead of raising it, as the pin remains active in memory."""
         try:
             self.database.save_pin(stored)
         except Exception as error:
--- a/damsonpick/state/history/rollback.py
+++ b/damsonpick/state/history/rollback.py
@@ -1,13 +1,13 @@
-"""Rollback: which entries, levels and retry modes bring the published tables back to a version. Sans I/O.
+"""Rollback: plans the actions that restore entries, levels and retry modes of an earlier version. Sans I/O.
 
-Safety goes before the operator's wish. Rules for each entry of the version:
+Safety takes precedence over the operator's request. Rules for each entry of the version:
 
-    unroutable endpoint            it is left out
-    endpoint warming up            it gets no more than its present weight
-    any other                      as the version has it
-    no entry is left for a slice   the slice keeps its present entries
+    unroutable endpoint            the entry is not restored
+    endpoint warming up            its weight is not raised above the present one
+    any other                      the entry is restored as in the version
+    no entry remains for a slice   the slice keeps its present entries
 
-Whatever differs from the version is reported as a `KeptEntry`.
+Each entry that differs from the version is reported as a `KeptEntry`.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from damsonpick.state.history.version import State, slice_entries
 from damsonpick.state.published_tables import FLEET, ROUTES
 
-REASON_UNROUTABLE = "may not be routed to now"
-REASON_WARMING_UP = "still warming up: no more than it has"
-REASON_NO_ROUTABLE_ENTRY = "the version has no entry that may be routed to: the present entries stay"
+REASON_UNROUTABLE = "not routable now"
+REASON_WARMING_UP = "still warming up: its weight is not raised"
+REASON_NO_ROUTABLE_ENTRY = "the version has no routable entry: the present entries stay"
 
 Table = Mapping[str, float]  # weight by endpoint
 
 
 class KeptEntry(NamedTuple):
-    """An entry that a rollback did not set as the version had it. The field names are keys of the reply.
+    """An entry that a rollback does not restore as in the version. The field names are keys of the reply.
 
     Attributes:
-        slice: its number.
-        endpoint: '': the slice as a whole.
-        why: for the operator.
+        slice: Number of the slice.
+        endpoint: Endpoint of the entry; empty if the whole slice is meant.
+        why: Reason, as text for the operator.
     """
 
     slice: int
@@ -42,21 +42,21 @@
 
 
 class RollbackPlan(NamedTuple):
-    """Actions that roll the tables back, and the entries that differ from the version."""
+    """Actions that roll the tables back, and the entries that will differ from the version."""
 
     actions: list[api.SetEntry]
     kept: list[KeptEntry]
 
 
 class SlicePlan(NamedTuple):
-    """The table that a slice gets, and the entries that differ from the version."""
+    """New table of a slice, and the entries that differ from the version."""
 
     entries: Table
     kept: list[KeptEntry]
 
 
 class ClassAdmission(NamedTuple):
-    """Admission of one class: the admitted share, 0 to 1, and the retry mode."""
+    """Admission settings of one class: the admitted share, 0 to 1, and the retry mode."""
 
     level: float
     retry: int
@@ -68,16 +68,16 @@
     is_unroutable: Callable[[str], bool],
     is_warming_up: Callable[[str], bool],
 ) -> RollbackPlan:
-    """Actions that bring the present tables to those of a version, as far as is safe.
+    """Plan the actions that change the present tables to those of a version, as far as is safe.
 
     Args:
-        target: the state of the version.
-        tables: the present weights, by slice and endpoint; other slices are not touched.
-        is_unroutable: whether an endpoint is draining, gone, unlisted or withdrawn.
-        is_warming_up: whether an endpoint is still warming up.
+        target: State of the version.
+        tables: Present weights, by slice and endpoint. Slices that are not in it are not changed.
+        is_unroutable: Returns whether an endpoint is draining, gone, unlisted or withdrawn.
+        is_warming_up: Returns whether an endpoint is still warming up.
 
     Returns:
-        Actions by slice in ascending order, in each first the entries of the version, then removals.
+        Actions by slice in ascending order; for each slice, first the entries of the version, then the removals.
     """
     actions: list[api.SetEntry] = []
     kept: list[KeptEntry] = []
@@ -95,7 +95,7 @@
     is_unroutable: Callable[[str], bool],
     is_warming_up: Callable[[str], bool],
 ) -> SlicePlan:
-    """The table to set for one slice, by the rules in the module's docstring."""
+    """Plan the table of one slice, by the rules in the module's docstring."""
     entries: dict[str, float] = {}
     kept: list[KeptEntry] = []
     for endpoint, weight in target.items():
@@ -113,7 +113,7 @@
 
 
 def _actions(number: int, current: Table, wanted: Table) -> list[api.SetEntry]:
-    """Actions that turn one table of a slice into another."""
+    """Return the actions that change one table of a slice to another."""
     changed = [
         api.SetEntry(number, endpoint, weight) for endpoint, weight in wanted.items() if current.get(endpoint) != weight
     ]
@@ -122,12 +122,12 @@
 
 
 def plan_admission(target: State, present: State, class_count: int) -> list[api.SetAdmission]:
-    """Actions that set levels and retry modes as a version had them; none where they are so already.
+    """Plan the actions that restore levels and retry modes of a version, only where they differ.
 
     Args:
-        target: the state of the version.
-        present: the published state.
-        class_count: number of request classes.
+        target: State of the version.
+        present: Published state.
+        class_count: Number of request classes.
     """
     actions: list[api.SetAdmission] = []
     for unit in {**present, **target}:
@@ -142,7 +142,10 @@
 
 
 def _admission(state: State, unit: str, table: int | None, class_index: int) -> ClassAdmission:
-    """Levels are stored with their unit, retry modes with the routes; what is not stored has its default."""
+    """Return level and retry mode of a class in a state.
+
+    Levels are stored with their unit, retry modes with the routes. A missing key means the default.
+    """
     level = state.get(unit, {}).get(level_key(class_index), 1.0)
     retry = state.get(ROUTES, {}).get(retry_key(table, class_index), 0.0)
     return ClassAdmission(level, int(retry))
--- a/damsonpick/state/history/version.py
+++ b/damsonpick/state/history/version.py
@@ -1,6 +1,7 @@
-"""A published state as a map of values by unit and key, the difference of two states, and a version. Sans I/O.
+"""A published state as values by unit and key, the difference between two states, and a version. Sans I/O.
 
-The keys are in `state_keys`. A version keeps only what it changed, so it costs what changed and not the table.
+The keys are defined in `state_keys`. A version stores only its difference against its parent, so its size depends on
+the number of changes and not on the size of the tables.
 """
 
 from __future__ import annotations
@@ -18,29 +19,29 @@
 )
 from damsonpick.state.published_tables import ROUTES, PublishedTables, slice_unit
 
-UnitContent = dict[str, float]  # value by key
-State = dict[str, UnitContent]  # by unit
+UnitContent = dict[str, float]  # values of one unit by key
+State = dict[str, UnitContent]  # content by unit
 Cause = Literal["module", "solver", "operator", "rollback", "restart", "list", "gateways"]
 
 
 class ValueChange(NamedTuple):
-    """The value of a key before and after a change; None: it has none."""
+    """Value of a key before and after a change. None means that the key does not exist."""
 
     before: float | None
     after: float | None
 
 
-Difference = dict[str, dict[str, ValueChange]]  # by unit and key
+Difference = dict[str, dict[str, ValueChange]]  # changes by unit and key
 
 
 class VersionOrigin(NamedTuple):
-    """What a published state comes from.
+    """Origin of a published state.
 
     Attributes:
-        time: clock time, ns.
-        root: of the digest over all resources.
-        cause: what set it off.
-        note: for operators; '': none.
+        time: Clock time of the change, ns.
+        root: Root of the digest over all resources.
+        cause: Component or act that caused the change.
+        note: Remark for operators; may be empty.
     """
 
     time: int
@@ -50,16 +51,16 @@
 
 
 class Version(NamedTuple):
-    """One published state. Its fields, but the difference, are stored as they stand here.
+    """One published state. All fields except the difference are stored unchanged and in this order.
 
     Attributes:
-        number: grows by one with each version.
-        root: of the digest over all resources.
-        parent: number of the version before; 0: none.
-        published_at: clock time, ns; never before that of the parent.
-        cause: what set it off.
-        note: for operators; '': none.
-        difference: against the parent.
+        number: Version number; each version has the next higher one.
+        root: Root of the digest over all resources.
+        parent: Number of the preceding version; 0 for the first version.
+        published_at: Clock time of the publication, ns; never before that of the parent.
+        cause: Component or act that caused the change.
+        note: Remark for operators; may be empty.
+        difference: Changes against the parent.
     """
 
     number: int
@@ -71,7 +72,7 @@
     difference: Difference
 
     def summary(self) -> dict[str, object]:
-        """A row of `damsonpick versions list`, by its JSON keys."""
+        """Return a row of `damsonpick versions list`, by JSON key."""
         return {
             "version": self.number,
             "root": self.root,
@@ -85,7 +86,7 @@
 
 
 def unit_content(published: PublishedTables, unit: str) -> UnitContent:
-    """What a unit holds now. Levels of 1 and retry modes of 0 are the default and are left out."""
+    """Return the present content of a unit, without levels of 1 and retry modes of 0, which are the defaults."""
     if unit == ROUTES:
         return {retry_key(*place): float(mode) for place, mode in published.retries.items() if mode}
     table = slice_number(unit)
@@ -101,7 +102,7 @@
 
 
 def slice_entries(state: State, number: int) -> dict[str, float]:
-    """The table of one slice in a state: weight by endpoint."""
+    """Return the table of one slice in a state, as weight by endpoint."""
     entries = {}
     for key, value in state.get(slice_unit(number), {}).items():
         endpoint = entry_endpoint(key)
@@ -111,7 +112,7 @@
 
 
 def changed_values(before: Mapping[str, float], after: Mapping[str, float]) -> dict[str, ValueChange]:
-    """Keys of one unit whose values differ."""
+    """Return the changes of one unit, for the keys whose values differ."""
     changed = {}
     for key in {**before, **after}:
         if before.get(key) != after.get(key):
@@ -120,7 +121,7 @@
 
 
 def state_difference(before: State, after: State) -> Difference:
-    """What differs between two states."""
+    """Return the difference between two states."""
     difference = {}
     for unit in {**before, **after}:
         changed = changed_values(before.get(unit, {}), after.get(unit, {}))
@@ -130,12 +131,12 @@
 
 
 def copy_state(state: State) -> State:
-    """An independent copy of a state."""
+    """Return an independent copy of a state."""
     return {unit: dict(content) for unit, content in state.items()}
 
 
 def apply_difference(state: State, difference: Difference) -> None:
-    """Bring a state from before a difference to after it."""
+    """Apply a difference to a state in place."""
     for unit, changes in difference.items():
         content = state.setdefault(unit, {})
         for key, change in changes.items():
@@ -143,7 +144,7 @@
 
 
 def revert_difference(state: State, difference: Difference) -> None:
-    """Bring a state from after a difference to before it."""
+    """Revert a difference in a state, in place."""
     for unit, changes in difference.items():
         content = state.setdefault(unit, {})
         for key, change in changes.items():
--- a/tests/test_history_rollback.py
+++ b/tests/test_history_rollback.py
@@ -88,7 +88,7 @@
         and held == 4
     )
     assert pin.is_active(99) and not pin.is_active(100)
-    with pytest.raises(ValueError, match="somebody else acted"):
+    with pytest.raises(ValueError, match="the pin has been changed meanwhile"):
         pin.check_generation(0)
     assert slice_entries({"slice/1": {"line a": 2.0, "level 0": 0.5}}, 1) == {"a": 2.0}
 
--- a/tests/test_versions_pilot.py
+++ b/tests/test_versions_pilot.py
@@ -76,7 +76,7 @@
         act = (await say(pilot, "list"))["generation"]
         await say(pilot, "pin", "--expect", str(act))
         text = await say(pilot, "rollback", "1", "--expect", str(act), code=2)
-        assert "somebody else acted meanwhile" in text
+        assert "the pin has been changed meanwhile" in text
         text = await say(pilot, "rollback", "1", "--stages", "a", code=2)
         assert "--hold" in text
         text = await say(pilot, "rollback", "1", "--stages", "x", "--hold", "1 s", code=2)
