--- a/damsonpick/state/learned/__init__.py
+++ b/damsonpick/state/learned/__init__.py
@@ -1,1 +1,1 @@
-"""Learned state: its snapshot on disk, how it ages, how it is restored, and confidence in a cached endpoint list."""
+"""Learned state: snapshots on disk, their ageing and restoration, and confidence in a cached endpoint list."""
--- a/damsonpick/state/learned/ageing.py
+++ b/damsonpick/state/learned/ageing.py
@@ -1,7 +1,7 @@
-"""How old a snapshot is, and how its figures decay with age. Sans I/O.
+"""Computes the age of a snapshot, and decays its values with age. Sans I/O.
 
-Each figure decays toward what a planner without learned state assumes, with a half-life of its own: a slow disk stays
-slow for minutes, the request rate has changed after one.
+Each value decays toward the assumption of a planner without learned state, with its own half-life: a slow disk stays
+slow for minutes, whereas the request rate has changed after one minute.
 """
 
 from __future__ import annotations
@@ -18,29 +18,30 @@
 RATE_HALF_LIFE_NS = 60 * NS_PER_SECOND
 BEST_THROUGHPUT_HALF_LIFE_NS = 60 * NS_PER_SECOND
 WARMTH_HALF_LIFE_NS = 15 * NS_PER_SECOND
-LEVELS_MAX_AGE_NS = 60 * NS_PER_SECOND  # older admission levels were set for a load that has passed
-UNKNOWN_AGE_NS = 1800 * NS_PER_SECOND  # assumed where the age cannot be determined
-CLOCK_TOLERANCE_NS = 5 * NS_PER_SECOND  # difference between two clocks of one host that is not reported
-NEGLIGIBLE_SHARE = 0.02  # figures of which less is left are dropped
-MIN_THROUGHPUT_PER_CAPACITY_SHARE = 0.5  # below it the figure is dropped: a smaller one would throttle a healthy fleet
+LEVELS_MAX_AGE_NS = 60 * NS_PER_SECOND  # older admission levels were set for a load that no longer exists
+UNKNOWN_AGE_NS = 1800 * NS_PER_SECOND  # age assumed if it cannot be determined
+CLOCK_TOLERANCE_NS = 5 * NS_PER_SECOND  # largest difference between two clocks of one host that is not reported
+NEGLIGIBLE_SHARE = 0.02  # remaining share below which a value is dropped
+# Throughput per capacity is dropped below this remaining share: a smaller value would throttle a healthy fleet.
+MIN_THROUGHPUT_PER_CAPACITY_SHARE = 0.5
 
 
 class Age(NamedTuple):
-    """Age in ns, and what was wrong with the clocks ('': nothing)."""
+    """Age of a snapshot in ns, and a fault of the clocks; empty if there is none."""
 
     ns: int
     clock_warning: str
 
 
 def age_of(taken_at: HostTime, now: HostTime) -> Age:
-    """How long ago a snapshot was taken.
+    """Return the age of a snapshot.
 
-    Within one boot the host's uptime decides, so that a wall clock that was set makes a snapshot neither younger nor
-    older. Otherwise the wall clock decides; a snapshot from the future is of unknown age.
+    Within one boot the age is the difference of the host's uptime, so that setting the wall clock does not change it.
+    Otherwise it is the difference of the wall clock; the age of a snapshot from the future is unknown.
 
     Args:
-        taken_at: when the snapshot was taken.
-        now: the present time of the same host.
+        taken_at: Time when the snapshot was taken.
+        now: Present time of the same host.
 
     Returns:
         The age, never negative; `UNKNOWN_AGE_NS` for a snapshot from the future.
@@ -51,21 +52,21 @@
         age_ns = now.uptime_ns - taken_at.uptime_ns
         clock_step_ns = wall_age_ns - age_ns
         if abs(clock_step_ns) > CLOCK_TOLERANCE_NS:
-            return Age(age_ns, f"the wall clock was set by {clock_step_ns / NS_PER_SECOND:+.0f} s meanwhile")
+            return Age(age_ns, f"the wall clock was set by {clock_step_ns / NS_PER_SECOND:+.0f} s after the snapshot")
         return Age(age_ns, "")
     if wall_age_ns < -CLOCK_TOLERANCE_NS:
         seconds_ahead = -wall_age_ns / NS_PER_SECOND
-        return Age(UNKNOWN_AGE_NS, f"it was written {seconds_ahead:.0f} s in the future: its age is not known")
+        return Age(UNKNOWN_AGE_NS, f"it was taken {seconds_ahead:.0f} s in the future: its age is unknown")
     return Age(max(0, wall_age_ns), "")
 
 
 def remaining_share(age_ns: int, half_life_ns: int) -> float:
-    """The share of a figure that is left at an age, 0 to 1."""
+    """Return the share of a value that remains at an age, 0 to 1."""
     return 0.5 ** (max(0, age_ns) / half_life_ns)
 
 
 def decay(snapshot: Snapshot, age_ns: int) -> Snapshot:
-    """What an age in ns leaves of a snapshot: each figure decayed, negligible ones dropped."""
+    """Return the snapshot with each value decayed by an age in ns, without negligible values."""
     return msgspec.structs.replace(
         snapshot,
         endpoints=_decayed_endpoints(snapshot, age_ns),
@@ -75,7 +76,7 @@
 
 
 def _decayed_endpoints(snapshot: Snapshot, age_ns: int) -> tuple[LearnedEndpoint, ...]:
-    """Capacity factors decay toward 1, in proportion: 0.5 and 2 come as far in the same time."""
+    """Decay capacity factors toward 1, in proportion: 0.5 and 2 stay reciprocal at any age."""
     share = remaining_share(age_ns, CAPACITY_FACTOR_HALF_LIFE_NS)
     return tuple(
         LearnedEndpoint(learned.endpoint, learned.started, learned.capacity_factor**share, learned.last_success_at)
@@ -100,16 +101,16 @@
 def _decayed_fleet(fleet: LearnedFleet, age_ns: int) -> LearnedFleet:
     best_share = remaining_share(age_ns, BEST_THROUGHPUT_HALF_LIFE_NS)
     best_throughput = fleet.best_throughput * best_share if best_share > NEGLIGIBLE_SHARE else 0.0
-    # throughput per capacity is kept whole or dropped: a decayed figure would understate what the fleet can do
+    # Throughput per capacity is kept unchanged or dropped: a decayed value would understate the fleet's capacity.
     capacity_share = remaining_share(age_ns, THROUGHPUT_PER_CAPACITY_HALF_LIFE_NS)
     is_recent = capacity_share > MIN_THROUGHPUT_PER_CAPACITY_SHARE
     return LearnedFleet(best_throughput, fleet.throughput_per_capacity if is_recent else 0.0)
 
 
 def admission_levels_valid(downtime_ns: int | None) -> bool:
-    """Whether admission levels of the previous incarnation stay in force.
+    """Return whether the admission levels of the previous incarnation are still valid.
 
     Args:
-        downtime_ns: since it was last seen; None: not known.
+        downtime_ns: Time since the previous incarnation was last seen, or None if unknown.
     """
     return downtime_ns is not None and downtime_ns <= LEVELS_MAX_AGE_NS
--- a/damsonpick/state/learned/capture.py
+++ b/damsonpick/state/learned/capture.py
@@ -1,4 +1,4 @@
-"""Takes a snapshot of what a planner has learned. Sans I/O; the planner is read, never written."""
+"""Takes a snapshot of the state that a planner has learned. Sans I/O; the planner is only read."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 SLICES_PER_STEP = 200
 STORED_MIN_CAPACITY_FACTOR = 0.01
 STORED_MAX_CAPACITY_FACTOR = 100.0
-MIN_WARMTH = 0.02  # less is not stored
+MIN_WARMTH = 0.02  # share; a warmth up to this is not stored
 
 SnapshotType = TypeVar("SnapshotType", Snapshot, PreEncodedSnapshot)
 
 
 class SnapshotInfo(NamedTuple):
-    """What identifies a snapshot.
+    """Metadata that identify a snapshot.
 
     Attributes:
-        sequence: grows with each snapshot written.
-        pilot: name of the pilot.
-        taken_at: the present time of the host.
-        clock_at: the pilot's clock, ns.
-        list_confirmed_at: the pilot's clock when a source last confirmed the endpoint list, ns; 0: never.
+        sequence: Incremented with each snapshot written.
+        pilot: Name of the pilot.
+        taken_at: Present time of the host.
+        clock_at: Present time of the pilot's clock, ns.
+        list_confirmed_at: Time of the pilot's clock when a source last confirmed the endpoint list, ns; 0 if never.
     """
 
     sequence: int
@@ -44,15 +44,15 @@
 
 
 class Capture:
-    """A snapshot taken in small steps, so that the control loop is never held up for long."""
+    """Takes a snapshot in small steps, so that it never blocks the control loop for long."""
 
     def __init__(self, planner: Planner, info: SnapshotInfo, last_success_at: Mapping[str, int] | None = None) -> None:
         """Prepare a snapshot; `steps` reads the planner.
 
         Args:
-            planner: what is read; it may go on between the steps.
-            info: of the snapshot.
-            last_success_at: by endpoint, the pilot's clock at its last successful response, ns.
+            planner: Planner to read; it may handle events between the steps.
+            info: Metadata of the snapshot.
+            last_success_at: Time of the pilot's clock at the last successful response by endpoint, ns.
         """
         self.planner = planner
         self.info = info
@@ -62,15 +62,15 @@
         self.encoded_slices: list[msgspec.Raw] = []
 
     def steps(self, pre_encode: bool = False) -> Iterator[None]:
-        """Read the planner; after each step the control loop may run.
+        """Read the planner step by step; the control loop may run after each step.
 
         Args:
-            pre_encode: for `pre_encoded_snapshot` in place of `snapshot`.
+            pre_encode: Whether to encode the slices for `pre_encoded_snapshot`; otherwise call `snapshot` afterwards.
         """
         self._read_endpoints()
         yield
         for index, state in enumerate(list(self.planner.slices.values())):
-            # no call for each slice: there are thousands of them, and the control loop waits
+            # This is inlined rather than a call for each slice: there are thousands, and the control loop waits.
             warmth = tuple((name, min(1.0, share)) for name, share in state.warmth.items() if share > MIN_WARMTH)
             learned = LearnedSlice(state.number, tuple(max(0.0, rate) for rate in state.rates), warmth)
             if pre_encode:
@@ -81,7 +81,7 @@
                 yield
 
     def _read_endpoints(self) -> None:
-        """Endpoints of which nothing is known are left out: a new planner assumes the same of them."""
+        """Read the endpoints, without those of which nothing was learned: a new planner assumes the same of them."""
         for name, state in list(self.planner.endpoints.items()):
             last_success_at = self.last_success_at.get(name, 0)
             if state.last_report_at or state.restored_share or last_success_at:
@@ -89,11 +89,11 @@
                 self.endpoints.append(LearnedEndpoint(name, state.started, factor, last_success_at))
 
     def snapshot(self) -> Snapshot:
-        """The snapshot, after all steps."""
+        """Return the snapshot, after all steps."""
         return self._build(Snapshot, tuple(self.slices))
 
     def pre_encoded_snapshot(self) -> PreEncodedSnapshot:
-        """The snapshot with its slices encoded, after all steps with `pre_encode`."""
+        """Return the snapshot with encoded slices, after all steps with `pre_encode`."""
         return self._build(PreEncodedSnapshot, self.encoded_slices)
 
     def _build(
@@ -113,7 +113,7 @@
 
 
 def take_snapshot(planner: Planner, info: SnapshotInfo) -> Snapshot:
-    """A snapshot in one go."""
+    """Take a snapshot without interruption."""
     capture = Capture(planner, info)
     for _ in capture.steps():
         pass
--- a/damsonpick/state/learned/codec.py
+++ b/damsonpick/state/learned/codec.py
@@ -1,11 +1,11 @@
-"""A snapshot as bytes: a header with format, length and checksum, then MessagePack. Sans I/O.
+"""Encodes a snapshot as a header with format, length and checksum, followed by a MessagePack body. Sans I/O.
 
     8 bytes  magic            2 bytes  format        2 bytes  reserved, zero
     4 bytes  length of body  16 bytes  XXH3 (128 bits) over the header before it and the body
 
 Every changed bit is detected: in the header by magic, format, length or checksum, in the body by the checksum. A file
-of an older format is migrated; a file of a newer one is refused and left alone. The keys of the body are in
-`snapshot.STORED_KEYS`.
+of an older format is migrated. A file of a newer format is rejected and not modified. The keys of the body are defined
+in `snapshot.STORED_KEYS`.
 """
 
 from __future__ import annotations
@@ -25,30 +25,31 @@
 CHECKSUM_BYTES = 16
 MAX_BODY_BYTES = 64_000_000
 
-RawSnapshot = dict[str, Any]  # a decoded body before its types are checked, by stored keys
+RawSnapshot = dict[str, Any]  # decoded body before its types are checked, by stored key
 
 
 def _migrate_1_to_2(raw: RawSnapshot) -> RawSnapshot:
-    """Format 1 held neither the endpoints' last successes nor when the list was last confirmed."""
+    """Add the fields that format 1 lacks: the clock, the last confirmation of the list, and the last successes."""
     return raw | {"clock": 0, "vouched": 0, "servers": [[*row, 0] for row in raw["servers"]]}
 
 
-MIGRATIONS: dict[int, Callable[[RawSnapshot], RawSnapshot]] = {1: _migrate_1_to_2}  # format: to the next one
+# Migrations to the next format, by format.
+MIGRATIONS: dict[int, Callable[[RawSnapshot], RawSnapshot]] = {1: _migrate_1_to_2}
 
 
 def encode(snapshot: Snapshot | PreEncodedSnapshot) -> bytes:
-    """The bytes of a snapshot, in the present format."""
+    """Return the bytes of a snapshot, in the present format."""
     body = msgspec.msgpack.encode(snapshot)
     header = HEADER.pack(MAGIC, FORMAT, 0, len(body))
     return header + xxhash.xxh3_128_digest(header + body) + body
 
 
 def decode(data: bytes) -> Snapshot:
-    """The snapshot of a file.
+    """Return the snapshot in the bytes of a file.
 
     Raises:
-        SnapshotCorruptError: a bit differs, something is cut off, or a figure is out of its bounds.
-        SnapshotFormatError: the file is whole, and of a format that this program does not know.
+        SnapshotCorruptError: A bit differs, the data are truncated, or a value is out of its bounds.
+        SnapshotFormatError: The file is undamaged, but this program does not know its format.
     """
     found_format, body = _checked_body(data)
     if found_format > FORMAT:
@@ -56,13 +57,13 @@
     try:
         snapshot = _parse_body(found_format, body)
     except (msgspec.MsgspecError, KeyError, TypeError) as error:
-        raise SnapshotCorruptError("content", f"its content is not of format {found_format}: {error}") from None
+        raise SnapshotCorruptError("content", f"its content does not match format {found_format}: {error}") from None
     _check_slices(snapshot)
     return snapshot
 
 
 def _checked_body(data: bytes) -> tuple[int, bytes]:
-    """Format and body of a file whose header and checksum are right."""
+    """Check header and checksum of a file; return its format and body."""
     if len(data) < HEADER.size + CHECKSUM_BYTES:
         raise SnapshotCorruptError("header", f"it has {len(data)} bytes, fewer than a header")
     magic, found_format, reserved, length = HEADER.unpack_from(data)
@@ -70,7 +71,7 @@
     if magic != MAGIC or reserved:
         raise SnapshotCorruptError("header", "it does not begin with the magic bytes of a snapshot")
     if length != len(body) or length > MAX_BODY_BYTES:
-        raise SnapshotCorruptError("length", f"the header says {length} bytes, there are {len(body)}")
+        raise SnapshotCorruptError("length", f"the header states a body of {length} bytes, there are {len(body)}")
     stated_checksum = data[HEADER.size : HEADER.size + CHECKSUM_BYTES]
     if xxhash.xxh3_128_digest(data[: HEADER.size] + body) != stated_checksum:
         raise SnapshotCorruptError("checksum", "the checksum is wrong")
@@ -86,17 +87,17 @@
 def _migrate(found_format: int, raw: RawSnapshot) -> RawSnapshot:
     for step in range(found_format, FORMAT):
         if step not in MIGRATIONS:
-            raise SnapshotCorruptError("format", f"format {step} was never written")
+            raise SnapshotCorruptError("format", f"format {step} was never written by any release")
         raw = MIGRATIONS[step](raw)
     return raw
 
 
 def _check_slices(snapshot: Snapshot) -> None:
-    """Slices must fit the classes and the number of slices that the snapshot itself states."""
+    """Check that the slices match the classes and the number of slices in the snapshot itself."""
     for learned in snapshot.slices:
         if len(learned.rates) != len(snapshot.classes) or learned.number >= snapshot.slice_count:
             raise SnapshotCorruptError(
                 "content",
                 f"slice {learned.number} has {len(learned.rates)} rates for {len(snapshot.classes)} classes, "
-                f"and there are {snapshot.slice_count} slices",
+                f"and the snapshot has {snapshot.slice_count} slices",
             )
--- a/damsonpick/state/learned/disk.py
+++ b/damsonpick/state/learned/disk.py
@@ -1,4 +1,4 @@
-"""The operating system under learned state: files, the host's clocks, and the lock of a state folder."""
+"""Operating system interface of learned state: files, the host's clocks, and the lock of a state folder."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 
 class OsDisk:
-    """The operating system's files (see `generations.Disk`)."""
+    """File operations of the operating system (see `generations.Disk`)."""
 
     def read(self, path: Path) -> bytes:
-        """The content of a file."""
+        """Return the content of a file."""
         return path.read_bytes()
 
     def write(self, path: Path, data: bytes) -> None:
-        """Create or replace a file and the folder it is in, not yet synced."""
+        """Create or replace a file without syncing it; create its folder if necessary."""
         path.parent.mkdir(parents=True, exist_ok=True)
         with path.open("wb") as file:
             file.write(data)
 
     def sync(self, path: Path) -> None:
-        """Put a file's content on disk."""
+        """Flush the content of a file to disk."""
         with path.open("rb+") as file:
             os.fsync(file.fileno())
 
     def link(self, old: Path, new: Path) -> None:
-        """A second name for a file, in place of what had that name; on file systems without links a synced copy."""
+        """Create a second name for a file, replacing `new`; on file systems without links, create a synced copy."""
         new.unlink(missing_ok=True)
         try:
             os.link(old, new)
@@ -42,11 +42,11 @@
             self.sync(new)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Replace `new` atomically."""
+        """Rename a file to `new` atomically, replacing an existing file."""
         os.replace(old, new)
 
     def sync_folder(self, path: Path) -> None:
-        """Put changes of names in a folder on disk."""
+        """Flush changes of names in a folder to disk."""
         folder = os.open(path, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -55,7 +55,7 @@
 
 
 def host_time() -> HostTime:
-    """The present time by the wall clock and, where the host tells it, by its uptime."""
+    """Return the present time by the wall clock and, if the host provides them, its boot id and uptime."""
     try:
         boot_id = BOOT_ID_FILE.read_text().strip()
         uptime_ns = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
@@ -65,17 +65,17 @@
 
 
 class FolderLock:
-    """Held by the one pilot that works on a state folder.
+    """Exclusive lock of a state folder, held by the pilot that uses it.
 
-    The kernel drops it when the process ends, however it ends.
+    The kernel releases the lock when the process ends for any reason.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Lock a folder, which is created if it does not exist.
+        """Lock a folder; create it if it does not exist.
 
         Raises:
-            FolderUnusableError: it cannot be created or written.
-            FolderLockedError: another process holds the lock.
+            FolderUnusableError: The folder cannot be created or written.
+            FolderLockedError: Another process holds the lock.
         """
         self.path = folder / "lock"
         try:
@@ -93,5 +93,5 @@
         os.write(self.file, f"{os.getpid()}\n".encode())
 
     def release(self) -> None:
-        """Let another process lock the folder."""
+        """Release the lock, so that another process can lock the folder."""
         os.close(self.file)
--- a/damsonpick/state/learned/errors.py
+++ b/damsonpick/state/learned/errors.py
@@ -1,4 +1,4 @@
-"""Errors of learned state: what failed, where, and the remedy."""
+"""Errors of learned state. Each message names the failed operation, the file or folder, and the remedy."""
 
 from __future__ import annotations
 
@@ -6,55 +6,55 @@
 
 
 class LearnedStateError(Exception):
-    """Learned state, or the folder it is kept in, cannot be used."""
+    """Base class of errors of learned state and the state folder."""
 
 
 class LockError(LearnedStateError):
-    """A state folder cannot be locked."""
+    """Base class of errors that prevent locking a state folder."""
 
 
 class FolderUnusableError(LockError):
-    """A state folder cannot be created or written."""
+    """Raised if a state folder cannot be created or written."""
 
     def __init__(self, folder: Path, cause: OSError) -> None:
-        """Name the folder and what the operating system says."""
+        """Create the error from the folder and the exception of the operating system."""
         super().__init__(
-            f"{folder}: the state folder cannot be used ({cause}); check folder, rights and space, or "
-            "name another in [pilot] state"
+            f"{folder}: the state folder cannot be used ({cause}); check the folder, its permissions and the free "
+            "space, or set another folder in [pilot] state"
         )
         self.folder = folder
 
 
 class FolderLockedError(LockError):
-    """Another process holds the lock of a state folder."""
+    """Raised if another process holds the lock of a state folder."""
 
     def __init__(self, path: Path, holder: str) -> None:
-        """Name the lock file and the process that holds it ('': not known)."""
+        """Create the error from the lock file and the id of the process that holds it; `holder` is empty if unknown."""
         super().__init__(
-            f"{path}: another pilot (process {holder or 'unknown'}) works on this folder; end it, "
-            "or give this one a [pilot] state of its own"
+            f"{path}: another pilot (process {holder or 'unknown'}) uses this folder; stop it, "
+            "or give this pilot a [pilot] state of its own"
         )
         self.path = path
         self.holder = holder
 
 
 class SnapshotError(LearnedStateError, ValueError):
-    """Bytes that are no snapshot for this program."""
+    """Base class of errors of bytes that this program cannot read as a snapshot."""
 
 
 class SnapshotCorruptError(SnapshotError):
-    """The bytes are not what was written."""
+    """Raised if a snapshot is damaged."""
 
     def __init__(self, part: str, reason: str) -> None:
-        """Name the part that is wrong (header, length, checksum, format or content), and how."""
+        """Create the error from the wrong part (header, length, checksum, format or content) and the reason."""
         super().__init__(reason)
         self.part = part
 
 
 class SnapshotFormatError(SnapshotError):
-    """A whole snapshot of a newer program."""
+    """Raised if an undamaged snapshot has a newer format than this program can read."""
 
     def __init__(self, found_format: int, newest_known: int) -> None:
-        """Name the format that was found and the newest that can be read."""
-        super().__init__(f"it has format {found_format}, this program reads up to {newest_known}")
+        """Create the error from the format found and the newest format that can be read."""
+        super().__init__(f"it has format {found_format}, but this program reads formats up to {newest_known}")
         self.found_format = found_format
--- a/damsonpick/state/learned/generations.py
+++ b/damsonpick/state/learned/generations.py
@@ -1,11 +1,13 @@
-"""Two generations of a snapshot on disk: a power cut at any point leaves the previous or the new one. Over a `Disk`.
+"""Two generations of a snapshot on disk, so that a power cut at any point leaves the previous or the new one.
 
-    write `current.part` and sync it; link `current`, if it is whole, as `previous.part`; rename `current.part` to
+All file operations go through a `Disk`. A new generation is written in these steps:
+
+    write `current.part` and sync it; link `current`, if it is undamaged, as `previous.part`; rename `current.part` to
     `current`; rename `previous.part` to `previous`; sync the folder
 
 A rename is atomic, and the new content is on disk before any rename. At every moment `current` and `previous` are two
-different generations, so that damage to one leaves the other, whichever of the renames a power cut leaves; a reader
-takes the newest whole one.
+different generations, whichever of the renames survive a power cut, so that damage to one leaves the other. A reader
+uses the newest undamaged one.
 """
 
 from __future__ import annotations
@@ -24,35 +26,35 @@
 
 
 class Disk(Protocol):
-    """The file operations that writing needs; a test's double stops at any of them."""
+    """File operations used to write a generation. Tests replace them by a disk that fails at any operation."""
 
     def read(self, path: Path) -> bytes:
-        """The content of a file."""
+        """Return the content of a file."""
 
     def write(self, path: Path, data: bytes) -> None:
-        """Create or replace a file, not yet synced."""
+        """Create or replace a file without syncing it."""
 
     def sync(self, path: Path) -> None:
-        """Put a file's content on disk."""
+        """Flush the content of a file to disk."""
 
     def link(self, old: Path, new: Path) -> None:
-        """Give a file a second name."""
+        """Create a second name for a file."""
 
     def rename(self, old: Path, new: Path) -> None:
-        """Replace `new` atomically."""
+        """Rename a file to `new` atomically, replacing an existing file."""
 
     def sync_folder(self, path: Path) -> None:
-        """Put changes of names in a folder on disk."""
+        """Flush changes of names in a folder to disk."""
 
 
 class LoadedSnapshot(NamedTuple):
-    """What a folder held.
+    """Snapshot loaded from a folder.
 
     Attributes:
-        snapshot: the newest whole one; None: there is none.
-        generation: the file it came from, `CURRENT` or `PREVIOUS`; '': none.
-        problems: files that were refused, and why.
-        newer_format: a file of a newer program is there: nothing may be written over it.
+        snapshot: The newest undamaged snapshot, or None if there is none.
+        generation: File that it was read from, `CURRENT` or `PREVIOUS`; empty if there is none.
+        problems: Rejected files with the reasons, as text.
+        newer_format: Whether a file of a newer program exists, which must not be overwritten.
     """
 
     snapshot: Snapshot | None
@@ -68,14 +70,14 @@
     """Write a new generation.
 
     Args:
-        disk: the file operations.
-        folder: of the generations.
-        data: the encoded snapshot.
-        rotate: the present `current` is whole and becomes `previous`. One that was refused must not: until the new one
-            is on disk, `previous` is all there is.
+        disk: File operations.
+        folder: Folder of the generations.
+        data: Encoded snapshot.
+        rotate: Whether the present `current` is undamaged and becomes `previous`. A rejected `current` must not replace
+            `previous`, which is the only usable generation until the new one is on disk.
 
     Raises:
-        OSError: the former generations are as they were.
+        OSError: The write failed; the existing generations are unchanged.
     """
     part = folder / CURRENT_PART
     disk.write(part, data)
@@ -89,7 +91,7 @@
 
 
 def remove(folder: Path) -> int:
-    """Remove all generations; returns how many files there were."""
+    """Remove all generations; return the number of removed files."""
     candidates = [folder / name for name in (CURRENT, PREVIOUS, CURRENT_PART, PREVIOUS_PART)]
     files = [path for path in candidates if path.exists()]
     for path in files:
@@ -98,7 +100,7 @@
 
 
 def load(disk: Disk, folder: Path) -> LoadedSnapshot:
-    """The newest whole generation, with what was wrong with the others."""
+    """Load the newest undamaged generation, and report the faults of the others."""
     newest: Snapshot | None = None
     generation = ""
     problems: list[str] = []
@@ -114,8 +116,8 @@
             continue
         except SnapshotFormatError as error:
             newer_format = True
-            remedy = "use the newer program, or `damsonpick learned forget`"
-            problems.append(f"{path}: {error}; it is left alone, and nothing is written: {remedy}")
+            remedy = "use the newer program, or run `damsonpick learned forget`"
+            problems.append(f"{path}: {error}; it is left alone, and no snapshot is written: {remedy}")
             continue
         except SnapshotCorruptError as error:
             problems.append(f"{path}: {error}; it is not used")
--- a/damsonpick/state/learned/list_confidence.py
+++ b/damsonpick/state/learned/list_confidence.py
@@ -1,17 +1,17 @@
-"""Confidence in the entries of a cached endpoint list while no list source has answered. Sans I/O.
+"""Confidence in the entries of a cached endpoint list while no list source has responded. Sans I/O.
 
-Only a pilot that starts from a cached list lowers confidence: a source that fails under a running pilot makes no
-endpoint draining or gone. The age of an entry counts from when a source last confirmed it, or from its last successful
-response, whichever is later.
+Confidence is lowered only in a pilot that starts from a cached list. If a source fails while a pilot is running, no
+endpoint becomes draining or gone. The age of an entry is the time since a source last confirmed it or since its last
+successful response, whichever is later.
 
     up to FRESH_AGE_NS       as listed
     up to MAX_AGE_NS         a reduced share, until a successful response
-    older                    last resort: used only where a slice would have no entry, and on trial one at a time
-    ejected, only failures   last resort, and on trial again up to MAX_RETRIALS times; then nothing until a source
-                             confirms it
+    older                    last resort: used only if a slice would have no entry otherwise, and on trial one at a time
+    ejected, only failures   last resort, and on trial again up to MAX_RETRIALS times; then no more trials until a
+                             source confirms it
 
-A successful response in this incarnation restores full confidence. Once a source has given a list, all its entries
-count as listed.
+A successful response in this incarnation restores full confidence. After a source has sent a list, all its entries have
+full confidence.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 from damsonpick import interface as api
 from damsonpick.time_units import NS_PER_SECOND
 
-SOURCE_GRACE_NS = NS_PER_SECOND  # for a source to answer before confidence is lowered: most do
+SOURCE_GRACE_NS = NS_PER_SECOND  # time before confidence is lowered, in which most sources respond
 FRESH_AGE_NS = 120 * NS_PER_SECOND
 MAX_AGE_NS = 86_400 * NS_PER_SECOND
-MIN_FAILED_ATTEMPTS = 4  # without a success, before an endpoint is ejected
-TRIAL_INTERVAL_NS = 5 * NS_PER_SECOND  # between trials, of one endpoint at a time
-TRIAL_BACKOFF_NS = 20 * NS_PER_SECOND  # until the first retrial of an ejected endpoint; doubles with each ejection
+MIN_FAILED_ATTEMPTS = 4  # failed attempts without a success after which an endpoint is ejected
+TRIAL_INTERVAL_NS = 5 * NS_PER_SECOND  # time between trials; one endpoint at a time is on trial
+TRIAL_BACKOFF_NS = 20 * NS_PER_SECOND  # time until an ejected endpoint is on trial again; doubles with each ejection
 MAX_RETRIALS = 2
 
 
 class EntryConfidence(Enum):
-    """Confidence in an entry; the value is the share of load that it may have, 0 to 1."""
+    """Confidence in an entry. The value is the share of load that the endpoint may receive, 0 to 1."""
 
     AS_LISTED = 1.0
     REDUCED = 0.5
@@ -43,7 +43,7 @@
 
 
 class EntryTimes(NamedTuple):
-    """When an entry was last confirmed by a source and last responded successfully: clock times, ns; 0: not known."""
+    """Clock times when an entry was last confirmed by a source and last responded successfully, ns; 0 if unknown."""
 
     confirmed_at: int
     last_success_at: int
@@ -51,15 +51,15 @@
 
 @dataclass(slots=True)
 class EntryState:
-    """What this incarnation has observed of one entry.
+    """Observations of one entry in this incarnation.
 
     Attributes:
-        times: as they were at the start, or when it was first listed.
-        has_succeeded: it has responded successfully, and was not ejected since.
-        ejections: how often only failures were seen, since the last success.
-        failed_attempts: since the last success or ejection.
-        retry_at: clock time from which it may be on trial.
-        on_trial: it is now.
+        times: Times of the entry at the start of the pilot, or when it was first listed.
+        has_succeeded: Whether the endpoint has responded successfully and has not been ejected since.
+        ejections: Number of ejections since the last success.
+        failed_attempts: Number of failed attempts since the last success or ejection.
+        retry_at: Clock time from which the endpoint may be on trial again, ns.
+        on_trial: Whether the endpoint is on trial.
     """
 
     times: EntryTimes
@@ -70,24 +70,24 @@
     on_trial: bool = False
 
     def age_ns(self, now: int) -> int:
-        """Time since a source confirmed it or it responded, before this incarnation observed it."""
+        """Return the time since a source confirmed it or it responded, by the times before this incarnation."""
         return max(0, now - max(self.times))
 
 
 class ListConfidence:
-    """Confidence in each entry of the endpoint list in force."""
+    """Confidence in each entry of the effective endpoint list."""
 
     def __init__(self) -> None:
-        """Begin without a list."""
-        self.is_confirmed = False  # a source has given a list in this incarnation
+        """Create the state without a list."""
+        self.is_confirmed = False  # whether a source has sent a list in this incarnation
         self.started_at = 0
         self.entries: dict[str, EntryState] = {}
-        self.last_success_at: dict[str, int] = {}  # by endpoint
-        self.published: dict[str, float] = {}  # confidence by endpoint as last given to the planner
+        self.last_success_at: dict[str, int] = {}  # clock time by endpoint, ns
+        self.published: dict[str, float] = {}  # confidence by endpoint as last sent to the planner
         self.next_trial_at = 0
 
     def restore(self, now: int, times: Mapping[str, EntryTimes]) -> None:
-        """Begin with a cached list, before any source has answered."""
+        """Use the entries of a cached list until a source responds."""
         self.started_at = now
         self.entries = {name: EntryState(entry_times) for name, entry_times in times.items()}
         self.last_success_at = {
@@ -95,7 +95,7 @@
         }
 
     def confirm(self, now: int, endpoints: Iterable[str]) -> None:
-        """A source has given a list: from now on its entries count as listed."""
+        """Set that a source has sent a list; from now on its entries have full confidence."""
         self.is_confirmed = True
         for name in endpoints:
             self.entries.setdefault(name, EntryState(EntryTimes(now, 0)))
@@ -103,7 +103,7 @@
     # -- load reports
 
     def apply_reports(self, now: int, events: Iterable[api.Event]) -> None:
-        """Apply the outcomes of attempts from endpoint reports, summed over zones; other events are ignored."""
+        """Apply the outcomes of attempts in endpoint reports, summed over zones; ignore other events."""
         attempts: dict[str, int] = {}
         successes: dict[str, int] = {}
         for event in events:
@@ -119,9 +119,10 @@
                 _apply_outcomes(now, entry, count, successes[name])
 
     def is_lost(self, now: int, name: str) -> bool:
-        """Whether there is no reason to hold an entry that the newest list no longer names.
+        """Return whether there is no reason to hold an entry that the newest list omits.
 
-        It was ejected and has not succeeded since, or no source has answered and it is no longer fresh.
+        This is so if the endpoint was ejected and has not succeeded since, or if no source has responded and the entry
+        is older than `FRESH_AGE_NS`.
         """
         entry = self.entries.get(name)
         if entry is None or entry.has_succeeded:
@@ -130,7 +131,7 @@
         return entry.ejections > 0 or is_outdated
 
     def last_evidence_at(self, name: str) -> int:
-        """Clock time when a source or a successful response last confirmed an endpoint, ns; 0: not known."""
+        """Return the clock time when a source or a successful response last confirmed an endpoint, ns; 0 if unknown."""
         entry = self.entries.get(name)
         times = entry.times if entry is not None else EntryTimes(0, 0)
         return max(*times, self.last_success_at.get(name, 0), 0)
@@ -138,20 +139,21 @@
     # -- confidence
 
     def is_settled(self, now: int) -> bool:
-        """Whether a source has answered, or its time to answer is over."""
+        """Return whether a source has responded, or the time that it has to respond is over."""
         return self.is_confirmed or now - self.started_at >= SOURCE_GRACE_NS
 
     def confidences(self, now: int) -> dict[str, float]:
-        """Confidence by endpoint, 0 to 1. May put an endpoint on trial."""
+        """Return the confidence by endpoint, 0 to 1. This may put an endpoint on trial."""
         if self.is_confirmed:
             return dict.fromkeys(self.entries, EntryConfidence.AS_LISTED.value)
         self._start_trial(now)
         return {name: _confidence(now, entry).value for name, entry in self.entries.items()}
 
     def _start_trial(self, now: int) -> None:
-        """Put the next last-resort entry on trial, if it is time for one.
+        """Put the next last-resort entry on trial, if the interval since the last trial has passed.
 
-        One at a time, and only once others are known to respond: requests to an endpoint on trial may fail.
+        Only one entry at a time is on trial, and only after another endpoint has responded, because requests to an
+        endpoint on trial may fail.
         """
         states = self.entries.values()
         if now < self.next_trial_at or not any(entry.has_succeeded for entry in states):
@@ -166,7 +168,7 @@
                 return
 
     def changes(self, now: int) -> list[api.EndpointConfidenceChanged]:
-        """Events for the planner: what has changed since the last call."""
+        """Return events for the planner with the confidences that have changed since the last call."""
         if not self.is_settled(now):
             return []
         events = []
@@ -177,7 +179,7 @@
         return events
 
     def published_events(self) -> list[api.EndpointConfidenceChanged]:
-        """All that was published and still differs from full confidence, for a planner that was restarted."""
+        """Return events with all published confidences below the full one, for a planner that was restarted."""
         return [
             api.EndpointConfidenceChanged(name, confidence)
             for name, confidence in self.published.items()
@@ -186,9 +188,9 @@
 
 
 def _apply_outcomes(now: int, entry: EntryState, attempts: int, successes: int) -> None:
-    """One success restores an entry; `MIN_FAILED_ATTEMPTS` without one eject it, also after successes.
+    """Restore an entry after one success, or eject it after `MIN_FAILED_ATTEMPTS` failed attempts without one.
 
-    An endpoint that responded before may have been retired meanwhile.
+    An entry that had successes before is ejected too, because the endpoint may have been retired meanwhile.
     """
     if successes:
         entry.has_succeeded = True
@@ -207,7 +209,7 @@
 
 
 def _confidence(now: int, entry: EntryState) -> EntryConfidence:
-    """Confidence in an entry of a cached list, by what was observed of it, otherwise by its age."""
+    """Return the confidence in an entry of a cached list, by its observations or, without any, by its age."""
     if entry.has_succeeded:
         return EntryConfidence.AS_LISTED
     if entry.on_trial:
--- a/damsonpick/state/learned/restore.py
+++ b/damsonpick/state/learned/restore.py
@@ -1,6 +1,7 @@
-"""Restores learned state: from an aged snapshot to events for a new planner. Sans I/O.
+"""Restores learned state: converts an aged snapshot to events for a new planner. Sans I/O.
 
-Only what can be checked against the endpoint list is restored: of an endpoint whose process was restarted nothing is.
+State of an endpoint is restored only if the endpoint list confirms the process that it was learned of. If that process
+was restarted, nothing of the endpoint is restored.
 """
 
 from __future__ import annotations
@@ -15,18 +16,18 @@
 
 
 class RestoredEvents(NamedTuple):
-    """Events for a new planner, and the endpoints of which nothing is restored as their process was restarted."""
+    """Events for a new planner, and the endpoints that are not restored because their process was restarted."""
 
     events: list[api.Event]
     restarted_endpoints: list[str]
 
 
 def settings_mismatch(snapshot: Snapshot, classes: tuple[str, ...], slice_count: int) -> str:
-    """Why the slices of a snapshot do not fit the present settings; '': they fit."""
+    """Return why the slices of a snapshot do not match the present settings, or an empty string if they match."""
     if snapshot.slice_count != slice_count:
-        return f"it knows {snapshot.slice_count} slices, there are {slice_count}"
+        return f"it has {snapshot.slice_count} slices, the settings have {slice_count}"
     if snapshot.classes != classes:
-        return f"it knows the classes {', '.join(snapshot.classes)}, there are {', '.join(classes)}"
+        return f"it has the classes {', '.join(snapshot.classes)}, the settings have {', '.join(classes)}"
     return ""
 
 
@@ -36,14 +37,16 @@
     owned_slices: Iterable[int],
     include_slices: bool = True,
 ) -> RestoredEvents:
-    """The events that hand an aged snapshot to a new planner: endpoints first, then slices, in the snapshot's order.
+    """Return the events that restore an aged snapshot in a new planner.
+
+    The events of endpoints come first, then those of slices, each in the order of the snapshot.
 
     Args:
-        snapshot: as it has aged.
-        entries: the endpoint list in force, by endpoint.
-        owned_slices: slices of other pilots are left out.
-        include_slices: slices and classes are still the same. Capacity factors are restored in any case, as they
-            belong to endpoints and not to settings.
+        snapshot: The snapshot, already decayed by its age.
+        entries: Effective endpoint list, by endpoint.
+        owned_slices: Slices of this pilot; slices of other pilots are not restored.
+        include_slices: Whether slices and classes are still the same. Capacity factors are restored in any case,
+            because they depend on endpoints and not on settings.
     """
     events: list[api.Event] = []
     restarted: list[str] = []
@@ -70,17 +73,18 @@
     entries: Mapping[str, api.EndpointEntry],
     listed_at: Mapping[str, ListedAt],
 ) -> dict[str, EntryTimes]:
-    """When each entry of a cached endpoint list was last confirmed and last responded, on this incarnation's clock.
+    """Return when each entry of a cached endpoint list was last confirmed and last responded, by the present clock.
 
-    The store knows when each entry was listed. The snapshot may be newer: it knows when a source last confirmed the
-    whole list, which counts for the entries of the newest list, but not for older ones that are only held.
+    The store contains the time when each entry was listed. The snapshot may be newer: it contains the time when a
+    source last confirmed the whole list. That time applies to the entries of the newest list, but not to older entries
+    that are only held.
 
     Args:
-        snapshot: of the previous incarnation; None: there is none.
-        now: the clock, ns.
-        downtime_ns: since the snapshot was taken; None: not known.
-        entries: the cached list.
-        listed_at: when each of its entries was listed, by the clock.
+        snapshot: Snapshot of the previous incarnation, or None if there is none.
+        now: Clock time of this incarnation, ns.
+        downtime_ns: Time since the snapshot was taken, or None if unknown.
+        entries: Cached list, by endpoint.
+        listed_at: Clock time and source of the last listing of each entry.
 
     Returns:
         Times by endpoint, none of them later than `now`.
@@ -88,7 +92,7 @@
     list_confirmed_at = 0
     last_success_at: dict[str, int] = {}
     if snapshot is not None and downtime_ns is not None and snapshot.clock_at:
-        # from the previous incarnation's clock to this one's, whatever was done to the clock in between
+        # Converts clock times of the previous incarnation to this one's, even if the clock was set in between.
         clock_shift_ns = now - downtime_ns - snapshot.clock_at
         if snapshot.list_confirmed_at:
             list_confirmed_at = snapshot.list_confirmed_at + clock_shift_ns
@@ -106,7 +110,7 @@
 def _last_successes(
     snapshot: Snapshot, entries: Mapping[str, api.EndpointEntry], clock_shift_ns: int
 ) -> dict[str, int]:
-    """Last successful responses of those listed processes that the snapshot knew."""
+    """Return the last successful responses of the listed processes that are also in the snapshot."""
     times: dict[str, int] = {}
     for learned in snapshot.endpoints:
         entry = entries.get(learned.endpoint)
--- a/damsonpick/state/learned/snapshot.py
+++ b/damsonpick/state/learned/snapshot.py
@@ -1,11 +1,11 @@
-"""The content of a snapshot of learned state. Types only.
+"""Types of the content of a snapshot of learned state.
 
-Capacity factors are relative to the fleet's usual (1), rates are in requests a second, warmth is a share from 0 to 1,
-times are integer nanoseconds. Every bound is checked when a file is read, so that no figure outside of it reaches the
-planner.
+Capacity factors are relative to the usual factor of the fleet (1). Rates are in requests per second, warmth is a share
+from 0 to 1, and times are integer nanoseconds. Every bound is checked when a file is read, so that no value outside its
+bounds reaches the planner.
 
-The structs with `array_like=True` are stored as arrays in the order of their fields, the snapshot itself as a map whose
-keys are in `STORED_KEYS`. Neither the order nor the keys may change without a new `FORMAT`.
+The structs with `array_like=True` are stored as arrays in the order of their fields, and the snapshot itself as a map
+whose keys are in `STORED_KEYS`. Neither the order nor the keys may change without a new `FORMAT`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta
 
-FORMAT = 2  # of the files written; older ones are migrated by the codec
+FORMAT = 2  # format of written files; the codec migrates older formats
 
 CapacityFactor = Annotated[float, Meta(ge=0.01, le=100)]
 RatePerSecond = Annotated[float, Meta(ge=0, le=1e9)]
@@ -23,7 +23,7 @@
 NonNegative = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, max_length=300)]
 
-STORED_KEYS = {  # field: key in a file and in an export, where they differ
+STORED_KEYS = {  # key in a file and in an export by field, for fields where they differ
     "taken_at": "at",
     "clock_at": "clock",
     "list_confirmed_at": "vouched",
@@ -34,12 +34,12 @@
 
 
 class HostTime(msgspec.Struct, array_like=True, frozen=True):
-    """A point in time by two clocks of the host, so that it can be compared after a restart of the process.
+    """A point in time by two clocks of the host, which can be compared after a restart of the process.
 
     Attributes:
-        wall_ns: since 1970; an operator or a time service may set it.
-        boot_id: identifies the boot of the host; '': not known.
-        uptime_ns: since that boot; nobody sets it.
+        wall_ns: Wall clock, ns since 1970; an operator or a time service may set it.
+        boot_id: Identifies the boot of the host; empty if unknown.
+        uptime_ns: Time since that boot, ns; it cannot be set.
     """
 
     wall_ns: NonNegative
@@ -48,13 +48,13 @@
 
 
 class LearnedEndpoint(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What was learned of one endpoint.
+    """State learned of one endpoint.
 
     Attributes:
-        endpoint: its name.
-        started: clock time of the process that this was learned of; 0: long ago.
-        capacity_factor: its capacity against what the list says.
-        last_success_at: clock time of its last successful response; 0: not known.
+        endpoint: Name of the endpoint.
+        started: Clock time when the process that this was learned of was started, ns; 0 if long ago.
+        capacity_factor: Ratio of its capacity to the one that the endpoint list states.
+        last_success_at: Clock time of its last successful response, ns; 0 if unknown.
     """
 
     endpoint: Name
@@ -64,12 +64,12 @@
 
 
 class LearnedSlice(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What was learned of one slice.
+    """State learned of one slice.
 
     Attributes:
-        number: of the slice.
-        rates: requests a second by class.
-        warmth: pairs of an endpoint and its warmth.
+        number: Number of the slice.
+        rates: Requests per second by class.
+        warmth: Pairs of an endpoint and its warmth.
     """
 
     number: Annotated[int, Meta(ge=0, le=65_535)]
@@ -78,11 +78,11 @@
 
 
 class LearnedFleet(msgspec.Struct, array_like=True, frozen=True):
-    """What was learned of the fleet.
+    """State learned of the fleet.
 
     Attributes:
-        best_throughput: the most successful responses a second that were seen.
-        throughput_per_capacity: of them for each unit of capacity.
+        best_throughput: Highest observed rate of successful responses, per second.
+        throughput_per_capacity: Successful responses per second and unit of capacity.
     """
 
     best_throughput: RatePerSecond
@@ -93,13 +93,13 @@
     """All learned state of one pilot.
 
     Attributes:
-        sequence: grows with each snapshot written.
-        pilot: name of the pilot that wrote it.
-        taken_at: when, by the host's clocks.
-        clock_at: when, by the pilot's clock.
-        list_confirmed_at: the pilot's clock when a source last confirmed the endpoint list; 0: never.
-        classes: names of the request classes, in the order of `LearnedSlice.rates`.
-        slice_count: how many slices the settings had.
+        sequence: Incremented with each snapshot written.
+        pilot: Name of the pilot that wrote the snapshot.
+        taken_at: Time of the snapshot by the host's clocks.
+        clock_at: Time of the snapshot by the pilot's clock, ns.
+        list_confirmed_at: Time of the pilot's clock when a source last confirmed the endpoint list, ns; 0 if never.
+        classes: Names of the request classes, in the order of `LearnedSlice.rates`.
+        slice_count: Number of slices in the settings.
     """
 
     sequence: NonNegative
@@ -115,9 +115,10 @@
 
 
 class PreEncodedSnapshot(msgspec.Struct, frozen=True, rename=STORED_KEYS):
-    """A snapshot on its way to disk, its slices already encoded. It is written as the same bytes as `Snapshot`.
+    """A snapshot to be written, with its slices already encoded. Its encoding has the same bytes as that of `Snapshot`.
 
-    Thousands of small short-lived objects would set off full rounds of the garbage collector, which stall the loop.
+    The slices are encoded early because thousands of small short-lived objects would trigger full runs of the garbage
+    collector, which block the event loop.
     """
 
     sequence: int
--- a/damsonpick/state/load_reports.py
+++ b/damsonpick/state/load_reports.py
@@ -1,8 +1,9 @@
-"""Adds up clients' load reports into the planner's. Sans I/O: time comes in as nanoseconds.
+"""Aggregates the load reports of clients into reports for the planner. Sans I/O: times are passed in nanoseconds.
 
-A report is checked before it counts. LRS numbers no report, so a repeat shows only in that a client claims to have
-counted more time than has passed: such a report is dropped. A late report counts with the time that it covers. Figures
-that contradict each other are cut to what is possible, on the side of fewer successes.
+Each report is validated before it is counted. LRS does not number its reports. A repeated report is therefore detected
+only because the client's reports would cover more time than has passed, and it is dropped. A late report is counted
+with the period that it covers. Contradictory counts are reduced to possible values, with the smaller number of
+successes.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from damsonpick import interface as api
 from damsonpick.time_units import NS_PER_SECOND
 
-TIMER_TOLERANCE_SHARE = 0.5  # of a report period that clocks and timers of clients may be out
+TIMER_TOLERANCE_SHARE = 0.5  # share of a report period by which clocks and timers of clients may deviate
 
 
 class EndpointStats(NamedTuple):
-    """What one client met at one endpoint."""
+    """Results of the attempts of one client at one endpoint."""
 
     endpoint: str
     attempts: int
@@ -26,12 +27,12 @@
 
 
 class SliceStats(NamedTuple):
-    """Requests of one class that came to one client for one slice."""
+    """Requests of one class for one slice that one client received."""
 
     slice: int
     request_class: str
-    requests: int  # rejected ones included
-    failures: int  # admitted and not answered
+    requests: int  # includes rejected requests
+    failures: int  # admitted requests without a response
 
 
 class ClientReport(NamedTuple):
@@ -39,13 +40,13 @@
 
     client: int
     zone: str
-    period: int  # ns that it covers
+    period: int  # time that the report covers, ns
     endpoints: tuple[EndpointStats, ...]
     slices: tuple[SliceStats, ...]
 
 
 class _EndpointTotals:
-    """Figures of one endpoint, added up within each client."""
+    """Totals of one endpoint; attempts are kept by client."""
 
     def __init__(self) -> None:
         self.attempts: dict[int, int] = {}  # by client
@@ -61,7 +62,7 @@
 
 
 class _SliceTotals:
-    """Figures of one class in one slice, added up within each client."""
+    """Totals of one class in one slice; requests are kept by client."""
 
     def __init__(self) -> None:
         self.requests: dict[int, int] = {}  # by client
@@ -73,51 +74,51 @@
 
 
 class LoadReports:
-    """Load reports of all clients since the last flush.
+    """Aggregates the load reports of all clients since the last flush.
 
     Args:
-        classes: names of the request classes.
-        slices: how many slices there are.
-        report_period: ns between the reports of a client.
-        max_period: ns; a report that covers more is dropped.
+        classes: Names of the request classes.
+        slices: Number of slices.
+        report_period: Time between the reports of a client, ns.
+        max_period: Longest period that a report may cover, ns; a report that covers more is dropped.
     """
 
     def __init__(self, classes: tuple[str, ...], slices: int, report_period: int, max_period: int) -> None:
-        """Start with no report."""
+        """Create the totals without any report."""
         self.classes = classes
         self.slices = slices
         self.report_period = report_period
         self.max_period = max_period
-        self.known_endpoints: set[str] = set()  # ever listed
-        self.accounted_until: dict[int, int] = {}  # by client: ns up to which its reports account for time
-        self.dropped = 0  # reports
+        self.known_endpoints: set[str] = set()  # endpoints that were listed at any time
+        self.reported_until: dict[int, int] = {}  # by client: time up to which its reports cover time, ns
+        self.dropped = 0  # number of dropped reports
         self._clear()
 
     def _clear(self) -> None:
-        self._endpoints: dict[tuple[str, str], _EndpointTotals] = {}  # by zone of the clients, and endpoint
+        self._endpoints: dict[tuple[str, str], _EndpointTotals] = {}  # by zone of the clients and endpoint
         self._slices: dict[tuple[int, str], _SliceTotals] = {}  # by slice and class
-        self._covered: dict[int, int] = {}  # by client: ns that its reports cover
+        self._covered: dict[int, int] = {}  # by client: sum of the periods of its reports, ns
 
     def join(self, now: int, client: int) -> None:
-        """From here on a client may account for time; one that was away may bring reports on that time."""
-        self.accounted_until.setdefault(client, now - self.report_period)
+        """Register a client, which may report from now on; one that was disconnected may send reports on that time."""
+        self.reported_until.setdefault(client, now - self.report_period)
 
     def add(self, now: int, report: ClientReport) -> list[str]:
-        """Take in one report.
+        """Validate and add one report.
 
         Args:
-            now: ns.
-            report: as the client gave it.
+            now: Present time, ns.
+            report: Report as the client sent it.
 
         Returns:
-            What was wrong with it, in words; empty: nothing.
+            Faults of the report, as text; empty if it has none.
         """
         problem = self._period_problem(now, report)
         if problem:
             self.dropped += 1
             return [problem]
         client = report.client
-        self.accounted_until[client] = self._accounted_until(now, client) + report.period
+        self.reported_until[client] = self._reported_until(now, client) + report.period
         self._covered[client] = self._covered.get(client, 0) + report.period
         problems: list[str] = []
         for endpoint_stats in report.endpoints:
@@ -126,34 +127,34 @@
             self._add_slice(report, slice_stats, problems)
         return problems
 
-    def _accounted_until(self, now: int, client: int) -> int:
-        """ns from which the next report of a client counts: time longer ago than `max_period` is lost."""
+    def _reported_until(self, now: int, client: int) -> int:
+        """Return the start of the time that the next report of a client may cover, ns: at most `max_period` ago."""
         earliest = now - self.max_period
-        return max(self.accounted_until.get(client, earliest), earliest)
+        return max(self.reported_until.get(client, earliest), earliest)
 
     def _period_problem(self, now: int, report: ClientReport) -> str:
-        """Why a report cannot cover the time that it claims; '': it can."""
+        """Return why a report cannot cover the period that it states, or an empty string if it can."""
         if not 0 < report.period <= self.max_period:
             claimed_s, max_s = report.period / NS_PER_SECOND, self.max_period / NS_PER_SECOND
-            return f"a report over {claimed_s:.1f} s was dropped: not from 0 to {max_s:g} s"
+            return f"a report over {claimed_s:.1f} s was dropped: its period must be above 0 and at most {max_s:g} s"
         tolerance = TIMER_TOLERANCE_SHARE * self.report_period
-        if self._accounted_until(now, report.client) + report.period > now + tolerance:
+        if self._reported_until(now, report.client) + report.period > now + tolerance:
             return (
-                "a report was dropped: with it the gateway would have counted more time than has passed "
-                "(a repeat, or two senders under one id)"
+                "a report was dropped: with it the reports of the gateway would cover more time than has passed "
+                "(a repeated report, or two senders with the same id)"
             )
         return ""
 
     def _add_endpoint(self, report: ClientReport, stats: EndpointStats, problems: list[str]) -> None:
         if stats.endpoint not in self.known_endpoints:
-            problems.append(f"{stats.endpoint} was never listed: its figures were dropped")
+            problems.append(f"{stats.endpoint} was never listed: its counts were dropped")
             return
         failures = stats.failures
         successes = stats.attempts - failures
         if failures > stats.attempts or stats.timed_successes > successes or stats.total_latency < 0:
             problems.append(
                 f"{stats.endpoint}: {failures} failures and {stats.timed_successes} successes "
-                f"in {stats.attempts} attempts: cut"
+                f"in {stats.attempts} attempts: cut to possible values"
             )
             failures = min(failures, stats.attempts)
         timed_successes = min(stats.timed_successes, stats.attempts - failures)
@@ -164,14 +165,14 @@
     def _add_slice(self, report: ClientReport, stats: SliceStats, problems: list[str]) -> None:
         if not 0 <= stats.slice < self.slices or stats.request_class not in self.classes:
             problems.append(
-                f"slice {stats.slice}, class {stats.request_class!r}: there is no such thing, its figures were dropped"
+                f"slice {stats.slice}, class {stats.request_class!r}: unknown slice or class, its counts were dropped"
             )
             return
         totals = self._slices.setdefault((stats.slice, stats.request_class), _SliceTotals())
         totals.add(report.client, stats.requests, min(stats.failures, stats.requests))
 
     def flush(self) -> list[api.Event]:
-        """The planner's reports of the period that ends now, in sorted order; what had no request is left out."""
+        """Return the planner's reports of the period that ends now, in sorted order, without totals of no request."""
         events = [*self._endpoint_events(), *self._slice_events()]
         self._clear()
         return events
@@ -198,10 +199,10 @@
         return events
 
     def _joint_period(self, counts: dict[int, int]) -> int:
-        """ns over which the sum of the counts gives the sum of the clients' rates.
+        """Return the period over which the sum of the counts has the sum of the clients' rates, ns.
 
         Args:
-            counts: by client; rates add up over clients, times within one.
+            counts: Counts by client. Rates are added over clients, periods within one client.
         """
         rate = sum(count / self._covered[client] for client, count in counts.items() if self._covered[client])
         return round(sum(counts.values()) / rate) if rate > 0 else 0
--- a/damsonpick/state/persistent_actions.py
+++ b/damsonpick/state/persistent_actions.py
@@ -1,12 +1,12 @@
-"""Persistent actions as the store keeps them: withdrawals, admission levels and retry modes as keys and numbers.
+"""Encodes persistent actions for the store: withdrawals, admission levels and retry modes as keys and numbers.
 
 The keys are part of the stored format:
 
-    out ENDPOINT         1: the endpoint is withdrawn
-    level TABLE CLASS    the share of a class that is admitted
-    retry TABLE CLASS    the retry mode of a class
+    out ENDPOINT         always 1: the endpoint is withdrawn
+    level TABLE CLASS    admitted share of a class
+    retry TABLE CLASS    retry mode of a class
 
-TABLE is `-` for all tables, CLASS the position of a class in the settings.
+TABLE is the number of a table, or `-` for all tables. CLASS is the position of a class in the settings.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 WITHDRAWN, LEVEL, RETRY = "out", "level", "retry"  # kinds of keys
 ALL_TABLES = "-"
-FULL_LEVEL = 1.0  # needs no action
+FULL_LEVEL = 1.0  # default level, which is not stored
 
 
 class Scope(NamedTuple):
-    """Where an action on admission holds. `table` None: in all tables."""
+    """Table and class that an admission setting applies to. `table` is None for all tables."""
 
     table: int | None
     class_index: int
 
 
 class StoredWithdrawal(NamedTuple):
-    """An endpoint is withdrawn."""
+    """Stored action that withdraws an endpoint."""
 
     endpoint: str
 
 
 class StoredLevel(NamedTuple):
-    """The share of a class that is admitted."""
+    """Stored action that sets the admitted share of a class, 0 to 1."""
 
     scope: Scope
     level: float
 
 
 class StoredRetryMode(NamedTuple):
-    """How requests of a class are retried."""
+    """Stored action that sets the retry mode of a class."""
 
     scope: Scope
     mode: int
@@ -54,7 +54,7 @@
     levels: Mapping[tuple[int | None, int], float],
     retry_modes: Mapping[tuple[int | None, int], int],
 ) -> dict[str, float]:
-    """Keys and numbers of the actions in force; what needs no action is left out."""
+    """Return the keys and numbers of the present actions, without levels and retry modes that have their default."""
     stored = {f"{WITHDRAWN} {endpoint}": 1.0 for endpoint in withdrawn}
     for scope, level in levels.items():
         if level != FULL_LEVEL:
@@ -66,10 +66,10 @@
 
 
 def decode(stored: Mapping[str, float]) -> Iterator[StoredAction]:
-    """The actions behind stored keys, in their order.
+    """Yield the actions of stored keys, in the order of the keys.
 
     Raises:
-        ValueError: a table or class in a key is no number.
+        ValueError: A table or class in a key is not a number.
     """
     for key, value in stored.items():
         kind, _, rest = key.partition(" ")
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -1,8 +1,8 @@
-"""The published state and what each order changes of it. Pure state, no clock and no wire.
+"""The published state, and the changes that orders make to it. Pure state without clock or I/O.
 
-A *unit* is the least that a client is sent at once: one slice's table, the withdrawals and levels that hold for the
-whole fleet, or the retry routes. An *entry* is what the send queue counts: one endpoint in one table, one withdrawal,
-one level. Every change gets a sequence number, which only grows within one run of the controller.
+A *unit* is the smallest part of the state that is sent to a client: the table of one slice, the withdrawals and levels
+of the whole fleet, or the retry routes. An *entry* is what the send queue counts: one endpoint in one table, one
+withdrawal, or one level. Every change has a sequence number, which increases within one run of the controller.
 """
 
 from __future__ import annotations
@@ -14,30 +14,30 @@
 from damsonpick.state import persistent_actions
 from damsonpick.state.persistent_actions import FULL_LEVEL, Scope, StoredLevel, StoredRetryMode, StoredWithdrawal
 
-FLEET, ROUTES = "fleet", "routes"  # units beside those of the slices
-NO_RETRIES = 0  # retry mode that needs no order
+FLEET, ROUTES = "fleet", "routes"  # the units that do not belong to a slice
+NO_RETRIES = 0  # default retry mode, for which no order is needed
 
 
 def slice_unit(number: int) -> str:
-    """The unit of a slice's table."""
+    """Return the unit of a slice's table."""
     return f"slice/{number}"
 
 
 class ChangedEntry(NamedTuple):
-    """One entry that an order has changed."""
+    """An entry that an order has changed."""
 
     unit: str
-    key: str  # an endpoint, or what `_level_key` and `_retry_key` give
+    key: str  # an endpoint, or a key from `_level_key` or `_retry_key`
 
 
 class Change(NamedTuple):
-    """What one set of orders changed.
+    """Change made by one set of orders.
 
     Attributes:
-        seq: its sequence number.
-        entries: changed entries by unit.
-        sync_tokens: tokens to be acknowledged by every client that has applied the change.
-        urgent: it withdraws an endpoint.
+        seq: Sequence number of the change.
+        entries: Changed entries by unit.
+        sync_tokens: Tokens to be acknowledged by every client that has applied the change.
+        urgent: Whether the change withdraws an endpoint.
     """
 
     seq: int
@@ -46,52 +46,52 @@
     urgent: bool
 
     def entry_count(self) -> int:
-        """How many entries it changed."""
+        """Return the number of changed entries."""
         return sum(map(len, self.entries.values()))
 
 
 class PublishedTables:
-    """Tables by slice, admission levels and retry modes by table and class, endpoints withdrawn.
+    """Tables by slice, admission levels and retry modes by table and class, and withdrawn endpoints.
 
     Args:
-        classes: names of the request classes.
-        slices: how many slices there are.
+        classes: Names of the request classes.
+        slices: Number of slices.
     """
 
     def __init__(self, classes: tuple[str, ...], slices: int) -> None:
-        """Start with empty tables."""
+        """Create empty tables without withdrawals, levels and retry modes."""
         self.classes = classes
         self.slices = slices
         self.tables: dict[int, dict[str, float]] = {number: {} for number in range(slices)}
-        self.withdrawn: dict[str, int] = {}  # endpoint: sequence number of its withdrawal; 0: before this run
-        self.levels: dict[tuple[int | None, int], float] = {}  # by table (None: all) and class
-        self.retries: dict[tuple[int | None, int], int] = {}  # by table (None: all) and class
-        self.seq = 0  # of the newest change
-        self.changed: dict[str, int] = dict.fromkeys(self.units(), 0)  # unit: sequence number of its last change
+        self.withdrawn: dict[str, int] = {}  # sequence number of the withdrawal by endpoint; 0 if before this run
+        self.levels: dict[tuple[int | None, int], float] = {}  # by table (None for all) and class
+        self.retries: dict[tuple[int | None, int], int] = {}  # by table (None for all) and class
+        self.seq = 0  # sequence number of the newest change
+        self.changed: dict[str, int] = dict.fromkeys(self.units(), 0)  # sequence number of the last change by unit
 
     def units(self) -> Iterator[str]:
-        """All units there are."""
+        """Yield all units."""
         yield FLEET
         yield ROUTES
         for number in range(self.slices):
             yield slice_unit(number)
 
-    # -- what the store keeps
+    # -- restoring and saving
 
     def restore(self, number: int, entries: Mapping[str, float]) -> None:
-        """Take a table as the store holds it."""
+        """Set a table to the stored entries."""
         self.tables[number] = dict(entries)
 
     def persistent_actions(self) -> dict[str, float]:
-        """Withdrawals, levels and retry modes in force, in the format of the store."""
+        """Return the present withdrawals, levels and retry modes in the format of the store."""
         return persistent_actions.encode(self.withdrawn, self.levels, self.retries)
 
     def restore_persistent_actions(self, stored: Mapping[str, float], restore_levels: bool) -> None:
-        """Take the actions of an earlier run, as `persistent_actions` gave them.
+        """Restore the actions of an earlier run, as returned by `persistent_actions`.
 
         Args:
-            stored: actions in the format of the store; those on tables or classes that no longer exist are left out.
-            restore_levels: levels too.
+            stored: Actions in the format of the store. Actions on tables or classes that no longer exist are ignored.
+            restore_levels: Whether admission levels are restored too.
         """
         for action in persistent_actions.decode(stored):
             if isinstance(action, StoredWithdrawal):
@@ -108,23 +108,23 @@
             return False
         return scope.table is None or scope.table in self.tables
 
-    # -- what is asked
+    # -- queries
 
     def level(self, table: int | None, class_index: int) -> float:
-        """Share of a class that is admitted: the lower of the fleet's and, for a slice, its own."""
+        """Return the admitted share of a class: the fleet's level or, for a slice, the lower of that and its own."""
         fleet_level = self.levels.get((None, class_index), FULL_LEVEL)
         if table is None:
             return fleet_level
         return min(fleet_level, self.levels.get((table, class_index), FULL_LEVEL))
 
     def routable_endpoints(self, number: int) -> list[str]:
-        """Endpoints in a slice's table that clients may pick."""
+        """Return the endpoints of a slice's table that clients may select."""
         return [endpoint for endpoint in self.tables[number] if endpoint not in self.withdrawn]
 
     # -- changes
 
     def apply(self, orders: Iterable[api.Action]) -> Change:
-        """Carry out table orders; one that leaves everything as it is changes no entry."""
+        """Apply table orders. An order that sets only present values changes no entry."""
         entries: dict[str, set[str]] = {}
         sync_tokens: list[int] = []
         urgent = False
@@ -140,8 +140,10 @@
         return Change(self.seq, entries, sync_tokens, urgent)
 
     def touch(self, endpoints: Iterable[str]) -> Change:
-        """Mark the entries of some endpoints as changed in all tables: something else about them, such as their zone,
-        has changed."""
+        """Mark the entries of some endpoints as changed in all tables.
+
+        This is needed when another property of the endpoints, such as their zone, has changed.
+        """
         self.seq += 1
         entries: dict[str, set[str]] = {}
         for endpoint in endpoints:
--- a/damsonpick/state/store/__init__.py
+++ b/damsonpick/state/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process: tables, persistent actions, the endpoint list and slice leases, in SQLite."""
+"""Persistent storage in SQLite: tables, persistent actions, the endpoint list and slice leases."""
--- a/damsonpick/state/store/connection.py
+++ b/damsonpick/state/store/connection.py
@@ -1,7 +1,7 @@
 """Connections to the SQLite databases of a state folder, all in WAL mode.
 
-A process killed at any point leaves the last whole transaction (SQLite's own guarantee in WAL mode). With
-`synchronous = NORMAL` a power cut may lose the newest transactions but never tears one.
+If the process is killed at any point, the database contains the last complete transaction; SQLite guarantees this in
+WAL mode. With `synchronous = NORMAL`, a power cut may lose the newest transactions but never leaves a partial one.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 def connect(path: Path, check_same_thread: bool = True) -> sqlite3.Connection:
-    """Open a database in WAL mode without implicit transactions; its folder is created if it does not exist.
+    """Open a database in WAL mode without implicit transactions; create its folder if it does not exist.
 
     Raises:
-        sqlite3.Error, OSError: the file or its folder cannot be used.
+        sqlite3.Error, OSError: The file or its folder cannot be used.
     """
     path.parent.mkdir(parents=True, exist_ok=True)
     connection = sqlite3.connect(
@@ -30,13 +30,13 @@
 
 
 def has_column(connection: sqlite3.Connection, table: str, column: str) -> bool:
-    """Whether a table has a column; a database of an earlier release may lack one."""
+    """Return whether a table has a column; databases of earlier releases lack some columns."""
     return column in {row[1] for row in connection.execute(f"PRAGMA table_info({table})")}
 
 
 @contextmanager
 def transaction(connection: sqlite3.Connection) -> Iterator[None]:
-    """A write transaction: committed at the end of the block, rolled back on an error in it."""
+    """Run the block in a write transaction: commit at its end, roll back if it raises."""
     connection.execute("BEGIN IMMEDIATE")
     try:
         yield
--- a/damsonpick/state/store/errors.py
+++ b/damsonpick/state/store/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the store: the file, what is wrong, and the remedy."""
+"""Errors of the store. Each message names the file, the fault and the remedy."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 
 class StoreError(Exception):
-    """The store cannot be used.
+    """Base class of errors that prevent the use of the store.
 
     Attributes:
-        path: of the database.
+        path: File of the database.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
-        """Name the file and why it cannot be used."""
+        """Create the error from the file and the reason why it cannot be used."""
         super().__init__(f"{path}: {reason}")
         self.path = path
 
 
 class StoreUnusableError(StoreError):
-    """The database cannot be opened, or it is damaged."""
+    """Raised if the database cannot be opened or is damaged; the operator must repair or move the file."""
 
     def __init__(self, path: Path, cause: Exception | str) -> None:
-        """Name the file and what SQLite, the operating system or the check of the pages says."""
+        """Create the error from the file and the fault found by SQLite, the operating system or the page check."""
         super().__init__(
             path,
-            f"the store cannot be opened ({cause}); check folder, rights and space, or "
+            f"the store cannot be opened ({cause}); check the folder, its permissions and the free space, or "
             "move the file away to start with empty tables",
         )
 
 
 class StoreMismatchError(StoreError):
-    """The store was written under other settings, or by another version of the schema."""
+    """Raised if the store was written with another number of slices or another version of the schema."""
 
     def __init__(self, path: Path, key: str, stored: str, expected: int) -> None:
-        """Name the file and the key whose values differ."""
+        """Create the error from the file, the key, and its stored and expected value."""
         super().__init__(
             path,
             f"the store was written with {key} {stored}, the settings say {expected}; "
-            "keep the setting, or move the file away to start anew",
+            "restore the setting, or move the file away to start with empty tables",
         )
         self.key = key
         self.stored = stored
--- a/damsonpick/state/store/leases.py
+++ b/damsonpick/state/store/leases.py
@@ -1,4 +1,4 @@
-"""Ownership of slices: the interface that several pilots can share."""
+"""Ownership of slices by leases: the store interface that several pilots share."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class SliceLease(NamedTuple):
-    """A slice that a pilot owns until its lease ends.
+    """A slice that a pilot owns until the lease expires.
 
     Attributes:
-        slice: its number.
-        owner: name of the pilot.
-        term: grows with every change of owner, so that a late write of a former one is recognized.
+        slice: Number of the slice.
+        owner: Name of the pilot.
+        term: Incremented at every change of owner, so that a late write of a previous owner is recognized.
     """
 
     slice: int
@@ -20,13 +20,13 @@
 
 
 class LeaseStore(Protocol):
-    """Slices are claimed by name; a slice whose lease another owner keeps alive is not given."""
+    """Grants leases of slices to owners by name; a slice with an unexpired lease of another owner is not granted."""
 
     def claim(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
-        """Take all slices that are free or whose lease has ended, and renew the owner's; returns all that it has."""
+        """Claim all slices that are free or whose lease has expired, and renew the owner's; return all its leases."""
 
     def renew(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
-        """Keep the owner's slices for another `duration_ns`; returns what it still has."""
+        """Extend the owner's leases to `now` + `duration_ns`; return the leases that it still has."""
 
     def release(self, owner: str) -> None:
-        """Give all slices of an owner back, at an orderly end."""
+        """Release all slices of an owner, at a graceful shutdown."""
--- a/damsonpick/state/store/sqlite.py
+++ b/damsonpick/state/store/sqlite.py
@@ -1,10 +1,10 @@
-"""The embedded store: SQLite in WAL mode, one writer, one transaction for each set of actions.
+"""The embedded store: SQLite in WAL mode with one writer and one transaction for each set of actions.
 
-After a power cut gateways may hold newer tables than the store (see `connection`). Their content hashes show it at the
-next stream, and the tables are published again.
+After a power cut, gateways may have newer tables than the store (see `connection`). When such a gateway opens its next
+stream, the content hashes reveal the difference, and the tables are published again.
 
-The names of tables and columns are part of the stored format: `lines` holds table entries, `standing` persistent
-actions, `listed` the endpoint list, `slices` the leases.
+The names of tables and columns are part of the stored format: `lines` contains the table entries, `standing` the
+persistent actions, `listed` the endpoint list, and `slices` the leases.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class ListedAt(NamedTuple):
-    """When an entry of the endpoint list was last listed (clock time, ns; 0: not known), and by which source."""
+    """Clock time when an entry of the endpoint list was last listed (ns, 0 if unknown), and the source of that list."""
 
     time: int
     source: str
@@ -48,18 +48,18 @@
 
 
 class Store:
-    """Tables, persistent actions, leases, gateway numbers and the endpoint list, in one file."""
+    """Store of tables, persistent actions, leases, gateway numbers and the endpoint list, in one file."""
 
     def __init__(self, path: Path, slices: int) -> None:
         """Open or create a store.
 
         Args:
-            path: of the database.
-            slices: number of slices; a store with another number is refused.
+            path: File of the database.
+            slices: Number of slices; a store with another number is rejected.
 
         Raises:
-            StoreUnusableError: the database cannot be opened, or it is damaged.
-            StoreMismatchError: it was written with another number of slices or another schema.
+            StoreUnusableError: The database cannot be opened, or it is damaged.
+            StoreMismatchError: The store was written with another number of slices or another schema.
         """
         self.path = path
         self.slices = slices
@@ -74,16 +74,16 @@
 
     def _check_pages(self) -> None:
         if self.db.execute("PRAGMA quick_check").fetchone()[0] != "ok":
-            raise StoreUnusableError(self.path, "the check of its pages failed")
+            raise StoreUnusableError(self.path, "the integrity check of its pages failed")
 
     def _add_columns(self) -> None:
-        """Columns that stores of earlier releases lack."""
+        """Add the columns that stores of earlier releases lack."""
         if not has_column(self.db, "listed", "at"):
             self.db.execute("ALTER TABLE listed ADD COLUMN at INTEGER NOT NULL DEFAULT 0")
             self.db.execute("ALTER TABLE listed ADD COLUMN source TEXT NOT NULL DEFAULT ''")
 
     def _initialize(self) -> None:
-        """Compare schema and number of slices with the settings; create the slices' rows at the first start."""
+        """Check the schema version and the number of slices; create the rows of the slices at the first start."""
         about = dict(self.db.execute("SELECT key, value FROM about"))
         expected = {KEY_SCHEMA_VERSION: SCHEMA_VERSION, KEY_SLICES: self.slices}
         for key, value in expected.items():
@@ -96,11 +96,11 @@
             self.db.executemany("INSERT OR IGNORE INTO slices (slice) VALUES (?)", numbers)
 
     def transaction(self) -> AbstractContextManager[None]:
-        """A write transaction: committed at the end of the block, rolled back on an error in it."""
+        """Return a context that runs its block in a write transaction: commit at its end, roll back if it raises."""
         return transaction(self.db)
 
     def next_epoch(self) -> int:
-        """A number that grows with each call, also over restarts; a pilot takes one at each start."""
+        """Return a number that increases with each call, across restarts too; a pilot requests one at each start."""
         with self.transaction():
             row = self.db.execute("SELECT value FROM about WHERE key = ?", (KEY_EPOCH,)).fetchone()
             number = int(row[0]) + 1 if row else 1
@@ -110,14 +110,14 @@
     # -- tables and persistent actions
 
     def load_tables(self) -> dict[int, dict[str, float]]:
-        """The weight of each entry, by slice and endpoint; a slice without entries has an empty table."""
+        """Return the weight of each entry, by slice and endpoint; a slice without entries has an empty table."""
         tables: dict[int, dict[str, float]] = {number: {} for number in range(self.slices)}
         for number, endpoint, weight in self.db.execute("SELECT slice, endpoint, weight FROM lines"):
             tables[number][endpoint] = weight
         return tables
 
     def load_persistent_actions(self) -> dict[str, float]:
-        """Withdrawals, admission levels and retry modes by their keys (see `PublishedTables`)."""
+        """Return withdrawals, admission levels and retry modes by key (see `PublishedTables`)."""
         return dict(self.db.execute("SELECT key, value FROM standing"))
 
     def save_tables(
@@ -126,7 +126,7 @@
         """Replace the tables of some slices and, if given, all persistent actions, in one transaction.
 
         Raises:
-            sqlite3.Error: nothing is changed.
+            sqlite3.Error: The write failed; the store is unchanged.
         """
         with self.transaction():
             for number, entries in tables.items():
@@ -140,7 +140,7 @@
     # -- leases (see leases.LeaseStore)
 
     def claim(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
-        """Take all slices that are free or whose lease has ended, and renew the owner's; returns all that it has."""
+        """Claim all slices that are free or whose lease has expired, and renew the owner's; return all its leases."""
         lease_end = now + duration_ns
         with self.transaction():
             self.db.execute(
@@ -152,13 +152,13 @@
         return self._leases(owner)
 
     def renew(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
-        """Keep the owner's slices for another `duration_ns`; returns what it still has."""
+        """Extend the owner's leases to `now` + `duration_ns`; return the leases that it still has."""
         with self.transaction():
             self.db.execute("UPDATE slices SET until = ? WHERE owner = ?", (now + duration_ns, owner))
         return self._leases(owner)
 
     def release(self, owner: str) -> None:
-        """Give all slices of an owner back, at an orderly end."""
+        """Release all slices of an owner, at a graceful shutdown."""
         with self.transaction():
             self.db.execute("UPDATE slices SET owner = '', until = 0 WHERE owner = ?", (owner,))
 
@@ -169,7 +169,7 @@
     # -- gateways and endpoint list
 
     def gateway_number(self, node: str) -> int:
-        """The number of a node id; it stays the same over restarts of the pilot."""
+        """Return the number of a node id; assign one if the node is new. It persists across restarts of the pilot."""
         row = self.db.execute("SELECT number FROM gateways WHERE node = ?", (node,)).fetchone()
         if row:
             return row[0]
@@ -179,12 +179,12 @@
         return last + 1
 
     def load_endpoint_list(self) -> list[api.EndpointEntry]:
-        """The endpoint list as last saved."""
+        """Return the endpoint list as last saved."""
         rows = self.db.execute("SELECT endpoint, zone, state, weight, started FROM listed")
         return [api.EndpointEntry(*row) for row in rows]
 
     def listed_at(self) -> dict[str, ListedAt]:
-        """When and by which source each entry of the list was last listed, by endpoint."""
+        """Return when and by which source each entry of the list was last listed, by endpoint."""
         rows = self.db.execute("SELECT endpoint, at, source FROM listed")
         return {endpoint: ListedAt(time, source) for endpoint, time, source in rows}
 
@@ -197,12 +197,12 @@
         """Replace the endpoint list.
 
         Args:
-            entries: the list in force.
-            listed: when and by which source.
-            held: endpoints that this source no longer names; they keep their former time and source.
+            entries: Entries of the effective list.
+            listed: Time and source of the list.
+            held: Endpoints that this source no longer lists; they keep their previous time and source.
 
         Raises:
-            sqlite3.Error: nothing is changed.
+            sqlite3.Error: The write failed; the store is unchanged.
         """
         former = self.listed_at() if held else {}
         rows = []
