--- a/tests/test_history_rollback.py
+++ b/tests/test_history_rollback.py
@@ -1,4 +1,4 @@
-"""What a rollback sets, and what flows while tables are pinned."""
+"""Plans of rollbacks, and the filter of actions while tables are pinned."""
 
 from __future__ import annotations
 
@@ -25,42 +25,42 @@
         "slice/3": {"line cold": 1.0},
     }
     tables = {0: {"b": 1.0}, 1: {"b": 1.0}, 2: {"cold": 1.0}, 3: {"b": 2.0}}
-    made = rollback.plan_rollback(target, tables, lambda n: n == "gone", lambda n: n == "cold")
+    plan = rollback.plan_rollback(target, tables, lambda n: n == "gone", lambda n: n == "cold")
     after = {n: dict(t) for n, t in tables.items()}
-    for o in made.actions:
-        if o.weight:
-            after[o.table][o.endpoint] = o.weight
+    for action in plan.actions:
+        if action.weight:
+            after[action.table][action.endpoint] = action.weight
         else:
-            del after[o.table][o.endpoint]
+            del after[action.table][action.endpoint]
     assert after == {0: {"a": 1.0}, 1: {"b": 1.0}, 2: {"cold": 1.0, "a": 1.0}, 3: {"b": 2.0}}
-    assert {(k.slice, k.endpoint) for k in made.kept} == {(0, "gone"), (1, ""), (2, "cold"), (3, "")}
+    assert {(k.slice, k.endpoint) for k in plan.kept} == {(0, "gone"), (1, ""), (2, "cold"), (3, "")}
 
 
 @given(st.randoms(use_true_random=False))
 @settings(max_examples=60)
 def test_any_rollback_is_safe(rng):
     servers = [f"s{k}" for k in range(6)]
-    barred, cold = set(rng.sample(servers, 2)), set(rng.sample(servers, 2))
+    unroutable, warming_up = set(rng.sample(servers, 2)), set(rng.sample(servers, 2))
 
     def table():
         return {n: rng.choice((1.0, 2.0)) for n in rng.sample(servers, rng.randint(1, 4))}
 
     tables = {k: table() for k in range(4)}
     target = {f"slice/{k}": {f"line {n}": w for n, w in table().items()} for k in range(4)}
-    made = rollback.plan_rollback(target, tables, barred.__contains__, cold.__contains__)
+    plan = rollback.plan_rollback(target, tables, unroutable.__contains__, warming_up.__contains__)
     published = PublishedTables(("page",), 4)
-    for k, have in tables.items():
-        published.restore(k, have)
-    published.apply(made.actions)
+    for k, entries in tables.items():
+        published.restore(k, entries)
+    published.apply(plan.actions)
     for k in range(4):
-        now, had = published.tables[k], tables[k]
-        assert not any(n in barred and n not in had for n in now)
-        assert all(w <= had.get(n, 0.0) or n not in cold for n, w in now.items())
-        if any(n not in barred for n in had):
-            assert any(n not in barred for n in now), "never bare"
+        current, previous = published.tables[k], tables[k]
+        assert not any(n in unroutable and n not in previous for n in current)
+        assert all(w <= previous.get(n, 0.0) or n not in warming_up for n, w in current.items())
+        if any(n not in unroutable for n in previous):
+            assert any(n not in unroutable for n in current), "the slice keeps a routable entry"
 
 
-def test_pin_lets_safety_actions_flow_and_holds_back_the_rest():
+def test_pin_passes_safety_actions_and_holds_back_the_rest():
     pin = Pin()
     pin.set(3, 100)
     tables = {0: {"a": 1.0, "b": 1.0}, 1: {"a": 1.0}}
@@ -75,9 +75,9 @@
         api.ClearTable(0),
         order(0, "b", 2.0),
     ]
-    flow, held = pin.filter_actions(orders, tables, lambda n: n == "a", lambda table, k: 0.0)
+    passed, held_back = pin.filter_actions(orders, tables, lambda n: n == "a", lambda table, k: 0.0)
     assert (
-        flow
+        passed
         == [
             order(0, "a", 0.0),
             order(1, "b", 1.0),
@@ -85,7 +85,7 @@
             api.SetWithdrawn("a", True),
             api.SetAdmission(None, (0,), 0.5, 1),
         ]
-        and held == 4
+        and held_back == 4
     )
     assert pin.is_active(99) and not pin.is_active(100)
     with pytest.raises(ValueError, match="the pin has been changed meanwhile"):
@@ -114,7 +114,7 @@
 
 
 def test_a_pin_that_caps_levels_lets_cuts_for_all_classes_and_unchanged_levels_pass():
-    """A cut for all classes was held back in an overload, and so was a level that stays as it is."""
+    """The pin held back a cut for all classes in an overload, and an action that does not change the level."""
     published = PublishedTables(("page", "tally"), 2)
     published.apply([api.SetAdmission(None, (0, 1), 0.5, 1)])
     pin = Pin()
@@ -124,5 +124,5 @@
     passed, held_back = pin.filter_actions([cut, same, rise], published.tables, lambda n: False, published.level, 2)
     assert passed == [cut, same] and held_back == 1
     published.apply([api.SetAdmission(None, (1,), 0.2, 1)])
-    mixed = api.SetAdmission(None, (0, 1), 0.3, 1)  # a cut for one class, and a rise for the other
+    mixed = api.SetAdmission(None, (0, 1), 0.3, 1)  # lowers the level of one class and raises that of the other
     assert pin.filter_actions([mixed], published.tables, lambda n: False, published.level, 2) == ([mixed], 0)
--- a/tests/test_list_confidence.py
+++ b/tests/test_list_confidence.py
@@ -17,62 +17,62 @@
 WEEK = 7 * 86_400 * SECOND
 
 
-def report(name, tries, good):
-    return api.EndpointReport("a", name, tries, tries - good, 1, SECOND, ())
+def report(name, attempts, successes):
+    return api.EndpointReport("a", name, attempts, attempts - successes, 1, SECOND, ())
 
 
 def restored_with_ages(**ages):
-    """Confidence in entries that were last confirmed so long ago, ns by endpoint."""
-    made = ListConfidence()
-    made.restore(NOW, {n: EntryTimes(NOW - age, 0) for n, age in ages.items()})
-    return made
+    """Confidence in entries whose last confirmation has the given age, ns by endpoint."""
+    confidence = ListConfidence()
+    confidence.restore(NOW, {n: EntryTimes(NOW - age, 0) for n, age in ages.items()})
+    return confidence
 
 
-def test_confidence_goes_by_age():
-    made = restored_with_ages(fresh=FRESH_AGE_NS, old=FRESH_AGE_NS + 1, stale=MAX_AGE_NS + 1)
-    assert not made.changes(NOW + list_confidence.SOURCE_GRACE_NS - 1), "a source has a moment to answer"
-    assert made.confidences(NOW) == {"fresh": 1.0, "old": EntryConfidence.REDUCED.value, "stale": 0.0}
+def test_confidence_depends_on_the_age_of_an_entry():
+    confidence = restored_with_ages(fresh=FRESH_AGE_NS, old=FRESH_AGE_NS + 1, stale=MAX_AGE_NS + 1)
+    assert not confidence.changes(NOW + list_confidence.SOURCE_GRACE_NS - 1), "a source still has time to respond"
+    assert confidence.confidences(NOW) == {"fresh": 1.0, "old": EntryConfidence.REDUCED.value, "stale": 0.0}
 
 
 def test_success_restores_confidence_and_only_failures_eject():
-    made = restored_with_ages(p=WEEK, q=WEEK, r=WEEK)
-    made.apply_reports(NOW, [report("p", 1, 1), report("q", 9, 0), report("r", 3, 0)])
-    assert made.confidences(NOW)["p"] == 1.0 and made.confidences(NOW)["q"] == 0.0
-    assert made.entries["r"].ejections == 0, "too few tries to judge"
-    made.apply_reports(NOW, [report("p", 9, 0)])
-    assert made.confidences(NOW)["p"] == 0.0, "also one that answered before"
-    made.apply_reports(NOW, [report("p", 9, 1)])
-    assert made.confidences(NOW)["p"] == 1.0
+    confidence = restored_with_ages(p=WEEK, q=WEEK, r=WEEK)
+    confidence.apply_reports(NOW, [report("p", 1, 1), report("q", 9, 0), report("r", 3, 0)])
+    assert confidence.confidences(NOW)["p"] == 1.0 and confidence.confidences(NOW)["q"] == 0.0
+    assert confidence.entries["r"].ejections == 0, "too few attempts for an ejection"
+    confidence.apply_reports(NOW, [report("p", 9, 0)])
+    assert confidence.confidences(NOW)["p"] == 0.0, "an endpoint that has responded before is ejected too"
+    confidence.apply_reports(NOW, [report("p", 9, 1)])
+    assert confidence.confidences(NOW)["p"] == 1.0
 
 
 def test_stale_entries_are_on_trial_one_at_a_time_and_ejected_ones_twice_more():
-    made = restored_with_ages(good=WEEK, s1=WEEK, s2=WEEK)
-    assert set(made.confidences(NOW).values()) == {0.0}, "no trial before one is known to answer"
-    made.apply_reports(NOW, [report("good", 5, 5)])
+    confidence = restored_with_ages(good=WEEK, s1=WEEK, s2=WEEK)
+    assert set(confidence.confidences(NOW).values()) == {0.0}, "no trial before another endpoint has responded"
+    confidence.apply_reports(NOW, [report("good", 5, 5)])
     now, trials = NOW, {"s1": 0, "s2": 0}
     for _ in range(400):
         now += SECOND
-        levels = made.confidences(now)
-        on = [n for n, level in levels.items() if level == EntryConfidence.ON_TRIAL.value]
-        assert len(on) <= 1
-        for name in on:
+        levels = confidence.confidences(now)
+        on_trial = [n for n, level in levels.items() if level == EntryConfidence.ON_TRIAL.value]
+        assert len(on_trial) <= 1
+        for name in on_trial:
             trials[name] += 1
-            made.apply_reports(now, [report(name, 5, 0)])
+            confidence.apply_reports(now, [report(name, 5, 0)])
     assert trials == {"s1": list_confidence.MAX_RETRIALS + 1, "s2": list_confidence.MAX_RETRIALS + 1}
 
 
-def test_a_source_restores_full_confidence_and_its_silence_later_lowers_none():
-    made = restored_with_ages(p=WEEK, q=0)
-    assert [e for e in made.changes(NOW + 2 * SECOND)] == [api.EndpointConfidenceChanged("p", 0.0)]
-    made.confirm(NOW, ["p", "q", "new"])
-    assert made.changes(NOW + 3 * SECOND) == [api.EndpointConfidenceChanged("p", 1.0)]
-    assert set(made.confidences(NOW + WEEK).values()) == {1.0}
+def test_a_source_restores_full_confidence_and_its_later_failure_does_not_lower_it():
+    confidence = restored_with_ages(p=WEEK, q=0)
+    assert [e for e in confidence.changes(NOW + 2 * SECOND)] == [api.EndpointConfidenceChanged("p", 0.0)]
+    confidence.confirm(NOW, ["p", "q", "new"])
+    assert confidence.changes(NOW + 3 * SECOND) == [api.EndpointConfidenceChanged("p", 1.0)]
+    assert set(confidence.confidences(NOW + WEEK).values()) == {1.0}
 
 
-def test_a_restarted_planner_is_told_again():
-    made = restored_with_ages(p=WEEK, q=0)
-    made.changes(NOW + 2 * SECOND)
-    assert made.published_events() == [api.EndpointConfidenceChanged("p", 0.0)]
+def test_a_restarted_planner_receives_the_published_confidences_again():
+    confidence = restored_with_ages(p=WEEK, q=0)
+    confidence.changes(NOW + 2 * SECOND)
+    assert confidence.published_events() == [api.EndpointConfidenceChanged("p", 0.0)]
 
 
 def test_planner_uses_last_resorts_only_where_there_is_no_other():
@@ -82,7 +82,7 @@
     assert world.count("p") == 0 and not world.has_slice_without_endpoint()
     world.handle(*[api.EndpointConfidenceChanged(n, 0.0) for n in "qrs"])
     world.run(3)
-    assert not world.has_slice_without_endpoint(), "better than none"
+    assert not world.has_slice_without_endpoint(), "entries of last resort are used if there is no other"
     world.handle(*[api.EndpointConfidenceChanged(n, 1.0) for n in "pqrs"])
     world.run(30)
     assert world.count("p") > 0
--- a/tests/test_list_sources.py
+++ b/tests/test_list_sources.py
@@ -1,4 +1,4 @@
-"""The endpoint list as a file and over EDS: both carry the same entries, and errors name place and remedy."""
+"""The endpoint list in a file and over EDS: both contain the same entries, and errors name the place and the remedy."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("started", ["²", "-", "1.5", "9" * 5000])
 def test_a_start_that_is_no_number_is_an_error_of_the_list(started):
-    """It ended the daemon: superscript digits count as digits, and no number has so many."""
+    """Such values ended the daemon: superscript digits count as digits, and a number cannot have 5000 digits."""
     assignment = endpoint_list_client.write_entries("servers", [entry("127.0.0.1:9001")])
     metadata = assignment.endpoints[0].lb_endpoints[0].metadata
     metadata.filter_metadata["damsonpick"].update({"started": started})
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of clients added up and checked, and read from LRS."""
+"""Validation and aggregation of the load reports of clients, and their LRS encoding."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def load_reports():
-    made = LoadReports(("page",), 4, SECOND, 10 * SECOND)
-    made.known_endpoints = {"s:1", "s:2"}
-    return made
+    reports = LoadReports(("page",), 4, SECOND, 10 * SECOND)
+    reports.known_endpoints = {"s:1", "s:2"}
+    return reports
 
 
 def report(client=0, period=SECOND, attempts=10, failures=1, timed_successes=9):
@@ -29,36 +29,36 @@
 
 
 def test_reports_of_a_zone_add_up_as_rates():
-    made = load_reports()
-    for g in (0, 1):
-        made.join(NOW, g)
-    assert made.add(NOW, report(0)) == []
-    assert made.add(NOW, report(1, attempts=20, failures=2, timed_successes=18)) == []
-    planner_report, demand = made.flush()
+    reports = load_reports()
+    for client in (0, 1):
+        reports.join(NOW, client)
+    assert reports.add(NOW, report(0)) == []
+    assert reports.add(NOW, report(1, attempts=20, failures=2, timed_successes=18)) == []
+    planner_report, demand = reports.flush()
     assert (planner_report.attempts, planner_report.failures, planner_report.period) == (30, 3, SECOND)
     assert planner_report.latency == (9 * 200_000_000 + 18 * 100_000_000) // 27
     assert (demand.slice, demand.requests, demand.period) == (2, 30, SECOND)
-    assert made.flush() == []
+    assert reports.flush() == []
 
 
 def test_a_repeated_report_is_dropped_and_a_late_one_counts_with_its_time():
-    made = load_reports()
-    made.join(NOW, 0)
-    assert made.add(NOW, report()) == []
-    assert "more time than has passed" in made.add(NOW, report())[0]
-    made.flush()
+    reports = load_reports()
+    reports.join(NOW, 0)
+    assert reports.add(NOW, report()) == []
+    assert "more time than has passed" in reports.add(NOW, report())[0]
+    reports.flush()
     later = NOW + 5 * SECOND
-    assert made.add(later, report(period=5 * SECOND, attempts=50, failures=0, timed_successes=50)) == []
-    planner_report = made.flush()[0]
+    assert reports.add(later, report(period=5 * SECOND, attempts=50, failures=0, timed_successes=50)) == []
+    planner_report = reports.flush()[0]
     assert (planner_report.attempts, planner_report.period) == (50, 5 * SECOND)
-    assert made.dropped == 1
+    assert reports.dropped == 1
 
 
 def test_late_batches_that_come_at_once_all_count():
-    made = load_reports()
-    made.join(NOW, 0)
-    assert not any(made.add(NOW + 6 * SECOND, report()) for _ in range(6))
-    planner_report = made.flush()[0]
+    reports = load_reports()
+    reports.join(NOW, 0)
+    assert not any(reports.add(NOW + 6 * SECOND, report()) for _ in range(6))
+    planner_report = reports.flush()[0]
     assert (planner_report.attempts, planner_report.period) == (60, 6 * SECOND)
 
 
@@ -67,19 +67,19 @@
     assert "dropped" in load_reports().add(NOW, report(period=period))[0]
 
 
-def test_a_report_that_contradicts_itself_is_cut_to_what_can_be():
-    made = load_reports()
-    made.join(NOW, 0)
-    assert "cut" in made.add(NOW, report(attempts=3, failures=9, timed_successes=7))[0]
-    planner_report = made.flush()[0]
+def test_contradictory_counts_are_cut_to_possible_values():
+    reports = load_reports()
+    reports.join(NOW, 0)
+    assert "cut" in reports.add(NOW, report(attempts=3, failures=9, timed_successes=7))[0]
+    planner_report = reports.flush()[0]
     assert (planner_report.attempts, planner_report.failures, planner_report.latency) == (3, 3, 0)
 
 
 def test_unknown_endpoints_and_slices_are_dropped():
-    made = load_reports()
-    made.join(NOW, 0)
-    odd = ClientReport(0, "a", SECOND, (EndpointStats("who:1", 1, 0, 1, 1),), (SliceStats(99, "page", 1, 0),))
-    assert len(made.add(NOW, odd)) == 2 and made.flush() == []
+    reports = load_reports()
+    reports.join(NOW, 0)
+    unknown = ClientReport(0, "a", SECOND, (EndpointStats("who:1", 1, 0, 1, 1),), (SliceStats(99, "page", 1, 0),))
+    assert len(reports.add(NOW, unknown)) == 2 and reports.flush() == []
 
 
 def test_lrs_reports_are_read_as_they_were_written():
@@ -91,17 +91,17 @@
     counts.count_attempt("b", "127.0.0.1:9", True, 120.5)
     counts.count_attempt("b", "127.0.0.1:9", False, 40.0)
     report = lrs_pb2.LoadStatsRequest.FromString(load_stats.write(SECOND, {3: counts}).SerializeToString())
-    got = load_stats.read(7, "a", report)
-    assert got == ClientReport(
+    client_report = load_stats.read(7, "a", report)
+    assert client_report == ClientReport(
         7, "a", SECOND, (EndpointStats("127.0.0.1:9", 2, 1, 1, 120_500_000),), (SliceStats(3, "page", 3, 1),)
     )
 
 
-def test_an_odd_lrs_report_does_no_harm():
+def test_invalid_values_in_an_lrs_report_are_ignored():
     report = lrs_pb2.LoadStatsRequest()
     cluster = report.cluster_stats.add(cluster_name="slice/x")
-    place = cluster.upstream_locality_stats.add()
-    place.load_metric_stats.add(metric_name="requests.page", total_metric_value=float("nan"))
-    place.upstream_endpoint_stats.add(total_successful_requests=2**63)
-    got = load_stats.read(0, "a", report)
-    assert got.slices == () and got.period == 0
+    locality = cluster.upstream_locality_stats.add()
+    locality.load_metric_stats.add(metric_name="requests.page", total_metric_value=float("nan"))
+    locality.upstream_endpoint_stats.add(total_successful_requests=2**63)
+    client_report = load_stats.read(0, "a", report)
+    assert client_report.slices == () and client_report.period == 0
--- a/tests/test_published_tables.py
+++ b/tests/test_published_tables.py
@@ -1,4 +1,4 @@
-"""The published state: what an order changes of it."""
+"""The published state, and the changes that orders make to it."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 def test_orders_that_change_nothing_change_no_entry():
     published = PublishedTables(("page",), 2)
-    line = api.SetEntry(0, "x:1", 1.0)
-    assert published.apply([line]).entry_count() == 1 and published.apply([line]).entry_count() == 0
+    order = api.SetEntry(0, "x:1", 1.0)
+    assert published.apply([order]).entry_count() == 1 and published.apply([order]).entry_count() == 0
     assert published.apply([api.SetWithdrawn("x:1", False), api.SetAdmission(None, (), 1.0, 0)]).entry_count() == 0
     change = published.apply(
         [api.SetWithdrawn("x:1", True), api.SetAdmission(0, (0,), 0.5, 1), api.RequestSync(7, True)]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what it keeps, leases, kills in the middle of a write, files that cannot be used."""
+"""The store: stored data, leases, processes killed during a write, and unusable files."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
     store = Store(tmp_path / "t.db", 4)
     store.save_tables({1: {"x": 1.0, "y": 2.0}, 2: {"x": 1.0}})
     store.save_tables({1: {"y": 1.0}})
-    assert [store.gateway_number(n) for n in ("a", "b", "a")] == [0, 1, 0]
+    assert [store.gateway_number(node) for node in ("a", "b", "a")] == [0, 1, 0]
     store.save_endpoint_list([entry("x", started=5)])
     assert store.next_epoch() == 1
     store.close()
-    again = Store(tmp_path / "t.db", 4)
-    assert again.load_tables() == {0: {}, 1: {"y": 1.0}, 2: {"x": 1.0}, 3: {}}
+    reopened = Store(tmp_path / "t.db", 4)
+    assert reopened.load_tables() == {0: {}, 1: {"y": 1.0}, 2: {"x": 1.0}, 3: {}}
     assert (
-        again.next_epoch() == 2
-        and again.gateway_number("b") == 1
-        and again.load_endpoint_list() == [entry("x", started=5)]
+        reopened.next_epoch() == 2
+        and reopened.gateway_number("b") == 1
+        and reopened.load_endpoint_list() == [entry("x", started=5)]
     )
 
 
 def test_a_slice_is_leased_once_until_its_lease_ends(tmp_path):
-    one, two = Store(tmp_path / "t.db", 3), Store(tmp_path / "t.db", 3)
-    assert [c.slice for c in one.claim("p", NOW, SECOND)] == [0, 1, 2]
-    assert two.claim("q", NOW, SECOND) == []
-    assert one.renew("p", NOW + SECOND // 2, SECOND)
-    assert two.claim("q", NOW + SECOND, SECOND) == []
-    taken = two.claim("q", NOW + 2 * SECOND, SECOND)
-    assert [c.term for c in taken] == [2, 2, 2] and one.renew("p", NOW + 2 * SECOND, SECOND) == []
-    two.release("q")
-    assert len(one.claim("p", NOW + 2 * SECOND, SECOND)) == 3
+    first, second = Store(tmp_path / "t.db", 3), Store(tmp_path / "t.db", 3)
+    assert [lease.slice for lease in first.claim("p", NOW, SECOND)] == [0, 1, 2]
+    assert second.claim("q", NOW, SECOND) == []
+    assert first.renew("p", NOW + SECOND // 2, SECOND)
+    assert second.claim("q", NOW + SECOND, SECOND) == []
+    claimed = second.claim("q", NOW + 2 * SECOND, SECOND)
+    assert [lease.term for lease in claimed] == [2, 2, 2] and first.renew("p", NOW + 2 * SECOND, SECOND) == []
+    second.release("q")
+    assert len(first.claim("p", NOW + 2 * SECOND, SECOND)) == 3
 
 
 WRITER = """
@@ -68,7 +68,7 @@
                 last = int(process.stdout.readline())
             process.send_signal(signal.SIGKILL)
         tables = Store(path, 8).load_tables()
-        assert len({tuple(t.items()) for t in tables.values()}) == 1, "never half of an order"
+        assert len({tuple(t.items()) for t in tables.values()}) == 1, "all tables are from the same transaction"
         assert next(iter(tables[0].values())) >= last
 
 
