--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -88,7 +88,7 @@
         source.why = why
         self.choose(now)
 
-    # -- which source is active
+    # -- selection of the active source
 
     def choose(self, now: int) -> str:
         """Select the active source; return its name, or an empty string if there is none yet."""
--- a/tests/test_learned_ageing.py
+++ b/tests/test_learned_ageing.py
@@ -1,4 +1,4 @@
-"""The age of a snapshot by two clocks, and how its figures decay."""
+"""The age of a snapshot by two clocks, and the decay of its values."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("then", "ns", "doubt"),
+    ("taken_at", "ns", "warning"),
     [
         (HostTime(10**18 - HOUR, "boot", 10**13 - HOUR), HOUR, ""),
         (HostTime(10**18 + 5 * HOUR, "boot", 10**13 - SECOND), SECOND, "wall clock was set by -18001 s"),
@@ -25,23 +25,26 @@
         (HostTime(10**18 - HOUR, "", 0), HOUR, ""),
     ],
 )
-def test_age_is_right_after_a_clock_step_and_after_a_reboot(then, ns, doubt):
-    found = ageing.age_of(then, NOW)
-    assert found.ns == ns and doubt in found.clock_warning and bool(doubt) == bool(found.clock_warning)
-
-
-def test_each_figure_decays_with_its_own_half_life():
-    made = snapshot()
-    assert ageing.decay(made, 0) == made
-    minute = ageing.decay(made, 60 * SECOND)
-    assert minute.slices[0].rates == (1.5, 2.25) and minute.fleet.best_throughput == 60.0
-    assert 0.5 < minute.endpoints[0].capacity_factor < 0.6 and 1.1 < minute.endpoints[1].capacity_factor < 1.25
-    assert minute.slices[0].warmth == (("p", 0.5**4),)
-    day = ageing.decay(made, 24 * HOUR)
+def test_age_is_right_after_a_clock_step_and_after_a_reboot(taken_at, ns, warning):
+    age = ageing.age_of(taken_at, NOW)
+    assert age.ns == ns and warning in age.clock_warning and bool(warning) == bool(age.clock_warning)
+
+
+def test_each_value_decays_with_its_own_half_life():
+    original = snapshot()
+    assert ageing.decay(original, 0) == original
+    after_a_minute = ageing.decay(original, 60 * SECOND)
+    assert after_a_minute.slices[0].rates == (1.5, 2.25) and after_a_minute.fleet.best_throughput == 60.0
+    assert (
+        0.5 < after_a_minute.endpoints[0].capacity_factor < 0.6
+        and 1.1 < after_a_minute.endpoints[1].capacity_factor < 1.25
+    )
+    assert after_a_minute.slices[0].warmth == (("p", 0.5**4),)
+    after_a_day = ageing.decay(original, 24 * HOUR)
     assert (
-        not day.slices
-        and day.fleet == LearnedFleet(0.0, 0.0)
-        and all(abs(s.capacity_factor - 1) < 1e-9 for s in day.endpoints)
+        not after_a_day.slices
+        and after_a_day.fleet == LearnedFleet(0.0, 0.0)
+        and all(abs(learned.capacity_factor - 1) < 1e-9 for learned in after_a_day.endpoints)
     )
     assert (
         ageing.admission_levels_valid(SECOND)
--- a/tests/test_learned_codec.py
+++ b/tests/test_learned_codec.py
@@ -1,4 +1,4 @@
-"""Snapshots as bytes: round trips, damage, impossible figures, older and newer formats."""
+"""Encoding of snapshots: round trips, damage, impossible values, older and newer formats."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 FIXTURES = Path(__file__).parent / "fixtures"
 names = st.text(min_size=1, max_size=20)
-parts = st.floats(0, 1)
+shares = st.floats(0, 1)
 snapshots = st.builds(
     Snapshot,
     st.integers(0, 2**62),
@@ -32,7 +32,7 @@
             LearnedSlice,
             st.integers(0, 49),
             st.tuples(st.floats(0, 1e9), st.floats(0, 1e9)),
-            st.lists(st.tuples(names, parts), max_size=3).map(tuple),
+            st.lists(st.tuples(names, shares), max_size=3).map(tuple),
         ),
         max_size=9,
     ).map(tuple),
@@ -41,8 +41,8 @@
 
 
 @given(snapshots)
-def test_snapshot_survives_encoding(made):
-    assert codec.decode(codec.encode(made)) == made
+def test_snapshot_survives_encoding(original):
+    assert codec.decode(codec.encode(original)) == original
 
 
 @given(st.binary(max_size=200))
@@ -54,13 +54,15 @@
 def test_every_flipped_bit_is_detected():
     data = codec.encode(snapshot())
     rng = random.Random(4)
-    places = list(range(len(data) * 8))
-    for bit in places if len(places) < 1000 else rng.sample(places, max(1000, len(places) // 2)):
+    bits = list(range(len(data) * 8))
+    for bit in bits if len(bits) < 1000 else rng.sample(bits, max(1000, len(bits) // 2)):
         flipped = bytearray(data)
         flipped[bit // 8] ^= 1 << bit % 8
         with pytest.raises((SnapshotCorruptError, SnapshotFormatError)) as caught:
             codec.decode(bytes(flipped))
-        assert caught.type is SnapshotCorruptError, f"bit {bit}: a damaged file is not taken for a newer one"
+        assert caught.type is SnapshotCorruptError, (
+            f"bit {bit}: a damaged file must not be reported as one of a newer format"
+        )
 
 
 @pytest.mark.parametrize(
@@ -76,7 +78,7 @@
         {"fleet": LearnedFleet(-1.0, 0.0)},
     ],
 )
-def test_whole_file_with_figures_out_of_bounds_is_rejected(change):
+def test_undamaged_file_with_values_out_of_bounds_is_rejected(change):
     with pytest.raises(SnapshotCorruptError):
         codec.decode(codec.encode(snapshot(**change)))
 
@@ -89,11 +91,11 @@
         codec.decode(with_format(data, 0))
 
 
-@pytest.mark.parametrize("form", range(1, FORMAT + 1))
-def test_every_format_ever_written_is_read(form):
-    found = codec.decode((FIXTURES / f"knowledge-{form}").read_bytes())
-    assert [s.endpoint for s in found.endpoints] == ["127.0.0.1:9001", "127.0.0.1:9002"]
-    assert found.endpoints[1].last_success_at == (123 if form > 1 else 0) and found.list_confirmed_at == (
-        10**17 - 5 if form > 1 else 0
+@pytest.mark.parametrize("stored_format", range(1, FORMAT + 1))
+def test_every_format_ever_written_is_read(stored_format):
+    loaded = codec.decode((FIXTURES / f"knowledge-{stored_format}").read_bytes())
+    assert [s.endpoint for s in loaded.endpoints] == ["127.0.0.1:9001", "127.0.0.1:9002"]
+    assert loaded.endpoints[1].last_success_at == (123 if stored_format > 1 else 0) and loaded.list_confirmed_at == (
+        10**17 - 5 if stored_format > 1 else 0
     )
-    assert found.slices[0].rates == (3.0, 4.5) and found.fleet == LearnedFleet(120.0, 9.5)
+    assert loaded.slices[0].rates == (3.0, 4.5) and loaded.fleet == LearnedFleet(120.0, 9.5)
--- a/tests/test_learned_generations.py
+++ b/tests/test_learned_generations.py
@@ -1,4 +1,4 @@
-"""Generations of a snapshot on disk: power cuts at every operation, damage, newer files."""
+"""Generations of a snapshot on disk: power cuts at every operation, damage, and files of newer formats."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class PowerCutDisk:
-    """A disk that stops after some operations; what was not synced is then lost, torn, or there after all."""
+    """A disk that fails after `stop` operations. Data that were not synced are then lost, truncated or complete."""
 
     def __init__(self, files, stop, part=None):
-        self.data = {k: v for k, v in enumerate(files.values())}  # synced, by inode
-        self.dirty = {}
-        self.names = dict(zip(files, self.data, strict=True))  # as the running system sees them
-        self.durable = dict(self.names)
-        self.pending = []  # changes of names since the folder was synced
+        self.data = {k: v for k, v in enumerate(files.values())}  # synced content by inode
+        self.dirty = {}  # content that was not synced, by inode
+        self.names = dict(zip(files, self.data, strict=True))  # inode by name, as seen by the running system
+        self.durable = dict(self.names)  # inode by name, as synced
+        self.pending = []  # changes of names since the last sync of the folder
         self.stop, self.part, self.count = stop, part, 0
 
     def _step(self):
@@ -76,7 +76,12 @@
         self.durable, self.pending = dict(self.names), []
 
     def after(self, kept, torn):
-        """Files after a cut: which pending changes of names made it, and how many bytes of what was not synced."""
+        """Return the files after a power cut.
+
+        Args:
+            kept: Indexes of the pending changes of names that reached the disk.
+            torn: Number of bytes of each file that was not synced that reached the disk.
+        """
         names = dict(self.durable)
         for k in kept:
             kind, one, other = self.pending[k]
@@ -97,37 +102,37 @@
 
 @pytest.mark.parametrize("damaged", [False, True])
 def test_power_cut_at_every_operation_and_every_byte_leaves_the_old_or_the_new(damaged):
-    """With `current` damaged before, `previous` is all there is until the new one stands."""
+    """If `current` was damaged before, `previous` is the only usable generation until the new one is complete."""
     new = codec.encode(snapshot(6))
     before = _generations()
     if damaged:
         before[generations.CURRENT] = before[generations.CURRENT][:-1]
-    old = 4 if damaged else 5
-    seen, cases = set(), 0
+    old_sequence = 4 if damaged else 5
+    loaded_sequences, cases = set(), 0
     for stop, part in [(k, None) for k in range(8)] + [(1, n) for n in range(len(new))]:
         disk = PowerCutDisk(before, stop, part)
         rotate = generations.load(disk, FOLDER).generation == generations.CURRENT
         try:
             generations.save(disk, FOLDER, new, rotate)
-            done = True
+            saved = True
         except PowerCutError:
-            done = False
+            saved = False
         changes = range(len(disk.pending))
         for count in range(len(disk.pending) + 1):
             for kept in itertools.combinations(changes, count):
                 for torn in (0, 1, len(new) // 2, len(new) - 1, len(new)):
                     files = disk.after(kept, torn)
-                    found = generations.load(PowerCutDisk(files, 99), FOLDER).snapshot
-                    assert found is not None and found.sequence in (old, 6), (stop, part, kept, torn)
-                    assert not done or found.sequence == 6, "what was said to be written is there"
+                    loaded = generations.load(PowerCutDisk(files, 99), FOLDER).snapshot
+                    assert loaded is not None and loaded.sequence in (old_sequence, 6), (stop, part, kept, torn)
+                    assert not saved or loaded.sequence == 6, "a generation that was saved successfully is lost"
                     if not damaged:
                         del files[generations.CURRENT]
                         assert generations.load(PowerCutDisk(files, 99), FOLDER).snapshot.sequence in (4, 5), (
-                            "a second one"
+                            "no usable second generation"
                         )
-                    seen.add(found.sequence)
+                    loaded_sequences.add(loaded.sequence)
                     cases += 1
-    assert seen == {old, 6} and cases > 1000
+    assert loaded_sequences == {old_sequence, 6} and cases > 1000
 
 
 def test_power_cut_of_the_first_write_leaves_nothing_or_the_new():
@@ -137,19 +142,19 @@
         with contextlib.suppress(PowerCutError):
             generations.save(disk, FOLDER, new, False)
         for count in range(len(disk.pending) + 1):
-            found = generations.load(PowerCutDisk(disk.after(range(count), len(new) // 2), 99), FOLDER)
-            assert found.snapshot is None or found.snapshot.sequence == 1
+            loaded = generations.load(PowerCutDisk(disk.after(range(count), len(new) // 2), 99), FOLDER)
+            assert loaded.snapshot is None or loaded.snapshot.sequence == 1
 
 
-def test_newer_file_stops_all_writing_and_the_previous_replaces_a_damaged_one():
+def test_file_of_a_newer_format_prevents_writing_and_previous_replaces_a_damaged_current():
     files = _generations()
     files[generations.CURRENT] = with_format(files[generations.CURRENT], FORMAT + 1)
-    found = generations.load(PowerCutDisk(files, 99), FOLDER)
-    assert found.newer_format and found.snapshot.sequence == 4 and "left alone" in found.problems[0]
+    loaded = generations.load(PowerCutDisk(files, 99), FOLDER)
+    assert loaded.newer_format and loaded.snapshot.sequence == 4 and "left alone" in loaded.problems[0]
     files[generations.CURRENT] = b"torn"
-    found = generations.load(PowerCutDisk(files, 99), FOLDER)
+    loaded = generations.load(PowerCutDisk(files, 99), FOLDER)
     assert (
-        not found.newer_format
-        and found.generation == generations.PREVIOUS
-        and "fewer than a header" in found.problems[0]
+        not loaded.newer_format
+        and loaded.generation == generations.PREVIOUS
+        and "fewer than a header" in loaded.problems[0]
     )
--- a/tests/test_learned_restore.py
+++ b/tests/test_learned_restore.py
@@ -1,4 +1,4 @@
-"""What a planner has learned is captured, and restored to another; how restored figures are used."""
+"""Capture of learned state, its restoration in a new planner, and the use of restored values."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def world_that_has_learned():
-    """A world that has learned: p is slow, its slices hot."""
+    """Return a world after 20 s of reports, in which endpoint p is slow and its slices are loaded."""
     world = World("pqrs", slices=12)
     world.run(20, latency={"p": 800})
     return world
@@ -26,12 +26,12 @@
 
 def test_new_planner_restores_what_the_old_one_learned():
     old = world_that_has_learned()
-    kept = take_snapshot(old.planner, SnapshotInfo(1, "pilot-0", NOW))
-    assert take_snapshot(old.planner, SnapshotInfo(1, "pilot-0", NOW)) == codec.decode(codec.encode(kept))
+    saved = take_snapshot(old.planner, SnapshotInfo(1, "pilot-0", NOW))
+    assert take_snapshot(old.planner, SnapshotInfo(1, "pilot-0", NOW)) == codec.decode(codec.encode(saved))
     new = World("pqrs", slices=12)
-    told, anew = restore.restored_events(kept, {n: entry(n) for n in "pqrs"}, range(12))
-    assert not anew
-    new.handle(*told)
+    events, restarted = restore.restored_events(saved, {n: entry(n) for n in "pqrs"}, range(12))
+    assert not restarted
+    new.handle(*events)
     for name in "pqrs":
         assert new.planner.endpoints[name].capacity_factor == old.planner.endpoints[name].capacity_factor
     assert new.planner.endpoints["p"].capacity_factor < 0.5
@@ -39,19 +39,19 @@
 
 
 def test_pre_encoded_snapshot_has_the_bytes_of_the_snapshot():
-    made = Capture(world_that_has_learned().planner, SnapshotInfo(7, "pilot-0", NOW, 5, 4), {"p": 3})
-    for _ in made.steps(pre_encode=True):
+    pre_encoding = Capture(world_that_has_learned().planner, SnapshotInfo(7, "pilot-0", NOW, 5, 4), {"p": 3})
+    for _ in pre_encoding.steps(pre_encode=True):
         pass
-    whole = Capture(made.planner, SnapshotInfo(7, "pilot-0", NOW, 5, 4), {"p": 3})
-    for _ in whole.steps():
+    plain = Capture(pre_encoding.planner, SnapshotInfo(7, "pilot-0", NOW, 5, 4), {"p": 3})
+    for _ in plain.steps():
         pass
-    assert codec.encode(made.pre_encoded_snapshot()) == codec.encode(whole.snapshot())
+    assert codec.encode(pre_encoding.pre_encoded_snapshot()) == codec.encode(plain.snapshot())
 
 
 def test_nothing_is_restored_of_an_endpoint_whose_process_was_restarted():
-    kept = take_snapshot(world_that_has_learned().planner, SnapshotInfo(1, "pilot-0", NOW))
-    told, anew = restore.restored_events(kept, {"p": entry("p", started=9), "q": entry("q")}, range(12))
-    assert anew == ["p"] and [e.endpoint for e in told if isinstance(e, api.EndpointRestored)] == ["q"]
+    saved = take_snapshot(world_that_has_learned().planner, SnapshotInfo(1, "pilot-0", NOW))
+    events, restarted = restore.restored_events(saved, {"p": entry("p", started=9), "q": entry("q")}, range(12))
+    assert restarted == ["p"] and [e.endpoint for e in events if isinstance(e, api.EndpointRestored)] == ["q"]
 
 
 def test_restored_factor_is_dropped_once_the_list_shows_a_restart():
@@ -66,51 +66,54 @@
     world = World("pqrs", slices=12)
     world.handle(api.EndpointRestored("p", 0, 0.1), api.EndpointRestored("q", 0, 2.0))
     world.run(10)
-    speeds = {n: world.planner.endpoints[n].capacity_factor for n in "pqrs"}
-    assert speeds["p"] > 0.6 and speeds["q"] < 1.3, speeds
+    factors = {n: world.planner.endpoints[n].capacity_factor for n in "pqrs"}
+    assert factors["p"] > 0.6 and factors["q"] < 1.3, factors
 
 
-def test_only_capacity_factors_are_restored_under_other_slices_or_classes():
-    kept = snapshot()
+def test_only_capacity_factors_are_restored_if_slices_or_classes_differ():
+    saved = snapshot()
     assert "12 slices" in restore.settings_mismatch(
-        kept, ("cheap", "dear"), 13
-    ) and "classes" in restore.settings_mismatch(kept, ("cheap",), 12)
-    assert not restore.settings_mismatch(kept, ("cheap", "dear"), 12)
-    told, _ = restore.restored_events(kept, {"p": entry("p")}, range(12), include_slices=False)
-    assert told == [api.EndpointRestored("p", 0, 0.5)]
+        saved, ("cheap", "dear"), 13
+    ) and "classes" in restore.settings_mismatch(saved, ("cheap",), 12)
+    assert not restore.settings_mismatch(saved, ("cheap", "dear"), 12)
+    events, _ = restore.restored_events(saved, {"p": entry("p")}, range(12), include_slices=False)
+    assert events == [api.EndpointRestored("p", 0, 0.5)]
 
 
-def test_restored_levels_hold_until_reports_come_and_then_follow_them():
+def test_restored_levels_apply_until_reports_arrive_and_then_follow_them():
     world = World("pqrs", slices=12, proxies=0)
     world.handle(api.FleetRestored((0.5, 0.6), ("s",), 240.0, 2.0))
     world.proxies = [0, 1]
     world.handle(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
     assert world.planner.desired_levels == (0.5, 0.6) and world.planner.admitted_rate_limit > 1e9
-    assert world.levels[None, 0] == 0.5 and world.levels[None, 1] == 0.6, "greeted with what is in force"
+    assert world.levels[None, 0] == 0.5 and world.levels[None, 1] == 0.6, "joining proxies receive the restored levels"
     world.run(1, latency=dict.fromkeys("pqrs", 700))
-    assert world.planner.admitted_rate_limit < 0.62 * 240, "what the levels let in is the first allowance"
+    assert world.planner.admitted_rate_limit < 0.62 * 240, "the first limit is the rate that the levels admit"
     world.run(40, latency=dict.fromkeys("pqrs", 50))
-    assert world.planner.desired_levels == (1.0, 1.0), "and it grows back"
+    assert world.planner.desired_levels == (1.0, 1.0), "the levels rise to 1 again"
 
 
 def test_restored_best_throughput_speeds_recovery_and_does_not_weaken_the_first_cut():
-    """Shed far too deep before the restart: with the best capped at once it came back by 4% a second alone."""
+    """Too much load was shed before the restart.
 
-    def back(best):
+    When the restored best throughput was capped at once, the limit recovered by only 4% a second.
+    """
+
+    def recovered_world(best_throughput):
         world = World("pqrs", slices=12, proxies=0)
-        world.handle(api.FleetRestored((0.1, 0.1), (), best, 2.0))
+        world.handle(api.FleetRestored((0.1, 0.1), (), best_throughput, 2.0))
         world.proxies = [0, 1]
         world.handle(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
-        # calm, but not so calm, nor so near to the usual, that growth is sure by itself
+        # Latencies are low, but neither low enough nor near enough to the usual ones for fast growth by themselves.
         world.run(1, latency=dict.fromkeys("pqrs", 120), rate=40, tries=12)
         world.run(6, latency=dict.fromkeys("pqrs", 200), rate=40, tries=12)
         return world
 
-    assert back(240.0).planner.admitted_rate_limit > 1.3 * back(0.0).planner.admitted_rate_limit
-    world = back(5000.0)
+    assert recovered_world(240.0).planner.admitted_rate_limit > 1.3 * recovered_world(0.0).planner.admitted_rate_limit
+    world = recovered_world(5000.0)
     world.run(2, latency=dict.fromkeys("pqrs", 900), rate=40, tries=12)
-    good = sum(ep.answer_rate for ep in world.planner.endpoints.values())
-    assert world.planner.best_throughput <= 1.6 * good and world.planner.admitted_rate_limit <= 1.2 * good
+    throughput = sum(ep.answer_rate for ep in world.planner.endpoints.values())
+    assert world.planner.best_throughput <= 1.6 * throughput and world.planner.admitted_rate_limit <= 1.2 * throughput
 
 
 def test_restored_withdrawal_ends_once_the_list_has_the_endpoint_in_service():
@@ -135,19 +138,23 @@
                 (rng.choice((0.05, 1.0)),) * 2, tuple(rng.sample(names, 2)), rng.random() * 1e4, rng.random() * 1e2
             ),
         )
-        out = rng.choice("pqr")
-        world.handle(api.EndpointListChanged("update", (entry(out, rng.choice(("terminating", "terminated"))),)))
+        unroutable = rng.choice("pqr")
+        world.handle(api.EndpointListChanged("update", (entry(unroutable, rng.choice(("terminating", "terminated"))),)))
         world.run(4, latency={n: rng.choice((50, 900)) for n in names})
         assert not world.has_slice_without_endpoint()
-        assert not any(out in world.routable(n) for n in world.tables)
-        world.handle(api.EndpointListChanged("update", (entry(out),)))
+        assert not any(unroutable in world.routable(n) for n in world.tables)
+        world.handle(api.EndpointListChanged("update", (entry(unroutable),)))
         world.run(1)
 
 
 def test_entry_times_are_right_after_a_clock_step():
-    """The former life wrote at clock 500 s that it had an answer 20 s before; 30 s passed; the clock now says 9,000."""
+    """The clock is set between two incarnations.
+
+    The previous incarnation wrote at clock time 500 s that the last response was 20 s ago. After 30 s, the new one
+    starts at clock time 9,000 s.
+    """
     second = SECOND
-    kept = Snapshot(
+    saved = Snapshot(
         1,
         "p",
         HostTime(0, "", 0),
@@ -160,11 +167,17 @@
         LearnedFleet(0.0, 0.0),
     )
     listed = {"p": entry("p"), "q": entry("q", started=9), "r": entry("r")}
-    at = {"p": ListedAt(100 * second, "list"), "q": ListedAt(100 * second, "list"), "r": ListedAt(50 * second, "list")}
-    found = restore.entry_times(kept, 9000 * second, 30 * second, listed, at)
-    assert found["p"] == EntryTimes(8960 * second, 8950 * second)
-    assert found["q"] == EntryTimes(8960 * second, 0), "its process is another one now"
-    assert found["r"] == EntryTimes(50 * second, 0), "held though no source names it: its own time"
-    assert restore.entry_times(None, 9000 * second, None, listed, at)["p"] == EntryTimes(100 * second, 0)
-    future = restore.entry_times(None, 10 * second, None, listed, at)
-    assert future["p"].confirmed_at == 10 * second, "a clock set back makes nothing younger than now"
+    listed_at = {
+        "p": ListedAt(100 * second, "list"),
+        "q": ListedAt(100 * second, "list"),
+        "r": ListedAt(50 * second, "list"),
+    }
+    times = restore.entry_times(saved, 9000 * second, 30 * second, listed, listed_at)
+    assert times["p"] == EntryTimes(8960 * second, 8950 * second)
+    assert times["q"] == EntryTimes(8960 * second, 0), "the process of the endpoint was restarted"
+    assert times["r"] == EntryTimes(50 * second, 0), (
+        "an entry that is held although no source lists it keeps its own time"
+    )
+    assert restore.entry_times(None, 9000 * second, None, listed, listed_at)["p"] == EntryTimes(100 * second, 0)
+    future = restore.entry_times(None, 10 * second, None, listed, listed_at)
+    assert future["p"].confirmed_at == 10 * second, "a time is not later than now, even if the clock was set back"
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -1,7 +1,7 @@
-"""Data that an earlier release wrote is read with the same contents, and written in the same form today.
+"""Data written by an earlier release are read with the same contents, and written in the same format by this one.
 
-The files under tests/fixtures/ were written by the classes of an earlier commit, which the commit that adds them names.
-They are not to be written anew: a release that cannot read them cannot take over a running site's state.
+The files under tests/fixtures/ were written by the classes of an earlier commit; the commit that adds them names it.
+They must not be regenerated: a release that cannot read them cannot take over the state of a running site.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def fixture_copy(tmp_path):
-    """Copies a fixture, so that a reader that also writes leaves the original as it is."""
+    """Return a function that copies a fixture, so that a reader that also writes does not change the original."""
 
     def copy(name):
         return Path(shutil.copy(FIXTURES / name, tmp_path / name))
@@ -51,7 +51,7 @@
 
 
 def schema_and_rows(path):
-    """A database as SQL text: every table with its columns, every row."""
+    """Return a database as SQL text: every table with its columns, and every row."""
     connection = sqlite3.connect(path)
     try:
         return list(connection.iterdump())
@@ -62,7 +62,7 @@
 # -- the table store
 
 TABLES = {0: {A: 1.0, B: 0.25}, 1: {B: 2.5, C: 0.1}, 2: {}, 3: {A: 6.0}}
-STANDING = {
+PERSISTENT_ACTIONS = {
     "level - 0": 0.75,
     "level 3 1": 0.125,
     f"out {C}": 1.0,
@@ -76,9 +76,9 @@
 def test_table_store_is_read(fixture_copy):
     store = Store(fixture_copy("store-1.sqlite"), 4)
     assert store.load_tables() == TABLES
-    assert store.load_persistent_actions() == STANDING
+    assert store.load_persistent_actions() == PERSISTENT_ACTIONS
     assert store.claim("pilot-2", TIME + 61 * SECOND, 10 * SECOND) == [SliceLease(n, "pilot-2", 3) for n in range(4)]
-    assert store.claim("pilot-0", TIME + 62 * SECOND, 10 * SECOND) == [], "the other's ownership has not ended"
+    assert store.claim("pilot-0", TIME + 62 * SECOND, 10 * SECOND) == [], "the lease of the other pilot has not expired"
     assert [store.gateway_number(node) for node in ("gw-c", "gw-a", "gw-b", "gw-new")] == [2, 0, 1, 3]
     assert store.load_endpoint_list() == [] and store.next_epoch() == 4
     store.close()
@@ -92,7 +92,7 @@
     assert set(published.withdrawn) == {C, D}
     assert published.levels == {(None, 0): 0.75, (3, 1): 0.125}
     assert published.retries == {(None, 0): 1, (None, 1): 3, (3, 1): 2}
-    assert published.persistent_actions() == STANDING
+    assert published.persistent_actions() == PERSISTENT_ACTIONS
 
 
 def test_store_of_another_number_of_slices_is_refused(fixture_copy):
@@ -125,7 +125,7 @@
     assert schema_and_rows(tmp_path / "store") == schema_and_rows(FIXTURES / "store-1.sqlite")
 
 
-# -- the kept endpoint list
+# -- the cached endpoint list
 
 LISTED = [
     api.EndpointEntry(A, "a", "in_service", 1.0, 0),
@@ -224,7 +224,7 @@
 
 
 def recorder_of(published, path):
-    """A recorder whose versions of units are hashes of their contents, as the fixture's were."""
+    """Return a recorder that uses hashes of the contents of units as their versions, as the fixture does."""
 
     def unit_versions(units):
         contents = {unit: repr(sorted(unit_content(published, unit).items())) for unit in units}
@@ -257,7 +257,7 @@
     assert schema_and_rows(tmp_path / "history") == schema_and_rows(FIXTURES / "history-1.sqlite")
 
 
-def test_a_recorder_takes_up_the_history_and_finds_its_states(fixture_copy):
+def test_a_recorder_continues_the_history_and_computes_its_states(fixture_copy):
     published = PublishedTables(("page", "tally"), 4)
     published.apply(
         [
@@ -333,7 +333,7 @@
     assert exported == (FIXTURES / "learned-2.json").read_bytes()
 
 
-# -- a proxy's kept tables
+# -- the cached tables of a proxy
 
 RESOURCE_VERSIONS = {
     CDS: {
@@ -353,30 +353,30 @@
 
 
 def test_proxy_tables_are_read(fixture_copy):
-    held = ReceivedState()
-    assert table_cache.load(fixture_copy("proxy-tables-1"), held) == 9
-    assert held.versions == RESOURCE_VERSIONS
-    assert held.tables == {
+    received_state = ReceivedState()
+    assert table_cache.load(fixture_copy("proxy-tables-1"), received_state) == 9
+    assert received_state.versions == RESOURCE_VERSIONS
+    assert received_state.tables == {
         "fleet": ReceivedTable({D: (1000, "b")}, {"page": 0.75}),
         "slice/0": ReceivedTable({A: (1000, "a"), B: (250, "b")}, {}),
         "slice/1": ReceivedTable({}, {}),
         "slice/2": ReceivedTable({"::1:9003": (2500, "a")}, {"tally": 0.125}),
     }
-    assert held.retries == {
+    assert received_state.retries == {
         ("page", ""): ("connect-failure,refused-stream", 1),
         ("tally", ""): ("connect-failure,refused-stream,5xx,reset", 2),
         ("tally", "slice/2"): ("connect-failure,refused-stream,5xx,reset", 1),
     }
-    assert held.balancing_policies == dict.fromkeys(("fleet", "slice/0", "slice/1", "slice/2"), 1)
-    assert held.ejection_failures == 5
+    assert received_state.balancing_policies == dict.fromkeys(("fleet", "slice/0", "slice/1", "slice/2"), 1)
+    assert received_state.ejection_failures == 5
 
 
 def test_proxy_tables_are_written_in_the_same_bytes(tmp_path):
     fixture = (FIXTURES / "proxy-tables-1").read_bytes()
     rows = json.loads(fixture.partition(b"\n")[2])["types"]
     bodies = {
-        kind: {name: (version, base64.b64decode(body)) for name, (version, body) in found.items()}
-        for kind, found in rows.items()
+        kind: {name: (version, base64.b64decode(body)) for name, (version, body) in resources.items()}
+        for kind, resources in rows.items()
     }
     table_cache.save(tmp_path / "tables", bodies)
     assert (tmp_path / "tables").read_bytes() == fixture
--- a/tests/versions_model.py
+++ b/tests/versions_model.py
@@ -1,7 +1,8 @@
-"""An explicit-state explorer of the version protocol, run on the real session and the real received state.
+"""An explicit-state model checker of the version protocol, which uses the real session and the real received state.
 
-One pilot's stream and one gateway, two tables of three contents each, messages in order on a stream that may break at
-any point. Every action is tried in every state up to a depth; states seen before are not gone into again.
+The model has one stream of a pilot, one gateway, and two tables with three possible contents each. Messages are
+delivered in order on a stream that may break at any point. Every action is tried in every state up to a depth; states
+that were visited before are not explored again.
 
     python -m tests.versions_model 8     # explore to depth 8 and print how many states there were
 """
@@ -26,40 +27,40 @@
 from damsonpick.proxy.response_errors import ResponseRejectedError
 
 NAMES = ("slice/0", "slice/1")
-CONTENTS = 3
+CONTENT_COUNT = 3
 
 
-def resource(name, n):
+def resource(name, content):
     message = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
-    message.endpoints.add().lb_endpoints.add().load_balancing_weight.value = n + 1
+    message.endpoints.add().lb_endpoints.add().load_balancing_weight.value = content + 1
     body = message.SerializeToString(deterministic=True)
     version = xxhash.xxh3_64_hexdigest(body)
     packed = any_pb2.Any(type_url=EDS, value=body)
-    one = discovery_pb2.Resource(name=name, version=version, resource=packed)
-    return Resource(version, discovery_pb2.DeltaDiscoveryResponse(resources=[one]).SerializeToString(), b"")
+    delta_resource = discovery_pb2.Resource(name=name, version=version, resource=packed)
+    return Resource(version, discovery_pb2.DeltaDiscoveryResponse(resources=[delta_resource]).SerializeToString(), b"")
 
 
-POOL = {(name, n): resource(name, n) for name in NAMES for n in range(CONTENTS)}
+RESOURCES = {(name, n): resource(name, n) for name in NAMES for n in range(CONTENT_COUNT)}
 
 
 class Catalogue:
-    """Just what a session asks of one; a copy shares the resources."""
+    """The part of the catalogue that a session uses. Copies share the resources."""
 
     def __init__(self):
-        self.at = dict.fromkeys(NAMES, 0)
+        self.content_by_name = dict.fromkeys(NAMES, 0)
         self.stopped = {}
         self.published = SimpleNamespace(seq=0)
 
     @property
     def by_type(self):
-        return {CDS: {}, EDS: {n: POOL[n, k] for n, k in self.at.items()}, RDS: {}}
+        return {CDS: {}, EDS: {n: RESOURCES[n, k] for n, k in self.content_by_name.items()}, RDS: {}}
 
     def get(self, kind, name):
-        return POOL[name, self.at[name]] if kind == EDS and name in self.at else None
+        return RESOURCES[name, self.content_by_name[name]] if kind == EDS and name in self.content_by_name else None
 
 
 class State:
-    """Both ends and what lies between them."""
+    """State of the session, the gateway, and the messages in flight between them."""
 
     def __init__(self):
         self.catalogue, self.received_state = Catalogue(), ReceivedState()
@@ -69,14 +70,15 @@
     def connect(self):
         self.session = DeltaSession(self.catalogue, 1)
         self.ads = AdsClient(self.received_state, "gw", "a", True)
+        # messages in flight to the gateway and to the pilot
         self.down, self.up = [], [self.ads.subscribe(EDS, list(NAMES))]
 
     def copy(self):
-        return copy.deepcopy(self, {id(r): r for r in POOL.values()})
+        return copy.deepcopy(self, {id(r): r for r in RESOURCES.values()})
 
     def key(self):
         watch = self.session.watches.get(EDS)
-        told = (
+        watch_state = (
             ()
             if watch is None
             else (
@@ -91,9 +93,9 @@
             )
         )
         return (
-            tuple(self.catalogue.at.items()),
+            tuple(self.catalogue.content_by_name.items()),
             tuple(sorted(self.received_state.versions[EDS].items())),
-            told,
+            watch_state,
             tuple((m.control_plane.identifier, tuple((r.name, r.version) for r in m.resources)) for m, _ in self.down),
             tuple((bool(m.response_nonce), m.error_detail.message) for m in self.up),
             tuple(sorted(self.received_state.rejected_names)),
@@ -102,7 +104,7 @@
     # -- actions
 
     def publish(self, name):
-        self.catalogue.at[name] = (self.catalogue.at[name] + 1) % CONTENTS
+        self.catalogue.content_by_name[name] = (self.catalogue.content_by_name[name] + 1) % CONTENT_COUNT
         self.catalogue.published.seq += 1
         self.session.enqueue([name], CoveredChanges(self.catalogue.published.seq, 0, 1))
 
@@ -116,15 +118,15 @@
     def deliver(self):
         message, expected = self.down.pop(0)
         parsed = self.ads.parse(message)
-        bad = ""
+        error_text = ""
         try:
             self.received_state.apply(*parsed)
         except ResponseRejectedError as error:
-            bad = str(error)
-        self.up.append(self.ads.acknowledge(message, bad))
-        assert bad or self.received_state.versions[EDS] == expected, "a delta was applied to the wrong base"
+            error_text = str(error)
+        self.up.append(self.ads.acknowledge(message, error_text))
+        assert error_text or self.received_state.versions[EDS] == expected, "a delta was applied to the wrong base"
 
-    def answer(self):
+    def handle_request(self):
         self.session.receive(0, self.up.pop(0))
         watch = self.session.watches[EDS]
         if (
@@ -138,89 +140,98 @@
                 assert self.received_state.versions[EDS].get(name) == version, "an acknowledged version was lost"
 
     def corrupt(self, name):
-        """The gateway's copy is of another content than it should be, and it believes in it."""
-        have = self.received_state.versions[EDS].get(name)
-        other = next(POOL[name, k].version for k in range(CONTENTS) if POOL[name, k].version != have)
+        """Replace the version of a resource in the gateway without its knowledge."""
+        current = self.received_state.versions[EDS].get(name)
+        other = next(RESOURCES[name, k].version for k in range(CONTENT_COUNT) if RESOURCES[name, k].version != current)
         self.received_state._set_version(EDS, name, other)
         self.corrupted += 1
 
-    def lose(self):
+    def break_stream(self):
         self.connect()
 
     def refuse(self, name):
         self.received_state.rejected_names ^= {name}
 
     def actions(self, faults):
-        found = [("publish", n) for n in NAMES]
+        possible = [("publish", n) for n in NAMES]
         if self.session.watches:
-            found.append(("send",))
+            possible.append(("send",))
         if self.down:
-            found.append(("deliver",))
+            possible.append(("deliver",))
         if self.up:
-            found.append(("answer",))
+            possible.append(("handle_request",))
         if self.faults < faults:
-            found += [("lose",), ("refuse", NAMES[0])]
-            found += [("corrupt", n) for n in NAMES if n in self.received_state.versions[EDS]]
-        return found
+            possible += [("break_stream",), ("refuse", NAMES[0])]
+            possible += [("corrupt", n) for n in NAMES if n in self.received_state.versions[EDS]]
+        return possible
 
     def do(self, action):
-        self.faults += action[0] in ("lose", "refuse", "corrupt")
+        self.faults += action[0] in ("break_stream", "refuse", "corrupt")
         getattr(self, action[0])(*action[1:])
 
 
 def settle(state):
-    """Faults stop: within bounds everything must come to rest with the gateway holding what is published.
+    """Check that without further faults the gateway has the published resources after a bounded number of steps.
 
-    A copy that went wrong on the gateway is found at the next delta, so one is published."""
+    A corrupted copy on the gateway is detected at the next delta, so a change of each resource is published first.
+    """
     state.received_state.rejected_names = set()
     for name in NAMES:
         state.publish(name)
         watch = state.session.watches.get(EDS)
-        if watch is not None and watch.expected.get(name) == POOL[name, state.catalogue.at[name]].version:
-            state.publish(name)  # the same as before would be no delta
+        if (
+            watch is not None
+            and watch.expected.get(name) == RESOURCES[name, state.catalogue.content_by_name[name]].version
+        ):
+            state.publish(name)  # an unchanged version would not be sent as a delta
     state.catalogue.stopped.clear()
     for _ in range(60):
-        moved = state.send() if state.session.watches else False
+        made_progress = state.send() if state.session.watches else False
         while state.down:
             state.deliver()
-            moved = True
+            made_progress = True
         while state.up:
-            state.answer()
-            moved = True
-        if not moved:
+            state.handle_request()
+            made_progress = True
+        if not made_progress:
             break
     else:
-        raise AssertionError("it does not come to rest")
-    want = {n: POOL[n, k].version for n, k in state.catalogue.at.items()}
+        raise AssertionError("messages are still sent after 60 rounds")
+    expected = {n: RESOURCES[n, k].version for n, k in state.catalogue.content_by_name.items()}
     watch = state.session.watches[EDS]
     for name, version in watch.rejected.items():
-        if want[name] == version:
-            want[name] = state.received_state.versions[EDS].get(name)  # it would not take this content: it need not
-    held = {n: v for n, v in want.items() if v}
-    assert state.received_state.versions[EDS] == held, "the gateway does not hold what is published"
+        if expected[name] == version:
+            # The gateway rejected this content, so it keeps its previous version.
+            expected[name] = state.received_state.versions[EDS].get(name)
+    expected_versions = {n: v for n, v in expected.items() if v}
+    assert state.received_state.versions[EDS] == expected_versions, "the gateway does not hold what is published"
 
 
 def explore(depth, faults=2):
-    """All states up to a depth. Raises AssertionError with the way there; returns (states, steps)."""
+    """Explore all states up to a depth; return the numbers of states and steps.
+
+    Raises:
+        AssertionError: A check failed; the message contains the actions that lead to it.
+    """
     start = State()
     seen, layer, steps = {start.key()}, [(start, ())], 0
     for _ in range(depth):
-        after = []
-        for state, way in layer:
+        next_layer = []
+        for state, path in layer:
             for action in state.actions(faults):
-                made = state.copy()
+                successor = state.copy()
                 steps += 1
                 try:
-                    made.do(action)
-                    key = made.key()
+                    successor.do(action)
+                    key = successor.key()
                     if key in seen:
                         continue
-                    settle(made.copy())
+                    settle(successor.copy())
                 except AssertionError as error:
-                    raise AssertionError(f"{error}, by {[*way, action]}") from None
+                    raise AssertionError(f"{error}, by {[*path, action]}") from None
                 seen.add(key)
-                after.append((made, (*way, action)))
-        layer = after
+                next_layer.append((successor, (*path, action)))
+        layer = next_layer
     return len(seen), steps
 
 
