--- a/damsonpick/protocols/platform/__init__.py
+++ b/damsonpick/protocols/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: a pilot that watches discovery and the registry, and sends the planner's orders."""
+"""The platform's protocol: a pilot watches discovery and the registry, and sends the planner's orders."""
--- a/damsonpick/protocols/platform/__main__.py
+++ b/damsonpick/protocols/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m damsonpick.edge`: one pilot on the platform's protocol, in the foreground."""
+"""Entry point of `python -m damsonpick.edge`: runs one pilot on the platform's protocol in the foreground."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 def main() -> int:
     """Serve until SIGTERM; return the exit code."""
-    # A signal that comes before its receiver is open waits for it: SIGHUP would end the process.
+    # Signals stay blocked until the pilot has opened their receiver; an unblocked SIGHUP would end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     log = logs.configure("json", "info")
     try:
--- a/damsonpick/protocols/platform/collaborators.py
+++ b/damsonpick/protocols/platform/collaborators.py
@@ -1,4 +1,4 @@
-"""Interfaces of what the parts of the pilot are handed."""
+"""Interfaces of the objects that are passed to the components of the pilot."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EventSink(Protocol):
-    """Takes events for the planner's next step."""
+    """Queues events for the planner's next step."""
 
     def __call__(self, *events: api.Event) -> None:
-        """Add events, in order."""
+        """Append events to the queue in the given order."""
--- a/damsonpick/protocols/platform/config.py
+++ b/damsonpick/protocols/platform/config.py
@@ -1,4 +1,4 @@
-"""The configuration file of the platform: JSON to checked values. No I/O but reading the file."""
+"""Decodes the platform's configuration file from JSON to validated values. Reading the file is the only I/O."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
     """The configuration of one pilot.
 
     Attributes:
-        name: of this pilot.
-        listen: address for collectors.
-        discovery: address of discovery.
-        registry: address of the registry.
-        seed: of all random draws.
-        max_descriptors: that the process may hold.
-        known: the endpoint list as this pilot last had it.
-        settings: for the planner.
-        zones: names of all zones.
+        name: Name of this pilot.
+        listen: Address on which the pilot accepts collectors.
+        discovery: Address of discovery.
+        registry: Address of the registry.
+        seed: Seed of the pilot's random number generator.
+        max_descriptors: Largest number of file descriptors that the process may have open.
+        known: The last endpoint list that this pilot had received.
+        settings: Settings of the planner.
+        zones: Names of all zones.
     """
 
     name: str
@@ -52,19 +52,19 @@
 
 
 def read_config(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that the environment names.
+    """Read the configuration file whose path is in the environment variable `CONFIG_VARIABLE`.
 
     Raises:
-        ConfigError: it cannot be used.
+        ConfigError: The variable is not set, or the file cannot be read or is not a valid configuration.
     """
     path = environment.get(CONFIG_VARIABLE, "")
     if not path:
-        raise ConfigError("", f"{CONFIG_VARIABLE} is not set: name the configuration file in it")
+        raise ConfigError("", f"{CONFIG_VARIABLE} is not set: set it to the path of the configuration file")
     try:
         with Path(path).open("rb") as file:
             data = file.read(MAX_CONFIG_BYTES + 1)
     except OSError as error:
-        reason = f"{error.strerror}: {CONFIG_VARIABLE} must name a file that can be read"
+        reason = f"{error.strerror}: {CONFIG_VARIABLE} must name a readable file"
         raise ConfigError(path, reason) from None
     try:
         return parse_config(data)
@@ -73,19 +73,22 @@
 
 
 def parse_config(data: bytes) -> Config:
-    """Read a configuration from its JSON text.
+    """Decode and validate a configuration.
+
+    Args:
+        data: JSON text of the configuration file.
 
     Raises:
-        ConfigError: the text names the field and what it should hold.
+        ConfigError: The configuration is invalid. The error text names the field and the expected value.
     """
     if len(data) > MAX_CONFIG_BYTES:
-        raise ConfigError("", f"over {MAX_CONFIG_BYTES} bytes: not a configuration")
+        raise ConfigError("", f"larger than {MAX_CONFIG_BYTES} bytes: not a configuration file")
     try:
         tree = msgspec.json.decode(data)
     except DECODE_ERRORS as error:
-        raise ConfigError("", f"not JSON: {error}: write one object") from None
+        raise ConfigError("", f"not valid JSON: {error}: the file must contain one JSON object") from None
     if not isinstance(tree, dict):
-        raise ConfigError("", "not a JSON object: write one object")
+        raise ConfigError("", "not a JSON object: the file must contain one JSON object")
     values = dict(instance_settings.flatten(_object(tree, "settings")))
     try:
         settings = instance_settings.read_settings(values)
@@ -149,7 +152,7 @@
 
 
 def _known_list(tree: JsonObject) -> discovery.EndpointListUpdate:
-    """Return the kept endpoint list; empty for a pilot that never had one."""
+    """Return the endpoint list in the configuration, or an empty list if this pilot has never received one."""
     if tree.get("known") is None:
         return discovery.EMPTY_LIST
     try:
--- a/damsonpick/protocols/platform/config_reloader.py
+++ b/damsonpick/protocols/platform/config_reloader.py
@@ -1,4 +1,4 @@
-"""Reads the configuration again on SIGHUP."""
+"""Reloads the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from damsonpick.protocols.platform.config import Config, read_config
 from damsonpick.protocols.platform.errors import ConfigError
 
-KEYS = {  # of the configuration file, by field; a change of these needs a restart
+# Keys of the configuration file by field of `Config`. A changed value of these takes effect only after a restart.
+KEYS_NEEDING_RESTART = {
     "settings": "settings",
     "zones": "settings.zones",
     "name": "name",
@@ -18,24 +19,26 @@
     "max_descriptors": "limits.sockets",
 }
 
-MoveTo = Callable[[Address], None]
+AddressCallback = Callable[[Address], None]
 
 
 class ConfigReloader:
-    """Applies a changed configuration file as far as that needs no restart.
+    """Applies the changes of a configuration file that need no restart.
 
     Attributes:
-        config: in force.
+        config: The active configuration.
     """
 
-    def __init__(self, config: Config, move_registry: MoveTo, move_discovery: MoveTo, log: Logger) -> None:
-        """Start with a configuration.
+    def __init__(
+        self, config: Config, move_registry: AddressCallback, move_discovery: AddressCallback, log: Logger
+    ) -> None:
+        """Create a reloader.
 
         Args:
-            config: in force.
-            move_registry: called with a new address of the registry.
-            move_discovery: called with a new address of discovery.
-            log: for the result.
+            config: The active configuration.
+            move_registry: Called with the new address when the registry's address has changed.
+            move_discovery: Called with the new address when discovery's address has changed.
+            log: Receives the result of each reload.
         """
         self.config = config
         self._move_registry = move_registry
@@ -43,9 +46,9 @@
         self._log = log
 
     def reload(self) -> None:
-        """Read the file again.
+        """Read the configuration file again and apply its changes.
 
-        One that cannot be used is rejected completely, and the former configuration stays in force.
+        An invalid file is rejected as a whole, and the previous configuration stays active.
         """
         try:
             changed = read_config()
@@ -78,9 +81,10 @@
             )
             self._log.warning(
                 "configuration_needs_restart",
-                reason=f"{', '.join(KEYS[field] for field in differing)}: changed; the former ones stay in force",
+                reason=f"{', '.join(KEYS_NEEDING_RESTART[field] for field in differing)}: changed; "
+                "the previous values stay active",
             )
 
 
 def _fields_that_need_restart(former: Config, changed: Config) -> list[str]:
-    return [field for field in KEYS if getattr(former, field) != getattr(changed, field)]
+    return [field for field in KEYS_NEEDING_RESTART if getattr(former, field) != getattr(changed, field)]
--- a/damsonpick/protocols/platform/connection.py
+++ b/damsonpick/protocols/platform/connection.py
@@ -1,6 +1,6 @@
-"""One connection at the pilot's listening address: bytes in, events and heartbeat requests out. No I/O.
+"""Protocol state of one accepted connection: turns received bytes into events and heartbeat requests. No I/O.
 
-Collectors of a zone that exists may stay; anyone else is rejected with its first message.
+Only collectors of an existing zone may stay connected. Any other client is rejected at its first message.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 from damsonpick.protocols.platform import framing, messages
 from damsonpick.protocols.platform.errors import FrameError, InvalidMessageError, MessageError, PlatformError
 
-MAX_FRAME_BYTES_BEFORE_JOIN = 4096  # so that many halves of a first message do not hold much memory
+MAX_FRAME_BYTES_BEFORE_JOIN = 4096  # bounds the memory of many clients that each send part of a first message
 
 
 @dataclass(slots=True)
 class ReceivedInput:
-    """What the bytes of a connection contained.
+    """The messages that a connection has received, decoded.
 
     Attributes:
-        events: from its reports, in order.
-        heartbeat_requests: how many heartbeats it asked for.
-        dropped: messages that could not be used, with the reason.
+        events: Events of the received reports, in order of arrival.
+        heartbeat_requests: Number of heartbeats that the client has requested.
+        drop_reasons: One text for each invalid message, with the reason why it was dropped.
     """
 
     events: list[api.Event] = field(default_factory=list)
     heartbeat_requests: int = 0
-    dropped: list[str] = field(default_factory=list)
+    drop_reasons: list[str] = field(default_factory=list)
 
 
 class ConnectionRejectedError(PlatformError):
-    """This connection is to be closed; `received` is what it sent before the reason, which counts."""
+    """The connection must be closed. `received` contains the valid input that preceded the error; it is still used."""
 
     def __init__(self, field_name: str, reason: str) -> None:
-        """Build the text from field and reason."""
+        """Create an error with the failed field, the reason and no received input."""
         super().__init__(field_name, reason)
         self.received = ReceivedInput()
 
@@ -42,15 +42,15 @@
     """The state of one connection.
 
     Attributes:
-        zone: of a collector that has joined; "" before.
-        last_received_ns: when bytes last arrived; 0 before.
+        zone: Zone of the collector; empty until it has joined.
+        last_received_ns: Time at which bytes were last received; 0 if there were none.
     """
 
     def __init__(self, reports: messages.ReportMapper) -> None:
-        """Start before the join.
+        """Create the state of a connection whose collector has not joined yet.
 
         Args:
-            reports: turns reports into events.
+            reports: Maps reports to events and knows the existing zones.
         """
         self.zone = ""
         self.last_received_ns = 0
@@ -58,10 +58,17 @@
         self._reports = reports
 
     def feed(self, now_ns: int, data: bytes) -> ReceivedInput:
-        """Return what received bytes contain.
+        """Decode received bytes.
+
+        Args:
+            now_ns: Time at which the bytes were received.
+            data: The received bytes.
+
+        Returns:
+            The input of all frames that are complete now.
 
         Raises:
-            ConnectionRejectedError: the connection is to be closed.
+            ConnectionRejectedError: The input is malformed or not allowed, and the connection must be closed.
         """
         self.last_received_ns = now_ns
         self.frames.feed(data)
@@ -81,7 +88,7 @@
         except InvalidMessageError as error:
             if not self.zone:
                 raise ConnectionRejectedError("first_message", str(error)) from None
-            received.dropped.append(str(error))
+            received.drop_reasons.append(str(error))
 
     def _process_message(self, message: messages.CollectorMessage, received: ReceivedInput) -> None:
         if isinstance(message, messages.HeartbeatRequest):
@@ -89,7 +96,7 @@
         elif isinstance(message, messages.CollectorJoin):
             self._join(message)
         elif not self.zone:
-            raise ConnectionRejectedError("", "a report before joining")
+            raise ConnectionRejectedError("", "a report was received before the collector joined a zone")
         else:
             received.events.append(self._reports.to_event(message))
 
--- a/damsonpick/protocols/platform/connection_handler.py
+++ b/damsonpick/protocols/platform/connection_handler.py
@@ -1,4 +1,4 @@
-"""Serves one connection at the pilot's listening address: hands on its reports and answers its heartbeat requests."""
+"""Serves accepted connections: forwards their reports to the planner and answers their heartbeat requests."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     """A connection with its socket.
 
     Attributes:
-        connection: its protocol state.
-        stream: the socket.
-        scope: of the task that serves it; its deadline is the one for joining.
+        connection: Protocol state of the connection.
+        stream: The socket.
+        scope: Cancel scope of the task that serves the connection. Its deadline is the deadline for joining.
     """
 
     connection: CollectorConnection
@@ -37,42 +37,44 @@
 
 
 class ConnectionHandler:
-    """Serves connections, one call each."""
+    """Serves connections; each one by a separate call of `serve`."""
 
-    def __init__(self, readiness: Readiness, enqueue: EventSink, dropped: DroppedInputLog) -> None:
-        """Connect the parts.
+    def __init__(self, readiness: Readiness, enqueue: EventSink, dropped_input_log: DroppedInputLog) -> None:
+        """Create a handler.
 
         Args:
-            readiness: heartbeats are answered from then on.
-            enqueue: takes events for the planner.
-            dropped: for messages and connections that are rejected.
+            readiness: Heartbeats are answered once it is ready.
+            enqueue: Queues events for the planner.
+            dropped_input_log: Records dropped messages and rejected connections.
         """
         self._readiness = readiness
         self._enqueue = enqueue
-        self._dropped = dropped
+        self._dropped_input_log = dropped_input_log
         self._report_count = 0
 
     def take_report_count(self) -> int:
-        """Return the number of reports since the last call."""
+        """Return the number of reports received since the previous call."""
         count, self._report_count = self._report_count, 0
         return count
 
     async def serve(self, opened: OpenConnection, on_joined: Callable[[CollectorConnection], None]) -> None:
-        """Process what a connection sends until it is rejected.
+        """Process the input of a connection until the connection is rejected.
 
         Args:
-            opened: the connection.
-            on_joined: called when it joins.
+            opened: The connection.
+            on_joined: Called when its collector has joined a zone.
 
         Raises:
-            anyio.EndOfStream, anyio.BrokenResourceError, OSError: the peer has closed.
-            TransportError: the peer does not take what is sent.
+            anyio.EndOfStream, anyio.BrokenResourceError, OSError: The peer has closed the connection.
+            TransportError: The peer has not accepted a heartbeat in time, or has closed the connection.
         """
         try:
             while True:
                 await self._receive(opened, on_joined)
         except ConnectionRejectedError as error:
-            self._dropped.record(DroppedInput.CONNECTION, f"{opened.connection.zone or 'not joined'}: {error}")
+            self._dropped_input_log.record(
+                DroppedInput.CONNECTION, f"{opened.connection.zone or 'not joined'}: {error}"
+            )
             await self.respond(opened, error.received)
 
     async def _receive(self, opened: OpenConnection, on_joined: Callable[[CollectorConnection], None]) -> None:
@@ -86,9 +88,9 @@
         await self.respond(opened, received)
 
     async def respond(self, opened: OpenConnection, received: ReceivedInput) -> None:
-        """Hand on reports, and send each heartbeat that was asked for."""
-        for reason in received.dropped:
-            self._dropped.record(DroppedInput.REPORT, reason)
+        """Queue the events of received reports for the planner, and send one heartbeat for each request."""
+        for reason in received.drop_reasons:
+            self._dropped_input_log.record(DroppedInput.REPORT, reason)
         self._report_count += len(received.events)
         self._enqueue(*received.events)
         if not received.heartbeat_requests:
@@ -98,7 +100,7 @@
         await http_client.send(opened.stream, HEARTBEAT * received.heartbeat_requests, WRITE_TIMEOUT_S)
 
     async def _wait_until_ready(self, scope: anyio.CancelScope) -> None:
-        """Wait with the deadline for joining suspended, as the wait is not the peer's."""
+        """Wait until the pilot is ready. The deadline for joining is suspended: the peer does not cause the delay."""
         remaining_s = scope.deadline - anyio.current_time()
         scope.deadline = math.inf
         await self._readiness.wait()
--- a/damsonpick/protocols/platform/connection_listener.py
+++ b/damsonpick/protocols/platform/connection_listener.py
@@ -21,7 +21,7 @@
 ACCEPT_RETRY_DELAY_S = 0.05
 BACKLOG = 1024
 RESOURCE_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-PEER_GONE = (
+PEER_CLOSED_ERRORS = (
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -34,10 +34,10 @@
     """A listening socket."""
 
     async def accept(self) -> SocketStream:
-        """Return the next connection.
+        """Accept and return the next connection.
 
         Raises:
-            OSError: none could be accepted.
+            OSError: The connection could not be accepted.
         """
 
 
@@ -45,46 +45,46 @@
     """Open the listening socket.
 
     Raises:
-        ConfigError: it cannot be opened at this address.
+        ConfigError: The socket cannot be opened at this address.
     """
     host, port = address
     try:
         opened = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=BACKLOG)
     except OSError as error:
-        reason = f"{host}:{port}: {error.strerror or error}: another program has it, or it is not this machine's"
+        reason = f"{host}:{port}: {error.strerror or error}: the address is in use, or does not belong to this host"
         raise ConfigError("listen", reason) from None
     return cast(Listener, opened.listeners[0])
 
 
 class ConnectionListener:
-    """Accepts connections and keeps their number within the limit."""
+    """Accepts connections and closes some of them when there are too many."""
 
     def __init__(
         self,
         reports: messages.ReportMapper,
         limiter: ConnectionLimiter,
         handler: ConnectionHandler,
-        dropped: DroppedInputLog,
+        dropped_input_log: DroppedInputLog,
         log: Logger,
     ) -> None:
-        """Connect the parts.
+        """Create a listener without connections.
 
         Args:
-            reports: turns reports into events.
-            limiter: decides which connections may stay.
-            handler: serves each of them.
-            dropped: for failed accepts.
-            log: for faults.
+            reports: Maps reports to events.
+            limiter: Selects the connections to close.
+            handler: Serves each connection.
+            dropped_input_log: Records connections that could not be accepted.
+            log: Receives unexpected errors.
         """
         self._reports = reports
         self._limiter = limiter
         self._handler = handler
-        self._dropped = dropped
+        self._dropped_input_log = dropped_input_log
         self._log = log
         self._scopes: dict[CollectorConnection, anyio.CancelScope] = {}
 
     async def run(self, listener: Listener, group: TaskGroup) -> None:
-        """Accept connections until cancelled; each is served in a task of its own."""
+        """Accept connections until cancelled, and serve each one in a separate task."""
         while True:
             try:
                 stream = await listener.accept()
@@ -94,12 +94,12 @@
                 self._open(stream, group)
 
     async def _handle_accept_error(self, error: OSError) -> None:
-        self._dropped.record(DroppedInput.ACCEPT, str(error))
+        self._dropped_input_log.record(DroppedInput.ACCEPT, str(error))
         if error.errno in RESOURCE_EXHAUSTED:
-            # Without a pause the loop would spin until a descriptor is free.
+            # Without the pause the loop would run continuously until a descriptor is free.
             self._close(self._limiter.oldest_unjoined())
             await anyio.sleep(ACCEPT_RETRY_DELAY_S)
-        else:  # the peer reset that connection before it was accepted: no other has to go
+        else:  # the peer reset the connection before it was accepted; no other connection needs to be closed
             await anyio.sleep(0)
 
     def _open(self, stream: SocketStream, group: TaskGroup) -> None:
@@ -110,7 +110,7 @@
         group.start_soon(self._serve, OpenConnection(connection, stream, scope))
 
     def _close(self, connection: CollectorConnection | None) -> None:
-        """End the task that serves a connection; it closes the socket."""
+        """Cancel the task that serves a connection; the task closes the socket."""
         if connection in self._scopes:
             self._scopes[connection].cancel()
 
@@ -122,7 +122,7 @@
         try:
             with opened.scope:
                 await self._handler.serve(opened, self._close_replaced)
-        except PEER_GONE:
+        except PEER_CLOSED_ERRORS:
             pass
         except Exception as error:  # a fault in one connection must not end the pilot
             self._log.exception("connection_failed", error=repr(error))
--- a/damsonpick/protocols/platform/discovery.py
+++ b/damsonpick/protocols/platform/discovery.py
@@ -1,6 +1,6 @@
-"""Updates of the endpoint list as discovery sends them: JSON to checked values. No I/O.
+"""Decodes the endpoint list updates that discovery sends from JSON to validated values. No I/O.
 
-An entry that cannot be read is left out, and the rest of the update is used.
+An invalid entry is omitted, and the rest of the update is used.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
     "Terminating": "terminating",
     "Gone": "terminated",
 }
-MAX_START_MS = 1 << 52  # far beyond any clock
+MAX_START_MS = 1 << 52  # far later than any real clock shows
 MAX_VERSION = 1 << 62
 MAX_WEIGHT = 1e9
-MAX_LOGGED_PROBLEMS = 8  # of one update
+MAX_LOGGED_PROBLEMS = 8  # per update
 
 
 class EndpointListUpdate(NamedTuple):
     """One update of the endpoint list.
 
     Attributes:
-        version: of the list after the update.
-        full: whether the entries are the complete list; otherwise they are those that have changed.
-        entries: that could be read.
-        invalid_endpoints: names of the others; "" for one without a name.
-        problems: why they could not be read.
+        version: Version of the list after the update.
+        full: True if `entries` is the complete list, False if it contains only the changed entries.
+        entries: The valid entries.
+        invalid_endpoints: Endpoint names of the invalid entries; "" for an entry without a name.
+        problems: The reasons why entries are invalid, at most `MAX_LOGGED_PROBLEMS`.
     """
 
     version: int
@@ -47,32 +47,32 @@
 
 
 def decode_update(line: bytes) -> EndpointListUpdate:
-    """Read an update from one line of discovery's watch.
+    """Decode an update from one line of discovery's watch.
 
     Raises:
-        EndpointListError: it is none.
+        EndpointListError: The line is not a valid update.
     """
     try:
         message = msgspec.json.decode(line)
     except DECODE_ERRORS as error:
-        raise EndpointListError("", f"not JSON: {error}") from None
+        raise EndpointListError("", f"not valid JSON: {error}") from None
     return read_update(message)
 
 
 def read_update(message: object) -> EndpointListUpdate:
-    """Read an update from decoded JSON.
+    """Validate an update that is decoded from JSON.
 
     Raises:
-        EndpointListError: it is none; the error names the field.
+        EndpointListError: The value is not a valid update. The error names the field.
     """
     if not isinstance(message, dict):
         raise EndpointListError("", "not an object")
     if not _is_integer(message.get("version"), MAX_VERSION):
-        raise EndpointListError("version", "missing, or no whole number")
+        raise EndpointListError("version", "missing, out of range, or not a whole number")
     if not isinstance(message.get("full"), bool):
-        raise EndpointListError("full", "missing, or neither true nor false")
+        raise EndpointListError("full", "missing, or not a boolean")
     if not isinstance(message.get("servers"), list):
-        raise EndpointListError("servers", "missing, or no list")
+        raise EndpointListError("servers", "missing, or not a list")
     entries: list[api.EndpointEntry] = []
     invalid_endpoints: list[str] = []
     problems: list[str] = []
@@ -105,10 +105,10 @@
         raise EndpointEntryError(endpoint, "zone", "missing, or not text")
     weight = item.get("weight", 1.0)
     if not _is_weight(weight):
-        raise EndpointEntryError(endpoint, "weight", f"{describe_value(weight)} is no number from 0")
+        raise EndpointEntryError(endpoint, "weight", f"{describe_value(weight)} is out of range, or not a number")
     started_ms = item.get("started_ms", 0)
     if not _is_integer(started_ms, MAX_START_MS):
-        raise EndpointEntryError(endpoint, "started_ms", f"{describe_value(started_ms)} is no time in ms")
+        raise EndpointEntryError(endpoint, "started_ms", f"{describe_value(started_ms)} is not a time in ms")
     return api.EndpointEntry(endpoint, item["zone"], STATUSES[status], float(weight), started_ms * NS_PER_MS)
 
 
--- a/damsonpick/protocols/platform/dropped_input_log.py
+++ b/damsonpick/protocols/platform/dropped_input_log.py
@@ -1,4 +1,4 @@
-"""Logs input that was dropped, in bounded number."""
+"""Logs dropped input with a limited number of lines."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 from damsonpick.protocols.platform.collaborators import Logger
 
-MAX_LINES = 30  # of a kind; after them one in LINE_INTERVAL is logged
-LINE_INTERVAL = 100
-MAX_REASON = 200  # characters
+MAX_UNSAMPLED_LINES = 30  # for each kind of input; after that, every SAMPLING_INTERVAL-th case is logged
+SAMPLING_INTERVAL = 100
+MAX_REASON_CHARS = 200
 
 
 class DroppedInput(StrEnum):
@@ -23,16 +23,16 @@
 
 
 class DroppedInputLog:
-    """Counts dropped input by kind and logs the first cases and a sample of the others."""
+    """Counts dropped input by kind, and logs the first cases of each kind and a sample of the later cases."""
 
     def __init__(self, log: Logger) -> None:
-        """Start with no case."""
+        """Create a log with all counts at zero."""
         self._log = log
         self._counts: Counter[DroppedInput] = Counter()
 
     def record(self, kind: DroppedInput, reason: str) -> None:
-        """Note that input was dropped."""
+        """Count one dropped input, and log it unless the sampling omits it."""
         self._counts[kind] += 1
         count = self._counts[kind]
-        if count <= MAX_LINES or count % LINE_INTERVAL == 0:
-            self._log.warning("input_dropped", kind=kind, reason=reason[:MAX_REASON], count=count)
+        if count <= MAX_UNSAMPLED_LINES or count % SAMPLING_INTERVAL == 0:
+            self._log.warning("input_dropped", kind=kind, reason=reason[:MAX_REASON_CHARS], count=count)
--- a/damsonpick/protocols/platform/endpoint_list.py
+++ b/damsonpick/protocols/platform/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list as the planner knows it, and its version. No I/O.
+"""The endpoint list that the planner uses, and its version. No I/O.
 
-An update changes the entries it names; a full one replaces the list, and endpoints that it does not name are removed.
-Both take effect at once, as a drain must not wait here.
+A partial update changes the entries that it contains. A full update replaces the list and removes all other endpoints.
+Both are applied immediately, because a drain must not be delayed here.
 """
 
 from __future__ import annotations
@@ -12,34 +12,35 @@
 from damsonpick.time_units import NS_PER_SECOND
 
 DEFAULT_ROLLBACK_DELAY_NS = 10 * NS_PER_SECOND
-COMPLETE_LIST = 0  # as the version from which a watch starts
+COMPLETE_LIST = 0  # start version of a watch that requests the complete list
 
 
 class EndpointList:
-    """Applies updates of the endpoint list and guards against those of an outdated copy.
+    """Applies updates of the endpoint list and ignores updates of an outdated copy of the list.
 
     Attributes:
-        version: of the last update that was applied.
-        entries: by endpoint.
+        version: Version of the last applied update.
+        entries: Entries by endpoint name.
     """
 
     def __init__(self, known: EndpointListUpdate, rollback_delay_ns: int = DEFAULT_ROLLBACK_DELAY_NS) -> None:
-        """Start with the list as this pilot last had it.
+        """Create the list from the last known list.
 
         Args:
-            known: that list.
-            rollback_delay_ns: for which updates older than the known version are ignored. An outdated copy
-                catches up meanwhile; a discovery that has restarted its versions does not, and is believed then.
+            known: The last list that this pilot had received.
+            rollback_delay_ns: How long updates that are older than the known version are ignored. An outdated copy of
+                the list catches up in this time. If discovery has restarted its version numbers, its updates remain
+                older and are accepted after this delay.
         """
         self.version = known.version
         self.entries = {entry.endpoint: entry for entry in known.entries}
         self.rollback_delay_ns = rollback_delay_ns
-        self._outdated_since_ns: int | None = None  # since when only older updates have come
-        self._needs_full_list = False  # a change may be lost
-        self._confirmed = False  # discovery has sent an update since the start
+        self._outdated_since_ns: int | None = None  # start of the period in which all updates were older
+        self._needs_full_list = False  # True if a change may have been missed
+        self._confirmed = False  # True once an update from discovery was applied
 
     def initial_events(self) -> list[api.Event]:
-        """Return the events that give a new planner the list."""
+        """Return the events that send the current list to a new planner."""
         entries = tuple(self.entries.values())
         events: list[api.Event] = [api.EndpointListChanged("restored", entries)]
         if self._confirmed:
@@ -47,22 +48,22 @@
         return events
 
     def request_full_list(self) -> None:
-        """Have the next watch start with the complete list, as a change may be lost."""
+        """Make the next watch start with the complete list, because a change may have been missed."""
         self._needs_full_list = True
 
     def watch_from(self) -> int:
-        """Return the version from which the next watch asks for changes."""
+        """Return the version since which the next watch requests changes."""
         return COMPLETE_LIST if self._needs_full_list else self.version
 
     def apply(self, update: EndpointListUpdate, now_ns: int) -> api.EndpointListChanged | None:
         """Apply an update.
 
         Returns:
-            The event for the planner; None if the update is older than what is known, and is ignored. An outdated copy
-            would bring drained and terminated endpoints back.
+            The event for the planner, or None if the update is older than the known version and is ignored. Applying
+            an outdated copy would restore drained and terminated endpoints.
 
         Raises:
-            EndpointListError: the update cannot be used and the complete list is needed.
+            EndpointListError: The update cannot be applied, and the complete list is required.
         """
         if update.version < self.version and not self._accepts_rollback(update, now_ns):
             return None
@@ -80,13 +81,13 @@
         return api.EndpointListChanged("replace" if update.full else "update", entries)
 
     def _entries_to_keep(self, update: EndpointListUpdate) -> list[api.EndpointEntry]:
-        """Return known entries of endpoints that a full list names but that cannot be read: they must not end."""
+        """Return the known entries of endpoints whose entries in a full list are invalid: they must not be removed."""
         if not update.full:
             return []
         return [self.entries[endpoint] for endpoint in update.invalid_endpoints if endpoint in self.entries]
 
     def _accepts_rollback(self, update: EndpointListUpdate, now_ns: int) -> bool:
-        """Whether an update that is older than what is known is applied all the same."""
+        """Return whether an update that is older than the known version is applied nevertheless."""
         if self._outdated_since_ns is None:
             self._outdated_since_ns = now_ns
         if now_ns - self._outdated_since_ns < self.rollback_delay_ns:
@@ -94,5 +95,7 @@
         if not update.full:
             self._needs_full_list = True
             delay_s = self.rollback_delay_ns / NS_PER_SECOND
-            raise EndpointListError("version", f"{update.version} after {self.version}, for {delay_s:g} s")
+            raise EndpointListError(
+                "version", f"{update.version} after {self.version}: only older versions were received for {delay_s:g} s"
+            )
         return True
--- a/damsonpick/protocols/platform/endpoint_list_watch.py
+++ b/damsonpick/protocols/platform/endpoint_list_watch.py
@@ -1,4 +1,4 @@
-"""Reads discovery's watch of the endpoint list, from the version that is known."""
+"""Reads discovery's watch of the endpoint list, starting at the known version."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from damsonpick.protocols.platform.errors import EndpointListError, TransportError
 from damsonpick.protocols.platform.readiness import Readiness, Source
 
-SILENCE_TIMEOUT_S = 3.2  # a heartbeat, which is an empty line, is due every two seconds
+SILENCE_TIMEOUT_S = 3.2  # discovery sends a heartbeat (an empty line) every two seconds
 
 
 class EndpointListWatchReader:
-    """Reads one watch of the endpoint list."""
+    """Reads one watch of the endpoint list and passes its updates to the planner."""
 
     def __init__(
         self,
@@ -23,33 +23,36 @@
         now_ns: Callable[[], int],
         enqueue: EventSink,
         readiness: Readiness,
-        dropped: DroppedInputLog,
+        dropped_input_log: DroppedInputLog,
     ) -> None:
-        """Start before the first line.
+        """Create a reader for a new watch.
 
         Args:
-            endpoint_list: the known list.
-            now_ns: returns the time of the pilot's clock.
-            enqueue: takes events for the planner.
-            readiness: waits for the first update.
-            dropped: for entries and updates that are not used.
+            endpoint_list: The list to which updates are applied.
+            now_ns: Returns the time of the pilot's clock.
+            enqueue: Queues events for the planner.
+            readiness: Is notified of received updates.
+            dropped_input_log: Records ignored entries and updates.
         """
         self._endpoint_list = endpoint_list
         self._now_ns = now_ns
         self._enqueue = enqueue
         self._readiness = readiness
-        self._dropped = dropped
-        self._version: int | None = None  # of this watch's last update
+        self._dropped_input_log = dropped_input_log
+        self._version: int | None = None  # version of the last update of this watch
 
     def path(self) -> str:
-        """Return the path of the watch, with the version from which changes are wanted."""
+        """Return the path of the watch, with the version since which changes are requested."""
         return f"/catalog/members?watch=1&from={self._endpoint_list.watch_from()}"
 
     def process(self, lines: list[bytes]) -> bool:
-        """Process lines in order; return True once the watch has sent an update; heartbeats alone do not count.
+        """Process lines in order.
+
+        Returns:
+            Whether this watch has sent an update. Heartbeats do not count.
 
         Raises:
-            TransportError: a line is no usable update, and a change may be lost.
+            TransportError: A line is not a valid update, and a change may have been missed.
         """
         for line in filter(None, lines):
             try:
@@ -64,15 +67,15 @@
 
     def _process_update(self, update: EndpointListUpdate) -> None:
         if self._version is not None and update.version < self._version:
-            raise EndpointListError("version", f"{update.version} after {self._version}")
+            raise EndpointListError("version", f"{update.version} after {self._version} in the same watch")
         self._version = update.version
         for problem in update.problems:
-            self._dropped.record(DroppedInput.ENDPOINT_LIST, problem)
+            self._dropped_input_log.record(DroppedInput.ENDPOINT_LIST, problem)
         event = self._endpoint_list.apply(update, self._now_ns())
         if event is None:
-            reason = f"version {update.version}: {self._endpoint_list.version} is known"
-            self._dropped.record(DroppedInput.ENDPOINT_LIST, reason)
+            reason = f"version {update.version} is older than the known version {self._endpoint_list.version}"
+            self._dropped_input_log.record(DroppedInput.ENDPOINT_LIST, reason)
         else:
             self._enqueue(event)
         if update.invalid_endpoints and not update.full:
-            raise EndpointListError("", "a change that cannot be read")
+            raise EndpointListError("", "a partial update contains an invalid entry")
--- a/damsonpick/protocols/platform/errors.py
+++ b/damsonpick/protocols/platform/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the platform protocol. Each names the field, setting or operation that failed, and the reason."""
+"""Errors of the platform's protocol. Each error names the field, setting or operation that failed, and the reason."""
 
 from __future__ import annotations
 
@@ -6,53 +6,53 @@
 
 
 class PlatformError(Exception):
-    """Base of all errors of this package.
+    """Base class of all errors of this package.
 
     Attributes:
-        field: what failed: a field of a message, a setting; "" if all of the input cannot be used.
-        reason: why, in words for the log.
+        field: The message field, setting or operation that failed; "" if the input as a whole is invalid.
+        reason: The cause of the failure, as a text for the log.
     """
 
     def __init__(self, field: str, reason: str) -> None:
-        """Build the text from field and reason."""
+        """Create an error whose text contains field and reason."""
         super().__init__(f"{field}: {reason}" if field else reason)
         self.field = field
         self.reason = reason
 
 
 class ConfigError(PlatformError):
-    """The configuration cannot be used. The text names file, field, reason and remedy."""
+    """The configuration is invalid. The error text names the file, the field, the reason and the remedy."""
 
 
 class FrameError(PlatformError):
-    """The length prefix of a frame is invalid; the stream cannot be read any further."""
+    """The length prefix of a frame is out of range, so the rest of the stream cannot be decoded."""
 
 
 class MessageError(PlatformError):
-    """A message cannot be used."""
+    """Base class of errors in received messages."""
 
 
 class InvalidMessageError(MessageError):
-    """A JSON object with a field that is missing, out of range or unknown. Only this message is lost."""
+    """A JSON object has a field that is missing, out of range or unknown. Only this message is dropped."""
 
 
 class MalformedMessageError(MessageError):
-    """The bytes are no JSON object; the stream that carried them cannot be trusted any further."""
+    """The bytes are not a JSON object, so the rest of the stream cannot be trusted."""
 
 
 class EndpointListError(PlatformError):
-    """Discovery sent an object that is no update of the endpoint list."""
+    """Discovery sent a value that is not a valid update of the endpoint list."""
 
 
 class EndpointEntryError(EndpointListError):
-    """One entry of an endpoint list cannot be read."""
+    """One entry of an endpoint list is invalid; the other entries can be used."""
 
     def __init__(self, endpoint: str, field: str, reason: str) -> None:
-        """Build the text from the endpoint's name, field and reason."""
+        """Create an error whose text contains the name of the endpoint, the field and the reason."""
         label = endpoint[:MAX_LOGGED_ENDPOINT]
         super().__init__(f"{label}: {field}" if label else field, reason)
         self.endpoint = endpoint
 
 
 class TransportError(PlatformError):
-    """A connection to the registry or to discovery is of no further use; `field` names the operation that failed."""
+    """A connection to the registry or to discovery has failed. `field` names the operation that failed."""
--- a/damsonpick/protocols/platform/framing.py
+++ b/damsonpick/protocols/platform/framing.py
@@ -1,4 +1,4 @@
-"""Frames of a stream: a four-byte little-endian length, and a body of that many bytes. No I/O."""
+"""Encodes and decodes frames: a four-byte little-endian length, followed by a body of that many bytes. No I/O."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 class FrameReader:
-    """Cuts a stream into frames, however its bytes arrive."""
+    """Splits a byte stream into frames; the chunks it receives need not match the frames."""
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Start with an empty buffer.
+        """Create a reader with an empty buffer.
 
         Args:
-            max_frame_bytes: of a body; may be changed between frames.
+            max_frame_bytes: Largest length of a frame's body. It may be changed between frames.
         """
         self.max_frame_bytes = max_frame_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Add received bytes."""
+        """Append received bytes to the buffer."""
         self.buffer += data
 
     def next_frame(self) -> bytes | None:
-        """Remove and return the body of the next frame; None while it is incomplete.
+        """Remove and return the body of the next frame, or return None if the frame is incomplete.
 
         Raises:
-            FrameError: the length is out of range. This is seen before the body arrives.
+            FrameError: The length is out of range. The error is raised before the body is received.
         """
         if len(self.buffer) < LENGTH_BYTES:
             return None
         length = int.from_bytes(self.buffer[:LENGTH_BYTES], "little")
         if not MIN_FRAME_BYTES <= length <= self.max_frame_bytes:
-            reason = f"a message of {length} bytes; {MIN_FRAME_BYTES} to {self.max_frame_bytes} are allowed"
+            reason = f"a body of {length} bytes; {MIN_FRAME_BYTES} to {self.max_frame_bytes} bytes are allowed"
             raise FrameError("length", reason)
         end = LENGTH_BYTES + length
         if len(self.buffer) < end:
@@ -46,5 +46,5 @@
 
 
 def encode_frame(body: bytes) -> bytes:
-    """Return a frame with this body."""
+    """Return the frame for a body."""
     return len(body).to_bytes(LENGTH_BYTES, "little") + body
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -1,4 +1,4 @@
-"""Connections to the registry and to discovery: dial, send, receive, and requests over a connection kept alive."""
+"""Client connections to the registry and to discovery, and HTTP requests over a persistent connection."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 from damsonpick.runtime.timeouts import complete_within
 
 READ_BYTES = 65_536
-MIN_RECEIVE_TIMEOUT_S = 0.05  # for bytes that arrived during a long step of the event loop, although the time is up
-MAX_LATE_RECEIVES = 2  # after the time is up, for the same reason
-STREAM_ERRORS = (  # a TimeoutError is an OSError
+# Bytes that arrived during a long step of the event loop are still received after the deadline: MAX_LATE_RECEIVES times
+# at most, each time with this timeout.
+MIN_RECEIVE_TIMEOUT_S = 0.05
+MAX_LATE_RECEIVES = 2
+STREAM_ERRORS = (  # includes TimeoutError, which is a subclass of OSError
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -25,7 +27,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """A complete response."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes
@@ -35,41 +37,41 @@
     """Open a connection.
 
     Raises:
-        TransportError: it cannot be opened in time.
+        TransportError: The connection failed or was not established in time.
     """
     try:
         return await complete_within(
             timeout_s, lambda: anyio.connect_tcp(address.host, address.port), anyio.aclose_forcefully
         )
     except TimeoutError:
-        raise TransportError("connect", f"not within {timeout_s:g} s") from None
+        raise TransportError("connect", f"timed out after {timeout_s:g} s") from None
     except OSError as error:
         raise TransportError("connect", str(error)) from None
 
 
 async def receive(stream: SocketStream, timeout_s: float) -> bytes:
-    """Return the next bytes.
+    """Receive the next bytes.
 
-    The wait is two waits of half the time: after a long step of the event loop a timeout is handled before the bytes
-    that have arrived already, which the second wait then finds.
+    The wait is split into two waits of half the time. After a long step of the event loop, the loop handles an expired
+    timeout before bytes that have already arrived; the second wait then receives these bytes.
 
     Raises:
-        TransportError: none arrive in time, or the peer has closed.
+        TransportError: No bytes were received in time, or the peer has closed the connection.
     """
     for _ in range(2):
         with anyio.move_on_after(timeout_s / 2):
             try:
                 return await stream.receive(READ_BYTES)
             except STREAM_ERRORS as error:
-                raise TransportError("receive", f"closed: {type(error).__name__}") from None
-    raise TransportError("receive", f"silent for {timeout_s:g} s")
+                raise TransportError("receive", f"connection closed: {type(error).__name__}") from None
+    raise TransportError("receive", f"no data received for {timeout_s:g} s")
 
 
 async def send(stream: SocketStream, data: bytes, timeout_s: float) -> None:
-    """Write all bytes.
+    """Send all bytes.
 
     Raises:
-        TransportError: the peer does not take them in time, or has closed.
+        TransportError: The peer has not accepted the bytes in time, or has closed the connection.
     """
     try:
         with anyio.fail_after(timeout_s):
@@ -79,14 +81,15 @@
 
 
 class HttpConnection:
-    """Sends requests over one connection that is kept alive; a stale one is never written to."""
+    """Sends requests over one persistent connection, and replaces the connection before a request if it is stale."""
 
     def __init__(self, address: Address, max_idle_s: float) -> None:
-        """Start without a connection.
+        """Create a client that is not connected yet.
 
         Args:
-            address: of the server.
-            max_idle_s: for which an idle connection is used again; less than the server keeps it.
+            address: Address of the server.
+            max_idle_s: Longest idle time after which the connection is reused. It must be shorter than the idle timeout
+                of the server.
         """
         self.address = address
         self.max_idle_s = max_idle_s
@@ -94,10 +97,10 @@
         self._last_used_s = 0.0
 
     async def connect(self, timeout_s: float) -> None:
-        """Have a connection that can be written to.
+        """Ensure that there is a usable connection: replace a stale one, and open one if there is none.
 
         Raises:
-            TransportError: it cannot be opened; nothing was sent.
+            TransportError: The connection cannot be opened. Nothing was sent.
         """
         if self._stream is not None and self._is_stale(self._stream):
             await self.close()
@@ -111,13 +114,13 @@
         """Send a request and return its response; call `connect` first.
 
         Args:
-            method: of the request.
-            path: of the request.
-            body: of the request.
-            timeout_s: for sending, and for the whole response after that.
+            method: HTTP method.
+            path: Request path.
+            body: Request body.
+            timeout_s: Timeout for sending the request, and again for receiving the complete response.
 
         Raises:
-            TransportError: the request may or may not have been carried out.
+            TransportError: The request failed. The server may or may not have executed it.
         """
         stream = self._stream
         if stream is None:
@@ -135,7 +138,7 @@
                 await self.close()
 
     async def _read_response(self, stream: SocketStream, reader: ResponseReader, timeout_s: float) -> None:
-        """Read to the end of the response; one that comes byte by byte has no more time than another."""
+        """Read the complete response. The timeout covers the whole response, also if it arrives byte by byte."""
         deadline_s = anyio.current_time() + timeout_s
         late_receives = 0
         while not reader.complete:
@@ -143,11 +146,11 @@
             if remaining_s <= 0:
                 late_receives += 1
             if late_receives > MAX_LATE_RECEIVES:
-                raise TransportError("receive", f"no whole response within {timeout_s:g} s")
+                raise TransportError("receive", f"no complete response within {timeout_s:g} s")
             reader.feed(await receive(stream, max(remaining_s, MIN_RECEIVE_TIMEOUT_S)))
 
     async def close(self) -> None:
-        """Close the connection, if there is one."""
+        """Close the connection if it is open."""
         stream, self._stream = self._stream, None
         if stream is not None:
             await anyio.aclose_forcefully(stream)
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -61,18 +61,18 @@
         settings = config.settings
         class_names = tuple(request_class.name for request_class in settings.classes)
         pending = PendingOrders(class_names, token_offset=self._rng.randrange(SYNC_TOKEN_RANGE))
-        dropped = DroppedInputLog(log)
+        dropped_input_log = DroppedInputLog(log)
         self.readiness = Readiness(log)
         self.registry = Registry(pending, settings.proxies, settings.slices)
         self.endpoint_list = EndpointList(config.known, settings.poll_interval)
         self.driver = PlannerDriver(Clock(), self._start_planner, self._publish, log)
         self._order_client = self._compose_order_client()
-        self._registry_watch = self._compose_registry_watch(dropped)
-        self._discovery_watch = self._compose_discovery_watch(dropped)
+        self._registry_watch = self._compose_registry_watch(dropped_input_log)
+        self._discovery_watch = self._compose_discovery_watch(dropped_input_log)
         self.limiter = ConnectionLimiter(config.max_descriptors)
-        self.handler = ConnectionHandler(self.readiness, self.driver.enqueue, dropped)
+        self.handler = ConnectionHandler(self.readiness, self.driver.enqueue, dropped_input_log)
         reports = messages.ReportMapper(settings, config.zones)
-        self.listener = ConnectionListener(reports, self.limiter, self.handler, dropped, log)
+        self.listener = ConnectionListener(reports, self.limiter, self.handler, dropped_input_log, log)
 
     async def run(self) -> None:
         """Serve until SIGTERM.
@@ -106,7 +106,7 @@
         delays = RetryDelays(self._rng, self._transmission_time_s)
         return OrderClient(self._config.registry, self.registry, self.driver.enqueue, delays, self._log)
 
-    def _compose_registry_watch(self, dropped: DroppedInputLog) -> WatchClient:
+    def _compose_registry_watch(self, dropped_input_log: DroppedInputLog) -> WatchClient:
         synchronizer = RegistrySynchronizer(
             self.registry,
             self.driver.enqueue,
@@ -119,18 +119,18 @@
             return not self._registry_watch.is_current()
 
         def make_reader() -> RegistryWatchReader:
-            return RegistryWatchReader(synchronizer, has_gap, dropped)
+            return RegistryWatchReader(synchronizer, has_gap, dropped_input_log)
 
         return WatchClient("registry", registry_watch.SILENCE_TIMEOUT_S, make_reader, self._rng, self._log)
 
-    def _compose_discovery_watch(self, dropped: DroppedInputLog) -> WatchClient:
+    def _compose_discovery_watch(self, dropped_input_log: DroppedInputLog) -> WatchClient:
         def make_reader() -> EndpointListWatchReader:
             return EndpointListWatchReader(
                 self.endpoint_list,
                 self.driver.clock.now,
                 self.driver.enqueue,
                 self.readiness,
-                dropped,
+                dropped_input_log,
             )
 
         return WatchClient("discovery", endpoint_list_watch.SILENCE_TIMEOUT_S, make_reader, self._rng, self._log)
--- a/damsonpick/protocols/platform/registry_watch.py
+++ b/damsonpick/protocols/platform/registry_watch.py
@@ -64,18 +64,18 @@
     """Reads one watch of the registry."""
 
     def __init__(
-        self, synchronizer: RegistrySynchronizer, has_gap: Callable[[], bool], dropped: DroppedInputLog
+        self, synchronizer: RegistrySynchronizer, has_gap: Callable[[], bool], dropped_input_log: DroppedInputLog
     ) -> None:
         """Start before the first line.
 
         Args:
             synchronizer: applies what is read.
             has_gap: whether events may have been missed until now, as no other watch is open.
-            dropped: for events that cannot be read.
+            dropped_input_log: Records events that cannot be decoded.
         """
         self._synchronizer = synchronizer
         self._has_gap = has_gap
-        self._dropped = dropped
+        self._dropped_input_log = dropped_input_log
         self._snapshot: WatchSnapshot | None = WatchSnapshot()  # None once it is complete
 
     def path(self) -> str:
@@ -92,7 +92,7 @@
             try:
                 event = registry_events.decode_event(line)
             except InvalidMessageError as error:
-                self._dropped.record(DroppedInput.REGISTRY_EVENT, str(error))
+                self._dropped_input_log.record(DroppedInput.REGISTRY_EVENT, str(error))
             except MalformedMessageError as error:
                 raise TransportError("registry_event", str(error)) from None
             else:
--- a/tests/test_platform_dropped_input_log.py
+++ b/tests/test_platform_dropped_input_log.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from damsonpick.protocols.platform.dropped_input_log import MAX_LINES, DroppedInput, DroppedInputLog
+from damsonpick.protocols.platform.dropped_input_log import MAX_UNSAMPLED_LINES, DroppedInput, DroppedInputLog
 
 
 def test_the_first_cases_of_a_kind_are_logged_and_then_one_in_a_hundred():
@@ -14,6 +14,6 @@
             dropped.record(DroppedInput.REPORT, "x" * 1000)
         dropped.record(DroppedInput.ACCEPT, "reset")
     counts = [entry["count"] for entry in entries if entry["kind"] == "report"]
-    assert counts == [*range(1, MAX_LINES + 1), 100, 200]
+    assert counts == [*range(1, MAX_UNSAMPLED_LINES + 1), 100, 200]
     assert entries[-1]["kind"] == "accept" and entries[-1]["count"] == 1
     assert all(len(entry["reason"]) <= 200 for entry in entries)
--- a/tests/test_platform_http_client.py
+++ b/tests/test_platform_http_client.py
@@ -36,7 +36,7 @@
             connection = http_client.HttpConnection(Address("127.0.0.1", port), 3.0)
             await connection.connect(1.0)
             began = anyio.current_time()
-            with pytest.raises(TransportError, match="no whole response"):
+            with pytest.raises(TransportError, match="no complete response"):
                 await connection.request("POST", "/txn", b"{}", 0.2)
             assert anyio.current_time() - began < 0.6
             group.cancel_scope.cancel()
--- a/tests/test_platform_pilot.py
+++ b/tests/test_platform_pilot.py
@@ -138,7 +138,7 @@
             await site.discovery.send_line(json.dumps({"version": 0, "full": False, "servers": []}).encode())
             await site.logged("watch_interrupted", count=2)
             site.discovery.silent = True
-            await site.logged("watch_interrupted", reason="silent", timeout_s=6.0)
+            await site.logged("watch_interrupted", reason="no data", timeout_s=6.0)
             site.discovery.is_down = True
             await site.discovery.cut_watches()
             await site.logged("watch_interrupted", reason="503")
