--- a/damsonpick/protocols/platform/http_response.py
+++ b/damsonpick/protocols/platform/http_response.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the client side of HTTP/1.1 as bytes. No I/O."""
+"""Encodes HTTP/1.1 requests and decodes responses, for clients. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 MAX_BODY_BYTES = 1 << 20
 MAX_LINE_BYTES = 8 << 20  # the endpoint list of a large fleet is one line
-FIRST_FINAL_STATUS = 200  # those below are interim
+FIRST_FINAL_STATUS = 200  # lower status codes are interim responses
 PARSER_ERRORS = (
     httptools.HttpParserError,
     httptools.HttpParserCallbackError,
@@ -18,7 +18,7 @@
 
 
 def build_request(method: str, path: str, address: Address, body: bytes = b"") -> bytes:
-    """Return the bytes of a request."""
+    """Encode a request; the body, if there is one, is JSON."""
     head = f"{method} {path} HTTP/1.1\r\nHost: {address.host}:{address.port}\r\n"
     if body:
         head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
@@ -26,18 +26,18 @@
 
 
 class ResponseReader:
-    """Reads one response, however its bytes arrive.
+    """Decodes one response from chunks of any size.
 
     Attributes:
-        body: the part that has arrived and was not taken as lines.
-        complete: whether the response has ended.
+        body: The received part of the body, without the lines that `take_lines` has removed.
+        complete: Whether the response was received completely.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
-        """Start before the first byte.
+        """Create a reader for a new response.
 
         Args:
-            max_body_bytes: of the body, or of one line if it is taken as lines.
+            max_body_bytes: Largest length of the body, or of one line if the body is read with `take_lines`.
         """
         self.body = bytearray()
         self.complete = False
@@ -46,40 +46,40 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def on_headers_complete(self) -> None:
-        """Note the end of the headers; called by the parser."""
+        """Record the end of the headers. The parser calls this."""
         self._headers_complete = True
 
     def on_body(self, data: bytes) -> None:
-        """Add a part of the body; called by the parser."""
+        """Append a part of the body. The parser calls this."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Note the end of the response; called by the parser, also for interim responses."""
+        """Record the end of a final response. The parser also calls this for interim responses."""
         self.complete = self._parser.get_status_code() >= FIRST_FINAL_STATUS
 
     def feed(self, data: bytes) -> None:
-        """Add received bytes.
+        """Decode received bytes.
 
         Raises:
-            TransportError: they are no HTTP response, or one that is too long.
+            TransportError: The bytes are not a valid HTTP response, or the response is too long.
         """
         try:
             self._parser.feed_data(data)
         except PARSER_ERRORS as error:
-            raise TransportError("response", f"not HTTP: {error}") from None
+            raise TransportError("response", f"invalid HTTP: {error}") from None
         if len(self.body) > self._max_body_bytes:
             raise TransportError("response", f"over {self._max_body_bytes} bytes")
 
     def status(self) -> int:
-        """Return the status code; 0 before the end of the headers."""
+        """Return the status code, or 0 if the headers are not complete yet."""
         return self._parser.get_status_code() if self._headers_complete else 0
 
     def keeps_alive(self) -> bool:
-        """Whether the connection may be used again."""
+        """Return whether the connection may be reused after this response."""
         return self._parser.should_keep_alive()
 
     def take_lines(self) -> list[bytes]:
-        """Remove and return the complete lines that have arrived."""
+        """Remove the complete lines from the received body and return them."""
         *complete, rest = self.body.split(b"\n")
         self.body = bytearray(rest)
         return [bytes(line).strip() for line in complete]
--- a/damsonpick/protocols/platform/json_values.py
+++ b/damsonpick/protocols/platform/json_values.py
@@ -1,7 +1,7 @@
-"""JSON decoded by msgspec, with its errors mapped to this package's. No I/O.
+"""Helpers for decoding JSON with msgspec and for mapping its errors to those of this package. No I/O.
 
-Decoded JSON is untrusted until its type is known: a list or an object cannot be looked up in a dictionary, and its text
-may be as long as the message.
+Decoded values are untrusted until their type is checked: a list or an object is not hashable and cannot be looked up in
+a dictionary, and the text of a value may be as long as the message.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 def invalid_message(kind: str, error: msgspec.ValidationError) -> InvalidMessageError:
-    """Map an error of msgspec, which names the field at its end.
+    """Map an error of msgspec, whose text ends with the name of the field.
 
     Args:
-        kind: of the message, if known; prefixed to the field.
-        error: of the decoder.
+        kind: Kind of the message, as a prefix of the field; empty if unknown.
+        error: Error of the decoder.
     """
     field = invalid_field(error)
     path = ".".join(part for part in (kind, field.path) if part)
@@ -28,7 +28,7 @@
 
 
 def describe_value(value: object) -> str:
-    """Return a decoded value for the log: bounded text, and for a list or an object its type alone."""
+    """Describe a decoded value for the log: a list or an object by its type, other values by text of limited length."""
     if isinstance(value, list):
         return "a list"
     if isinstance(value, dict):
--- a/damsonpick/protocols/platform/messages.py
+++ b/damsonpick/protocols/platform/messages.py
@@ -1,7 +1,7 @@
-"""Messages of collectors: JSON to checked types, and reports to events of the planner. No I/O.
+"""Decodes messages of collectors from JSON to validated types, and maps reports to events of the planner. No I/O.
 
-A message with a field that is missing, out of range, of another type or naming what does not exist is an
-`InvalidMessageError` and is dropped alone. What is no JSON object is a `MalformedMessageError` and ends the stream.
+A field that is missing, out of range, of a wrong type or that names something unknown causes an `InvalidMessageError`;
+only this message is dropped. Input that is not a JSON object causes a `MalformedMessageError`, which ends the stream.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 Count = Annotated[int, Meta(ge=0, le=10_000_000)]
 PeriodMs = Annotated[float, Meta(gt=0, le=MAX_DURATION_MS)]
 LatencyMs = Annotated[float, Meta(ge=0, le=MAX_DURATION_MS)]
-Number = Annotated[int, Meta(ge=0, le=65_535)]
+Uint16 = Annotated[int, Meta(ge=0, le=65_535)]
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
 
 
 class HeartbeatRequest(Struct, tag_field="@type", tag="hb"):
-    """Asks for a heartbeat."""
+    """Requests a heartbeat."""
 
 
 class CollectorJoin(Struct, tag_field="@type", tag="telemetry"):
-    """Names the zone that a collector reports for; its first message beside heartbeats."""
+    """Names the zone for which a collector reports. Only heartbeat requests may precede this message."""
 
     zone: Name
 
 
 class EndpointStats(Struct, tag_field="@type", tag="upstream_stats"):
-    """Attempts of a zone's proxies at one endpoint during a period."""
+    """Reports the attempts that the proxies of a zone made at one endpoint during a period."""
 
     zone: Name
     endpoint: Name = msgspec.field(name="server")
@@ -50,9 +50,9 @@
 
 
 class SliceStats(Struct, tag_field="@type", tag="range_stats"):
-    """Requests of one class for a slice during a period."""
+    """Reports the requests of one class for a slice during a period."""
 
-    slice: Number
+    slice: Uint16
     request_class: Name = msgspec.field(name="class")
     requests: Count = msgspec.field(name="tries")
     failures: Count = msgspec.field(name="failed")
@@ -65,11 +65,11 @@
 
 
 def decode_message(body: bytes) -> CollectorMessage:
-    """Read one message of a collector.
+    """Decode one message of a collector.
 
     Raises:
-        InvalidMessageError: it is an object, but no valid message.
-        MalformedMessageError: it is no JSON object.
+        InvalidMessageError: The body is a JSON object, but not a valid message.
+        MalformedMessageError: The body is not a JSON object.
     """
     try:
         return _decoder.decode(body)
@@ -82,14 +82,14 @@
 
 
 class ReportMapper:
-    """Turns checked reports into events of the planner."""
+    """Maps decoded reports to events of the planner."""
 
     def __init__(self, settings: api.Settings, zones: tuple[str, ...]) -> None:
-        """Take what exists at this site.
+        """Create a mapper for the configured zones, request classes and slices.
 
         Args:
-            settings: with request classes, the number of slices and the names of load fields.
-            zones: the names of all zones.
+            settings: Provides the request classes, the number of slices and the names of load fields.
+            zones: Names of all zones.
         """
         self.zones = frozenset(zones)
         self.classes = frozenset(request_class.name for request_class in settings.classes)
@@ -100,7 +100,8 @@
         """Return the event for a report.
 
         Raises:
-            InvalidMessageError: it names what does not exist, or contradicts itself.
+            InvalidMessageError: The report names an unknown zone, request class or slice, or its fields contradict
+                each other.
         """
         if isinstance(report, SliceStats):
             return self._slice_demand(report)
@@ -108,10 +109,12 @@
 
     def _slice_demand(self, report: SliceStats) -> api.SliceDemand:
         if report.slice >= self.slice_count:
-            raise InvalidMessageError("range_stats.slice", f"{report.slice} of {self.slice_count}")
+            raise InvalidMessageError(
+                "range_stats.slice", f"{report.slice} does not exist: there are {self.slice_count} slices"
+            )
         if report.request_class not in self.classes:
             raise _unknown_name("range_stats.class", report.request_class)
-        # Requests that failed may have arrived in an earlier period: more failures than requests are valid.
+        # There may be more failures than requests, as a failed request may have arrived in an earlier period.
         period_ns = int(report.period_ms * NS_PER_MS)
         return api.SliceDemand(report.slice, report.request_class, report.requests, report.failures, period_ns)
 
@@ -119,9 +122,9 @@
         if report.zone not in self.zones:
             raise _unknown_name("upstream_stats.zone", report.zone)
         if report.failures > report.attempts:
-            raise InvalidMessageError("upstream_stats.failed", f"{report.failures} of {report.attempts} tries")
+            raise InvalidMessageError("upstream_stats.failed", f"{report.failures} exceeds the {report.attempts} tries")
         if report.latency_ms is None and report.attempts > report.failures:
-            raise InvalidMessageError("upstream_stats.mean_ms", "missing, though tries were answered")
+            raise InvalidMessageError("upstream_stats.mean_ms", "missing, although some tries succeeded")
         return api.EndpointReport(
             report.zone,
             report.endpoint,
@@ -133,7 +136,7 @@
         )
 
     def _load(self, load: dict[str, Any] | None) -> tuple[float, ...]:
-        """Return the load in the order of the settings; empty if any field of it cannot be read."""
+        """Return the load values in the order of the settings, or an empty tuple if any value is missing or invalid."""
         if not load or not self.load_fields:
             return ()
         values: list[Any] = [load.get(field) for field in self.load_fields]
--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -1,4 +1,4 @@
-"""Sends pending orders to the registry: one request at a time, over one connection."""
+"""Sends pending orders to the registry over one connection, with at most one request in flight."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 from damsonpick.protocols.platform.http_client import HttpConnection
 from damsonpick.protocols.platform.order_codec import Order, OrderRequest, Rejection, decode_response
 from damsonpick.protocols.platform.registry import Registry
-from damsonpick.protocols.platform.rejected_orders import MAX_REORDERS, RejectedOrders
+from damsonpick.protocols.platform.rejected_orders import MAX_RESENDS, RejectedOrders
 from damsonpick.runtime.backoff import Backoff
 
 CONNECT_TIMEOUT_S = 0.3
-RESPONSE_TIMEOUT_S = 0.16  # the registry answers within 50 ms or never; the rest is for a late event loop
-MAX_IDLE_S = 3.0  # the registry closes an idle connection after some 10 s
+RESPONSE_TIMEOUT_S = 0.16  # the registry responds within 50 ms or not at all; the rest allows for a late event loop
+MAX_IDLE_S = 3.0  # the registry closes an idle connection after about 10 s
 FIRST_RETRY_DELAY_S = 0.03
 MAX_RETRY_DELAY_S = 0.4
-MAX_SYNTAX_REJECTIONS = 3  # in a row, of one order alone
+MAX_SYNTAX_REJECTIONS = 3  # consecutive SYNTAX rejections of a request with a single order; then the order is dropped
 MAX_LOGGED_REQUEST_BYTES = 400
 MAX_LOGGED_RESPONSE_BYTES = 80
 ORDER_PATH = "/txn"
 
 
 class RetryDelays:
-    """How long the order client waits before its next request."""
+    """Computes how long the order client waits before its next request."""
 
     def __init__(self, rng: random.Random, transmission_time_s: Callable[[int], float]) -> None:
-        """Start with no failure.
+        """Create the delays in their initial state, without failures.
 
         Args:
-            rng: for the jitter.
-            transmission_time_s: returns how long the channel takes to send a request with so many orders to all
-                proxies.
+            rng: Draws the jitter of the backoff.
+            transmission_time_s: Returns how long the channel needs to send a request to all proxies, given the number
+                of orders in the request.
         """
         self._backoff = Backoff(rng, FIRST_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
         self._transmission_time_s = transmission_time_s
-        self._unconfirmed_in_a_row = 0
+        self._consecutive_unconfirmed = 0
 
     def reset(self) -> None:
         """Reset all delays after an accepted request."""
         self._backoff.reset()
-        self._unconfirmed_in_a_row = 0
+        self._consecutive_unconfirmed = 0
 
     def reset_backoff(self) -> None:
-        """Reset the backoff alone, for another address."""
+        """Reset only the backoff, because the address has changed."""
         self._backoff.reset()
 
     def next_delay_s(self) -> float:
@@ -57,15 +57,14 @@
         return self._backoff.next_delay_s()
 
     def unconfirmed_delay_s(self, order_count: int) -> float:
-        """Return the additional delay after a request whose outcome is unknown.
+        """Return the delay, in addition to the backoff, after a request whose outcome is unknown.
 
-        The first one adds nothing to the usual backoff, as it may hold a drain and the planner leaves half of the
-        channel free. If
-        the repeat's outcome is unknown as well, both may wait in the channel: the next one leaves time for one of
-        them to be sent.
+        The first such request causes no additional delay: it may contain a drain, and the planner leaves half of the
+        channel free. If the outcome of the repeated request is unknown as well, both requests may wait in the channel;
+        the delay then leaves time for the channel to send one of them.
         """
-        self._unconfirmed_in_a_row += 1
-        if self._unconfirmed_in_a_row == 1:
+        self._consecutive_unconfirmed += 1
+        if self._consecutive_unconfirmed == 1:
             return 0.0
         return self._transmission_time_s(order_count)
 
@@ -74,21 +73,21 @@
     """Sends pending orders until the registry has accepted them.
 
     Attributes:
-        request_count: requests sent.
-        unconfirmed_count: of these, those whose outcome is unknown.
+        request_count: Number of requests sent.
+        unconfirmed_count: Number of these requests whose outcome is unknown.
     """
 
     def __init__(
         self, address: Address, registry: Registry, enqueue: EventSink, delays: RetryDelays, log: Logger
     ) -> None:
-        """Start without a connection.
+        """Create a client that is not connected yet.
 
         Args:
-            address: of the registry.
-            registry: what it stores, and the orders pending for it.
-            enqueue: takes events for the planner.
-            delays: between attempts.
-            log: for the outcome of each request.
+            address: Address of the registry.
+            registry: Known state of the registry, with the pending orders.
+            enqueue: Queues events for the planner.
+            delays: Computes the delays between requests.
+            log: Receives the outcome of each request.
         """
         self.request_count = 0
         self.unconfirmed_count = 0
@@ -99,9 +98,10 @@
         self._log = log
         self._connection = HttpConnection(address, MAX_IDLE_S)
         self._wakeup = anyio.Event()
-        self._syntax_rejections = 0  # of one order alone
-        self._max_orders: int | None = None  # of a request, while the order that cannot be read is searched for
-        self._busy = False  # the last request was rejected as BUSY
+        self._syntax_rejections = 0  # consecutive rejections of a request with a single order
+        # Limit on the orders of a request during the search for an order that the registry cannot parse.
+        self._max_orders: int | None = None
+        self._busy = False  # True if the last request was rejected as BUSY
         self._rejected = RejectedOrders()
 
     def push(self, orders: Iterable[Order]) -> None:
@@ -112,17 +112,17 @@
         self.wake()
 
     def wake(self) -> None:
-        """Look for pending orders now."""
+        """Make the client check for pending orders immediately."""
         self._wakeup.set()
 
     def move_to(self, address: Address) -> None:
-        """Send requests to this address from now on; one in flight ends where it began."""
+        """Send all further requests to a new address. A request in flight completes at the previous address."""
         self._connection = HttpConnection(address, MAX_IDLE_S)
         self._delays.reset_backoff()
         self.wake()
 
     async def run(self) -> None:
-        """Send orders as they come, until cancelled."""
+        """Send pending orders until cancelled."""
         while True:
             self._wakeup = anyio.Event()
             self._pending.push(self._rejected.take_due(anyio.current_time()))
@@ -133,7 +133,7 @@
             connection = self._connection
             try:
                 succeeded = await self._send_oldest(connection)
-            except Exception as error:  # a fault in one request must not end the pilot; its outcome is unknown
+            except Exception as error:  # an error in one request must not stop the pilot; the outcome is unknown
                 self._log.exception("order_request_failed", error=repr(error))
                 succeeded = False
             if not succeeded:
@@ -142,7 +142,7 @@
                 await connection.close()
 
     async def _send_oldest(self, connection: HttpConnection) -> bool:
-        """Make one attempt at the oldest orders; return whether the next may follow at once."""
+        """Send one request with the oldest orders; return whether the next request may follow without a delay."""
         try:
             await connection.connect(CONNECT_TIMEOUT_S)
         except TransportError as error:
@@ -159,7 +159,7 @@
         return await self._handle_response(connection, request, response.body)
 
     async def _handle_unconfirmed(self, request: OrderRequest, reason: str) -> bool:
-        """The request was carried out once or not at all: its orders stay pending and are sent again."""
+        """Keep the orders pending for a resend: a request with unknown outcome was applied once or not at all."""
         self.unconfirmed_count += 1
         self._registry.repeat_uncertain(request.orders, request.ownership_epoch)
         self._log.warning("order_request_unconfirmed", reason=reason, pending_orders=self._pending.key_count())
@@ -172,7 +172,7 @@
         response = decode_response(body, len(request.orders))
         if response is None:
             await connection.close()
-            reason = f"unreadable response {body[:MAX_LOGGED_RESPONSE_BYTES]!r}"
+            reason = f"invalid response {body[:MAX_LOGGED_RESPONSE_BYTES]!r}"
             return await self._handle_unconfirmed(request, reason)
         if response.accepted_count is None:
             self._handle_rejected_request(request, response.rejection)
@@ -200,24 +200,24 @@
         self._busy = False
 
     def _handle_rejected_order(self, order: Order) -> None:
-        """The planner decides again on a rejected entry; anything else is ordered again later.
+        """Let the planner decide again on a rejected entry; resend any other rejected order later.
 
-        A withdrawal that the registry cannot use yet, as it has not heard of the endpoint, must not be lost.
+        A withdrawal must not be lost if the registry rejects it because it does not know the endpoint yet.
         """
         self._enqueue(*self._registry.rejection_events(order))
         if not isinstance(order, api.SetEntry) and not self._rejected.add(order, anyio.current_time()):
-            self._log.error("order_abandoned", order=repr(order), attempts=MAX_REORDERS)
+            self._log.error("order_abandoned", order=repr(order), attempts=MAX_RESENDS)
 
     def _handle_rejected_request(self, request: OrderRequest, rejection: Rejection | None) -> None:
-        """Keep the orders of a rejected request; drop one that can never be read, and it alone."""
+        """Keep the orders of a rejected request pending, except a single order that the registry can never parse."""
         if rejection is Rejection.SYNTAX:
             self._handle_syntax_rejection(request)
-        elif not self._busy:  # once in a row
+        elif not self._busy:  # log only the first of consecutive rejections
             self._busy = True
             self._log.warning("order_request_busy", pending_orders=self._pending.key_count())
 
     def _handle_syntax_rejection(self, request: OrderRequest) -> None:
-        """Search for the order that cannot be read, by halves: it must neither block the others nor take them along."""
+        """Find the invalid order by halving the request size, so that it neither blocks other orders nor drops them."""
         self._log.error(
             "order_request_rejected",
             orders=len(request.orders),
@@ -237,7 +237,7 @@
 
 
 def count_by_kind(orders: Iterable[Order]) -> dict[str, int]:
-    """Return how many orders of each kind there are, without zeros, for the log."""
+    """Count the orders of each kind for the log; kinds without orders are omitted."""
     counts = {
         "entries_set": 0,
         "entries_removed": 0,
--- a/damsonpick/protocols/platform/order_codec.py
+++ b/damsonpick/protocols/platform/order_codec.py
@@ -1,4 +1,4 @@
-"""Orders and responses on the registry's wire. No I/O."""
+"""Encodes orders and decodes responses in the wire format of the registry. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Operation(StrEnum):
-    """Kinds of orders by their names on the wire."""
+    """Kinds of orders; the values are the names on the wire."""
 
     SET_ENTRY = "SET"
     CLEAR_TABLE = "DEL"
@@ -30,7 +30,7 @@
 
 
 class Rejection(StrEnum):
-    """Why the registry rejected a complete request, by its names on the wire."""
+    """Reasons why the registry rejects a request as a whole; the values are the names on the wire."""
 
     BUSY = "BUSY"
     SYNTAX = "SYNTAX"
@@ -40,10 +40,10 @@
     """One request to the registry.
 
     Attributes:
-        body: as it is sent.
-        orders: those in the body.
-        ownership_epoch: of the registry when the request was built. Ownership that changed since makes it uncertain
-            which owner the orders were applied for.
+        body: The encoded request.
+        orders: The orders in the body.
+        ownership_epoch: Ownership epoch of the registry's known state when the request was built. If the ownership of
+            a slice has changed since then, it is uncertain in which ownership the registry applied the orders.
     """
 
     body: bytes
@@ -52,11 +52,11 @@
 
 
 class OrderResponse(NamedTuple):
-    """What the registry answered.
+    """A decoded response of the registry.
 
     Attributes:
-        accepted_count: how many orders were accepted, from the first on; None: the request was rejected.
-        rejection: why it was.
+        accepted_count: Number of accepted orders, counted from the first order, or None if the request was rejected.
+        rejection: Reason for the rejection, or None if the request was not rejected.
     """
 
     accepted_count: int | None
@@ -64,15 +64,15 @@
 
 
 class OrderCodec:
-    """Encodes orders, and maps sync tokens between planner and wire."""
+    """Encodes orders, and maps sync tokens of the planner to those on the wire and back."""
 
     def __init__(self, class_names: tuple[str, ...], token_offset: int = 0) -> None:
-        """Set up the mapping.
+        """Create a codec.
 
         Args:
-            class_names: of the request classes, in the order of the settings.
-            token_offset: added to sync tokens on the wire, so that a proxy's acknowledgement of an earlier
-                incarnation's token is not taken for one of this incarnation's.
+            class_names: Names of the request classes, in the order of the settings.
+            token_offset: Offset that is added to sync tokens on the wire. It ensures that a proxy's acknowledgement of
+                an earlier incarnation's token is not mistaken for one of this incarnation's tokens.
         """
         self.class_names = class_names
         self.token_offset = token_offset
@@ -82,11 +82,11 @@
         return _encode_json(self._to_wire(order))
 
     def decode_token(self, wire_token: int) -> int:
-        """Return the planner's sync token for one on the wire."""
+        """Map a sync token on the wire to the token of the planner."""
         return (wire_token - self.token_offset) % SYNC_TOKEN_RANGE
 
     def _to_wire(self, order: Order) -> dict[str, object]:
-        # The order of the keys is part of the wire format.
+        # The sequence of the keys is part of the wire format.
         if isinstance(order, api.SetEntry):
             return {
                 "op": Operation.SET_ENTRY,
@@ -111,25 +111,25 @@
 
 
 def shorten_number(value: float) -> float | int:
-    """Round to six significant digits, and to an integer if that is equal."""
+    """Round to six significant digits, and return an integer if the rounded value is integral."""
     rounded = float(f"{value:.6g}")
     return int(rounded) if rounded.is_integer() else rounded
 
 
 def encode_request(encoded_orders: list[bytes]) -> bytes:
-    """Join encoded orders to the body of a request."""
+    """Build the body of a request from encoded orders."""
     return REQUEST_PREFIX + b",".join(encoded_orders) + REQUEST_SUFFIX
 
 
 def decode_response(body: bytes, order_count: int) -> OrderResponse | None:
-    """Read the response to a request.
+    """Decode the response to a request.
 
     Args:
-        body: of the HTTP response.
-        order_count: number of orders in the request.
+        body: Body of the HTTP response.
+        order_count: Number of orders in the request.
 
     Returns:
-        The response; None if it cannot be read, so that the outcome of the request is unknown.
+        The response, or None if it is invalid, in which case the outcome of the request is unknown.
     """
     try:
         response = msgspec.json.decode(body)
--- a/damsonpick/protocols/platform/ownership.py
+++ b/damsonpick/protocols/platform/ownership.py
@@ -1,7 +1,8 @@
-"""Changes of slice ownership, against which late responses of the registry are checked. No I/O.
+"""Tracks changes of slice ownership, against which late responses of the registry are checked. No I/O.
 
-A response and the events of a watch arrive on separate connections. Which came first at the registry is not known: an
-order may have been applied after a slice was assigned again, or after a snapshot was made, and no event tells of it.
+The pilot receives responses and watch events on separate connections, so it does not know in which order the registry
+processed them: the registry may have applied an order after it assigned the slice again, or after it created a
+snapshot, and no event reports this.
 """
 
 from __future__ import annotations
@@ -9,72 +10,74 @@
 from collections import deque
 from collections.abc import Container, Iterable
 
-HEARTBEATS_ON_THE_WAY = 3  # unread ones of a watch; with more of them it would have counted as silent
+MAX_UNREAD_HEARTBEATS = 3  # of one watch; with more unread heartbeats the watch would have exceeded its silence timeout
 
 Endpoints = dict[str, None]  # an ordered set
 
 
 class OwnershipTracker:
-    """Counts changes of ownership, so that a change during a request can be seen afterwards."""
+    """Counts changes of ownership, so that a change during a request can be detected when the request has finished."""
 
     def __init__(self) -> None:
-        """Start at epoch 0, with no change seen."""
-        self.epoch = 0  # grows with each change of the ownership of any slice
+        """Create a tracker at epoch 0, without changes."""
+        self.epoch = 0  # incremented at each recorded change or gap of any slice
         self._last_change: dict[int, int] = {}  # epoch of the last change, by slice
-        self._last_gap: dict[int, int] = {}  # epoch of the last gap in which a change may have been missed, by slice
+        self._last_gap: dict[int, int] = {}  # epoch of the last gap, in which a change may have been missed, by slice
 
     def record_change(self, slice_number: int) -> None:
-        """Note that the ownership of a slice has changed: orders of the former ownership are void."""
+        """Record that the ownership of a slice has changed: orders of the previous ownership are invalid."""
         self.epoch += 1
         self._last_change[slice_number] = self.epoch
 
     def record_gap(self, slice_number: int) -> None:
-        """Note that the ownership of a slice may have changed unseen: orders stay wanted, their outcome is unknown."""
+        """Record a gap that may hide a change of a slice's ownership: its orders stay valid, with unknown outcome."""
         self.epoch += 1
         self._last_gap[slice_number] = self.epoch
 
     def has_changed_since(self, slice_number: int, epoch: int) -> bool:
-        """Whether the ownership of a slice has changed after an epoch."""
+        """Return whether the ownership of a slice has changed after an epoch."""
         return self._last_change.get(slice_number, 0) > epoch
 
     def has_gap_since(self, slice_number: int, epoch: int) -> bool:
-        """Whether the ownership of a slice may have changed unseen after an epoch."""
+        """Return whether a change of a slice's ownership may have been missed after an epoch."""
         return self._last_gap.get(slice_number, 0) > epoch
 
 
 class UncertainEntries:
-    """Entries of which the registry may store something else than the watch has told.
+    """Table entries whose stored weight may differ from what the watch has reported.
 
-    Those that finished requests named count as recent until so many heartbeats have come that one of them was sent
-    after the request: all events from before it have been read then. A change of ownership or a snapshot that is read
-    earlier may be older than the request.
+    The entries of a finished request are recent until enough heartbeats were received that the registry must have sent
+    one of them after the request. All events from before the request have been read by then. A change of ownership or a
+    snapshot that is read earlier may be older than the request.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._recent: deque[dict[int, Endpoints]] = deque([{}], maxlen=HEARTBEATS_ON_THE_WAY + 1)
+        """Create a collection without entries."""
+        # One item for each of the last heartbeats, newest first: the endpoints of recent entries, by slice.
+        self._recent: deque[dict[int, Endpoints]] = deque([{}], maxlen=MAX_UNREAD_HEARTBEATS + 1)
         self._unconfirmed: dict[int, Endpoints] = {}
 
     def add_recent(self, slice_number: int, endpoint: str) -> None:
-        """Note an entry of a request that has finished, with any outcome."""
+        """Add an entry of a request that has finished, whatever its outcome."""
         self._recent[0].setdefault(slice_number, {})[endpoint] = None
 
-    def recent(self, slice_number: int) -> Endpoints:
+    def recent_endpoints(self, slice_number: int) -> Endpoints:
         """Return the endpoints of a slice's recent entries."""
         endpoints: Endpoints = {}
-        for named in self._recent:
-            endpoints.update(named.get(slice_number, {}))
+        for endpoints_by_slice in self._recent:
+            endpoints.update(endpoints_by_slice.get(slice_number, {}))
         return endpoints
 
     def add_unconfirmed(self, slice_number: int, endpoints: Iterable[str]) -> None:
-        """Note entries that have to be ordered again once the slice's stored entries have been told."""
+        """Add entries that must be ordered again once the watch has reported the stored entries of the slice."""
         self._unconfirmed.setdefault(slice_number, {}).update(dict.fromkeys(endpoints))
 
-    def heartbeat(self, owned: Container[int]) -> dict[int, Endpoints]:
-        """Handle a heartbeat: what the registry stored when it assigned the owned slices has been told.
+    def handle_heartbeat(self, owned: Container[int]) -> dict[int, Endpoints]:
+        """Handle a heartbeat: the watch has reported all entries that were stored when the owned slices were assigned.
 
         Returns:
-            The endpoints of unconfirmed entries by owned slice; those of other slices wait until they are owned.
+            The endpoints of unconfirmed entries, by owned slice. Entries of other slices are kept until a heartbeat
+            arrives while the pilot owns the slice.
         """
         self._recent.appendleft({})
         confirmed = [slice_number for slice_number in self._unconfirmed if slice_number in owned]
--- a/damsonpick/protocols/platform/pending_orders.py
+++ b/damsonpick/protocols/platform/pending_orders.py
@@ -1,14 +1,15 @@
-"""Orders of the planner that the registry has yet to accept. No I/O.
-
-One request is in flight at a time, and it holds the oldest orders. Pending orders are merged: of two orders for the
-same thing only the newer one stays, so the number of pending orders is bounded. A request whose outcome is unknown was
-applied once or not at all; as nothing newer is sent before its outcome is known, sending it again, merged with newer
-orders, ends in the desired state either way.
-
-The planner orders make before break, and this holds wherever a request is cut and whether it is applied or not: the
-entries of a table go together, in the place of the oldest of them, additions before removals. A withdrawal keeps the
-place of an older order for its endpoint; restored endpoints and admission levels move to the end, after what they
-were ordered after.
+"""Orders of the planner that the registry has not accepted yet. No I/O.
+
+At most one request is in flight; it contains the oldest orders. Pending orders are merged: a newer order replaces an
+older order with the same key, so the number of pending orders is bounded. A request whose outcome is unknown was
+applied once or not at all. No newer order is sent before its outcome is known, so resending its orders, merged with
+newer ones, leads to the desired state in both cases.
+
+The planner adds new entries of a table before it removes old ones (make before break). This sequence is kept wherever
+the orders are split into requests and whether a request is applied or not: the orders for one table are sent together,
+at the position of the oldest of them, additions before removals. A withdrawal keeps the position of an older order for
+its endpoint. Orders that restore an endpoint or set an admission level move to the end, so that they follow the orders
+that the planner gave before them.
 """
 
 from __future__ import annotations
@@ -22,30 +23,30 @@
 from damsonpick.protocols.platform.order_codec import Order, OrderCodec, OrderRequest, encode_request
 from damsonpick.protocols.platform.stored_state import AdmissionLevels, TableEntries, apply_admission, apply_entry
 
-MAX_REQUEST_BYTES = 60_000  # of the orders of one request
+MAX_REQUEST_BYTES = 60_000  # limit for a request with more than one order
 
 
 class TableKey(Struct, frozen=True):
-    """All pending orders for the entries of a table."""
+    """Key of all pending orders for the entries of a table."""
 
     table: int
 
 
 class WithdrawalKey(Struct, frozen=True):
-    """Whether an endpoint is withdrawn."""
+    """Key of the order that withdraws or restores an endpoint."""
 
     endpoint: str
 
 
 class AdmissionKey(Struct, frozen=True):
-    """The admission level of these classes; table None: in all tables."""
+    """Key of the admission level of some classes in one table, or in all tables if `table` is None."""
 
     table: int | None
     classes: tuple[int, ...]
 
 
 class SyncKey(Struct, frozen=True):
-    """The sync token. Only the last one counts: the planner takes its acknowledgement for all before it."""
+    """Key of the sync token. Only the newest token is sent: its acknowledgement covers all earlier tokens."""
 
 
 OrderKey = TableKey | WithdrawalKey | AdmissionKey | SyncKey
@@ -53,7 +54,7 @@
 
 
 def order_key(order: Order) -> OrderKey:
-    """Return what an order is about; a newer order of the same key replaces it."""
+    """Return the key of an order; a newer order with the same key replaces it."""
     if isinstance(order, TableChange):
         return TableKey(order.table)
     if isinstance(order, api.SetWithdrawn):
@@ -64,15 +65,20 @@
 
 
 class PendingTable:
-    """Pending orders for one table."""
+    """Pending orders for one table.
+
+    Attributes:
+        clear: The pending order that clears the table, if any; it is sent before the orders for entries.
+        entries: Pending orders for entries by endpoint, newest last.
+    """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an instance without orders."""
         self.clear: api.ClearTable | None = None
-        self.entries: dict[str, api.SetEntry] = {}  # by endpoint, the newest order last
+        self.entries: dict[str, api.SetEntry] = {}
 
     def push(self, order: TableChange) -> None:
-        """Add an order; it replaces an older one for the same entry, or all of them if it clears the table."""
+        """Add an order. It replaces an older order for the same entry, or all older orders if it clears the table."""
         if isinstance(order, api.ClearTable):
             self.clear = order
             self.entries = {}
@@ -81,18 +87,18 @@
             self.entries[order.endpoint] = order
 
     def discard(self, order: TableChange) -> None:
-        """Remove this order, unless a newer one has replaced it."""
+        """Remove an order unless a newer order has replaced it."""
         if self.clear is order:
             self.clear = None
         elif isinstance(order, api.SetEntry) and self.entries.get(order.endpoint) is order:
             del self.entries[order.endpoint]
 
     def is_empty(self) -> bool:
-        """Whether no order is pending."""
+        """Return whether no order is pending."""
         return self.clear is None and not self.entries
 
     def __iter__(self) -> Iterator[TableChange]:
-        """Yield the orders as they are sent: additions before removals."""
+        """Yield the orders in the sequence in which they are sent: additions before removals."""
         if self.clear is not None:
             yield self.clear
         yield from (order for order in self.entries.values() if order.weight > 0)
@@ -100,11 +106,11 @@
 
 
 class AcknowledgedOrders(NamedTuple):
-    """The orders of an answered request.
+    """The orders of a request that were processed, according to the response.
 
     Attributes:
-        accepted: applied by the registry.
-        rejected: the order at which the registry stopped, if any.
+        accepted: The orders that the registry has applied.
+        rejected: The order that the registry has rejected, if any. The registry has not processed the orders after it.
     """
 
     accepted: tuple[Order, ...]
@@ -115,18 +121,18 @@
     """Merges the planner's orders until the registry has accepted them."""
 
     def __init__(self, class_names: tuple[str, ...], token_offset: int = 0) -> None:
-        """Start with no orders.
+        """Create an instance without orders.
 
         Args:
-            class_names: of the request classes, in the order of the settings.
-            token_offset: added to sync tokens on the wire, see `OrderCodec`.
+            class_names: Names of the request classes, in the order of the settings.
+            token_offset: Offset that is added to sync tokens on the wire, see `OrderCodec`.
         """
         self.codec = OrderCodec(class_names, token_offset)
         self.class_count = len(class_names)
         self.by_key: dict[OrderKey, Order | PendingTable] = {}
 
     def __iter__(self) -> Iterator[Order]:
-        """Yield all orders as they will be sent."""
+        """Yield all orders in the sequence in which they are sent."""
         for pending in self.by_key.values():
             if isinstance(pending, PendingTable):
                 yield from pending
@@ -134,32 +140,33 @@
                 yield pending
 
     def is_empty(self) -> bool:
-        """Whether no order is pending."""
+        """Return whether no order is pending."""
         return not self.by_key
 
     def key_count(self) -> int:
-        """Return for how many things (tables, endpoints, levels) orders are pending."""
+        """Return the number of keys (tables, endpoints, levels, sync token) that have pending orders."""
         return len(self.by_key)
 
     def push(self, orders: Iterable[Order]) -> None:
-        """Add the orders of one step of the planner, in their order."""
+        """Add the orders of one step of the planner in the given sequence."""
         for order in orders:
             if isinstance(order, TableChange):
-                self._table_for(order.table).push(order)
+                self._get_or_add_table(order.table).push(order)
                 continue
             key = order_key(order)
-            # A withdrawal keeps its place, as it is urgent. All else goes last: of admission levels that overlap the
-            # last one counts, and an endpoint is restored after the removal of the entries it was withdrawn for.
+            # A withdrawal is urgent and keeps its position. Other orders move to the end: the last of several
+            # overlapping admission levels is effective, and an endpoint must be restored only after the removal of the
+            # entries for which it was withdrawn.
             if not (isinstance(order, api.SetWithdrawn) and order.withdrawn):
                 self.by_key.pop(key, None)
             self.by_key[key] = order
 
     def discard_table(self, table: int) -> None:
-        """Remove the orders for a table that this pilot no longer owns."""
+        """Remove all pending orders for a table whose ownership has changed."""
         self.by_key.pop(TableKey(table), None)
 
     def is_entry_pending(self, table: int, endpoint: str) -> bool:
-        """Whether an order for this entry is pending."""
+        """Return whether an order for this entry is pending."""
         pending = self._pending_table(table)
         return pending is not None and endpoint in pending.entries
 
@@ -167,12 +174,12 @@
         """Build the next request from the oldest orders.
 
         Args:
-            ownership_epoch: the registry's at this moment.
-            max_orders: how many it may hold; None: as many as fit.
+            ownership_epoch: Current ownership epoch of the registry's known state.
+            max_orders: Largest number of orders in the request. If None, only the size is limited.
 
         Returns:
-            The request, with at least one order and at most `MAX_REQUEST_BYTES` if it has several; None if no order
-            is pending.
+            The request, or None if no order is pending. It contains at least one order; with several orders it is at
+            most `MAX_REQUEST_BYTES` long.
         """
         size_bytes = len(encode_request([]))
         encoded: list[bytes] = []
@@ -189,21 +196,22 @@
         return OrderRequest(encode_request(encoded), tuple(included), ownership_epoch)
 
     def acknowledge(self, orders: tuple[Order, ...], accepted_count: int) -> AcknowledgedOrders:
-        """Remove the orders of an answered request that need not be sent again.
+        """Remove the orders that the registry has processed, according to its response.
 
-        The registry stops at an order that it rejects. That one is removed; those after it stay pending. A request
-        without an answer, or rejected completely, needs no call: its orders are still the oldest.
+        The registry stops at an order that it rejects. The rejected order is removed, and the orders after it stay
+        pending. This is not called for a request without a response or for one that was rejected as a whole: its orders
+        are still the oldest ones.
 
         Args:
-            orders: of the request.
-            accepted_count: how many of them were accepted, from the first on.
+            orders: Orders of the request.
+            accepted_count: Number of accepted orders, counted from the first order.
         """
         rejected = orders[accepted_count] if accepted_count < len(orders) else None
         self.discard(orders[: accepted_count + 1])
         return AcknowledgedOrders(orders[:accepted_count], rejected)
 
     def discard(self, orders: Iterable[Order]) -> None:
-        """Remove these orders, except those that newer ones have replaced."""
+        """Remove the given orders, except those that newer orders have replaced."""
         for order in orders:
             if isinstance(order, TableChange):
                 self._discard_table_change(order)
@@ -213,7 +221,7 @@
                 del self.by_key[key]
 
     def overlay_entries(self, table: int, entries: TableEntries) -> TableEntries:
-        """Return the entries of a table as they will be when all pending orders are applied."""
+        """Return the entries of a table with all pending orders applied."""
         desired = dict(entries)
         for order in self._pending_table(table) or ():
             if isinstance(order, api.ClearTable):
@@ -223,7 +231,7 @@
         return desired
 
     def overlay_withdrawn(self, endpoints: Iterable[str]) -> tuple[str, ...]:
-        """Return the withdrawn endpoints as they will be when all pending orders are applied."""
+        """Return the withdrawn endpoints with all pending orders applied."""
         withdrawn = dict.fromkeys(endpoints)
         for order in self.by_key.values():
             if not isinstance(order, api.SetWithdrawn):
@@ -235,7 +243,7 @@
         return tuple(withdrawn)
 
     def overlay_levels(self, levels: AdmissionLevels) -> tuple[float, ...]:
-        """Return the levels of all tables, by class, as they will be when all pending orders are applied."""
+        """Return the levels that apply to all tables, by class, with all pending orders applied."""
         desired = dict(levels)
         for order in self.by_key.values():
             if isinstance(order, api.SetAdmission):
@@ -246,8 +254,8 @@
         pending = self.by_key.get(TableKey(table))
         return pending if isinstance(pending, PendingTable) else None
 
-    def _table_for(self, table: int) -> PendingTable:
-        """Return the pending orders for a table; they take the last place if there are none yet."""
+    def _get_or_add_table(self, table: int) -> PendingTable:
+        """Return the pending orders for a table; if there are none, add an empty instance at the end."""
         pending = self._pending_table(table)
         if pending is None:
             pending = PendingTable()
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -1,6 +1,6 @@
-"""One pilot on the platform's protocol: composes its parts and runs their tasks.
+"""One pilot on the platform's protocol: creates its components and runs their tasks.
 
-Decisions are the planner's alone; the parts read, check, merge and compare.
+Only the planner makes decisions; the components read, validate, merge and compare data.
 """
 
 from __future__ import annotations
@@ -40,23 +40,23 @@
 SIGNALS = signal.SIGTERM, signal.SIGHUP
 PLANNER_SEED_BITS = 48
 
-MakePlanner = Callable[[api.Settings, int], Planner]
+PlannerFactory = Callable[[api.Settings, int], Planner]
 
 
 class Pilot:
-    """One pilot, from its configuration to open sockets."""
+    """Creates the components of one pilot from its configuration and runs them."""
 
-    def __init__(self, config: Config, log: Logger, make_planner: MakePlanner = Planner) -> None:
-        """Compose the parts; nothing is opened yet.
+    def __init__(self, config: Config, log: Logger, planner_factory: PlannerFactory = Planner) -> None:
+        """Create the components without opening any socket.
 
         Args:
-            config: checked.
-            log: for all parts.
-            make_planner: makes a planner from settings and a seed.
+            config: The validated configuration.
+            log: Logger of all components.
+            planner_factory: Creates a planner from settings and a seed.
         """
         self._config = config
         self._log = log
-        self._make_planner = make_planner
+        self._planner_factory = planner_factory
         self._rng = random.Random(config.seed)
         settings = config.settings
         class_names = tuple(request_class.name for request_class in settings.classes)
@@ -78,10 +78,10 @@
         """Serve until SIGTERM.
 
         Raises:
-            ConfigError: the listening address cannot be opened.
+            ConfigError: The listening socket cannot be opened.
         """
         with anyio.open_signal_receiver(*SIGNALS) as signals:
-            # They were blocked until now, so that none that came during the start is lost.
+            # The signals were blocked until now, so that none is lost during the start.
             signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
             self.driver.start()
             listener = await open_listener(self._config.listen)
@@ -90,7 +90,7 @@
                 self._log_start()
                 await self._handle_signals(signals, group)
                 group.cancel_scope.cancel()
-        for number in SIGNALS:  # without the receiver, a second signal would end the process by its default action
+        for number in SIGNALS:  # without the receiver, the default action of another signal would end the process
             signal.signal(number, signal.SIG_IGN)
         self._log.info(
             "pilot_ended",
@@ -100,7 +100,7 @@
             tables_digest=tables_digest(self.registry.tables),
         )
 
-    # -- composition
+    # -- creation of the components
 
     def _compose_order_client(self) -> OrderClient:
         delays = RetryDelays(self._rng, self._transmission_time_s)
@@ -135,19 +135,22 @@
 
         return WatchClient("discovery", endpoint_list_watch.SILENCE_TIMEOUT_S, make_reader, self._rng, self._log)
 
-    # -- what the parts call
+    # -- callbacks of the components
 
     def _start_planner(self) -> PlannerStart:
-        """Make a planner; its first events are the endpoint list and, in place of one that failed, what is stored."""
+        """Create a planner and its first events: the endpoint list and the known state of the registry.
+
+        The registry's state is known only if the planner replaces one that has failed.
+        """
         events = [*self.endpoint_list.initial_events(), *self.registry.initial_events()]
         seed = self._rng.getrandbits(PLANNER_SEED_BITS)
-        return PlannerStart(self._make_planner(self._config.settings, seed), events)
+        return PlannerStart(self._planner_factory(self._config.settings, seed), events)
 
     def _publish(self, orders: Iterable[api.TableOrder]) -> None:
         self._order_client.push(orders)
 
     def _transmission_time_s(self, order_count: int) -> float:
-        """Return how long the channel takes to send a request with so many orders to all joined proxies."""
+        """Return how long the channel needs to send a request with `order_count` orders to all joined proxies."""
         settings = self._config.settings
         entries = (order_count + settings.message_overhead) * len(self.registry.proxies)
         return entries / max(1.0, settings.channel_rate)
@@ -164,7 +167,7 @@
         group.start_soon(self.readiness.enforce_timeout)
 
     async def _handle_signals(self, signals: AsyncIterator[signal.Signals], group: TaskGroup) -> None:
-        """Reload on SIGHUP; return on SIGTERM."""
+        """Reload the configuration on SIGHUP; return on SIGTERM."""
 
         def move_registry(address: Address) -> None:
             self._order_client.move_to(address)
@@ -180,7 +183,7 @@
                 return
             try:
                 reloader.reload()
-            except Exception as error:  # a fault in a reload must not end the pilot
+            except Exception as error:  # an error in a reload must not stop the pilot
                 self._log.exception("reload_failed", error=repr(error))
 
     async def _log_state(self) -> None:
@@ -191,7 +194,7 @@
                 continue
             try:
                 write_state(self._log, planner, self._status())
-            except Exception as error:  # a fault in a log line must not end the pilot
+            except Exception as error:  # an error in logging must not stop the pilot
                 self._log.exception("planner_state_failed", error=repr(error))
 
     def _status(self) -> PilotStatus:
@@ -220,6 +223,6 @@
         if config.settings.admission == "rps":
             self._log.warning(
                 "load_shedding_off",
-                reason="domain.admission is rps, levels by requests a second, which are not served yet",
-                remedy="expect no refusals under overload; domain.admission ratio sheds load",
+                reason="domain.admission is rps, levels in requests per second, which are not supported yet",
+                remedy="set domain.admission to ratio; until then no load is shed under overload",
             )
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -1,4 +1,4 @@
-"""Drives the planner: collects events, runs its steps and hands on its orders."""
+"""Runs the planner: queues its events, executes its steps and publishes its orders."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from damsonpick.runtime.clock import Clock
 from damsonpick.runtime.decision_loop import DecisionLoop
 
-EVENT_BATCH_S = 0.004  # events that arrive within it are handled in one step
-MIN_PAUSE_S = 0.001
+EVENT_BATCH_S = 0.004  # events that arrive within this time are handled in one step
+MIN_PAUSE_S = 0.001  # shortest wait for a step that is due
 
 
 class PlannerStart(NamedTuple):
@@ -26,19 +26,20 @@
 
 
 class StepStatistics(NamedTuple):
-    """Steps since the last call."""
+    """Statistics of the planner's steps since the previous call of `PlannerDriver.take_statistics`."""
 
     step_count: int
     longest_step_ns: int
 
 
 class PlannerDriver:
-    """The task that runs the planner.
+    """Runs the planner in a task.
 
     Attributes:
-        clock: of the planner.
-        loop: events, timers and the planner itself; it replaces a planner that fails.
-        publish: takes the planner's orders.
+        clock: Clock of the planner.
+        loop: Holds the planner, its events and its timers. It drops a planner that fails, and sets when the next one
+            starts.
+        publish: Receives the planner's orders.
     """
 
     def __init__(
@@ -48,13 +49,13 @@
         publish: Callable[[Iterable[Order]], None],
         log: Logger,
     ) -> None:
-        """Start without a planner.
+        """Create a driver without a planner.
 
         Args:
-            clock: of the planner.
-            start_planner: makes a planner, at the start and in place of one that failed.
-            publish: takes the planner's orders.
-            log: for failures of the planner.
+            clock: Clock of the planner.
+            start_planner: Creates a planner, for the start and to replace a planner that has failed.
+            publish: Receives the planner's orders.
+            log: Receives failures of the planner.
         """
         self.clock = clock
         self.loop = DecisionLoop(log)
@@ -65,33 +66,34 @@
         self._longest_step_ns = 0
 
     def enqueue(self, *events: api.Event) -> None:
-        """Add events for the next step, in order."""
+        """Queue events for the next step in the given order."""
         if events:
             self.loop.enqueue(*events)
             self._wakeup.set()
 
     def start(self) -> None:
-        """Start a new planner."""
+        """Create a planner and pass its first events to it."""
         planner, events = self._start_planner()
         self.loop.begin_with(planner, events)
 
     def take_statistics(self) -> StepStatistics:
-        """Return the statistics of the steps since the last call."""
+        """Return the statistics of the steps since the previous call, and reset them."""
         statistics = StepStatistics(self._step_count, self._longest_step_ns)
         self._step_count = 0
         self._longest_step_ns = 0
         return statistics
 
     async def run(self) -> None:
-        """Run steps as events arrive and timers fire, until cancelled."""
+        """Run a step whenever events arrive or a timer fires, until cancelled."""
         while True:
             self._wakeup = anyio.Event()
             now_ns = self.clock.now()
             try:
                 self._step(now_ns)
             except Exception as error:
-                # Outside the planner, whose failures the loop handles. Orders of this step may not have been queued:
-                # the next planner starts from what the registry stores and orders what is missing.
+                # The error was raised outside the planner, as the loop handles failures of the planner. Orders of this
+                # step may not have been queued: the next planner starts from the state that the registry stores, and
+                # orders what is missing.
                 self.loop.give_up(now_ns, error)
             self._record_step(self.clock.now() - now_ns)
             await anyio.sleep(EVENT_BATCH_S)
@@ -108,7 +110,7 @@
         step = self.loop.advance(now_ns)
         if step is None:
             return
-        # Actions that ask for the endpoint list need nothing here: it is watched all the time.
+        # Requests for the endpoint list are ignored, because the list is watched permanently.
         orders = [action for action in step.actions if isinstance(action, api.TableOrder)]
         if orders:
             self.publish(orders)
@@ -118,7 +120,7 @@
         self._longest_step_ns = max(self._longest_step_ns, duration_ns)
 
     def _pause_s(self) -> float | None:
-        """Return the time until the next step is due; None: only an event makes one due."""
+        """Return the time until the next step is due, or None if no step is due before the next event."""
         due_ns = self.loop.next_step()
         if due_ns is None:
             return None
--- a/damsonpick/protocols/platform/readiness.py
+++ b/damsonpick/protocols/platform/readiness.py
@@ -1,4 +1,4 @@
-"""When the pilot starts to answer heartbeats: with the state of registry and discovery, or after a timeout."""
+"""Determines when the pilot starts to answer heartbeats: after it has received all state, or after a timeout."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 
 class Source(StrEnum):
-    """What sends the pilot the current state."""
+    """Services from which the pilot receives the current state."""
 
     REGISTRY = "registry"
     DISCOVERY = "discovery"
 
 
 class Readiness:
-    """Becomes ready once all sources have sent their state."""
+    """Becomes ready when all sources have sent their state, or after a timeout."""
 
     def __init__(self, log: Logger) -> None:
-        """Start with all sources missing."""
+        """Create an instance that waits for all sources."""
         self._log = log
         self._missing = set(Source)
         self._ready = anyio.Event()
 
     def is_ready(self) -> bool:
-        """Whether heartbeats are answered."""
+        """Return whether heartbeats are answered."""
         return self._ready.is_set()
 
     async def wait(self) -> None:
-        """Return when the pilot is ready."""
+        """Wait until the pilot is ready."""
         await self._ready.wait()
 
     def confirm(self, source: Source) -> None:
-        """Note that a source has sent its state."""
+        """Record that a source has sent its state."""
         self._missing.discard(source)
         if not self._missing and not self.is_ready():
             self._log.info("pilot_ready")
@@ -47,7 +47,7 @@
         self._ready.set()
 
     async def enforce_timeout(self) -> None:
-        """Become ready after the timeout: a source that is down must not keep the pilot from service."""
+        """Become ready after the timeout, because an unavailable source must not keep the pilot out of service."""
         await anyio.sleep(READY_TIMEOUT_S)
         if not self.is_ready():
             self._log.warning("readiness_timed_out", missing_sources=sorted(self._missing))
--- a/damsonpick/protocols/platform/registry.py
+++ b/damsonpick/protocols/platform/registry.py
@@ -1,7 +1,7 @@
-"""What the registry stores for this pilot, as its watch reports it: proxies, owned slices and their entries. No I/O.
+"""The known state of the registry for this pilot: joined proxies, owned slices and their table entries. No I/O.
 
-A watch begins with the current state (`WatchSnapshot`). `Registry` compares that with what it knew and returns the
-difference as events, as changes while no watch was open are reported nowhere else.
+A watch begins with the current state (`WatchSnapshot`). `Registry` compares it with the known state and returns the
+differences as events, because changes that were made while no watch was open are not reported in any other way.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 from damsonpick.protocols.platform.watch_snapshot import Proxy, WatchSnapshot
 from damsonpick.time_units import NS_PER_MS
 
-MAX_WITHDRAWN_ENDPOINTS = 4096  # kept for a planner that replaces a failed one
+MAX_WITHDRAWN_ENDPOINTS = 4096  # stored to initialise a planner that replaces a failed planner
 
 
 class Registry:
-    """What is known of the registry's state.
+    """The known state of the registry.
 
     Attributes:
-        pending: orders that the registry has yet to accept.
-        proxies: joined ones, by number.
-        tables: entries of owned slices, by slice.
-        levels: accepted for all tables.
-        withdrawn: endpoints whose withdrawal was accepted, the newest last.
-        ownership: changes of slice ownership.
+        pending: Orders that the registry has not accepted yet.
+        proxies: Joined proxies, by number.
+        tables: Table entries of the owned slices, by slice.
+        levels: Accepted admission levels that apply to all tables.
+        withdrawn: Endpoints whose withdrawal was accepted, newest last.
+        ownership: Tracks changes of slice ownership.
     """
 
     def __init__(self, pending: PendingOrders, proxy_count: int, slice_count: int) -> None:
-        """Start with nothing known.
+        """Create an empty state.
 
         Args:
-            pending: orders that the registry has yet to accept.
-            proxy_count: proxies with this number or a higher one do not exist.
-            slice_count: likewise for slices.
+            pending: Orders that the registry has not accepted yet.
+            proxy_count: Number of proxies. Proxy numbers range from 0 to `proxy_count - 1`; others are ignored.
+            slice_count: Number of slices. Slice numbers range from 0 to `slice_count - 1`; others are ignored.
         """
         self.pending = pending
         self.proxy_count = proxy_count
@@ -53,7 +53,7 @@
     # -- events for the planner
 
     def initial_events(self) -> list[api.Event]:
-        """Return the events that give the known state to a planner that replaces a failed one."""
+        """Return the events that pass the known state to a planner that replaces a failed planner."""
         events: list[api.Event] = []
         for slice_number, entries in self.tables.items():
             events += _table_events(slice_number, self.pending.overlay_entries(slice_number, entries))
@@ -66,21 +66,21 @@
         return events
 
     def reconcile(self, snapshot: WatchSnapshot, gap: bool = True) -> list[api.Event]:
-        """Take over the state with which a watch begins.
+        """Replace the known state by the snapshot of a new watch.
 
         Args:
-            snapshot: that state.
-            gap: whether events may have been missed. If so, a proxy that was joined before may have left and come
-                back: the planner is notified of both, as its acknowledgements and the orders sent meanwhile may be
-                lost. Without a gap only proxies that differ are reported, and the others need not be sent all tables
-                again.
+            snapshot: State at the start of the watch.
+            gap: Whether events may have been missed. If so, a proxy that had joined before may have left and rejoined:
+                the planner is notified of both, because acknowledgements of the proxy and orders sent to it in the
+                meantime may be lost. Without a gap only proxies that differ are reported, so that the tables need not
+                be sent again to the other proxies.
 
         Returns:
-            The difference to what was known.
+            Events for the differences to the previously known state.
         """
-        lost = [slice_number for slice_number in self.tables if slice_number not in snapshot.tables]
+        lost_slices = [slice_number for slice_number in self.tables if slice_number not in snapshot.tables]
         events: list[api.Event] = []
-        for slice_number in lost:
+        for slice_number in lost_slices:
             events += self._change_ownership(slice_number, False)
         for slice_number, entries in snapshot.tables.items():
             if slice_number in range(self.slice_count):
@@ -90,7 +90,7 @@
         return events + self._reconcile_proxies(snapshot.proxies, gap)
 
     def apply(self, event: registry_events.RegistryEvent) -> list[api.Event]:
-        """Apply an event of the watch after its snapshot; return the events for the planner."""
+        """Apply an event that the watch sent after its snapshot, and return the events for the planner."""
         if isinstance(event, registry_events.ProxyAttached):
             return self._attach_proxy(event.proxy, Proxy(event.zone, event.weight, event.fresh))
         if isinstance(event, registry_events.ProxyDetached):
@@ -108,11 +108,11 @@
         desired = self.pending.overlay_entries(slice_number, entries)
         known = self.tables.get(slice_number)
         self.tables[slice_number] = entries
-        if known is not None:  # the snapshot may be older than orders that were accepted before it was read
-            recent = self._uncertain.recent(slice_number)
+        if known is not None:  # orders accepted before the snapshot was read may be newer than it
+            recent = self._uncertain.recent_endpoints(slice_number)
             differing = [name for name in recent if known.get(name, 0.0) != entries.get(name, 0.0)]
             self._uncertain.add_unconfirmed(slice_number, differing)
-        # A pending order that the registry may have applied already makes no difference.
+        # Pending orders are included on both sides, as the registry may already have applied them.
         if known is not None and self.pending.overlay_entries(slice_number, known) == desired:
             return []
         return _table_events(slice_number, desired)
@@ -146,14 +146,14 @@
     def _change_ownership(self, slice_number: int, owned: bool) -> list[api.Event]:
         if slice_number >= self.slice_count:
             return []
-        # An order that was meant for an earlier ownership must not be applied in a later one.
+        # An order for an earlier ownership must not be applied in a later ownership.
         self.pending.discard_table(slice_number)
         self.ownership.record_change(slice_number)
         if owned:
             self.tables[slice_number] = {}
         else:
             self.tables.pop(slice_number, None)
-            self._uncertain.add_unconfirmed(slice_number, self._uncertain.recent(slice_number))
+            self._uncertain.add_unconfirmed(slice_number, self._uncertain.recent_endpoints(slice_number))
         return [api.SliceOwnershipChanged(slice_number, owned)]
 
     def _change_entry(self, event: registry_events.EntryChanged) -> list[api.Event]:
@@ -169,12 +169,12 @@
     # -- orders
 
     def _confirm_entries(self) -> None:
-        """Handle a heartbeat: all entries of slices assigned before it have been reported."""
-        for slice_number, endpoints in self._uncertain.heartbeat(self.tables).items():
+        """Handle a heartbeat: the watch has reported all entries of the slices that were assigned before it."""
+        for slice_number, endpoints in self._uncertain.handle_heartbeat(self.tables).items():
             self._order_entries(slice_number, endpoints)
 
     def _order_entries(self, slice_number: int, endpoints: Iterable[str]) -> bool:
-        """Order entries as they are desired now, whatever is stored; True if any order was not pending already."""
+        """Order the currently desired weights of entries, whatever is stored; return whether any order was added."""
         desired = self.pending.overlay_entries(slice_number, self.tables[slice_number])
         orders = [
             api.SetEntry(slice_number, endpoint, desired.get(endpoint, 0.0))
@@ -188,9 +188,9 @@
         """Apply orders that the registry has accepted.
 
         Args:
-            orders: the accepted ones of a request.
-            ownership_epoch: of that request. Entries of a slice whose ownership has changed since are left to
-                `repeat_uncertain`.
+            orders: The accepted orders of a request.
+            ownership_epoch: Ownership epoch of that request. Entries of a slice whose ownership has changed since then,
+                or may have changed, are not applied here; `repeat_uncertain` handles them.
         """
         for order in orders:
             if isinstance(order, TableChange):
@@ -202,19 +202,20 @@
                 apply_admission(self.levels, order, self.pending.class_count)
 
     def repeat_uncertain(self, orders: Iterable[Order], ownership_epoch: int) -> bool:
-        """Order again what a change of ownership during its request made uncertain.
+        """Repeat orders whose effect is uncertain because the ownership changed, or may have, during their request.
 
-        Such an order was applied in the former ownership, between the two or in the present one; whether it changed
-        what is stored now is unknown. Its entries are ordered as they are desired now: those that are to stay at once,
-        and all of them when a heartbeat has shown that the slice's stored entries have been told. A change that is
-        told later is covered as well, as all entries of the request count as recent.
+        The registry applied such an order in the previous ownership, in the current ownership or between them, so it is
+        unknown whether the order changed the entries that are stored now. The currently desired weights are ordered
+        for its entries: for known stored entries immediately, and for all entries after a heartbeat, which shows that
+        the watch has reported the stored entries of the slice. A change of ownership that is reported later is covered
+        as well, because all entries of the request are added to the recent entries.
 
         Args:
-            orders: of a request that was accepted, or whose outcome is unknown.
-            ownership_epoch: of that request.
+            orders: Orders of a request that was accepted or whose outcome is unknown.
+            ownership_epoch: Ownership epoch of that request.
 
         Returns:
-            True if any entry was ordered again.
+            Whether any entry was ordered again.
         """
         repeated = False
         for order in orders:
@@ -233,11 +234,11 @@
             kept = [endpoint for endpoint in endpoints if endpoint in stored]
             return self._order_entries(slice_number, kept) if kept else False
         if slice_number in self.tables and self.ownership.has_gap_since(slice_number, ownership_epoch):
-            return self._push_again(order)
+            return self._repeat_order(order)
         return False
 
-    def _push_again(self, order: TableChange) -> bool:
-        """Keep an order pending that the planner still counts on; True unless it or a newer one is pending already."""
+    def _repeat_order(self, order: TableChange) -> bool:
+        """Order again what the planner still expects; return False if this or a newer order is already pending."""
         if isinstance(order, api.ClearTable):
             return self._order_entries(order.table, list(self.tables[order.table]))
         if self.pending.is_entry_pending(order.table, order.endpoint):
@@ -246,19 +247,19 @@
         return True
 
     def rejection_events(self, order: Order) -> list[api.Event]:
-        """Return the table of a rejected order as it is known, so that the planner decides again.
+        """Return events with the known table of a rejected order, so that the planner decides again.
 
-        An earlier request without an answer may have stored the entry all the same: it is ordered again then, as it is
-        desired after the next heartbeat.
+        An earlier request without a response may have stored the entry nevertheless. In this case, the entry is
+        ordered again after the next heartbeat, with the weight that is desired then.
         """
         if isinstance(order, api.SetEntry) and order.table in self.tables:
-            if order.endpoint in self._uncertain.recent(order.table):
+            if order.endpoint in self._uncertain.recent_endpoints(order.table):
                 self._uncertain.add_unconfirmed(order.table, [order.endpoint])
             return _table_events(order.table, self.pending.overlay_entries(order.table, self.tables[order.table]))
         return []
 
     def _is_uncertain(self, order: TableChange, ownership_epoch: int) -> bool:
-        """Whether the ownership of the order's slice has changed since its request, or may have."""
+        """Return whether the ownership of the order's slice has changed since its request, or may have changed."""
         return self.ownership.has_changed_since(order.table, ownership_epoch) or self.ownership.has_gap_since(
             order.table, ownership_epoch
         )
@@ -273,12 +274,12 @@
         self.withdrawn.pop(order.endpoint, None)
         if order.withdrawn:
             self.withdrawn[order.endpoint] = None
-        while len(self.withdrawn) > MAX_WITHDRAWN_ENDPOINTS:  # the longest withdrawn are gone for good
+        while len(self.withdrawn) > MAX_WITHDRAWN_ENDPOINTS:  # the endpoints withdrawn longest ago are gone permanently
             del self.withdrawn[next(iter(self.withdrawn))]
 
 
 def _table_events(slice_number: int, entries: TableEntries) -> list[api.Event]:
-    """Return the events for a complete table: owned, and then each entry."""
+    """Return the events for a complete table: the ownership of the slice, then each entry."""
     events: list[api.Event] = [api.SliceOwnershipChanged(slice_number, True)]
     events += [api.StoredEntry(slice_number, endpoint, weight) for endpoint, weight in entries.items()]
     return events
--- a/damsonpick/protocols/platform/registry_events.py
+++ b/damsonpick/protocols/platform/registry_events.py
@@ -1,4 +1,4 @@
-"""Events of the registry's watch: one JSON object per line to checked types. No I/O."""
+"""Decodes the events of the registry's watch, one JSON object per line, to validated types. No I/O."""
 
 from __future__ import annotations
 
@@ -9,49 +9,52 @@
 
 from damsonpick.protocols.platform.errors import InvalidMessageError, MalformedMessageError
 from damsonpick.protocols.platform.json_values import DECODE_ERRORS, describe_value, invalid_message
-from damsonpick.protocols.platform.messages import Name, Number
+from damsonpick.protocols.platform.messages import Name, Uint16
 
 NonNegative = Annotated[float, Meta(ge=0)]
 
 
 class Heartbeat(Struct):
-    """The watch is alive, and slices assigned before have been reported completely. An empty object on the wire."""
+    """Shows that the watch is alive and has reported all entries of the slices that were assigned before.
+
+    It is an empty object on the wire.
+    """
 
 
 class ProxyAttached(Struct):
     """A proxy has joined."""
 
-    proxy: Number
+    proxy: Uint16
     zone: Name
-    fresh: bool  # it holds no tables yet
+    fresh: bool  # True if the proxy has no tables yet
     weight: float = 0.0
 
 
 class ProxyDetached(Struct):
     """A proxy has left."""
 
-    proxy: Number
+    proxy: Uint16
 
 
 class SyncCompleted(Struct):
     """A proxy has applied the message with this sync token."""
 
-    proxy: Number
-    token: Number = msgspec.field(name="mark")
+    proxy: Uint16
+    token: Uint16 = msgspec.field(name="mark")
     delay_ms: NonNegative = msgspec.field(name="took_ms", default=0.0)
 
 
 class OwnershipChanged(Struct):
-    """A slice was assigned to this pilot, or withdrawn from it."""
+    """A slice was assigned to this pilot, or its assignment was revoked."""
 
-    slice: Number
+    slice: Uint16
     owned: bool = msgspec.field(name="on")
 
 
 class EntryChanged(Struct):
-    """An entry of an owned slice as it is stored; weight 0: it was removed."""
+    """An entry of an owned slice was stored, or was removed if its weight is 0."""
 
-    slice: Number
+    slice: Uint16
     endpoint: Name = msgspec.field(name="server")
     weight: NonNegative
 
@@ -68,11 +71,11 @@
 
 
 def decode_event(line: bytes) -> RegistryEvent:
-    """Read one line of the watch.
+    """Decode one line of the watch.
 
     Raises:
-        InvalidMessageError: it is an object, but no valid event.
-        MalformedMessageError: it is no JSON object.
+        InvalidMessageError: The line is a JSON object, but not a valid event.
+        MalformedMessageError: The line is not a JSON object.
     """
     try:
         message = _decoder.decode(line)
@@ -84,7 +87,7 @@
         return Heartbeat()
     name = message.get("type")
     if not isinstance(name, str) or name not in _EVENT_TYPES:
-        raise InvalidMessageError("type", f"{describe_value(name)} is not known")
+        raise InvalidMessageError("type", f"{describe_value(name)} is not a known event type")
     try:
         return msgspec.convert(message.get("object"), _EVENT_TYPES[name])
     except msgspec.ValidationError as error:
--- a/damsonpick/protocols/platform/registry_watch.py
+++ b/damsonpick/protocols/platform/registry_watch.py
@@ -1,4 +1,4 @@
-"""Reads the registry's watch: the current state up to the first heartbeat, and then each change."""
+"""Reads the registry's watch: the current state until the first heartbeat, and then each change."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from damsonpick.protocols.platform.registry import Registry
 from damsonpick.protocols.platform.watch_snapshot import WatchSnapshot
 
-SILENCE_TIMEOUT_S = 2.4  # a heartbeat is due every second
+SILENCE_TIMEOUT_S = 2.4  # the registry sends a heartbeat every second
 WATCH_PATH = "/watch"
 
 
 class RegistrySynchronizer:
-    """Applies the watch's state and events to the known state, and notifies the planner of the difference."""
+    """Applies snapshots and events of the watch to the known state, and notifies the planner of the differences."""
 
     def __init__(
         self,
@@ -27,14 +27,14 @@
         readiness: Readiness,
         log: Logger,
     ) -> None:
-        """Connect the parts.
+        """Create a synchronizer.
 
         Args:
-            registry: the known state.
-            enqueue: takes events for the planner.
-            wake_order_client: called if an event of the watch has left orders to send.
-            readiness: waits for the first snapshot.
-            log: for each snapshot.
+            registry: Known state of the registry.
+            enqueue: Queues events for the planner.
+            wake_order_client: Called after an event of the watch if orders are pending.
+            readiness: Is notified of each snapshot.
+            log: Receives a line for each snapshot.
         """
         self._registry = registry
         self._enqueue = enqueue
@@ -43,7 +43,12 @@
         self._log = log
 
     def apply_snapshot(self, snapshot: WatchSnapshot, gap: bool) -> None:
-        """Take over the state with which a watch begins; `gap`: events may have been missed before it."""
+        """Apply the snapshot of a new watch.
+
+        Args:
+            snapshot: State at the start of the watch.
+            gap: Whether events may have been missed before the snapshot.
+        """
         self._log.info(
             "registry_synchronized",
             proxies=len(snapshot.proxies),
@@ -54,7 +59,7 @@
         self._readiness.confirm(Source.REGISTRY)
 
     def apply_event(self, event: registry_events.RegistryEvent) -> None:
-        """Apply a change."""
+        """Apply an event that the watch sent after its snapshot."""
         self._enqueue(*self._registry.apply(event))
         if not self._registry.pending.is_empty():
             self._wake_order_client()
@@ -66,11 +71,11 @@
     def __init__(
         self, synchronizer: RegistrySynchronizer, has_gap: Callable[[], bool], dropped_input_log: DroppedInputLog
     ) -> None:
-        """Start before the first line.
+        """Create a reader for a new watch.
 
         Args:
-            synchronizer: applies what is read.
-            has_gap: whether events may have been missed until now, as no other watch is open.
+            synchronizer: Applies the snapshot and the events.
+            has_gap: Returns whether events may have been missed because no other watch is open.
             dropped_input_log: Records events that cannot be decoded.
         """
         self._synchronizer = synchronizer
@@ -83,10 +88,13 @@
         return WATCH_PATH
 
     def process(self, lines: list[bytes]) -> bool:
-        """Process lines in order; return True once the snapshot is complete.
+        """Process lines in order.
+
+        Returns:
+            Whether the snapshot is complete.
 
         Raises:
-            TransportError: a line is no JSON object.
+            TransportError: A line is not a JSON object.
         """
         for line in filter(None, lines):
             try:
--- a/damsonpick/protocols/platform/rejected_orders.py
+++ b/damsonpick/protocols/platform/rejected_orders.py
@@ -1,4 +1,4 @@
-"""Orders that the registry could not use, until they are ordered again. No I/O."""
+"""Orders that the registry has rejected and that are resent later. No I/O."""
 
 from __future__ import annotations
 
@@ -8,13 +8,19 @@
 from damsonpick.protocols.platform.order_codec import Order
 from damsonpick.protocols.platform.pending_orders import OrderKey, order_key
 
-MAX_REORDERS = 12  # of one rejected order
-FIRST_REORDER_DELAY_S = 0.1
-MAX_REORDER_DELAY_S = 5.0
+MAX_RESENDS = 12  # per rejected order
+FIRST_RESEND_DELAY_S = 0.1
+MAX_RESEND_DELAY_S = 5.0
 
 
 class RejectedOrder(NamedTuple):
-    """An order that is to be sent again."""
+    """A rejected order that waits to be resent.
+
+    Attributes:
+        order: The order.
+        attempts: Number of times that the order was rejected.
+        due_s: Time at which the order is resent.
+    """
 
     order: Order
     attempts: int
@@ -22,34 +28,34 @@
 
 
 class RejectedOrders:
-    """Withdrawals, levels and cleared tables that the registry rejected: each is ordered again after a growing delay.
+    """Keeps rejected withdrawals, admission levels and table clearings, and resends each after an increasing delay.
 
-    A newer order for the same thing takes its place.
+    A newer order with the same key replaces the rejected order.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create a collection without rejected orders."""
         self._waiting: dict[OrderKey, RejectedOrder] = {}
-        self._attempts: dict[OrderKey, int] = {}  # of those that are on their way again
+        self._attempts: dict[OrderKey, int] = {}  # rejections of the orders that were resent and are not accepted yet
 
     def add(self, order: Order, now_s: float) -> bool:
-        """Note a rejected order; False if it has been rejected too often."""
+        """Add a rejected order; return False if it has been rejected too often and is not resent."""
         key = order_key(order)
         attempts = self._attempts.pop(key, 0) + 1
-        if attempts > MAX_REORDERS:
+        if attempts > MAX_RESENDS:
             return False
-        delay_s = min(MAX_REORDER_DELAY_S, FIRST_REORDER_DELAY_S * 2 ** (attempts - 1))
+        delay_s = min(MAX_RESEND_DELAY_S, FIRST_RESEND_DELAY_S * 2 ** (attempts - 1))
         self._waiting[key] = RejectedOrder(order, attempts, now_s + delay_s)
         return True
 
     def supersede(self, orders: Iterable[Order]) -> None:
-        """Forget what newer orders replace."""
+        """Remove the rejected orders that newer orders replace."""
         for order in orders:
             self._waiting.pop(order_key(order), None)
             self._attempts.pop(order_key(order), None)
 
     def take_due(self, now_s: float) -> list[Order]:
-        """Return the orders that are due again."""
+        """Remove the orders whose delay has passed and return them."""
         due = {key: rejected for key, rejected in self._waiting.items() if rejected.due_s <= now_s}
         for key, rejected in due.items():
             del self._waiting[key]
@@ -57,7 +63,7 @@
         return [rejected.order for rejected in due.values()]
 
     def next_due_s(self, now_s: float) -> float | None:
-        """Return the seconds until one is due; None: none is waiting."""
+        """Return the seconds until the next order is due, or None if no order is waiting."""
         if not self._waiting:
             return None
         return max(0.0, min(rejected.due_s for rejected in self._waiting.values()) - now_s)
--- a/damsonpick/protocols/platform/state_log.py
+++ b/damsonpick/protocols/platform/state_log.py
@@ -1,4 +1,4 @@
-"""One bounded log line per second on the state of the planner and the pilot."""
+"""Writes the state of the planner and the pilot to the log: one line of limited length per second."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from damsonpick.time_units import NS_PER_MS, NS_PER_SECOND
 
 INTERVAL_S = 1.0
-MAX_LOGGED_ENDPOINTS = 40  # those with the highest load
+MAX_LOGGED_ENDPOINTS = 40  # the endpoints with the highest load are logged
 KB_PER_MB = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class PilotStatus:
-    """What the log line contains beside the planner's state. Counts named `new` are since the previous line.
+    """State of the pilot for the log line, in addition to the state of the planner.
 
     Attributes:
-        tables: stored entries, by slice.
-        pending_orders: things for which orders are pending.
-        order_requests: requests sent to the registry since the start.
-        unconfirmed_requests: of these, those with an unknown outcome.
-        connections: open ones at the listening address.
-        new_reports: reports received.
-        new_steps: steps of the planner.
-        longest_step_ns: of these steps.
+        tables: Stored table entries, by slice.
+        pending_orders: Number of keys (tables, endpoints, levels, sync token) that have pending orders.
+        order_requests: Number of requests sent to the registry since the start.
+        unconfirmed_requests: Number of these requests whose outcome is unknown.
+        connections: Number of open connections at the listening address.
+        new_reports: Number of reports received since the previous line.
+        new_steps: Number of steps of the planner since the previous line.
+        longest_step_ns: Duration of the longest of these steps.
     """
 
     tables: dict[int, TableEntries]
@@ -45,7 +45,7 @@
 
 
 class EndpointState(NamedTuple):
-    """What the log line contains of one endpoint."""
+    """State of one endpoint in the log line; the field names are the keys in the log."""
 
     state: str
     load: float
@@ -56,7 +56,7 @@
 
 
 def write_state(log: Logger, planner: Planner, status: PilotStatus) -> None:
-    """Write the log line."""
+    """Write one line with the current state to the log."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     reporting = [endpoint for endpoint in planner.endpoints.values() if planner.has_recent_report(endpoint)]
     log.info(
@@ -87,7 +87,7 @@
 
 
 def _endpoint_states(planner: Planner, tables: dict[int, TableEntries]) -> dict[str, EndpointState]:
-    """Return the endpoints with the highest load, the highest first."""
+    """Return the state of the endpoints with the highest load, in descending order of load."""
     loads = planner.endpoint_loads(planner.endpoints)
     entry_counts = _count_entries(tables.values())
     logged = sorted(loads, key=loads.__getitem__, reverse=True)[:MAX_LOGGED_ENDPOINTS]
@@ -106,7 +106,7 @@
 
 
 def _count_entries(tables: Iterable[TableEntries]) -> Counter[str]:
-    """Return the number of tables that name each endpoint."""
+    """Return for each endpoint the number of tables with an entry for it."""
     counts: Counter[str] = Counter()
     for entries in tables:
         counts.update(entries.keys())
--- a/damsonpick/protocols/platform/stored_state.py
+++ b/damsonpick/protocols/platform/stored_state.py
@@ -1,4 +1,4 @@
-"""How orders change the state that the registry stores: table entries and admission levels."""
+"""Applies orders to the state that the registry stores: table entries and admission levels."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def tables_digest(tables: Mapping[int, TableEntries]) -> int:
-    """Return a checksum of all entries, to compare what two programs take for stored.
+    """Return a checksum of all entries, to check whether two programs know the same stored state.
 
-    Weights count with the six digits that they have on the wire.
+    Weights are rounded to six significant digits, as on the wire.
     """
     entries = sorted((number, name, f"{weight:.6g}") for number, t in tables.items() for name, weight in t.items())
     return zlib.crc32(json.dumps([sorted(tables), entries]).encode())
@@ -30,12 +30,12 @@
 
 
 def apply_admission(levels: AdmissionLevels, order: api.SetAdmission, class_count: int) -> None:
-    """Apply an order to the levels that hold for all tables; one for a single table does not change them.
+    """Apply an order to the levels that apply to all tables. An order for a single table does not change them.
 
     Args:
-        levels: changed in place.
-        order: one without classes is for all classes.
-        class_count: number of request classes.
+        levels: Levels by class; changed in place.
+        order: The order. If it names no classes, it applies to all of them.
+        class_count: Number of request classes.
     """
     if order.table is not None:
         return
--- a/damsonpick/protocols/platform/watch_client.py
+++ b/damsonpick/protocols/platform/watch_client.py
@@ -1,4 +1,4 @@
-"""Keeps a watch open: an endless HTTP response with the current state and then each change, line by line."""
+"""Keeps a watch open: an endless HTTP response whose lines contain the current state and then each change."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from damsonpick.protocols.platform.http_response import MAX_LINE_BYTES, ResponseReader, build_request
 from damsonpick.runtime.backoff import Backoff
 
-CONNECT_TIMEOUT_S = 0.5  # for the connection, and for sending the request
+CONNECT_TIMEOUT_S = 0.5  # for opening the connection, and again for sending the request
 FIRST_RETRY_DELAY_S = 0.04
 MAX_RETRY_DELAY_S = 1.0
 NO_STATUS = 0
@@ -26,29 +26,33 @@
 
 
 class WatchReader(Protocol):
-    """Reads one watch from its first line on."""
+    """Reads the lines of one watch."""
 
     def path(self) -> str:
         """Return the path and query to request."""
 
     def process(self, lines: list[bytes]) -> bool:
-        """Process lines in order; return True once the watch has sent the current state.
+        """Process lines in order.
+
+        Returns:
+            Whether the watch has sent the current state.
 
         Raises:
-            TransportError: the watch cannot be read any further.
+            TransportError: The input is invalid, and the watch must be opened again.
         """
 
 
 async def stream_lines(address: Address, path: str, silence_timeout_s: float) -> AsyncGenerator[list[bytes], None]:
-    """Request a watch and yield its complete lines, as many at a time as arrive together.
+    """Open a watch and yield its complete lines; lines that arrive together are yielded together.
 
     Args:
-        address: of the server.
-        path: of the watch.
-        silence_timeout_s: without a complete line, after which the watch is dead; parts of lines do not count.
+        address: Address of the server.
+        path: Path of the watch.
+        silence_timeout_s: Time without a complete line after which the watch is considered dead. Parts of a line do not
+            reset it.
 
     Raises:
-        TransportError: the watch has ended, with the reason.
+        TransportError: The watch has ended. The error text contains the reason.
     """
     stream = await http_client.dial(address, CONNECT_TIMEOUT_S)
     try:
@@ -65,7 +69,7 @@
                 yield lines
             elif anyio.current_time() - last_line_s > silence_timeout_s:
                 raise TransportError("watch", f"no complete line for {silence_timeout_s:g} s")
-        raise TransportError("watch", "the response ended")
+        raise TransportError("watch", "the server ended the response")
     finally:
         await anyio.aclose_forcefully(stream)
 
@@ -76,18 +80,18 @@
 
 
 class WatchedAddress:
-    """An address of which a watch is kept open.
+    """An address at which a watch is kept open.
 
     Attributes:
-        address: the address.
-        scope: of the task that keeps the watch open.
-        superseded: another address has taken its place.
-        synchronized: its watch has sent the current state and has not been interrupted since.
-        last_received_s: when lines last arrived.
+        address: The address.
+        scope: Cancel scope of the task that keeps the watch open.
+        superseded: Whether another address has replaced this one.
+        synchronized: Whether the watch has sent the current state and has not been interrupted since then.
+        last_received_s: Time at which lines were last received.
     """
 
     def __init__(self, address: Address) -> None:
-        """Start without a watch."""
+        """Create the state of an address at which no watch is open yet."""
         self.address = address
         self.scope = anyio.CancelScope()
         self.superseded = False
@@ -95,16 +99,16 @@
         self.last_received_s = 0.0
 
     def supersede(self) -> None:
-        """End its watch for good."""
+        """Close the watch at this address permanently."""
         self.superseded = True
         self.scope.cancel()
 
 
 class WatchClient:
-    """Keeps a watch open. At a new address one is opened before the former one is closed.
+    """Keeps a watch open. When the address changes, the new watch is opened before the previous one is closed.
 
     Attributes:
-        interruptions: how often a watch has ended.
+        interruptions: Number of times that a watch was interrupted.
     """
 
     def __init__(
@@ -115,14 +119,14 @@
         rng: random.Random,
         log: Logger,
     ) -> None:
-        """Start without an address.
+        """Create a client without an address.
 
         Args:
-            name: for the log.
-            silence_timeout_s: without a complete line, after which a watch is dead.
-            make_reader: makes the reader of a new watch.
-            rng: for the jitter of retries.
-            log: for interruptions.
+            name: Name of the watch in the log.
+            silence_timeout_s: Time without a complete line after which a watch is considered dead.
+            make_reader: Creates the reader for a new watch.
+            rng: Draws the jitter of the retry delays.
+            log: Receives interruptions of the watch.
         """
         self.interruptions = 0
         self._name = name
@@ -131,20 +135,20 @@
         self._rng = rng
         self._log = log
         self._newest: WatchedAddress | None = None
-        self._active: WatchedAddress | None = None  # the last one whose watch sent the current state
+        self._active: WatchedAddress | None = None  # the last address whose watch has sent the current state
 
     def is_current(self) -> bool:
-        """Whether a watch that has sent the current state is open now, so that no event can have been missed."""
+        """Return whether an open watch has sent the current state, so that no event can have been missed."""
         if self._active is None or not self._active.synchronized:
             return False
-        overdue_s = self._silence_timeout_s / 2  # a heartbeat is overdue by then: an event may have been missed
+        overdue_s = self._silence_timeout_s / 2  # after this time a heartbeat is overdue; an event may have been missed
         return anyio.current_time() - self._active.last_received_s < overdue_s
 
     def follow(self, group: TaskGroup, address: Address) -> None:
-        """Watch this address from now on.
+        """Switch the watch to an address.
 
-        A former address stays watched until the new one's watch has sent the current state. One that has not sent it
-        yet is given up, as it could do so later and take the place of the newest.
+        The watch at the previous address stays open until the new watch has sent the current state. A watch that has
+        not sent the current state yet is closed, because it could send it later and replace the newest watch.
         """
         if self._newest is not None and self._newest is not self._active:
             self._newest.supersede()
@@ -160,7 +164,7 @@
                 except TransportError as error:
                     self._interrupted(watched)
                     self._log.warning("watch_interrupted", watch=self._name, reason=str(error))
-                except Exception as error:  # a fault in one watch must not end the pilot
+                except Exception as error:  # an error in one watch must not stop the pilot
                     self._interrupted(watched)
                     self._log.exception("watch_failed", watch=self._name, error=repr(error))
                 if not watched.superseded:
@@ -180,7 +184,8 @@
                 now_s = anyio.current_time()
                 watched.last_received_s = now_s
                 if reader.process(lines):
-                    # A watch that ends as soon as it has sent the state must not be opened again without a pause.
+                    # A watch that ends soon after it has sent the state must not be reopened without a pause, so the
+                    # backoff is reset only after some time.
                     if now_s - opened_s > MAX_RETRY_DELAY_S:
                         backoff.reset()
                     self._activate(watched)
--- a/damsonpick/protocols/platform/watch_snapshot.py
+++ b/damsonpick/protocols/platform/watch_snapshot.py
@@ -1,4 +1,4 @@
-"""The state with which a watch of the registry begins. No I/O."""
+"""The state that the registry sends at the start of a watch. No I/O."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
     zone: str
     weight: float
-    fresh: bool  # it holds no tables yet
+    fresh: bool  # True if the proxy has no tables yet
 
 
 class WatchSnapshot:
-    """Proxies and tables of the registry, gathered from the events before the first heartbeat of a watch."""
+    """Proxies and tables of the registry, collected from the events before the first heartbeat of a watch."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create an empty snapshot."""
         self.proxies: dict[int, Proxy] = {}
         self.tables: dict[int, TableEntries] = {}
 
     def apply(self, event: registry_events.RegistryEvent) -> None:
-        """Add one event of the watch."""
+        """Apply one event of the watch to the snapshot."""
         if isinstance(event, registry_events.ProxyAttached):
             self.proxies[event.proxy] = Proxy(event.zone, event.weight, event.fresh)
         elif isinstance(event, registry_events.ProxyDetached):
--- a/tests/test_platform_ownership.py
+++ b/tests/test_platform_ownership.py
@@ -8,7 +8,7 @@
 
 from damsonpick import interface as api
 from damsonpick.protocols.platform import registry_events
-from damsonpick.protocols.platform.ownership import HEARTBEATS_ON_THE_WAY
+from damsonpick.protocols.platform.ownership import MAX_UNREAD_HEARTBEATS
 from damsonpick.protocols.platform.pending_orders import PendingOrders
 from damsonpick.protocols.platform.registry import Registry
 from damsonpick.protocols.platform.stored_state import apply_entry
@@ -70,7 +70,7 @@
 
     def do_beat(self) -> None:
         """A heartbeat is sent; with too many of them unread the pilot would take the watch for silent."""
-        if self.unread_heartbeats() < HEARTBEATS_ON_THE_WAY:
+        if self.unread_heartbeats() < MAX_UNREAD_HEARTBEATS:
             self.tell(registry_events.Heartbeat())
 
     def unread_heartbeats(self) -> int:
@@ -158,7 +158,7 @@
 
     def possible_steps(self) -> list[str]:
         """Steps that change anything now; a step named twice is taken twice as often."""
-        heartbeats_fit = self.unread_heartbeats() < HEARTBEATS_ON_THE_WAY
+        heartbeats_fit = self.unread_heartbeats() < MAX_UNREAD_HEARTBEATS
         conditions = {
             "take": self.owned,
             "give": not self.owned,
@@ -214,7 +214,7 @@
 def test_heartbeats_that_were_on_their_way_do_not_confirm_a_later_request():
     registry = owned_registry()
     registry.repeat_uncertain([api.SetEntry(SLICE, "q", 1.0)], registry.ownership.epoch)  # its outcome is unknown
-    for _ in range(HEARTBEATS_ON_THE_WAY):
+    for _ in range(MAX_UNREAD_HEARTBEATS):
         registry.apply(registry_events.Heartbeat())
     registry.apply(registry_events.OwnershipChanged(SLICE, False))
     registry.apply(registry_events.OwnershipChanged(SLICE, True))
