--- a/tests/faulty_pilot.py
+++ b/tests/faulty_pilot.py
@@ -1,4 +1,4 @@
-"""A pilot whose module fails every twelfth call: `python -m tests.faulty_pilot run FILE`."""
+"""Runs a pilot whose planner fails at every twelfth call: `python -m tests.faulty_pilot run FILE`."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from damsonpick.decisions.planner import Planner
 
 
-class Faulty(Planner):
-    calls = 0
+class FaultyPlanner(Planner):
+    call_count = 0
 
     def handle(self, now, events):
-        Faulty.calls += 1
-        if Faulty.calls % 12 == 0:
-            raise RuntimeError("told to fail")
+        FaultyPlanner.call_count += 1
+        if FaultyPlanner.call_count % 12 == 0:
+            raise RuntimeError("injected planner failure")
         return super().handle(now, events)
 
 
 if __name__ == "__main__":
     run_pilot = pilot_commands.run_pilot
-    pilot_commands.run_pilot = lambda settings, port_file: run_pilot(settings, port_file, planner_factory=Faulty)
+    pilot_commands.run_pilot = lambda settings, port_file: run_pilot(settings, port_file, planner_factory=FaultyPlanner)
     main()
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,4 +1,4 @@
-"""The `run` line of deploy/balancer.toml against fake servers, on loopback and ports that the system picks."""
+"""Runs a pilot with the `run` command of deploy/balancer.toml against fake servers, on free loopback ports."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from damsonpick.testing.fakes.registry import FakeRegistry
 
 ROOT = Path(__file__).parent.parent
-TIMEOUT_S = 10.0  # a bound, not a wait
+TIMEOUT_S = 10.0  # longest wait for a condition; a wait ends as soon as the condition is true
 SETTINGS = SITE_SETTINGS | {"domain": SITE_SETTINGS["domain"] | {"shards": 6, "agents": 8}}
 
 
@@ -38,7 +38,7 @@
 
 
 async def until(condition, timeout_s: float = TIMEOUT_S):
-    """Return the first true value of `condition`; fail after the timeout."""
+    """Call `condition` repeatedly and return its first true value; fail after the timeout."""
     with anyio.move_on_after(timeout_s):
         while not (value := condition()):
             await anyio.sleep(0.01)
@@ -46,14 +46,14 @@
     raise AssertionError(f"not within {timeout_s} s")
 
 
-async def gate_reached(gate) -> None:
-    """Wait until a fake server holds an exchange at its gate."""
+async def wait_for_gate(gate) -> None:
+    """Wait until a fake server has stopped an exchange at its gate."""
     with anyio.fail_after(5.0):
         await gate.reached.wait()
 
 
 class World:
-    """A fake registry, a fake discovery, collectors and one pilot."""
+    """One pilot process with a fake registry, a fake discovery and collectors."""
 
     registry_port: int
     discovery_port: int
@@ -71,7 +71,7 @@
         part.replace(self.file)
 
     async def start(self) -> None:
-        """Start the pilot and wait until it has started."""
+        """Start the pilot and wait until it has logged its start."""
         line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         line = line.replace(".venv/bin/python", shlex.quote(sys.executable))
         with self.log.open("a") as log:
@@ -83,27 +83,29 @@
                 stderr=log,
                 env=os.environ | {"EDGE_CONFIG": str(self.file)},
             )
-        await self.logged("pilot_started")
+        await self.wait_for_log_entry("pilot_started")
 
     async def end(self, signal_number: int = signal.SIGTERM) -> int:
-        """Signal the pilot and return its exit code."""
+        """Send a signal to the pilot, wait until it ends and return its exit code."""
         self.process.send_signal(signal_number)
         with anyio.fail_after(TIMEOUT_S):
             return await self.process.wait()
 
     def reload(self) -> None:
-        """Have the pilot read its configuration again."""
+        """Make the pilot reload its configuration."""
         self.process.send_signal(signal.SIGHUP)
 
     # -- the log
 
     def log_entries(self, event: str) -> list[dict]:
-        """Return the log's entries of one event, of all incarnations."""
+        """Return the log entries of one event, from all incarnations of the pilot."""
         lines = [line for line in self.log.read_text().splitlines() if line.startswith("{") and line.endswith("}")]
         return [entry for entry in map(json.loads, lines) if entry["event"] == event]
 
-    async def logged(self, event: str, count: int = 1, reason: str = "", timeout_s: float = TIMEOUT_S) -> None:
-        """Wait for an event in the log, so many times, with this text in its reason."""
+    async def wait_for_log_entry(
+        self, event: str, count: int = 1, reason: str = "", timeout_s: float = TIMEOUT_S
+    ) -> None:
+        """Wait until the log has `count` entries of an event whose reason contains a text."""
 
         def is_logged() -> bool:
             entries = self.log_entries(event)
@@ -115,8 +117,8 @@
         except AssertionError as error:
             raise AssertionError(f"{event}: {error}; the log ends with {self.log.read_text()[-2000:]}") from None
 
-    async def latency_logged(self, endpoint: str, latency_ms: int) -> None:
-        """Wait until the newest state in the log has this latency of an endpoint."""
+    async def wait_for_latency(self, endpoint: str, latency_ms: int) -> None:
+        """Wait until the newest state in the log shows this latency of an endpoint."""
 
         def is_logged() -> bool:
             entries = self.log_entries("planner_state")
@@ -125,59 +127,59 @@
 
         await until(is_logged)
 
-    # -- what the fake registry stores
+    # -- collectors and the state of the fake registry
 
-    async def collector(self, zone: str = "a") -> FakeCollector:
-        """Return a collector that has joined."""
+    async def connect_collector(self, zone: str = "a") -> FakeCollector:
+        """Connect a collector, make it join a zone and return it."""
         return await (await FakeCollector.connect(self.port)).join(zone)
 
     def is_avoided(self, endpoint: str) -> bool:
-        """Whether no proxy sends to an endpoint: it is withdrawn, or in no table."""
+        """Return whether no proxy sends to an endpoint, because it is withdrawn or in no table."""
         return endpoint in self.registry.withdrawn or not any(
             endpoint in table for table in self.registry.tables.values()
         )
 
-    async def avoided(self, endpoint: str, timeout_s: float) -> None:
+    async def wait_until_avoided(self, endpoint: str, timeout_s: float) -> None:
         """Wait until no proxy sends to an endpoint."""
         await until(lambda: self.is_avoided(endpoint), timeout_s)
 
     def uncovered_slices(self) -> list[int]:
-        """Return slices without an entry for an endpoint that is ready and not withdrawn."""
+        """Return the slices without an entry for any endpoint that is ready and not withdrawn."""
         ready = {name for name, entry in self.discovery.servers.items() if entry["state"] == "Ready"}
         usable = ready - self.registry.withdrawn
         return [number for number, table in self.registry.tables.items() if not usable & set(table)]
 
-    async def covered(self, timeout_s: float = TIMEOUT_S) -> None:
+    async def wait_until_covered(self, timeout_s: float = TIMEOUT_S) -> None:
         """Wait until every slice has an entry for a usable endpoint."""
         await until(lambda: not self.uncovered_slices(), timeout_s)
 
     async def drain(self, endpoint: str) -> None:
-        """Have an endpoint drain and wait until no proxy sends to it and every slice is covered."""
+        """Drain an endpoint; wait until no proxy sends to it and every slice has an entry for a usable endpoint."""
         await self.discovery.update_server(endpoint, "Terminating")
-        await self.avoided(endpoint, 4.0)
-        await self.covered(4.0)
+        await self.wait_until_avoided(endpoint, 4.0)
+        await self.wait_until_covered(4.0)
 
 
 @asynccontextmanager
 async def world(folder: Path, servers: str = "pqr", slices: int = 6, proxies: int = 4, rate: float = 4000.0):
-    """Run all of it, with every slice covered.
+    """Run a pilot with its fake servers; at the start every slice has an entry for a usable endpoint.
 
     Args:
-        folder: for configuration and log.
-        servers: names of endpoints, a letter each.
-        slices: how many.
-        proxies: how many.
-        rate: entries per second that the channel is said to send.
+        folder: Folder for the configuration and the log.
+        servers: Names of the endpoints, one letter each.
+        slices: Number of slices.
+        proxies: Number of proxies.
+        rate: Configured rate of the channel, in entries per second.
     """
     registry, discovery = FakeRegistry(slices, proxies), FakeDiscovery(*servers)
-    made = World(folder, registry, discovery)
-    async with registry.running() as made.registry_port, discovery.running() as made.discovery_port:
-        made.write(settings=SETTINGS | {"domain": SETTINGS["domain"] | {"egressPerS": rate}})
-        await made.start()
+    site = World(folder, registry, discovery)
+    async with registry.running() as site.registry_port, discovery.running() as site.discovery_port:
+        site.write(settings=SETTINGS | {"domain": SETTINGS["domain"] | {"egressPerS": rate}})
+        await site.start()
         try:
-            await made.covered()
-            yield made
+            await site.wait_until_covered()
+            yield site
         finally:
-            if made.process.returncode is None:
-                made.process.kill()
-            await made.process.wait()
+            if site.process.returncode is None:
+                site.process.kill()
+            await site.process.wait()
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file."""
+"""Tests of reading the platform's configuration file."""
 
 from __future__ import annotations
 
@@ -20,9 +20,11 @@
         "full": True,
         "servers": [{"id": "p", "zone": "a", "state": "Ready", "weight": 1.0, "started_ms": 0}],
     }
-    made = parse_config(json.dumps(config_file(known=known)).encode())
-    assert made.known.version == 4 and made.zones == ("a", "b") and made.settings.classes[1].priority_weight == 3.0
-    assert made.seed == 0x8C1F30D27A5BE964 and made.settings.load_fields == ("busy_reqs",)
+    parsed = parse_config(json.dumps(config_file(known=known)).encode())
+    assert (
+        parsed.known.version == 4 and parsed.zones == ("a", "b") and parsed.settings.classes[1].priority_weight == 3.0
+    )
+    assert parsed.seed == 0x8C1F30D27A5BE964 and parsed.settings.load_fields == ("busy_reqs",)
 
 
 ODD_VALUES = (None, True, -1, 0, 1.5, 10**18, 1e300, "", "x", [], ["Ready"], {}, {"Ready": 1}, [[]])
@@ -40,7 +42,7 @@
 
 
 def with_odd_values(value):
-    """Yield copies of a JSON value, each with one part of it replaced by a value of another kind."""
+    """Yield copies of a JSON value in which one part is replaced by a value of another type."""
     yield from ODD_VALUES
     if isinstance(value, dict):
         for key, inner in value.items():
@@ -51,7 +53,7 @@
 
 
 def test_a_configuration_with_any_part_of_another_type_is_read_or_rejected():
-    """A `state` that was a list or an object ended the pilot at each start with a traceback."""
+    """Guards against a pilot that could not start: a `state` that was a list or an object raised an exception."""
     accepted = 0
     for tree in with_odd_values(config_file(known=KNOWN)):
         try:
@@ -65,9 +67,9 @@
 @pytest.mark.parametrize("state", [["Ready"], {"Ready": 1}])
 def test_an_entry_of_the_kept_list_whose_state_is_not_text_is_left_out_alone(state):
     known = {"version": 4, "full": True, "servers": [SERVER | {"id": "q", "state": state}, SERVER]}
-    made = parse_config(json.dumps(config_file(known=known)).encode())
-    assert [entry.endpoint for entry in made.known.entries] == ["p"]
-    assert made.known.problems == (f"q: state: {describe_value(state)} is none of Ready, Terminating, Gone",)
+    parsed = parse_config(json.dumps(config_file(known=known)).encode())
+    assert [entry.endpoint for entry in parsed.known.entries] == ["p"]
+    assert parsed.known.problems == (f"q: state: {describe_value(state)} is none of Ready, Terminating, Gone",)
 
 
 def test_an_update_with_any_part_of_another_type_is_read_or_rejected():
--- a/tests/test_platform_config_reloader.py
+++ b/tests/test_platform_config_reloader.py
@@ -1,4 +1,4 @@
-"""A reload says what it cannot change."""
+"""A reload logs the settings whose change needs a restart."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -1,4 +1,4 @@
-"""Connections at the pilot's listening address, and how many of them may stay."""
+"""Tests of accepted connections and of the limit on their number."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_endpoint_list.py
+++ b/tests/test_platform_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, and which of them apply."""
+"""Tests of endpoint list updates: which are applied, ignored or rejected."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
     second = 1_000_000_000
     endpoint_list = EndpointList(update(3, True, server("p"), server("q")), 10 * second)
     endpoint_list.apply(update(6, False, server("p", "Gone"), server("q", "Terminating")), 0)
-    for made in (update(3, True, server("p"), server("q")), update(5, False, server("p"))):
-        assert endpoint_list.apply(made, second) is None
+    for outdated in (update(3, True, server("p"), server("q")), update(5, False, server("p"))):
+        assert endpoint_list.apply(outdated, second) is None
     assert (
         endpoint_list.entries["q"].state == "terminating"
         and "p" not in endpoint_list.entries
         and endpoint_list.watch_from() == 6
     )
     assert endpoint_list.apply(update(6, True, server("q", "Terminating")), 8 * second).kind == "replace"
-    assert endpoint_list.apply(update(4, False), 9 * second) is None  # the delay starts anew
+    assert endpoint_list.apply(update(4, False), 9 * second) is None  # the delay starts again
     with pytest.raises(EndpointListError, match="version: 4 after 6"):
         endpoint_list.apply(update(4, False), 19 * second)
     assert endpoint_list.watch_from() == 0
@@ -56,14 +56,14 @@
 
 @given(VERSIONS)
 def test_full_and_partial_updates_in_any_order_end_at_the_newest_version(steps):
-    """Two watches interleave while discovery moves: each is in order, and neither undoes the other."""
+    """When discovery's address changes, updates of two watches interleave; neither may revert updates of the other."""
     states = {v: {f"s{k}": ("Ready" if k > v else "Terminating") for k in range(10)} for v in range(10)}
     endpoint_list = EndpointList(update(1, True, *(server(n, s) for n, s in states[1].items())))
     for version, full in steps:
         if full:
-            made = update(version, True, *(server(n, s) for n, s in states[version].items()))
-        else:  # what has changed since the known version, as a watch tells it
-            made = update(
+            received = update(version, True, *(server(n, s) for n, s in states[version].items()))
+        else:  # the changes since the known version, as a watch sends them
+            received = update(
                 version,
                 False,
                 *(
@@ -72,7 +72,7 @@
                 ),
             )
         before = endpoint_list.version
-        event = endpoint_list.apply(made, 0)
+        event = endpoint_list.apply(received, 0)
         assert (event is None) == (version < before) and endpoint_list.version == max(before, version)
         assert {n: e.state == "terminating" for n, e in endpoint_list.entries.items()} == {
             n: s == "Terminating" for n, s in states[endpoint_list.version].items()
@@ -92,12 +92,12 @@
     ],
 )
 def test_invalid_entries_are_reported(change):
-    made = update(1, True, server("p") | change, server("q"))
-    assert [e.endpoint for e in made.entries] == ["q"] and len(made.problems) == 1
+    received = update(1, True, server("p") | change, server("q"))
+    assert [e.endpoint for e in received.entries] == ["q"] and len(received.problems) == 1
 
 
 @pytest.mark.parametrize("state", [["Ready"], {"Ready": 1}])
 def test_an_entry_whose_state_is_not_text_is_left_out_alone(state):
     endpoint_list = EndpointList(update(3, True, server("p"), server("q")))
     event = endpoint_list.apply(update(4, True, server("p"), server("q", state=state)), 0)
-    assert {entry.endpoint for entry in event.entries} == {"p", "q"}, "the entry known before stays"
+    assert {entry.endpoint for entry in event.entries} == {"p", "q"}, "the previously known entry is kept"
--- a/tests/test_platform_framing.py
+++ b/tests/test_platform_framing.py
@@ -1,4 +1,4 @@
-"""Frames of the platform's protocol."""
+"""Tests of the frames of the platform's protocol."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_fuzz_corpus.py
+++ b/tests/test_platform_fuzz_corpus.py
@@ -1,4 +1,4 @@
-"""The fuzzer's corpus for the platform's messages."""
+"""Runs the fuzz target for the platform's messages on its corpus."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_http_client.py
+++ b/tests/test_platform_http_client.py
@@ -1,4 +1,4 @@
-"""Requests over a connection: how long a response may take."""
+"""Tests of requests over a persistent connection: the timeout of a response."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 
 
 def test_a_response_that_comes_byte_by_byte_has_no_more_time_than_another():
-    """Each wait for bytes had the whole timeout: a drain could wait for a request that never ended."""
+    """Guards against a timeout for each wait in place of the whole response: an endless response delayed a drain."""
 
-    async def dribble(stream) -> None:
+    async def send_bytewise(stream) -> None:
         async with stream:
             await stream.receive()
             for byte in answer_bytes(b'{"taken":1}'):
                 await anyio.sleep(0.02)
                 await stream.send(bytes([byte]))
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         async with (
             await anyio.create_tcp_listener(local_host="127.0.0.1") as listener,
             anyio.create_task_group() as group,
         ):
-            group.start_soon(listener.serve, dribble)
+            group.start_soon(listener.serve, send_bytewise)
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
             connection = http_client.HttpConnection(Address("127.0.0.1", port), 3.0)
             await connection.connect(1.0)
-            began = anyio.current_time()
+            started_at = anyio.current_time()
             with pytest.raises(TransportError, match="no complete response"):
                 await connection.request("POST", "/txn", b"{}", 0.2)
-            assert anyio.current_time() - began < 0.6
+            assert anyio.current_time() - started_at < 0.6
             group.cancel_scope.cancel()
 
-    anyio.run(scene)
+    anyio.run(run_scenario)
 
 
 class AnsweringThread:
-    """A server that answers at once, whatever the event loop does."""
+    """A server in its own threads, so that it responds immediately even if the event loop is blocked."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -73,17 +73,17 @@
 
 @pytest.mark.parametrize("use_uvloop", [False, True])
 def test_a_request_is_confirmed_though_each_turn_of_the_loop_takes_longer_than_its_timeout(use_uvloop):
-    """A late loop gave up requests that were answered; their orders were sent again, and the loop was later still."""
+    """Guards against a late event loop that timed out answered requests: resending their orders delayed it further."""
     server = AnsweringThread()
 
-    async def hold_up_the_loop() -> None:
+    async def block_event_loop() -> None:
         while True:
             time.sleep(0.05)
             await anyio.sleep(0)
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(hold_up_the_loop)
+            group.start_soon(block_event_loop)
             connection = http_client.HttpConnection(Address("127.0.0.1", server.port), 30.0)
             for _ in range(3):
                 await connection.connect(0.02)
@@ -92,7 +92,7 @@
             group.cancel_scope.cancel()
 
     try:
-        anyio.run(scene, backend="asyncio", backend_options={"use_uvloop": use_uvloop})
+        anyio.run(run_scenario, backend="asyncio", backend_options={"use_uvloop": use_uvloop})
     finally:
         server.close()
     assert server.requests == 3
--- a/tests/test_platform_http_response.py
+++ b/tests/test_platform_http_response.py
@@ -1,4 +1,4 @@
-"""HTTP responses of the registry and discovery, as bytes."""
+"""Tests of decoding the HTTP responses of the registry and discovery."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -1,4 +1,4 @@
-"""Messages of collectors, and whatever else is decoded from JSON."""
+"""Tests of decoding collector messages and other JSON input."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_order_client.py
+++ b/tests/test_platform_order_client.py
@@ -1,4 +1,4 @@
-"""Orders that the registry rejects: none is lost without a word, none takes others along or blocks them."""
+"""Tests of rejected orders: each is logged, and none blocks other orders or causes them to be dropped."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from tests.platform_world import until
 
 
-class PickyRegistry(FakeRegistry):
-    """Rejects requests as SYNTAX that name one endpoint, and stops at orders for another."""
+class RejectingRegistry(FakeRegistry):
+    """Rejects requests with the endpoint `unparsable` as SYNTAX, and stops at orders for the endpoint `unknown`."""
 
-    unreadable, unknown, rejections, busy = "", "", 0, 0
+    unparsable, unknown, rejections, busy_responses = "", "", 0, 0
 
     async def _serve_orders(self, orders, stream):
-        if self.busy:
-            self.busy -= 1
+        if self.busy_responses:
+            self.busy_responses -= 1
             await stream.send(answer_bytes(b'{"error":"BUSY"}', "409 Conflict"))
             return True
-        if any(order.get("server") == self.unreadable for order in orders):
+        if any(order.get("server") == self.unparsable for order in orders):
             self.rejections += 1
             await stream.send(answer_bytes(b'{"error":"SYNTAX"}', "400 Bad Request"))
             return True
@@ -40,8 +40,8 @@
         return True
 
 
-def play(registry: PickyRegistry, scene) -> LogCapture:
-    """Run a scene with a client that has joined the registry's two slices."""
+def run_client(registry: RejectingRegistry, run_scenario) -> LogCapture:
+    """Run a scenario with a client that owns the two slices of the registry, and return its log."""
     captured = LogCapture()
     log = structlog.wrap_logger(None, processors=[captured])
     known = Registry(PendingOrders(("look", "pay")), 4, 2)
@@ -54,23 +54,23 @@
             delays = RetryDelays(random.Random(1), lambda count: 0.0)
             client = OrderClient(Address("127.0.0.1", port), known, lambda *events: None, delays, log)
             group.start_soon(client.run)
-            await scene(client)
+            await run_scenario(client)
             group.cancel_scope.cancel()
 
     anyio.run(run)
     return captured
 
 
-def names(captured: LogCapture) -> list[str]:
+def event_names(captured: LogCapture) -> list[str]:
     return [entry["event"] for entry in captured.entries]
 
 
-def test_an_order_that_cannot_be_read_takes_no_withdrawal_or_level_along():
-    """A third SYNTAX answer dropped the whole request, withdrawals and levels with it."""
-    registry = PickyRegistry(2, 2)
-    registry.unreadable = "bad"
+def test_an_invalid_order_does_not_cause_withdrawals_or_levels_to_be_dropped():
+    """Guards against the third SYNTAX rejection dropping the whole request with its withdrawals and levels."""
+    registry = RejectingRegistry(2, 2)
+    registry.unparsable = "bad"
 
-    async def scene(client: OrderClient) -> None:
+    async def run_scenario(client: OrderClient) -> None:
         orders = [api.SetWithdrawn(f"w{k}", True) for k in range(5)]
         orders += [api.SetEntry(0, "p", 1.0), api.SetEntry(0, "bad", 1.0), api.SetEntry(1, "q", 1.0)]
         client.push([*orders, api.SetAdmission(None, (1,), 0.5, 1)])
@@ -78,30 +78,30 @@
         assert registry.withdrawn == {f"w{k}" for k in range(5)} and registry.levels == {"pay": 0.5}
         assert registry.tables == {0: {"p": 1.0}, 1: {"q": 1.0}}
 
-    captured = play(registry, scene)
+    captured = run_client(registry, run_scenario)
     abandoned = [entry["order"] for entry in captured.entries if entry["event"] == "order_abandoned"]
     assert len(abandoned) == 1 and "bad" in abandoned[0]
 
 
 def test_a_rejected_withdrawal_is_ordered_again_until_the_registry_can_use_it():
-    registry = PickyRegistry(2, 2)
+    registry = RejectingRegistry(2, 2)
     registry.unknown = "late"
 
-    async def scene(client: OrderClient) -> None:
+    async def run_scenario(client: OrderClient) -> None:
         client.push([api.SetWithdrawn("late", True), api.SetWithdrawn("p", True)])
         await until(lambda: registry.withdrawn == {"p"})
         await anyio.sleep(0.3)
         registry.unknown = ""
         await until(lambda: registry.withdrawn == {"p", "late"})
 
-    assert "order_rejected" in names(play(registry, scene))
+    assert "order_rejected" in event_names(run_client(registry, run_scenario))
 
 
 def test_a_newer_order_takes_the_place_of_a_rejected_one():
-    registry = PickyRegistry(2, 2)
+    registry = RejectingRegistry(2, 2)
     registry.unknown = "late"
 
-    async def scene(client: OrderClient) -> None:
+    async def run_scenario(client: OrderClient) -> None:
         client.push([api.SetWithdrawn("late", True)])
         await until(lambda: registry.request_count or client.request_count)
         await anyio.sleep(0.02)
@@ -110,15 +110,15 @@
         await anyio.sleep(0.5)
         assert not registry.withdrawn
 
-    play(registry, scene)
+    run_client(registry, run_scenario)
 
 
 def test_a_busy_registry_is_logged_once_in_a_row():
-    registry = PickyRegistry(2, 2)
-    registry.busy = 3
+    registry = RejectingRegistry(2, 2)
+    registry.busy_responses = 3
 
-    async def scene(client: OrderClient) -> None:
+    async def run_scenario(client: OrderClient) -> None:
         client.push([api.SetWithdrawn("p", True)])
         await until(lambda: registry.withdrawn)
 
-    assert names(play(registry, scene)).count("order_request_busy") == 1
+    assert event_names(run_client(registry, run_scenario)).count("order_request_busy") == 1
--- a/tests/test_platform_order_codec.py
+++ b/tests/test_platform_order_codec.py
@@ -1,4 +1,4 @@
-"""Orders and responses on the registry's wire."""
+"""Tests of orders and responses in the wire format of the registry."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_ownership.py
+++ b/tests/test_platform_ownership.py
@@ -1,4 +1,4 @@
-"""Orders in flight while the ownership of a slice changes, with events that come late and watches that break."""
+"""Tests of orders in flight while the ownership of a slice changes, events arrive late and watches are interrupted."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 
 
 class LateEventsWorld:
-    """A registry with one slice, whose events and heartbeats are on their way for any time, and whose watch may break.
+    """A registry with one slice whose events and heartbeats may arrive late and whose watch may be interrupted.
 
-    The planner keeps the slice on one desired endpoint, and acts at times of its own on what it has been told.
+    The planner wants one desired endpoint in the slice's table. It acts at arbitrary times on the events that it has
+    received.
     """
 
     def __init__(self) -> None:
         self.owned, self.store, self.watched, self.undelivered = True, {"p": 1.0}, True, []
         self.pending = PendingOrders(("x",))
         self.registry = Registry(self.pending, 1, 2)
-        self.synchronized = False  # the watch has told its snapshot
-        self.new_watch: list | None = None  # at another address, beside the one that is read
+        self.synchronized = False  # True once the watch has delivered its snapshot
+        self.new_watch: list | None = None  # watch at a new address, open in parallel to the one that is read
         self.planned: dict[str, float] | None = None
         self.desired = "p"
         self.request = None
@@ -37,15 +38,15 @@
         self.step("deliver")
 
     def snapshot(self) -> WatchSnapshot:
-        made = WatchSnapshot()
+        snapshot = WatchSnapshot()
         if self.owned:
-            made.tables[SLICE] = dict(self.store)
-        return made
+            snapshot.tables[SLICE] = dict(self.store)
+        return snapshot
 
     def step(self, name: str) -> None:
         getattr(self, f"do_{name}")()
 
-    def tell(self, *events) -> None:
+    def emit(self, *events) -> None:
         if self.watched:
             self.undelivered += events
         if self.new_watch is not None:
@@ -53,25 +54,25 @@
 
     # -- the registry and its watch
 
-    def do_take(self) -> None:
+    def do_revoke(self) -> None:
         if self.owned:
             self.owned = False
-            self.tell(registry_events.OwnershipChanged(SLICE, False))
+            self.emit(registry_events.OwnershipChanged(SLICE, False))
 
-    def do_give(self) -> None:
+    def do_assign(self) -> None:
         if not self.owned:
             self.owned = True
             entries = [registry_events.EntryChanged(SLICE, name, weight) for name, weight in self.store.items()]
-            self.tell(registry_events.OwnershipChanged(SLICE, True), *entries)
+            self.emit(registry_events.OwnershipChanged(SLICE, True), *entries)
 
-    def do_other_pilot(self) -> None:
+    def do_change_by_other_pilot(self) -> None:
         if not self.owned:
             self.store = {"r": 1.0}
 
-    def do_beat(self) -> None:
-        """A heartbeat is sent; with too many of them unread the pilot would take the watch for silent."""
+    def do_heartbeat(self) -> None:
+        """Send a heartbeat, unless so many are unread that the pilot would have closed the watch as silent."""
         if self.unread_heartbeats() < MAX_UNREAD_HEARTBEATS:
-            self.tell(registry_events.Heartbeat())
+            self.emit(registry_events.Heartbeat())
 
     def unread_heartbeats(self) -> int:
         queues = self.undelivered, self.new_watch or ()
@@ -85,12 +86,12 @@
             self.watched = True
             self.undelivered.append(self.snapshot())
 
-    def do_move(self) -> None:
+    def do_open_new_watch(self) -> None:
         if self.watched and self.new_watch is None:
             self.new_watch = [self.snapshot()]
 
-    def do_switch(self) -> None:
-        """The new watch has sent its snapshot: the former one is closed, and what is unread on it is lost."""
+    def do_switch_watch(self) -> None:
+        """Deliver the snapshot of the new watch: the previous watch is closed, and its unread events are lost."""
         if self.new_watch is not None:
             (snapshot, *self.undelivered), self.new_watch = self.new_watch, None
             self.handle(self.registry.reconcile(snapshot, gap=not self.synchronized))
@@ -122,7 +123,7 @@
         self.pending.push([api.SetEntry(SLICE, name, 0.0) for name in self.planned if name != self.desired])
         self.planned = {self.desired: 1.0}
 
-    def do_want(self) -> None:
+    def do_change_desired(self) -> None:
         self.desired = "q" if self.desired == "p" else "p"
 
     # -- requests
@@ -138,10 +139,10 @@
             for order in self.request.orders if self.owned else ():
                 apply_entry(self.store, order)
 
-    def do_answer(self) -> None:
+    def do_respond(self) -> None:
         self.finish(answered=self.applied)
 
-    def do_lose(self) -> None:
+    def do_lose_response(self) -> None:
         self.finish(answered=False)
 
     def finish(self, answered: bool) -> None:
@@ -154,40 +155,40 @@
             self.registry.orders_accepted(accepted, request.ownership_epoch)
         self.registry.repeat_uncertain(request.orders, request.ownership_epoch)
 
-    # -- what can happen next
+    # -- possible steps
 
     def possible_steps(self) -> list[str]:
-        """Steps that change anything now; a step named twice is taken twice as often."""
+        """Return the steps that change the state now; a step that is listed twice is chosen twice as often."""
         heartbeats_fit = self.unread_heartbeats() < MAX_UNREAD_HEARTBEATS
         conditions = {
-            "take": self.owned,
-            "give": not self.owned,
-            "other_pilot": not self.owned and "r" not in self.store,
-            "beat": self.watched and heartbeats_fit,
+            "revoke": self.owned,
+            "assign": not self.owned,
+            "change_by_other_pilot": not self.owned and "r" not in self.store,
+            "heartbeat": self.watched and heartbeats_fit,
             "break_watch": self.watched,
             "open_watch": not self.watched,
-            "move": self.watched and self.new_watch is None,
-            "switch": self.new_watch is not None,
+            "open_new_watch": self.watched and self.new_watch is None,
+            "switch_watch": self.new_watch is not None,
             "deliver": bool(self.undelivered),
             "plan": self.planned not in (None, {self.desired: 1.0}),
-            "want": True,
+            "change_desired": True,
             "send": self.request is None and not self.pending.is_empty(),
             "apply": self.request is not None and not self.applied,
-            "answer": self.applied,
-            "lose": self.request is not None,
+            "respond": self.applied,
+            "lose_response": self.request is not None,
         }
         return [name for name, possible in conditions.items() if possible] + ["deliver"] * bool(self.undelivered)
 
 
 def check_stored_state_is_known(choices: list[int]) -> None:
-    """Whatever happened, the registry ends up storing what is desired; the pilot and its planner know it."""
+    """Check that after any steps the registry finally stores the desired entry, and that pilot and planner know it."""
     world = LateEventsWorld()
     for choice in choices:
         possible = world.possible_steps()
         world.step(possible[choice % len(possible)])
-    for step in ["apply", "answer", "open_watch", "switch", *["deliver"] * len(choices) * 4]:
+    for step in ["apply", "respond", "open_watch", "switch_watch", *["deliver"] * len(choices) * 4]:
         world.step(step)
-    for step in ["beat", "deliver", "plan", "send", "apply", "answer"] * 4:
+    for step in ["heartbeat", "deliver", "plan", "send", "apply", "respond"] * 4:
         world.step(step)
     if world.owned:
         assert world.store == {world.desired: 1.0} == world.registry.tables[SLICE] == world.planned
@@ -196,43 +197,43 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_stored_state_is_known_after_late_events_and_broken_watches(seed):
-    """Entries that an order has changed beside a change of ownership or a snapshot must not be forgotten."""
-    draw = random.Random(seed)
+    """Guards against losing entries that an order changed while the ownership changed or a snapshot was created."""
+    rng = random.Random(seed)
     for _ in range(1500):
-        check_stored_state_is_known([draw.randrange(1 << 20) for _ in range(draw.randrange(40))])
+        check_stored_state_is_known([rng.randrange(1 << 20) for _ in range(rng.randrange(40))])
 
 
 def owned_registry() -> Registry:
-    """A registry whose watch has told one slice with one entry."""
+    """Return a registry state whose watch has reported one slice with one entry."""
     registry = Registry(PendingOrders(("x",)), 1, 2)
-    made = WatchSnapshot()
-    made.tables[SLICE] = {"p": 1.0}
-    registry.reconcile(made)
+    snapshot = WatchSnapshot()
+    snapshot.tables[SLICE] = {"p": 1.0}
+    registry.reconcile(snapshot)
     return registry
 
 
 def test_heartbeats_that_were_on_their_way_do_not_confirm_a_later_request():
     registry = owned_registry()
-    registry.repeat_uncertain([api.SetEntry(SLICE, "q", 1.0)], registry.ownership.epoch)  # its outcome is unknown
+    registry.repeat_uncertain([api.SetEntry(SLICE, "q", 1.0)], registry.ownership.epoch)  # the outcome is unknown
     for _ in range(MAX_UNREAD_HEARTBEATS):
         registry.apply(registry_events.Heartbeat())
     registry.apply(registry_events.OwnershipChanged(SLICE, False))
     registry.apply(registry_events.OwnershipChanged(SLICE, True))
     registry.apply(registry_events.EntryChanged(SLICE, "p", 1.0))
-    assert registry.pending.is_empty(), "entries may be on their way still"
+    assert registry.pending.is_empty(), "entries may still be unread"
     registry.apply(registry_events.Heartbeat())
     assert list(registry.pending) == [api.SetEntry(SLICE, "q", 0.0)]
 
 
 def test_an_order_accepted_beside_a_gap_in_the_watch_stays_wanted():
-    """Entries were put back to the snapshot's, which was older; the planner was not told."""
+    """Guards against an older snapshot that replaced accepted entries without an event for the planner."""
     registry = owned_registry()
     orders = api.SetEntry(SLICE, "q", 1.0), api.SetEntry(SLICE, "p", 0.0)
     registry.pending.push(orders)
     request = registry.pending.next_request(registry.ownership.epoch)
-    made = WatchSnapshot()
-    made.tables[SLICE] = {"p": 1.0}
-    assert registry.reconcile(made) == []
+    snapshot = WatchSnapshot()
+    snapshot.tables[SLICE] = {"p": 1.0}
+    assert registry.reconcile(snapshot) == []
     registry.orders_accepted(registry.pending.acknowledge(request.orders, 2).accepted, request.ownership_epoch)
     registry.repeat_uncertain(request.orders, request.ownership_epoch)
     assert tuple(registry.pending) == orders
@@ -240,7 +241,7 @@
 
 @pytest.mark.parametrize("sent_before", [True, False])
 def test_an_entry_rejected_after_a_request_without_an_answer_is_ordered_again_as_desired(sent_before):
-    """Soak seed 89: the entry was stored by the unanswered request, and the pilot took it for absent."""
+    """Soak seed 89: the request without a response had stored the entry, but the pilot assumed that it was absent."""
     registry = owned_registry()
     registry.pending.push([api.SetEntry(SLICE, "q", 1.0)])
     request = registry.pending.next_request(registry.ownership.epoch)
--- a/tests/test_platform_pending_orders.py
+++ b/tests/test_platform_pending_orders.py
@@ -1,4 +1,4 @@
-"""Pending orders: merged, cut into requests, and safe to send again."""
+"""Tests of pending orders: they are merged, split into requests and safe to resend."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Store:
-    """The state that orders lead to when applied in order."""
+    """The state that results from applying orders one after another."""
 
     def __init__(self) -> None:
         self.state: dict = {}
@@ -47,6 +47,10 @@
     )
 )
 def test_any_outcomes_end_in_the_desired_state(steps):
+    """The outcomes: "taken" accepts all orders; "lost" applies them without a response; "part" rejects one entry.
+
+    "cut" and "busy" apply no order.
+    """
     pending, desired, store = PendingOrders(("x",)), Store(), Store()
     for pushed, outcome in [*steps, ([], "taken"), ([], "taken"), ([], "taken")]:
         pending.push(pushed)
@@ -64,7 +68,7 @@
                 store.apply(order)
         if outcome in ("taken", "part"):
             rejected = pending.acknowledge(request.orders, count).rejected
-            if rejected is not None:  # it is dropped alone, and nobody wants it any more
+            if rejected is not None:  # only this order is dropped, and its entry is no longer desired
                 key = rejected.table, rejected.endpoint
                 desired.state[key] = store.state.get(key)
     assert pending.is_empty() and store.present() == desired.present()
@@ -95,7 +99,7 @@
 @settings(max_examples=400)
 @given(TARGETS)
 def test_no_table_is_empty_between_the_orders_of_any_steps(steps):
-    """Make before break, as the planner orders it, wherever a request is cut and whether it is applied or not."""
+    """Make before break holds wherever the orders are split into requests and whether a request is applied or not."""
     pending, store = PendingOrders(("x",)), {0: {"p": 1.0}, 1: {"q": 1.0}}
     ordered = {table: set(entries) for table, entries in store.items()}
     for table, target, outcome, length in [*steps, *((table, {"s"}, "taken", 99) for table in (0, 1))]:
--- a/tests/test_platform_pilot.py
+++ b/tests/test_platform_pilot.py
@@ -1,4 +1,4 @@
-"""The pilot on the platform's protocol, as a process, against fake servers that fail."""
+"""Tests of the platform's pilot as a process against fake servers with faults."""
 
 from __future__ import annotations
 
@@ -29,39 +29,39 @@
 ]
 
 
-def run(scene, *arguments) -> None:
-    anyio.run(scene, *arguments)
+def run(run_scenario, *arguments) -> None:
+    anyio.run(run_scenario, *arguments)
 
 
 def test_drain_and_shutdown_without_faults(tmp_path):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
-            collector = await site.collector()
+            collector = await site.connect_collector()
             assert await collector.gets_heartbeat()
             await collector.send_report("a", "p")
             await site.discovery.update_server("q", "Terminating")
-            await site.avoided("q", 2.0)
-            await site.covered(2.0)
-            began = time.monotonic()
+            await site.wait_until_avoided("q", 2.0)
+            await site.wait_until_covered(2.0)
+            started_at = time.monotonic()
             assert await site.end() == 0
-            assert time.monotonic() - began < 0.7
+            assert time.monotonic() - started_at < 0.7
 
-    run(scene)
+    run(run_scenario)
 
 
 def test_state_after_a_kill_comes_from_registry_and_discovery_alone(tmp_path):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
             before = {n: dict(t) for n, t in site.registry.tables.items()}
             await site.end(signal.SIGKILL)
             await site.discovery.update_server("p", "Gone")
-            calls = site.registry.request_count
+            requests_before = site.registry.request_count
             await site.start()
-            await until(lambda: site.registry.request_count > calls and not site.uncovered_slices(), 4.0)
+            await until(lambda: site.registry.request_count > requests_before and not site.uncovered_slices(), 4.0)
             kept = [n for n, t in before.items() if "p" not in t]
             assert all(before[n].items() <= site.registry.tables[n].items() for n in kept)
 
-    run(scene)
+    run(run_scenario)
 
 
 @pytest.mark.parametrize(
@@ -79,82 +79,80 @@
     ],
 )
 def test_every_outcome_of_a_request_ends_in_the_desired_state(tmp_path, fault):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
             site.registry.faults.extend([fault, fault])
             await site.discovery.update_server("q", "Terminating")
             await until(lambda: not site.registry.faults and site.is_avoided("q"), 4.0)
-            await site.covered(4.0)  # a rejected entry is decided again
+            await site.wait_until_covered(4.0)  # the planner decides again on a rejected entry
             assert site.process.returncode is None
 
-    run(scene)
+    run(run_scenario)
 
 
 def test_repeated_requests_leave_the_channel_time(tmp_path):
-    """Rule 5: a request whose outcome stays unknown does not pile up in the channel."""
+    """Rule 5: repeated requests whose outcome stays unknown must not accumulate in the channel."""
 
-    async def scene():
-        async with world(
-            tmp_path, rate=40.0
-        ) as site:  # 4 proxies and 8 entries of overhead: nearly a second for a request
+    async def run_scenario():
+        # With 4 proxies and 8 entries of overhead, the channel needs nearly a second for a request.
+        async with world(tmp_path, rate=40.0) as site:
             site.registry.faults.extend([RequestFault.ANSWER_LOST] * 3)
-            began, calls = time.monotonic(), site.registry.request_count
+            started_at, requests_before = time.monotonic(), site.registry.request_count
             await site.discovery.update_server("q", "Terminating")
-            await until(lambda: site.registry.request_count >= calls + 2, 2.0)
-            assert time.monotonic() - began < 0.6, "the first repeat follows at once"
-            await until(lambda: site.registry.request_count >= calls + 3, 4.0)
-            assert time.monotonic() - began > 0.8
+            await until(lambda: site.registry.request_count >= requests_before + 2, 2.0)
+            assert time.monotonic() - started_at < 0.6, "the first repeat is sent without an additional delay"
+            await until(lambda: site.registry.request_count >= requests_before + 3, 4.0)
+            assert time.monotonic() - started_at > 0.8
             await until(lambda: not site.registry.faults and not site.uncovered_slices(), 6.0)
 
-    run(scene)
+    run(run_scenario)
 
 
 def test_an_interrupted_or_silent_registry_watch_is_opened_again_and_reports_the_difference(tmp_path):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
             site.registry.silent = True
             site.registry.tables[2] = {"p": 1.0}
             del site.registry.tables[5]
-            await site.logged("watch_interrupted", timeout_s=5.0)
+            await site.wait_for_log_entry("watch_interrupted", timeout_s=5.0)
             site.registry.silent = False
-            await site.logged("registry_synchronized", count=2)
+            await site.wait_for_log_entry("registry_synchronized", count=2)
             assert site.log_entries("registry_synchronized")[-1]["slices"] == 5
             await site.registry.cut_watches()
-            await site.logged("registry_synchronized", count=3)
+            await site.wait_for_log_entry("registry_synchronized", count=3)
             await site.discovery.update_server("p", "Terminating")
-            await site.covered(4.0)
+            await site.wait_until_covered(4.0)
 
-    run(scene)
+    run(run_scenario)
 
 
 def test_an_interrupted_invalid_or_outdated_discovery_watch_is_opened_again(tmp_path):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
             await site.discovery.send_line(b'{"version":')
-            await site.discovery.update_server(
-                "q", "Terminating"
-            )  # reported or not, as the watch is being opened again
-            await site.avoided("q", 4.0)
+            # The watch may or may not report this update, as it is being reopened.
+            await site.discovery.update_server("q", "Terminating")
+            await site.wait_until_avoided("q", 4.0)
             await site.discovery.send_line(json.dumps({"version": 0, "full": False, "servers": []}).encode())
-            await site.logged("watch_interrupted", count=2)
+            await site.wait_for_log_entry("watch_interrupted", count=2)
             site.discovery.silent = True
-            await site.logged("watch_interrupted", reason="no data", timeout_s=6.0)
+            await site.wait_for_log_entry("watch_interrupted", reason="no data", timeout_s=6.0)
             site.discovery.is_down = True
             await site.discovery.cut_watches()
-            await site.logged("watch_interrupted", reason="503")
+            await site.wait_for_log_entry("watch_interrupted", reason="503")
             site.discovery.is_down = False
             asked = len(site.discovery.requested_targets)
             await until(lambda: len(site.discovery.requested_targets) > asked)
             await site.discovery.update_server("r", "Terminating")
-            await site.covered(4.0)
+            await site.wait_until_covered(4.0)
 
-    run(scene)
+    run(run_scenario)
 
 
 def test_invalid_connections_are_rejected_and_collectors_stay(tmp_path):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
-            collector = await site.collector()
+            collector = await site.connect_collector()
             invalid_inputs = [
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"\xff\xff\xff\xff",
@@ -175,7 +173,7 @@
                     group.start_soon(_expect_rejection, site.port, invalid_input)
             assert await collector.gets_heartbeat() and site.process.returncode is None
 
-    run(scene)
+    run(run_scenario)
 
 
 async def _expect_rejection(port: int, invalid_input: bytes) -> None:
@@ -185,9 +183,9 @@
 
 
 def test_connections_beyond_the_descriptor_limit_are_closed_and_service_continues(tmp_path):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
-            collector = await site.collector()
+            collector = await site.connect_collector()
             connections = [await FakeCollector.connect(site.port) for _ in range(400)]
             assert await collector.gets_heartbeat()
             held = len(os.listdir(f"/proc/{site.process.pid}/fd"))
@@ -196,38 +194,38 @@
                 assert await connection.is_closed_within(3.0)
             await until(lambda: len(os.listdir(f"/proc/{site.process.pid}/fd")) < 40)
             await site.discovery.update_server("q", "Terminating")
-            await site.avoided("q", 3.0)
+            await site.wait_until_avoided("q", 3.0)
 
-    run(scene)
+    run(run_scenario)
 
 
 def test_invalid_reports_are_dropped_alone_and_malformed_ones_end_the_connection(tmp_path):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
-            collector = await site.collector()
+            collector = await site.connect_collector()
             for message in INVALID_REPORTS:
                 await collector.send(message)
             await collector.send_report("a", "p", mean_ms=150.0)
             assert await collector.gets_heartbeat()
-            await site.latency_logged("p", 150)
+            await site.wait_for_latency("p", 150)
             assert len(site.log_entries("input_dropped")) == len(INVALID_REPORTS)
             await collector.send_report("a", "q", mean_ms=170.0)
             await collector.send_bytes(b"\4\0\0\0what")
             assert await collector.is_closed_within(2.0)
-            await site.latency_logged("q", 170)
+            await site.wait_for_latency("q", 170)
 
-    run(scene)
+    run(run_scenario)
 
 
 def test_reload_moves_to_new_addresses_and_rejects_an_invalid_configuration(tmp_path):
-    async def scene():
+    async def run_scenario():
         async with world(tmp_path) as site:
             other = FakeRegistry(0, 4)
             other.tables, other.withdrawn = site.registry.tables, site.registry.withdrawn
             async with other.running() as port:
                 site.file.write_text('{"name": "n0", "registry": 5}')
                 site.reload()
-                await site.logged("configuration_rejected")
+                await site.wait_for_log_entry("configuration_rejected")
                 reason = site.log_entries("configuration_rejected")[0]["reason"]
                 assert "registry" in reason or "settings" in reason
                 site.registry_port = port
@@ -235,12 +233,12 @@
                 site.reload()
                 await until(lambda: other.watchers and not site.registry.watchers)
                 assert [e["gap"] for e in site.log_entries("registry_synchronized")] == [True, False]
-                calls = site.registry.request_count
+                requests_before = site.registry.request_count
                 await site.discovery.update_server("q", "Terminating")
                 await until(lambda: other.request_count and not site.uncovered_slices(), 3.0)
-                assert site.registry.request_count == calls
+                assert site.registry.request_count == requests_before
 
-    run(scene)
+    run(run_scenario)
 
 
 def start(env: dict, *more: str) -> subprocess.CompletedProcess:
--- a/tests/test_platform_registry.py
+++ b/tests/test_platform_registry.py
@@ -1,4 +1,4 @@
-"""The registry's known state: snapshots, events, and orders whose outcome or ownership is uncertain."""
+"""Tests of the known state of the registry: snapshots, events and orders with uncertain outcome or ownership."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 def snapshot(members=(), **tables) -> WatchSnapshot:
-    """Return a snapshot with proxies (number, fresh) and tables, `t3="pq"` for slice 3."""
-    made = WatchSnapshot()
+    """Return a snapshot with proxies (number, fresh) and tables; `t3="pq"` puts endpoints p and q into slice 3."""
+    result = WatchSnapshot()
     for proxy, fresh in members:
-        made.apply(registry_events.ProxyAttached(proxy, "a", fresh))
+        result.apply(registry_events.ProxyAttached(proxy, "a", fresh))
     for name, endpoints in tables.items():
-        made.apply(registry_events.OwnershipChanged(int(name[1:]), True))
+        result.apply(registry_events.OwnershipChanged(int(name[1:]), True))
         for endpoint in endpoints:
-            made.apply(registry_events.EntryChanged(int(name[1:]), endpoint, 1.0))
-    return made
+            result.apply(registry_events.EntryChanged(int(name[1:]), endpoint, 1.0))
+    return result
 
 
 class OwnershipWorld:
-    """A registry with one slice that is taken and given back, events on their way, and a planner that wants entries."""
+    """A registry whose only slice is revoked and assigned again, undelivered events, and a planner's desired entry."""
 
     def __init__(self) -> None:
         self.owned, self.store, self.undelivered = True, {"p": 1.0}, []
@@ -56,16 +56,16 @@
     def step(self, name: str) -> None:
         getattr(self, f"do_{name}")()
 
-    def do_take(self) -> None:
+    def do_revoke(self) -> None:
         if self.owned:
             self.owned = False
             self.undelivered.append(registry_events.OwnershipChanged(1, False))
 
-    def do_give(self) -> None:
+    def do_assign(self) -> None:
         if self.owned:
             return
         self.owned = True
-        if len(self.undelivered) % 2:  # another pilot has changed it meanwhile
+        if len(self.undelivered) % 2:  # in the meantime another pilot has changed the table
             self.store = {"r": 1.0}
         self.undelivered.append(registry_events.OwnershipChanged(1, True))
         self.undelivered += [registry_events.EntryChanged(1, name, weight) for name, weight in self.store.items()]
@@ -74,11 +74,11 @@
         if self.undelivered:
             self.handle(self.registry.apply(self.undelivered.pop(0)))
 
-    def do_want_p(self) -> None:
+    def do_desire_p(self) -> None:
         self.desired = "p"
         self.plan()
 
-    def do_want_q(self) -> None:
+    def do_desire_q(self) -> None:
         self.desired = "q"
         self.plan()
 
@@ -95,10 +95,10 @@
             for order in self.request.orders:
                 apply_entry(self.store, order)
 
-    def do_answer(self) -> None:
+    def do_respond(self) -> None:
         self._finish(answered=self.applied)
 
-    def do_lose(self) -> None:
+    def do_lose_response(self) -> None:
         self._finish(answered=False)
 
     def _finish(self, answered: bool) -> None:
@@ -111,30 +111,33 @@
         self.registry.repeat_uncertain(request.orders, request.ownership_epoch)
 
 
-STEPS = st.sampled_from(["take", "give", "deliver", "want_p", "want_q", "send", "apply", "answer", "lose"])
+STEPS = st.sampled_from(
+    ["revoke", "assign", "deliver", "desire_p", "desire_q", "send", "apply", "respond", "lose_response"]
+)
 
 
 def check_stored_state_is_known(steps: list[str]) -> None:
-    """Whatever happened, in the end the registry stores what is desired and the pilot knows it."""
+    """Check that after any steps the registry finally stores the desired entry, and that the pilot knows it."""
     world = OwnershipWorld()
     for step in steps:
         world.step(step)
-    for step in [*["deliver"] * 40, *["apply", "answer", "send", "deliver"] * 4]:
+    for step in [*["deliver"] * 40, *["apply", "respond", "send", "deliver"] * 4]:
         world.step(step)
-    world.handle(world.registry.apply(registry_events.Heartbeat()))  # it comes behind all that was told
-    for step in ["send", "apply", "answer"] * 2:
+    world.handle(world.registry.apply(registry_events.Heartbeat()))  # the heartbeat follows all reported events
+    for step in ["send", "apply", "respond"] * 2:
         world.step(step)
     if world.owned:
         assert world.store == {world.desired: 1.0} == world.registry.tables[1] and world.pending.is_empty()
 
 
 def test_stored_state_is_known_after_an_ownership_change_during_a_request():
-    check_stored_state_is_known(["take", "give", "want_q", "want_p", "send", "apply", "want_q", "answer"])
+    check_stored_state_is_known(["revoke", "assign", "desire_q", "desire_p", "send", "apply", "desire_q", "respond"])
 
 
 @settings(max_examples=1500, deadline=None)
-@example(["take", "give", "want_q", "want_p", "send", "apply", "want_q", "answer"])
-@example(["take", "give", "want_q", "want_p", "send", "apply", "lose", "want_q"])  # a request is lost
+@example(["revoke", "assign", "desire_q", "desire_p", "send", "apply", "desire_q", "respond"])
+# The response to a request is lost.
+@example(["revoke", "assign", "desire_q", "desire_p", "send", "apply", "lose_response", "desire_q"])
 @given(st.lists(STEPS, max_size=40))
 def test_stored_state_is_known_after_any_order_of_events_and_outcomes(steps):
     check_stored_state_is_known(steps)
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of fixed seeds: the platform's pilot as a process among fakes; see `damsonpick.testing.soak`."""
+"""A short soak with fixed seeds: the platform's pilot as a process against fakes; see `damsonpick.testing.soak`."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_pilot_among_faults_keeps_its_promises(seed, tmp_path):
-    """To play it again: `python -m damsonpick.testing.soak SEED 1`."""
+def test_a_pilot_passes_all_soak_checks_despite_faults(seed, tmp_path):
+    """Run one seed again with `python -m damsonpick.testing.soak SEED 1`."""
     assert anyio.run(play, seed, tmp_path).failures == []
 
 
@@ -24,14 +24,14 @@
     assert draw_plan(5) == draw_plan(5) != draw_plan(6)
 
 
-def test_the_fixed_seeds_have_a_crowd_and_every_way_to_end():
+def test_the_fixed_seeds_cover_many_strangers_and_every_ending():
     plans = [draw_plan(seed) for seed in SEEDS]
     assert any(plan.strangers > 100 for plan in plans) and any(plan.odd_kept_list for plan in plans)
     assert {life.ending for plan in plans for life in plan.lives} == set(Ending)
 
 
 def test_servers_that_only_odd_entries_named_are_reported_gone_at_the_end():
-    """Seed 60: an entry without a zone is a valid one, and the pilot went on placing slices on its server."""
+    """Seed 60: an entry without a zone is valid, so the pilot continued to place slices on its server."""
 
     async def end_after_an_odd_entry():
         platform = SoakPlatform(draw_plan(1), random.Random(1), lambda valid: None)
--- a/tests/test_platform_state_log.py
+++ b/tests/test_platform_state_log.py
@@ -1,4 +1,4 @@
-"""The log line on the state of planner and pilot."""
+"""Tests of the log line with the state of planner and pilot."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_watch_client.py
+++ b/tests/test_platform_watch_client.py
@@ -1,4 +1,4 @@
-"""The client that keeps a watch open."""
+"""Tests of the client that keeps a watch open."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def test_a_watch_whose_reader_raises_is_opened_again():
-    async def scene():
+    async def run_scenario():
         discovery, log, processed = FakeDiscovery("p"), structlog.get_logger(), []
 
         class Reader:
@@ -23,7 +23,7 @@
             def process(self, lines: list[bytes]) -> bool:
                 processed.append(lines)
                 if len(processed) == 1:
-                    raise RuntimeError("a fault of ours")
+                    raise RuntimeError("an error in the reader")
                 return True
 
         async with discovery.running() as port, anyio.create_task_group() as group:
@@ -35,4 +35,4 @@
             group.cancel_scope.cancel()
         assert len(processed) >= 2 and client.interruptions == 1
 
-    anyio.run(scene)
+    anyio.run(run_scenario)
