--- a/damsonpick/protocols/platform/connection_handler.py
+++ b/damsonpick/protocols/platform/connection_handler.py
@@ -37,7 +37,7 @@
 
 
 class ConnectionHandler:
-    """Serves connections; each one by a separate call of `serve`."""
+    """Serves connections with one call of `serve` for each connection."""
 
     def __init__(self, readiness: Readiness, enqueue: EventSink, dropped_input_log: DroppedInputLog) -> None:
         """Create a handler.
--- a/damsonpick/protocols/platform/connection_listener.py
+++ b/damsonpick/protocols/platform/connection_listener.py
@@ -124,7 +124,7 @@
                 await self._handler.serve(opened, self._close_replaced)
         except PEER_CLOSED_ERRORS:
             pass
-        except Exception as error:  # a fault in one connection must not end the pilot
+        except Exception as error:  # an error in one connection must not stop the pilot
             self._log.exception("connection_failed", error=repr(error))
         finally:
             self._scopes.pop(opened.connection, None)
--- a/damsonpick/protocols/platform/ownership.py
+++ b/damsonpick/protocols/platform/ownership.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Container, Iterable
 
-MAX_UNREAD_HEARTBEATS = 3  # of one watch; with more unread heartbeats the watch would have exceeded its silence timeout
+MAX_UNREAD_HEARTBEATS = 3  # of one watch; with more, the pilot would have treated the watch as silent
 
 Endpoints = dict[str, None]  # an ordered set
 
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -15,7 +15,7 @@
 from damsonpick.runtime.decision_loop import DecisionLoop
 
 EVENT_BATCH_S = 0.004  # events that arrive within this time are handled in one step
-MIN_PAUSE_S = 0.001  # shortest wait for a step that is due
+MIN_PAUSE_S = 0.001  # shortest wait for the next due step
 
 
 class PlannerStart(NamedTuple):
