--- a/damsonpick/proxy/__init__.py
+++ b/damsonpick/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""A small proxy that obeys published tables; see docs/design/proxy.md."""
+"""A small HTTP proxy that routes requests by the published tables; see docs/design/proxy.md."""
--- a/damsonpick/proxy/ads_client.py
+++ b/damsonpick/proxy/ads_client.py
@@ -1,4 +1,4 @@
-"""The client half of one ADS stream, either variant: requests to send and responses to parse. Sans I/O."""
+"""Client side of one ADS stream, in either xDS variant: builds requests and parses responses. Sans I/O."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 USER_AGENT = "damsonpick proxy"
 WILDCARD = "*"
-INVALID_ARGUMENT_CODE = 3  # the gRPC status of a NACK
+INVALID_ARGUMENT_CODE = 3  # gRPC status code that a NACK carries
 
 Request: TypeAlias = discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest
 Response: TypeAlias = discovery_pb2.DiscoveryResponse | discovery_pb2.DeltaDiscoveryResponse
 
 
 class ParsedResponse(NamedTuple):
-    """A response in either variant.
+    """A parsed response of either variant.
 
     Attributes:
-        type_url: of all its resources.
-        resources: new and changed ones.
-        removed: names that are gone.
-        statement: the stated roots; None if it states none.
+        type_url: Type of all resources in the response.
+        resources: New and changed resources.
+        removed: Names of removed resources.
+        statement: Roots that the response states. None if it states none.
     """
 
     type_url: str
@@ -41,21 +41,21 @@
 
 
 class AdsClient:
-    """What to request at the start of a stream and after each response.
+    """Builds the requests for the start of a stream and for the acknowledgement of each response.
 
     Attributes:
-        node: identifies the client to the control service.
-        subscribed: names subscribed to on this stream, by type URL.
+        node: Identifies the client to the control service.
+        subscribed: Names subscribed to on this stream, by type URL.
     """
 
     def __init__(self, received_state: ReceivedState, node_id: str, zone: str, delta: bool) -> None:
-        """Begin a stream.
+        """Create the client for a new stream.
 
         Args:
-            received_state: what is held from earlier streams.
-            node_id: of the client.
-            zone: of the client.
-            delta: whether the incremental variant is spoken.
+            received_state: Resources that were received on earlier streams.
+            node_id: Node id of the client.
+            zone: Zone of the client.
+            delta: Whether the stream uses the delta (incremental) variant of xDS.
         """
         self.received_state = received_state
         self.delta = delta
@@ -64,15 +64,16 @@
         self.node.client_features.append(root_statement.CLIENT_FEATURE)
         self.subscribed: dict[str, list[str]] = {}
         self._accepted_versions: dict[str, str] = {}  # version_info by type URL
-        self._last_nonces: dict[str, str] = {}  # by type URL
+        self._last_nonces: dict[str, str] = {}  # nonce of the last response by type URL
 
     def subscribe(self, type_url: str, names: list[str], version_info: str = "") -> Request:
-        """The first request of a type on this stream.
+        """Build the first request for a type on this stream.
 
         Args:
-            type_url: the type.
-            names: resources to subscribe to; none: all.
-            version_info: of the last accepted response of an earlier stream.
+            type_url: Type to subscribe to.
+            names: Resources to subscribe to. An empty list subscribes to all.
+            version_info: Version of the last accepted response on an earlier stream. Only sent in the
+                state-of-the-world variant.
         """
         self.subscribed[type_url] = names
         if self.delta:
@@ -86,27 +87,27 @@
             node=self.node, type_url=type_url, resource_names=names, version_info=version_info
         )
 
-    def subscribe_more(self, type_url: str, names: list[str]) -> Request:
-        """A request for further names of a type that is subscribed to."""
+    def extend_subscription(self, type_url: str, names: list[str]) -> Request:
+        """Build a request that adds names to the subscription of a type."""
         self.subscribed[type_url] = sorted({*self.subscribed.get(type_url, []), *names})
         if self.delta:
             return discovery_pb2.DeltaDiscoveryRequest(type_url=type_url, resource_names_subscribe=names)
         return self._sotw_request(type_url)
 
     def parse(self, response: Response) -> ParsedResponse:
-        """What a response brings."""
+        """Parse a response into resources, removed names and stated roots."""
         type_url = response.type_url
         if self.delta:
             resources = [ReceivedResource(r.name, r.version, r.resource.value) for r in response.resources]
             removed = list(response.removed_resources)
         else:
-            resources = [_unnamed_resource(type_url, packed.value) for packed in response.resources]
+            resources = [_sotw_resource(type_url, packed.value) for packed in response.resources]
             removed = []
         statement = root_statement.parse(response.control_plane.identifier)
         return ParsedResponse(type_url, resources, removed, statement)
 
     def acknowledge(self, response: Response, error_text: str = "") -> Request:
-        """The answer to a response: an ACK, or with an error text a NACK."""
+        """Build the acknowledgement of a response: an ACK, or a NACK if `error_text` is not empty."""
         type_url = response.type_url
         self._last_nonces[type_url] = response.nonce
         request: Request
@@ -122,7 +123,7 @@
         return request
 
     def _sotw_request(self, type_url: str) -> discovery_pb2.DiscoveryRequest:
-        """A request of the state-of-the-world variant after the first: it repeats the whole subscription."""
+        """Build a later request of the state-of-the-world variant, which repeats the complete subscription."""
         return discovery_pb2.DiscoveryRequest(
             type_url=type_url,
             resource_names=self.subscribed.get(type_url, []),
@@ -131,8 +132,8 @@
         )
 
 
-def _unnamed_resource(type_url: str, body: bytes) -> ReceivedResource:
-    """A resource of the state-of-the-world variant, which sends neither its name nor its version."""
+def _sotw_resource(type_url: str, body: bytes) -> ReceivedResource:
+    """Build a resource of the state-of-the-world variant, which sends neither its name nor its version."""
     if type_url == CDS:
         name = cluster_pb2.Cluster.FromString(body).name
     elif type_url == RDS:
--- a/damsonpick/proxy/client.py
+++ b/damsonpick/proxy/client.py
@@ -1,4 +1,4 @@
-"""A client's connection: its requests are read as events, a body is kept for a retry while it is small."""
+"""Connection from a client. Requests are read as events, and a small body is stored so that a retry can send it."""
 
 from __future__ import annotations
 
@@ -10,11 +10,17 @@
 
 
 class ClientDisconnectedError(Exception):
-    """The client has closed or stalled; nobody is left to answer."""
+    """Raised when the client has closed its connection or stalled, so that no response can be delivered."""
 
 
 class ClientTimeouts(NamedTuple):
-    """Timeouts in seconds of the machine's own clock."""
+    """Timeouts in seconds of the machine's own clock.
+
+    Attributes:
+        head: Time to receive the rest of a partly received request head.
+        idle: Time to receive a request head when no byte of it has arrived yet.
+        stall: Time for which a body may make no progress, in either direction.
+    """
 
     head: float
     idle: float
@@ -22,39 +28,39 @@
 
 
 class Client:
-    """One client connection."""
+    """Reads requests from one client connection and sends responses to it."""
 
     def __init__(self, stream: Stream, limits: Limits, timeouts: ClientTimeouts) -> None:
-        """Take over an accepted connection.
+        """Wrap an accepted connection.
 
         Args:
-            stream: the open socket.
-            limits: of sizes.
-            timeouts: of waits.
+            stream: The open connection.
+            limits: Limits on message sizes.
+            timeouts: Timeouts of reads and writes.
         """
         self.stream = stream
         self.limits = limits
         self.timeouts = timeouts
         self.reader = http.Reader(True, limits.head)
         self.address = stream.peer()
-        self.ended = True  # the request was read completely
-        self.begun = False  # part of an answer was sent
-        self.size = 0  # bytes of the body so far
-        self._events: list[http.Head | http.Body | http.End] = []  # read, not yet used
-        self._kept: list[http.Body | http.End] = []  # of the body, for a retry
-        self._position = 0  # in what is kept
-        self._complete = True  # what is kept is the complete body so far
+        self.request_complete = True  # the current request was read to its end
+        self.response_started = False  # a part of the response was sent
+        self.size = 0  # bytes of the body that were read
+        self._events: list[http.Head | http.Body | http.End] = []  # parsed, not yet consumed
+        self._replay_parts: list[http.Body | http.End] = []  # parts of the body that are stored for a retry
+        self._replay_position = 0  # index of the next stored part to read
+        self._replay_complete = True  # no part of the body so far was discarded
 
     def pending(self) -> bool:
-        """Whether bytes of a further request have come."""
-        return bool(self._events or self.reader.raw or self.stream.data)
+        """Return whether data of another request was received."""
+        return bool(self._events or self.reader.partial_head or self.stream.data)
 
-    def left(self) -> bool:
-        """Whether the client has closed and nothing of it is left to read."""
+    def disconnected(self) -> bool:
+        """Return whether the client closed the connection and all its data was read."""
         return (self.stream.eof or self.stream.lost) and not self.stream.data
 
     async def _read_events(self, timeout_s: float) -> bool:
-        """Read more events; False at the end of the stream."""
+        """Read until there is an event. Return False if the stream ends first."""
         until = self.stream.time() + timeout_s
         while not self._events:
             try:
@@ -67,77 +73,77 @@
         return True
 
     async def head(self) -> http.Head | None:
-        """The next request, or None at an orderly end.
+        """Return the head of the next request, or None if the client closed the connection in order.
 
         Raises:
-            HttpProtocolError: what came is no request.
-            ClientDisconnectedError: the connection is gone.
-            TimeoutError: nothing came, or the head took too long.
+            HttpProtocolError: The received data is not a valid request.
+            ClientDisconnectedError: The connection is lost.
+            TimeoutError: No request was received, or its head was not complete in time.
         """
-        while not self.ended:  # what is left of a body that nobody wanted
+        while not self.request_complete:  # discard the unread rest of the previous request's body
             await self.next()
         events = self._events
         if not events:
-            timeout_s = self.timeouts.head if self.reader.raw else self.timeouts.idle
+            timeout_s = self.timeouts.head if self.reader.partial_head else self.timeouts.idle
             if not await self._read_events(timeout_s):
                 return None
         head = events.pop(0)
-        self._kept, self._position, self.size = [], 0, 0
-        self._complete, self.ended, self.begun = True, False, False
+        self._replay_parts, self._replay_position, self.size = [], 0, 0
+        self._replay_complete, self.request_complete, self.response_started = True, False, False
         if head.length == 0 and events and isinstance(events[0], http.End):
-            self._kept.append(events.pop(0))
-            self.ended = True
+            self._replay_parts.append(events.pop(0))
+            self.request_complete = True
         return head
 
     async def next(self) -> http.Body | http.End:
-        """The next part of the body; what was kept is read again after `rewind`.
+        """Return the next part of the body. After `rewind`, the stored parts are returned again.
 
         Raises:
-            HttpProtocolError: the body is malformed, too large or stalled.
-            ClientDisconnectedError: the connection is gone.
+            HttpProtocolError: The body is malformed, too large or stalled.
+            ClientDisconnectedError: The connection is lost.
         """
-        if self._position < len(self._kept):
-            self._position += 1
-            return self._kept[self._position - 1]
+        if self._replay_position < len(self._replay_parts):
+            self._replay_position += 1
+            return self._replay_parts[self._replay_position - 1]
         try:
             if not await self._read_events(self.timeouts.stall):
                 raise ClientDisconnectedError
         except TimeoutError:
             raise http.HttpProtocolError("the body stalled", 408) from None
         part = self._events.pop(0)
-        self._keep(part)
+        self._store_for_replay(part)
         return part
 
-    def _keep(self, part: http.Body | http.End) -> None:
+    def _store_for_replay(self, part: http.Body | http.End) -> None:
         if isinstance(part, http.Body):
             self.size += len(part.data)
             if self.size > self.limits.body:
                 raise http.HttpProtocolError(f"the body is over {self.limits.body} bytes", 413)
             if self.size > self.limits.replay:
-                self._complete, self._kept, self._position = False, [], 0
+                self._replay_complete, self._replay_parts, self._replay_position = False, [], 0
         else:
-            self.ended = True
-        if self._complete:
-            self._kept.append(part)
-            self._position = len(self._kept)
+            self.request_complete = True
+        if self._replay_complete:
+            self._replay_parts.append(part)
+            self._replay_position = len(self._replay_parts)
 
     def replayable(self) -> bool:
-        """Whether the body can be sent again."""
-        return self._complete
+        """Return whether the body can be sent again from its start."""
+        return self._replay_complete
 
     def rewind(self) -> None:
-        """Read the kept body from its start, for a retry."""
-        self._position = 0
+        """Restart reading at the first stored part of the body, for a retry."""
+        self._replay_position = 0
 
-    def skip_kept(self) -> None:
-        """What is kept was sent."""
-        self._position = len(self._kept)
+    def skip_stored_body(self) -> None:
+        """Mark the stored parts of the body as read."""
+        self._replay_position = len(self._replay_parts)
 
     async def send(self, data: bytes) -> None:
-        """Send bytes, as fast as the client takes them, but not for ever.
+        """Send data with back-pressure, for at most the stall timeout.
 
         Raises:
-            ClientDisconnectedError: it has closed or takes nothing.
+            ClientDisconnectedError: The client closed the connection or does not read.
         """
         try:
             await self.stream.send(data, self.stream.time() + self.timeouts.stall)
--- a/damsonpick/proxy/load_balancer.py
+++ b/damsonpick/proxy/load_balancer.py
@@ -1,9 +1,9 @@
-"""Which server a request goes to. Sans I/O: time and randomness are handed in.
+"""Picks the server for a request. Sans I/O: the caller passes the time and the random generator.
 
-Three policies: power of two choices (M. Mitzenmacher, "The power of two choices in randomized load balancing", 2001),
-weighted random, and smooth weighted round robin. A server that fails this proxy's own requests several times in a row
-is ejected for a random time of 2 to 6 s, or until a request to it succeeds. Where all remaining candidates are ejected,
-they are used all the same.
+There are three policies: power of two choices (M. Mitzenmacher, "The power of two choices in randomized load
+balancing", 2001), weighted random, and smooth weighted round robin. A server that fails several requests of this proxy
+in a row is ejected for a random time of 2 to 6 s, or until a request to it succeeds. If all remaining candidates are
+ejected, the policy picks among them nevertheless.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 from damsonpick.time_units import NS_PER_SECOND
 
-MIN_EJECTION_S, MAX_EJECTION_S = 2.0, 6.0  # drawn between them, so that proxies do not come back in step
-CONSECUTIVE_FAILURES = 5  # that eject a server, unless the control service publishes another number
-DRAWS_BEFORE_EXACT = 4  # from the whole table, before the weights of the candidates alone are added up
+MIN_EJECTION_S, MAX_EJECTION_S = 2.0, 6.0  # random, so that proxies do not use a server again all at the same time
+CONSECUTIVE_FAILURES = 5  # failures that eject a server, unless the control service publishes another number
+DRAWS_BEFORE_EXACT = 4  # draws from the complete table before the weights of the candidates are summed up
 
 
 class Policy(Enum):
-    """How a server is picked among the candidates."""
+    """Policy that picks a server among the candidates."""
 
     POWER_OF_TWO = "pair"
     ROUND_ROBIN = "wheel"
@@ -30,13 +30,13 @@
 
 
 class WeightedTable:
-    """The servers of one table, prepared for drawing by weight in logarithmic time."""
+    """The servers of one table with cumulative weights, so that a weighted draw takes logarithmic time."""
 
     def __init__(self, weights: Mapping[str, float]) -> None:
-        """Prepare a table.
+        """Build the table.
 
         Args:
-            weights: weight by server; those without a positive weight are left out.
+            weights: Weight by server. Servers without a positive weight are left out.
         """
         positive = {name: weight for name, weight in weights.items() if weight > 0}
         self.names = list(positive)
@@ -45,12 +45,16 @@
         self._round_robin_credit = [0.0] * len(self.names)
 
     def draw(self, rng: random.Random) -> str:
-        """A random server, by weight."""
+        """Draw a random server by weight."""
         point = rng.random() * self._cumulative[-1]
         return self.names[min(bisect(self._cumulative, point), len(self.names) - 1)]
 
-    def next_in_turn(self, candidates: Collection[str]) -> str:
-        """Smooth weighted round robin: each candidate earns its weight, the richest is picked and pays the sum."""
+    def next_round_robin(self, candidates: Collection[str]) -> str:
+        """Pick the next server by smooth weighted round robin.
+
+        Each candidate's credit grows by its weight. The candidate with the most credit is picked, and the sum of the
+        candidates' weights is subtracted from its credit.
+        """
         total = 0.0
         best = -1
         for index, name in enumerate(self.names):
@@ -65,7 +69,7 @@
 
 
 class LoadBalancer:
-    """Picks servers and keeps this proxy's own view of them."""
+    """Picks servers, and tracks active requests, failures and ejections from this proxy's own requests."""
 
     def __init__(
         self,
@@ -73,33 +77,33 @@
         policy: Policy = Policy.POWER_OF_TWO,
         ejection_failures: int = CONSECUTIVE_FAILURES,
     ) -> None:
-        """Begin without a view of any server.
+        """Create a load balancer that has no record of any server.
 
         Args:
-            rng: random draws.
-            policy: how servers are picked.
-            ejection_failures: consecutive failures that eject a server; 0: none is ejected.
+            rng: Generator of all random draws.
+            policy: Policy that picks a server.
+            ejection_failures: Consecutive failures after which a server is ejected. 0 disables ejection.
         """
         self.rng = rng
         self.policy = policy
         self.ejection_failures = ejection_failures
-        self.active_requests: dict[str, int] = {}  # by server, of this proxy
-        self.consecutive_failures: dict[str, int] = {}  # by server
-        self.ejected_until: dict[str, int] = {}  # ns, by server
-        self._ejected_at: dict[str, int] = {}  # ns, by server
+        self.active_requests: dict[str, int] = {}  # requests of this proxy by server
+        self.consecutive_failures: dict[str, int] = {}  # failures in a row by server
+        self.ejected_until: dict[str, int] = {}  # end of the ejection in ns, by server
+        self._ejected_at: dict[str, int] = {}  # time of the last ejection in ns, by server
 
     def pick(
         self, now: int, table: WeightedTable, withdrawn: Collection[str], attempted: Collection[str] = ()
     ) -> str | None:
-        """A server for a request, or None where the table has no other than those withdrawn or attempted.
+        """Pick a server for a request. Return None if every server of the table is withdrawn or was attempted.
 
-        Ejected servers are picked only where no other candidate is left.
+        Ejected servers are picked only if there is no other candidate.
 
         Args:
-            now: ns.
-            table: the table of the request's slice.
-            withdrawn: servers that no request may go to.
-            attempted: servers that this request was sent to before.
+            now: Time in ns.
+            table: Table of the request's slice.
+            withdrawn: Servers that may not receive requests.
+            attempted: Servers that an earlier attempt of this request used.
         """
         if not table.names:
             return None
@@ -115,9 +119,9 @@
         return self._pick_by_policy(table, set(preferred))
 
     def _pick_by_policy(self, table: WeightedTable, candidates: set[str] | None = None) -> str:
-        """Pick among the candidates; None: the whole table."""
+        """Pick among the candidates, or from the complete table if `candidates` is None."""
         if self.policy is Policy.ROUND_ROBIN:
-            return table.next_in_turn(table.names if candidates is None else candidates)
+            return table.next_round_robin(table.names if candidates is None else candidates)
         first = self._draw(table, candidates)
         if self.policy is Policy.RANDOM:
             return first
@@ -127,7 +131,11 @@
         return first
 
     def _draw(self, table: WeightedTable, candidates: set[str] | None) -> str:
-        """Draw by weight. Rejection sampling is cheap while most servers are candidates; else weights are added up."""
+        """Draw a candidate by weight.
+
+        Rejection sampling is cheap while most servers are candidates. If it finds no candidate after a few draws, the
+        weights of the candidates are summed up for an exact draw.
+        """
         if candidates is None:
             return table.draw(self.rng)
         for _ in range(DRAWS_BEFORE_EXACT):
@@ -142,22 +150,23 @@
         return self.rng.choices(names, weights)[0]
 
     def request_started(self, server: str) -> None:
-        """Count a request that is sent to a server."""
+        """Count a new active request to a server."""
         self.active_requests[server] = self.active_requests.get(server, 0) + 1
 
     def request_ended(self, now: int, server: str, succeeded: bool, started: int | None = None) -> None:
         """Count the end of a request, and eject the server after too many failures in a row.
 
         Args:
-            now: ns.
-            server: where the request was sent.
-            succeeded: whether the server is not to blame.
-            started: when the request was sent, ns; None: just now. A success of one that was sent before the server was
-                ejected says nothing of the server since, and leaves it ejected.
+            now: Time in ns.
+            server: Server that the request was sent to.
+            succeeded: False if the request failed through the server's fault.
+            started: Time in ns at which the request was sent. None means just now. If the request was sent before the
+                server was ejected, its success says nothing about the server's present state, and the server stays
+                ejected.
         """
-        left = self.active_requests.get(server, 1) - 1
-        if left > 0:
-            self.active_requests[server] = left
+        remaining = self.active_requests.get(server, 1) - 1
+        if remaining > 0:
+            self.active_requests[server] = remaining
         else:
             self.active_requests.pop(server, None)
         if succeeded:
--- a/damsonpick/proxy/messages.py
+++ b/damsonpick/proxy/messages.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 messages in and out, on httptools (llhttp). Sans I/O: bytes in, events out.
+"""Parses and writes HTTP/1.1 messages with httptools (llhttp). Sans I/O: the reader turns bytes into events.
 
-llhttp is strict about framing. What could still be read in two ways is refused before it is parsed: bare CR or LF in
-a head, folded lines, white space before a colon, both lengths, two lengths (RFC 9112, sections 2.2, 5.1, 5.2, 6.3).
+llhttp is strict about framing. This module rejects the remaining ambiguous input before it is parsed: bare CR or LF in
+a head, folded lines, white space before a colon, content-length together with transfer-encoding, and more than one
+content-length (RFC 9112, sections 2.2, 5.1, 5.2, 6.3).
 """
 
 from __future__ import annotations
@@ -29,9 +30,9 @@
 BARE_LINE_END = re.compile(rb"(?<!\r)\n|\r(?!\n)")
 FOLDED_LINE = re.compile(rb"\r\n[ \t]")
 HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
-ORDINARY_HEAD = re.compile(rb"[^\r\n\0]+\r\n(?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[^\r\n\0]*\r\n)*\r\n")
+WELL_FORMED_HEAD = re.compile(rb"[^\r\n\0]+\r\n(?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[^\r\n\0]*\r\n)*\r\n")
 BARE_LINE_END_TEXT = "a bare CR or LF stands in the head; end lines with CR LF"
-MAX_LENGTH_DIGITS = 18  # of content-length
+MAX_LENGTH_DIGITS = 18  # digits of a content-length value
 METHODS_WITHOUT_BODY = (b"GET", b"HEAD", b"OPTIONS")
 REASON_PHRASES = {
     200: b"OK",
@@ -48,31 +49,42 @@
 
 
 class HttpProtocolError(Exception):
-    """A message that this proxy does not accept; `status` is the answer to its sender."""
+    """Raised for a message that the proxy does not accept.
+
+    Attributes:
+        status: Status code of the response to the sender.
+    """
 
     def __init__(self, text: str, status: int = 400) -> None:
-        """Compose an error with the text and the status of the answer."""
+        """Create the error with the text and the status code of the response."""
         super().__init__(text)
         self.status = status
 
 
 class Head(NamedTuple):
-    """Start line and headers; names in lower case. `length` None: chunked, or (answers) until the end.
-
-    `named` holds the last value of each header.
+    """Start line and headers of a message.
+
+    Attributes:
+        start: Method and target of a request, or status code of a response.
+        headers: All headers in order, with names in lower case.
+        length: Length of the body. None if the body is chunked or, in a response, ends with the connection.
+        chunked: Whether the body is chunked.
+        keep_alive: Whether the sender keeps the connection open after the message.
+        expects_continue: Whether the client waits for a 100 (Continue) response before it sends the body.
+        by_name: Last value of each header, by name.
     """
 
-    start: tuple[bytes, bytes] | int  # method and target, or status
+    start: tuple[bytes, bytes] | int
     headers: list[tuple[bytes, bytes]]
     length: int | None
     chunked: bool
-    keep: bool
-    expects: bool
-    named: dict[bytes, bytes]
+    keep_alive: bool
+    expects_continue: bool
+    by_name: dict[bytes, bytes]
 
     def get(self, name: bytes, default: bytes = b"") -> bytes:
-        """The last value of a header."""
-        return self.named.get(name, default)
+        """Return the last value of a header."""
+        return self.by_name.get(name, default)
 
 
 class Body(NamedTuple):
@@ -88,83 +100,84 @@
 
 
 class Reader:
-    """Turns bytes into Head, Body and End; one for each connection and direction."""
+    """Turns bytes into Head, Body and End events. Each direction of a connection has its own reader."""
 
     def __init__(self, requests: bool, max_head_bytes: int = 16_384) -> None:
-        """Begin before the first message.
+        """Create a reader that expects_continue the start of a message.
 
         Args:
-            requests: whether it reads requests; otherwise answers.
-            max_head_bytes: bytes of a head.
+            requests: Whether to read requests. Otherwise the reader reads responses.
+            max_head_bytes: Largest accepted size of a head.
         """
         self.requests, self.max_head_bytes = requests, max_head_bytes
         self.parser = httptools.HttpRequestParser(self) if requests else httptools.HttpResponseParser(self)
         self.events: list[Head | Body | End] = []
-        self.raw = bytearray()  # of a head that is not complete yet
-        self.in_body = False  # past the head of a message
-        self.body_left: int | None = None  # of a body whose length was stated
+        self.partial_head = bytearray()  # received bytes of an incomplete head
+        self.in_body = False  # the head of the current message is parsed, its end is not reached
+        self.body_left: int | None = None  # unread bytes of a body with a content-length
         self.chunked = False
-        self.chunk_tail = b""  # the last bytes of a chunked body so far
-        self.bodiless = False  # set for the answer to a HEAD request
+        self.chunk_tail = b""  # last bytes of the chunked body received so far
+        self.bodiless = False  # set for the response to a HEAD request
         self._reset_fields()
 
     def _reset_fields(self) -> None:
-        self.target, self.fields, self.trailing = b"", [], False
+        self.target, self.fields, self.in_trailers = b"", [], False
 
-    # -- callbacks, under the names that httptools gives them
+    # -- callbacks; httptools prescribes their names
 
     def on_message_begin(self) -> None:
-        """A message begins."""
+        """Handle the start of a message."""
         self._reset_fields()
 
     def on_url(self, part: bytes) -> None:
-        """A part of the request target."""
+        """Handle a part of the request target."""
         self.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header or trailer."""
+        """Handle one header or trailer."""
         self.fields.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Handle the end of the head."""
         head = self._build_head()
         self.events.append(head)
         self.body_left, self.chunked, self.chunk_tail = head.length, head.chunked, b""
-        self.fields, self.trailing = [], True
+        self.fields, self.in_trailers = [], True
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Handle a part of the body."""
         self.events.append(Body(data))
 
     def on_message_complete(self) -> None:
-        """The message is complete."""
-        self.events.append(End(self.fields if self.trailing else []))
+        """Handle the end of the message."""
+        self.events.append(End(self.fields if self.in_trailers else []))
         self.in_body = False
 
     def feed(self, data: bytes) -> list[Head | Body | End]:
-        """Events of these bytes.
+        """Parse received bytes and return the resulting events.
 
         Raises:
-            HttpProtocolError: the bytes are no message that this proxy takes.
+            HttpProtocolError: The bytes are not a message that this proxy accepts.
         """
         while data:
             data = self._parse_body(data) if self.in_body else self._collect_head(data)
         return self.take_events()
 
     def take_events(self) -> list[Head | Body | End]:
-        """What has been read and not yet been taken; after a HttpProtocolError, what came before it."""
+        """Return and clear the parsed events. After an HttpProtocolError, these are the events before the error."""
         found, self.events = self.events, []
         return found
 
     def _parse_body(self, data: bytes) -> bytes:
-        """Parse no further than the end of the message: the next head must be looked at; returns what is behind.
+        """Parse body bytes up to the end of the message and return the bytes after it.
 
-        A chunked message ends with an empty line, so it is handed over in pieces that end with one.
+        The parser may not read past the end of the message, because the next head must be checked first. A chunked
+        message ends with an empty line, so its bytes are passed to the parser in pieces that end with an empty line.
         """
         if self.body_left is not None:
             if not self.body_left and self.bodiless:
                 return b""  # the connection is not used again
-            if not self.body_left:  # the parser sees a body where the rules of the protocol allow none
+            if not self.body_left:  # the parser expects a body that the protocol does not allow here
                 raise HttpProtocolError("a body where there can be none")
             part, rest = data[: self.body_left], data[self.body_left :]
             self.body_left -= len(part)
@@ -173,46 +186,46 @@
         if not self.chunked:
             self._parse(data)
             return b""
-        begin, look, data = len(self.chunk_tail), 0, self.chunk_tail + data
-        while self.in_body and (found := data.find(b"\r\n\r\n", look)) >= 0:
-            self._parse(data[begin : found + 4])
-            begin, look = found + 4, found + 2
+        unparsed_from, search_from, data = len(self.chunk_tail), 0, self.chunk_tail + data
+        while self.in_body and (found := data.find(b"\r\n\r\n", search_from)) >= 0:
+            self._parse(data[unparsed_from : found + 4])
+            unparsed_from, search_from = found + 4, found + 2
         if self.in_body:
-            self._parse(data[begin:])
+            self._parse(data[unparsed_from:])
             self.chunk_tail = data[-3:]
             return b""
-        return data[begin:]
+        return data[unparsed_from:]
 
     def _collect_head(self, data: bytes) -> bytes:
-        """Collect a head until it is complete, check and parse it; returns the bytes behind it."""
-        if not self.raw:
+        """Collect bytes until the head is complete, then check and parse it. Return the bytes after it."""
+        if not self.partial_head:
             if self.requests:
-                data = data.lstrip(b"\r\n")  # RFC 9112, 2.2: empty lines before a request
+                data = data.lstrip(b"\r\n")  # RFC 9112, 2.2: ignore empty lines before a request
             end = data.find(b"\r\n\r\n") + 4
-            if 4 <= end <= self.max_head_bytes:  # the ordinary case: a complete head at once
+            if 4 <= end <= self.max_head_bytes:  # the usual case: the data contains the complete head
                 head = data[:end]
                 self._parse_head(head)
                 return data[end:]
-        self.raw += data
-        end = self.raw.find(b"\r\n\r\n")
-        whole = end + 4 if end >= 0 else len(self.raw)
-        half = end < 0 and self.raw.endswith(b"\r")  # its LF may still come
-        if BARE_LINE_END.search(self.raw, 0, whole - half):
+        self.partial_head += data
+        end = self.partial_head.find(b"\r\n\r\n")
+        head_size = end + 4 if end >= 0 else len(self.partial_head)
+        ends_with_cr = end < 0 and self.partial_head.endswith(b"\r")  # the LF of this CR may be in the next data
+        if BARE_LINE_END.search(self.partial_head, 0, head_size - ends_with_cr):
             raise HttpProtocolError(BARE_LINE_END_TEXT)
-        if whole > self.max_head_bytes:
+        if head_size > self.max_head_bytes:
             raise HttpProtocolError(f"the head is over {self.max_head_bytes} bytes", 431)
         if end < 0:
             return b""
-        head, rest = bytes(self.raw[:whole]), bytes(self.raw[whole:])
-        self.raw.clear()
+        head, rest = bytes(self.partial_head[:head_size]), bytes(self.partial_head[head_size:])
+        self.partial_head.clear()
         self._parse_head(head)
         return rest
 
     def _parse_head(self, head: bytes) -> None:
-        """Parse a complete head. A regular expression recognizes the ordinary ones; others are checked line by line."""
-        low = head.lower()
-        lengths = low.count(b"\ncontent-length")
-        if not ORDINARY_HEAD.fullmatch(head) or lengths > 1 or b"\ntransfer-encoding" in low:
+        """Parse a complete head. If a regular expression does not recognize it as well formed, check each line."""
+        lower_head = head.lower()
+        lengths = lower_head.count(b"\ncontent-length")
+        if not WELL_FORMED_HEAD.fullmatch(head) or lengths > 1 or b"\ntransfer-encoding" in lower_head:
             self._check_head_lines(head)
         self.in_body = True
         self._parse(head)
@@ -221,7 +234,7 @@
         """Check the headers of a complete head one by one.
 
         Raises:
-            HttpProtocolError: a line is malformed or the framing of the body is ambiguous.
+            HttpProtocolError: A line is malformed or the framing of the body is ambiguous.
         """
         if BARE_LINE_END.search(head):
             raise HttpProtocolError(BARE_LINE_END_TEXT)
@@ -230,7 +243,7 @@
         lengths: list[bytes] = []
         codings: list[bytes] = []
         for line in head.split(b"\r\n")[1:-2]:
-            name, value = _split_header(line)
+            name, value = _parse_header_line(line)
             if name == b"content-length":
                 lengths.append(value.strip())
             elif name == b"transfer-encoding":
@@ -243,7 +256,7 @@
         except httptools.HttpParserUpgrade:
             raise HttpProtocolError("upgrades are not taken", 501) from None
         except (httptools.HttpParserError, httptools.HttpParserCallbackError) as error:
-            if isinstance(error.__context__, HttpProtocolError):  # from a callback of this class
+            if isinstance(error.__context__, HttpProtocolError):  # raised by a callback of this class
                 raise error.__context__ from None
             raise HttpProtocolError(f"no proper HTTP/1.1: {error}") from None
 
@@ -251,7 +264,7 @@
         named = dict(self.fields)
         length = int(named[b"content-length"]) if b"content-length" in named else None
         chunked = b"transfer-encoding" in named
-        keep = self.parser.should_keep_alive()
+        keep_alive = self.parser.should_keep_alive()
         if self.requests:
             start: tuple[bytes, bytes] | int = (self.parser.get_method(), self.target)
             if not chunked and length is None:
@@ -267,72 +280,79 @@
                 raise HttpProtocolError(f"{start} is no status")
             if start < 200 or start in (204, 304) or self.bodiless:
                 length, chunked = 0, False
-        expects = named.get(b"expect", b"").lower() == b"100-continue"
-        return Head(start, self.fields, length, chunked, keep, expects, named)
+        expects_continue = named.get(b"expect", b"").lower() == b"100-continue"
+        return Head(start, self.fields, length, chunked, keep_alive, expects_continue, named)
 
 
 def forwardable_headers(head: Head, without: bytes = b"") -> list[tuple[bytes, bytes]]:
-    """Headers without hop-by-hop ones, those that `Connection` names (RFC 9110, 7.6.1) and `without`."""
-    if b"connection" not in head.named:
+    """Return the headers except hop-by-hop headers, those that `Connection` names (RFC 9110, 7.6.1) and `without`."""
+    if b"connection" not in head.by_name:
         return [p for p in head.headers if p[0] not in HOP_BY_HOP_HEADERS and p[0] != without]
     named = {part.strip().lower() for n, v in head.headers if n == b"connection" for part in v.split(b",")}
     return [p for p in head.headers if p[0] not in HOP_BY_HOP_HEADERS and p[0] not in named and p[0] != without]
 
 
 def upstream_head_bytes(head: Head, *more: tuple[bytes, bytes]) -> bytes:
-    """The head of a request as it goes to a server: HTTP/1.1, so a host is named even where HTTP/1.0 named none."""
+    """Return the head of a request as the proxy sends it to a server.
+
+    The proxy sends HTTP/1.1, which requires a host header. An HTTP/1.0 request without one gets an empty value.
+    """
     headers = forwardable_headers(head, more[0][0] if more else b"")
     headers += more
-    if b"host" not in head.named:
-        headers.append((b"host", b""))  # RFC 9112, 3.2: empty where there is no authority
+    if b"host" not in head.by_name:
+        headers.append((b"host", b""))  # RFC 9112, 3.2: empty if there is no authority
     method, target = head.start  # type: ignore[misc]
     return request_bytes(method, target, headers, head.length)
 
 
 def request_bytes(method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], length: int | None) -> bytes:
-    """Head of a request to a server; `length` None: chunked."""
+    """Return the head of a request to a server. The body is chunked if `length` is None."""
     return _head_bytes(b"%s %s HTTP/1.1\r\n" % (method, target), headers, length, method in METHODS_WITHOUT_BODY)
 
 
-def answer_bytes(status: int, headers: list[tuple[bytes, bytes]], length: int | None, close: bool = False) -> bytes:
-    """Head of an answer to a client; `length` None: chunked."""
+def response_head_bytes(
+    status: int, headers: list[tuple[bytes, bytes]], length: int | None, close: bool = False
+) -> bytes:
+    """Return the head of a response to a client. The body is chunked if `length` is None."""
     more = [*headers, (b"connection", b"close")] if close else headers
-    quiet = status < 200 or status in (204, 304)
-    return _head_bytes(b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Status")), more, length, quiet)
+    omit_zero_length = status < 200 or status in (204, 304)
+    return _head_bytes(
+        b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Status")), more, length, omit_zero_length
+    )
 
 
-def _head_bytes(start: bytes, headers: list[tuple[bytes, bytes]], length: int | None, quiet: bool) -> bytes:
+def _head_bytes(start: bytes, headers: list[tuple[bytes, bytes]], length: int | None, omit_zero_length: bool) -> bytes:
     lines = [b"%s: %s\r\n" % pair for pair in headers]
     if length is None:
         lines.append(b"transfer-encoding: chunked\r\n")
-    elif length or not quiet:
+    elif length or not omit_zero_length:
         lines.append(b"content-length: %d\r\n" % length)
     return b"%s%s\r\n" % (start, b"".join(lines))
 
 
 def chunk(data: bytes) -> bytes:
-    """Data as one chunk of a chunked body."""
+    """Return data as one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def last_chunk(trailers: list[tuple[bytes, bytes]]) -> bytes:
-    """The end of a chunked body."""
+    """Return the last chunk and the trailers of a chunked body."""
     return b"0\r\n" + b"".join(b"%s: %s\r\n" % pair for pair in trailers) + b"\r\n"
 
 
-def plain_answer(
+def text_response(
     status: int, text: str, headers: list[tuple[bytes, bytes]] | None = None, close: bool = False
 ) -> bytes:
-    """A complete answer of the proxy itself, in plain text."""
+    """Return a complete plain-text response that the proxy itself sends."""
     body = text.encode() + b"\n"
-    return answer_bytes(status, [(b"content-type", b"text/plain"), *(headers or [])], len(body), close) + body
+    return response_head_bytes(status, [(b"content-type", b"text/plain"), *(headers or [])], len(body), close) + body
 
 
-def _split_header(line: bytes) -> tuple[bytes, bytes]:
-    """The lower-case name and the value of a header.
+def _parse_header_line(line: bytes) -> tuple[bytes, bytes]:
+    """Return the lower-case name and the value of a header.
 
     Raises:
-        HttpProtocolError: the line is no header.
+        HttpProtocolError: The line is not a valid header.
     """
     name, colon, value = line.partition(b":")
     if not colon or not HEADER_NAME.match(name):
@@ -346,7 +366,7 @@
     """Check that content-length and transfer-encoding headers state the length of a body once.
 
     Raises:
-        HttpProtocolError: they do not.
+        HttpProtocolError: The length is stated twice or is not a number, or the transfer coding is not `chunked` alone.
     """
     if len(lengths) > 1 or (lengths and codings):
         raise HttpProtocolError("the length of the body is stated twice; state it once")
--- a/damsonpick/proxy/request_handler.py
+++ b/damsonpick/proxy/request_handler.py
@@ -1,7 +1,7 @@
-"""Client connections and their requests. Every decision is the router's, every bound the connection pool's.
+"""Serves clients and their requests. The router makes all decisions. The connection pool enforces all bounds.
 
-One task a client connection; a request's attempts run in it, so a client that reads slowly or goes away holds up
-nobody else, and a body is passed on only as fast as the other side takes it.
+One task serves each client connection and runs the attempts of its requests. A client that reads slowly or disconnects
+therefore delays no other client, and a body is forwarded only as fast as the receiver reads it.
 """
 
 from __future__ import annotations
@@ -30,25 +30,25 @@
 
 
 def record_nothing(event: str, **details: Any) -> None:
-    """The record of a proxy that nobody watches."""
+    """Discard an event. This is the `record` callback of a proxy that is not observed."""
 
 
 class RequestHandler:
-    """Serves the client connections of one proxy."""
+    """Serves the client connections of one proxy and counts their requests for load reports."""
 
     def __init__(
         self, settings: ProxySettings, router: Router, clock: Clock, record: Callable[..., None], log: Any
     ) -> None:
-        """Begin without clients.
+        """Create a handler that has no clients.
 
         Args:
-            settings: the proxy's.
-            router: decides for each request.
-            clock: the proxy's.
-            record: called with what passes on the sockets, for rehearsals.
-            log: a structlog logger.
+            settings: Settings of the proxy.
+            router: Makes the decisions for each request.
+            clock: Clock of the proxy.
+            record: Called with the events on the sockets, for simulations.
+            log: A structlog logger.
         """
-        own = settings.proxy
+        proxy_section = settings.proxy
         self.limits = settings.limits
         self.router = router
         self.clock = clock
@@ -60,22 +60,22 @@
             idle=clock.seconds(self.limits.idle_time),
             stall=clock.seconds(self.limits.stall_time),
         )
-        self.key_header = own.key_header.lower().encode()
-        self.class_header = own.class_header.lower().encode()
-        self.client_header = own.client_header.lower().encode()
-        self.cluster_header = own.slice_header.lower().encode()
-        self.counts: dict[int, SliceCounts] = {}  # by slice, since the last load report
+        self.key_header = proxy_section.key_header.lower().encode()
+        self.class_header = proxy_section.class_header.lower().encode()
+        self.client_header = proxy_section.client_header.lower().encode()
+        self.cluster_header = proxy_section.slice_header.lower().encode()
+        self.counts: dict[int, SliceCounts] = {}  # counts by slice since the last load report
         self.tables_changed = asyncio.Event()
         self.clients = 0
-        self.idle_streams: set[Stream] = set()  # of clients that have no request under way
+        self.idle_streams: set[Stream] = set()  # streams of clients that have no request in flight
         self.draining = False
         self.recording = record is not record_nothing
-        self.stall: Callable[[], float] | None = None  # s for which a rehearsal stalls the proxy
+        self.stall: Callable[[], float] | None = None  # seconds by which a simulation delays each request
 
     # -- tables and reports
 
     def apply_tables(self, type_url: str, names: list[str]) -> None:
-        """Tables of these names have changed: requests that wait look again, withdrawn servers lose connections."""
+        """Apply changed tables: wake the waiting requests and close idle connections to newly withdrawn servers."""
         newly_withdrawn = self.router.resources_changed(type_url, names)
         self.tables_changed.set()
         self.tables_changed = asyncio.Event()
@@ -83,7 +83,7 @@
             self.connector.close_idle(server)
 
     def take_counts(self) -> dict[int, SliceCounts]:
-        """What was counted by slice since the last call."""
+        """Return and reset the counts by slice."""
         counts, self.counts = self.counts, {}
         return counts
 
@@ -94,7 +94,7 @@
         return counts
 
     def drain(self) -> None:
-        """Accept no new connections, and close those without a request under way."""
+        """Stop accepting connections, and close connections that have no request in flight."""
         self.draining = True
         for stream in list(self.idle_streams):
             stream.close()
@@ -115,7 +115,7 @@
                 stream.abort()
         except ClientDisconnectedError:
             stream.abort()
-        except Exception as error:  # a fault of this program ends one connection, never the proxy
+        except Exception as error:  # a defect of this program ends one connection, not the proxy
             self.log.error("connection_failed", error=repr(error), exc_info=True, remedy="report this as a defect")
         finally:
             self.clients -= 1
@@ -124,63 +124,66 @@
                 stream.abort()
 
     async def _serve_requests(self, client: Client) -> bool:
-        """Returns whether the connection may be closed in order; otherwise it is aborted."""
+        """Serve requests until the connection ends. Return False if it must be aborted instead of closed in order."""
         while not self.draining or client.pending():
             head = await self._next_head(client)
             if head is None:
                 return True
             keep = await self._serve_request(client, head)
             if not keep:
-                if not client.ended and not client.begun:
+                if not client.request_complete and not client.response_started:
                     await client.stream.linger()
-                return client.ended or not client.begun
+                return client.request_complete or not client.response_started
         return True
 
     async def _next_head(self, client: Client) -> http.Head | None:
-        """The head of the next request; None: there is none, and the client has been told why if it needs to be."""
+        """Return the head of the next request, or None if there is none.
+
+        An invalid or incomplete head is answered with an error response before None is returned.
+        """
         self.idle_streams.add(client.stream)
         try:
             return await client.head()
         except http.HttpProtocolError as error:
             self.record("bad", why=str(error))
-            await client.send(http.plain_answer(error.status, str(error), close=True))
+            await client.send(http.text_response(error.status, str(error), close=True))
             await client.stream.linger()
             return None
         except TimeoutError:
-            if client.reader.raw:
-                await client.send(http.plain_answer(408, "the head took too long", close=True))
+            if client.reader.partial_head:
+                await client.send(http.text_response(408, "the head took too long", close=True))
             return None
         finally:
             self.idle_streams.discard(client.stream)
 
     async def _serve_request(self, client: Client, head: http.Head) -> bool:
-        """Serve one request to its end; returns whether the connection may go on."""
+        """Serve one request to its end. Return whether the connection stays open."""
         now = self.clock.now()
         request = self._classify(client, head, now)
         if head.length is not None and head.length > self.limits.body:
-            await client.send(http.plain_answer(413, f"the body is over {self.limits.body} bytes", close=True))
+            await client.send(http.text_response(413, f"the body is over {self.limits.body} bytes", close=True))
             return False
-        if self.stall is not None and (stalled_s := self.stall()) > 0:
-            await anyio.sleep(stalled_s)
+        if self.stall is not None and (stall_s := self.stall()) > 0:
+            await anyio.sleep(stall_s)
         counts = self._counts_of(request)
         if not self.router.admit(now, request):
             counts.count_dropped(request.request_class)
             return await self._reject_unadmitted(client, head, now)
         counts.count_admitted(request.request_class)
         try:
-            if head.expects:
+            if head.expects_continue:
                 await client.send(CONTINUE)
-            return await self._attempt_until_answered(client, head, request)
+            return await self._attempt_until_response(client, head, request)
         except AttemptError as failed:
             self._counts_of(request).count_failed(request.request_class)
-            return await self._answer_failure(client, head, failed)
-        except http.HttpProtocolError as error:  # of the client's body
+            return await self._send_failure(client, head, failed)
+        except http.HttpProtocolError as error:  # from the client's body
             self._counts_of(request).count_failed(request.request_class)
-            await client.send(http.plain_answer(error.status, str(error), close=True))
+            await client.send(http.text_response(error.status, str(error), close=True))
             return False
 
     def _classify(self, client: Client, head: http.Head, now: int) -> RoutedRequest:
-        headers = head.named
+        headers = head.by_name
         request_class = headers.get(self.class_header, b"").decode("latin-1")
         key = (headers.get(self.key_header) or head.start[1]).decode("latin-1")
         named_cluster = headers.get(self.cluster_header, b"").decode("latin-1") if self.cluster_header else ""
@@ -192,7 +195,7 @@
         identity = named_client.decode("latin-1") if named_client else client.address
         return self.router.classify(now, request_class, key, identity, named_cluster, left_ns)
 
-    # -- answers of the proxy's own
+    # -- responses that the proxy itself creates
 
     async def _reject_unadmitted(self, client: Client, head: http.Head, now: int) -> bool:
         retry_after = str(self.router.admission.retry_after(now)).encode()
@@ -203,31 +206,31 @@
     async def _reject(
         self, client: Client, head: http.Head, status: int, text: str, headers: list[tuple[bytes, bytes]] | None = None
     ) -> bool:
-        """Answer at once; a body on its way is not waited for. Returns whether the connection may go on."""
+        """Respond at once without waiting for the rest of the body. Return whether the connection stays open."""
         close = self._must_close(client, head)
-        await client.send(http.plain_answer(status, text, headers, close=close))
+        await client.send(http.text_response(status, text, headers, close=close))
         return not close
 
     def _must_close(self, client: Client, head: http.Head) -> bool:
-        return not head.keep or not client.ended or self.draining
+        return not head.keep_alive or not client.request_complete or self.draining
 
-    async def _answer_failure(self, client: Client, head: http.Head, failed: AttemptError) -> bool:
-        """Tell the client how its last attempt ended; returns whether the connection may go on."""
-        if client.begun:  # part of an answer was sent: the only honest end is to abort
-            client.ended = False
+    async def _send_failure(self, client: Client, head: http.Head, failed: AttemptError) -> bool:
+        """Send the result of the last failed attempt to the client. Return whether the connection stays open."""
+        if client.response_started:  # a part of a response was sent: only an abort shows that it is incomplete
+            client.request_complete = False
             return False
-        if failed.answer is not None:
+        if failed.response is not None:
             close = self._must_close(client, head)
-            answer = failed.answer
-            headers = http.forwardable_headers(answer.head)
-            start = http.answer_bytes(answer.head.start, headers, len(answer.body), close)
-            await client.send(start + answer.body)
+            response = failed.response
+            headers = http.forwardable_headers(response.head)
+            start = http.response_head_bytes(response.head.start, headers, len(response.body), close)
+            await client.send(start + response.body)
             return not close
         return await self._reject(client, head, _failure_status(failed.reason), failed.reason)
 
     # -- attempts
 
-    async def _attempt_until_answered(self, client: Client, head: http.Head, request: RoutedRequest) -> bool:
+    async def _attempt_until_response(self, client: Client, head: http.Head, request: RoutedRequest) -> bool:
         attempted: set[str] = set()
         now = request.arrived
         server = self.router.pick(now, request, attempted)
@@ -242,17 +245,18 @@
                 return await self._attempt(client, head, request, server, now)
             except AttemptError as failed:
                 now = self.clock.now()
-                replayable = client.replayable() and not client.begun
+                replayable = client.replayable() and not client.response_started
                 attempts = len(attempted)
                 if not self.router.spend_retry(now, request, failed.execution, attempts, replayable=replayable):
                     raise
-                server = self.router.pick(now, request, attempted)  # once: with round robin it is this server's turn
+                # Pick only once: with round robin, each pick uses up a server's turn.
+                server = self.router.pick(now, request, attempted)
                 if server is None:
                     raise  # no other server
                 client.rewind()
 
     async def _wait_for_server(self, request: RoutedRequest, attempted: set[str]) -> str | None:
-        """A server; before its first attempt a request waits a little for a table that has one."""
+        """Pick a server. Before its first attempt, a request waits up to the hold time for a table with a server."""
         until = 0
         if not attempted:
             until = min(request.deadline, request.arrived + self.limits.hold)
@@ -267,7 +271,7 @@
     async def _attempt(
         self, client: Client, head: http.Head, request: RoutedRequest, server: str, started: int
     ) -> bool:
-        """One attempt; its end is counted whatever happens. Returns whether the client's connection may go on."""
+        """Make one attempt and count its end in every case. Return whether the client's connection stays open."""
         zone = self.router.zone_of(request.cluster, server)
         until = client.stream.time() + self.clock.seconds(self.router.attempt_timeout(request, started))
         self.router.load_balancer.request_started(server)
@@ -281,16 +285,16 @@
                 self._record_attempt(head, request, server)
             left_ms = max(0, request.deadline - started) // NS_PER_MS
             upstream = UpstreamRequest(self.limits, client, connection, head, left_ms, self.draining)
-            answer = await upstream.send(until)
-            succeeded = answer.start < 500
-            reusable = await upstream.forward_answer(answer)
-            return upstream.keep
+            response = await upstream.send(until)
+            succeeded = response.start < 500
+            reusable = await upstream.forward_response(response)
+            return upstream.keep_client_open
         except TimeoutError:
             reason = DEADLINE_PASSED if self.clock.now() >= request.deadline else TIMED_OUT
             execution = Execution.NOT_SENT if connection is None else Execution.UNKNOWN
             raise AttemptError(execution, reason) from None
         except ClientDisconnectedError:
-            succeeded = True  # not the server's fault
+            succeeded = True  # the client left, the server is not at fault
             raise
         finally:
             now = self.clock.now()
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -1,4 +1,4 @@
-"""One request on one connection to a server: the request is sent, the answer is forwarded to the client."""
+"""Sends one request on one connection to a server and forwards the response to the client."""
 
 from __future__ import annotations
 
@@ -12,61 +12,61 @@
 from damsonpick.proxy.settings import Limits
 from damsonpick.proxy.stream import READ_AHEAD_BYTES, ConnectionLostError, Stream
 
-NOT_RUN = b"x-not-run"  # with a 503: the server did not begin to execute the request
+NOT_RUN = b"x-not-run"  # header of a 503 response: the server did not begin to execute the request
 DEADLINE = b"x-request-timeout-ms"
 CONNECTION_CLOSED, TIMED_OUT = "the server closed the connection", "timed out"
 
 
-class FailedAnswer(NamedTuple):
-    """An answer with a 5xx status, complete unless its body was too large to keep."""
+class ErrorResponse(NamedTuple):
+    """Response of a server with a 5xx status. The body is incomplete if it was too large to store."""
 
     head: http.Head
     body: bytes
 
 
 class AttemptError(Exception):
-    """An attempt that brought no answer to forward."""
+    """Raised when an attempt brought no response that can be forwarded."""
 
-    def __init__(self, execution: Execution, reason: str, answer: FailedAnswer | None = None) -> None:
-        """Compose an error.
+    def __init__(self, execution: Execution, reason: str, response: ErrorResponse | None = None) -> None:
+        """Create the error.
 
         Args:
-            execution: whether the server may have executed the request.
-            reason: for the client and the log.
-            answer: the server's own answer, if there was one.
+            execution: What is known about the execution of the request by the server.
+            reason: Text for the client and the log.
+            response: Error response of the server, if it sent one.
         """
         super().__init__(reason)
         self.execution = execution
         self.reason = reason
-        self.answer = answer
+        self.response = response
 
 
 class UpstreamConnection:
-    """One connection to a server."""
+    """One connection to a server and the reader of its responses."""
 
     __slots__ = ("reader", "stream")
 
     def __init__(self, stream: Stream, max_head_bytes: int) -> None:
-        """Take over an open socket.
+        """Wrap an open connection.
 
         Args:
-            stream: the open socket.
-            max_head_bytes: of an answer.
+            stream: The open connection.
+            max_head_bytes: Largest accepted size of a response head.
         """
         self.stream = stream
         self.reader = http.Reader(False, max_head_bytes)
 
     def is_idle(self) -> bool:
-        """Whether the connection still lives and the server has sent nothing unasked."""
+        """Return whether the connection is open and the server has sent no unrequested data."""
         return self.stream.is_idle()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         self.stream.abort()
 
 
 class UpstreamRequest:
-    """Sends one request and forwards its answer."""
+    """Sends one request and forwards its response."""
 
     def __init__(
         self,
@@ -77,57 +77,57 @@
         left_ms: int,
         closing: bool,
     ) -> None:
-        """Prepare a request; nothing is sent yet.
+        """Prepare a request without sending anything.
 
         Args:
-            limits: of sizes.
-            client: where the body comes from and the answer goes to.
-            connection: to the server.
-            head: of the request.
-            left_ms: of the deadline, for the server to know.
-            closing: no request follows on the client's connection.
+            limits: Limits on message sizes.
+            client: Sends the body and receives the response.
+            connection: Connection to the server.
+            head: Head of the request.
+            left_ms: Time until the deadline, which is sent to the server.
+            closing: Whether the client's connection closes after this request.
         """
         self.limits = limits
         self.client = client
         self.connection = connection
         self.head = head
         self.left_ms = left_ms
-        self.keep = head.keep and not closing  # whether the client's connection may go on
-        self._events: list[http.Head | http.Body | http.End] = []  # of the answer, not yet used
+        self.keep_client_open = head.keep_alive and not closing  # whether the client's connection stays open
+        self._events: list[http.Head | http.Body | http.End] = []  # events of the response, not yet consumed
         self._sent_completely = False
         connection.reader.bodiless = head.start[0] == b"HEAD"
 
     async def send(self, until: float) -> http.Head:
-        """Send the request and read the head of its answer; the answer may come while the body is still being sent.
+        """Send the request and read the head of its response, which may arrive before the body is completely sent.
 
         Args:
-            until: time of the loop (s) at which the attempt ends.
+            until: Time of the event loop in seconds at which the attempt ends.
 
         Raises:
-            AttemptError: it brought no good answer.
-            TimeoutError: the attempt has ended.
-            ClientDisconnectedError: nobody waits for the answer.
-            HttpProtocolError: the client's body is malformed.
+            AttemptError: The server sent no response, an invalid response or a 5xx response.
+            TimeoutError: The attempt reached its end.
+            ClientDisconnectedError: The client no longer waits for the response.
+            HttpProtocolError: The client's body is malformed.
         """
         start = http.upstream_head_bytes(self.head, (DEADLINE, b"%d" % self.left_ms))
-        if self.client.ended and not self.client.size:
-            answer = await self._send_without_body(start, until)
+        if self.client.request_complete and not self.client.size:
+            response = await self._send_without_body(start, until)
         else:
             with anyio.fail_after(max(0.0, until - self.connection.stream.time())):
-                answer = await self._send_body_and_read(start, until)
-        if answer.start >= 500:
-            await self._fail_with_answer(answer, until)
-        return answer
+                response = await self._send_body_and_read(start, until)
+        if response.start >= 500:
+            await self._raise_error_response(response, until)
+        return response
 
     async def _send_without_body(self, start: bytes, until: float) -> http.Head:
         self._sent_completely = True
         await self._write(start if self.head.length == 0 else start + http.last_chunk([]), until)
-        self.client.skip_kept()
+        self.client.skip_stored_body()
         return await self._read_head(until)
 
     async def _send_body_and_read(self, start: bytes, until: float) -> http.Head:
-        """Send the body and read the head at the same time: a server may answer before it has read everything."""
-        answers: list[http.Head] = []
+        """Send the body and read the head concurrently: a server may respond before it has read the complete body."""
+        responses: list[http.Head] = []
         errors: list[Exception] = []
         async with anyio.create_task_group() as group:
 
@@ -136,14 +136,14 @@
                     await self._write(start, until)
                     await self._send_body()
                 except AttemptError:
-                    pass  # the server stopped reading; its answer, if any, tells why
+                    pass  # the server stopped reading; its response, if any, states the reason
                 except (ClientDisconnectedError, http.HttpProtocolError, TimeoutError) as error:
                     errors.append(error)
                     group.cancel_scope.cancel()
 
             async def read() -> None:
                 try:
-                    answers.append(await self._read_head(until))
+                    responses.append(await self._read_head(until))
                 except (AttemptError, ClientDisconnectedError, TimeoutError) as error:
                     errors.append(error)
                 group.cancel_scope.cancel()
@@ -152,7 +152,7 @@
             group.start_soon(read)
         if errors:
             raise errors[0]
-        return answers[0]
+        return responses[0]
 
     async def _send_body(self) -> None:
         chunked = self.head.length is None
@@ -174,18 +174,18 @@
         except ConnectionLostError:
             raise AttemptError(Execution.UNKNOWN, CONNECTION_CLOSED) from None
 
-    # -- the answer
+    # -- the response
 
     def _client_closed(self) -> None:
-        """The client has closed while the server works: nobody waits for the answer any more."""
-        if self.client.left():
+        """Stop waiting for the response if the client disconnected while the server works on the request."""
+        if self.client.disconnected():
             self.connection.stream.reading.wake(ClientDisconnectedError())
 
     async def _read_events(self, until: float) -> None:
-        """Read at least one more event; the client's leaving ends the wait."""
+        """Read until there is an event. The wait ends if the client disconnects."""
         client_stream = self.client.stream
         while not self._events:
-            if self.client.left():
+            if self.client.disconnected():
                 raise ClientDisconnectedError
             client_stream.on_peer_closed = self._client_closed
             try:
@@ -207,7 +207,7 @@
         return self._events.pop(0)
 
     async def _read_head(self, until: float) -> http.Head:
-        """The answer's head; a few 1xx answers before it are dropped, a flood of them fails the attempt."""
+        """Return the head of the final response. Drop the 1xx responses before it, and fail if there are too many."""
         interim = 0
         while True:
             event = await self._next_event(until)
@@ -219,49 +219,54 @@
             if interim > self.limits.interim:
                 raise AttemptError(Execution.UNKNOWN, "the server sends nothing but 1xx")
 
-    async def _fail_with_answer(self, answer: http.Head, until: float) -> None:
-        """Keep a 5xx answer while it is small, to forward it if no retry follows."""
-        rejected = answer.start == 503 and answer.get(NOT_RUN)
+    async def _raise_error_response(self, response: http.Head, until: float) -> None:
+        """Raise an AttemptError for a 5xx response.
+
+        The error stores the response, up to the replay limit, so that it can be forwarded if no retry follows.
+        """
+        rejected = response.start == 503 and response.get(NOT_RUN)
         execution = Execution.REJECTED if rejected else Execution.EXECUTED
         body = b""
-        keep_reading = answer.length is not None or answer.chunked
+        keep_reading = response.length is not None or response.chunked
         while keep_reading:
             event = await self._next_event(until)
             if isinstance(event, http.End):
                 break
             body += event.data
             keep_reading = len(body) <= self.limits.replay
-        raise AttemptError(execution, f"status {answer.start}", FailedAnswer(answer, body))
+        raise AttemptError(execution, f"status {response.start}", ErrorResponse(response, body))
 
-    async def forward_answer(self, answer: http.Head) -> bool:
-        """Forward the answer to the client; returns whether the connection to the server can be used again.
+    async def forward_response(self, response: http.Head) -> bool:
+        """Forward the response to the client. Return whether the connection to the server can be reused.
 
         Raises:
-            AttemptError: the answer broke off.
-            ClientDisconnectedError: nobody reads it.
+            AttemptError: The response ended early or stalled.
+            ClientDisconnectedError: The client disconnected or does not read.
         """
-        framed = answer.length is not None or answer.chunked
-        bodiless = self.connection.reader.bodiless or answer.start in (204, 304)
-        self.keep = self.keep and self.client.ended
-        length = None if answer.chunked else answer.length
+        framed = response.length is not None or response.chunked
+        bodiless = self.connection.reader.bodiless or response.start in (204, 304)
+        self.keep_client_open = self.keep_client_open and self.client.request_complete
+        length = None if response.chunked else response.length
         if bodiless:
-            length = _stated_length(answer)
-        head = http.answer_bytes(answer.start, http.forwardable_headers(answer), length, close=not self.keep)
+            length = _stated_length(response)
+        head = http.response_head_bytes(
+            response.start, http.forwardable_headers(response), length, close=not self.keep_client_open
+        )
         try:
             await self._forward_body(head, length is None, framed, bodiless)
         except AttemptError:
-            self.keep = self.keep and not self.client.begun
+            self.keep_client_open = self.keep_client_open and not self.client.response_started
             raise
-        return self._sent_completely and framed and answer.keep and not bodiless and not self._events
+        return self._sent_completely and framed and response.keep_alive and not bodiless and not self._events
 
     async def _forward_body(self, pending: bytes, chunked: bool, framed: bool, ended: bool) -> None:
-        """Forward the body as it comes, no faster than the client reads; the head goes with the first part.
+        """Forward the body as it arrives, no faster than the client reads. The head is sent with the first part.
 
         Args:
-            pending: bytes that go first.
-            chunked: whether the client gets the body in chunks.
-            framed: whether the server's answer tells where it ends.
-            ended: whether there is no body.
+            pending: Bytes to send first: the head.
+            chunked: Whether the client receives the body in chunks.
+            framed: Whether the server's response states where its body ends.
+            ended: Whether there is no body.
         """
         stall_s = self.client.timeouts.stall
         while not ended:
@@ -278,15 +283,15 @@
                 else:
                     pending += http.chunk(event.data) if chunked else event.data
             if pending and not ended:
-                self.client.begun = True
+                self.client.response_started = True
                 await self.client.send(pending)
                 pending = b""
-        self.client.begun = True
+        self.client.response_started = True
         if pending:
             await self.client.send(pending)
 
     async def _read_more_body(self, until: float, framed: bool) -> bool:
-        """Read more of the body; True: an answer without a length has ended with its connection."""
+        """Read more of the body. Return True if a response without a length ended with its connection."""
         try:
             await self._read_events(until)
         except TimeoutError:
@@ -298,7 +303,7 @@
         return False
 
 
-def _stated_length(answer: http.Head) -> int:
-    """Length that an answer without a body states of the body it would have."""
-    stated = answer.get(b"content-length")
+def _stated_length(response: http.Head) -> int:
+    """Return the content-length of a response that has no body, such as the response to a HEAD request, or 0."""
+    stated = response.get(b"content-length")
     return int(stated) if stated.isdigit() else 0
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -194,7 +194,7 @@
         known = set(ads.subscribed.get(EDS, []))
         new = [name for name in clusters if name not in known]
         if new:
-            await grpc_stream.write(call, ads.subscribe_more(EDS, new))
+            await grpc_stream.write(call, ads.extend_subscription(EDS, new))
 
     async def _send_reports(self, channel: grpc.aio.Channel) -> None:
         """Send load reports as often as the control service asks for."""
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -165,7 +165,7 @@
     head = whole(
         b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Own\r\nX-Own: 1\r\nTE: trailers\r\nX-B: 2\r\n\r\n"
     )[0]
-    assert http.forwardable_headers(head) == [(b"host", b"a"), (b"x-b", b"2")] and not head.keep
+    assert http.forwardable_headers(head) == [(b"host", b"a"), (b"x-b", b"2")] and not head.keep_alive
 
 
 # -- kept tables
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -329,7 +329,7 @@
 
 
 async def test_levels_refuse_at_once_and_the_same_client_again(monkeypatch):
-    monkeypatch.setattr("damsonpick.proxy.admission.DRAW_PERIOD_NS", 10**17)  # the draw holds for the whole test
+    monkeypatch.setattr("damsonpick.proxy.admission.DECISION_PERIOD_NS", 10**17)  # one period covers the whole test
     async with world() as w:
         server = await Server().start(w.group)
         w.table({server.name: 1000}, levels={"page": 0.5})
