--- a/damsonpick/proxy/request_handler.py
+++ b/damsonpick/proxy/request_handler.py
@@ -26,7 +26,7 @@
 
 NO_SERVER, DEADLINE_PASSED = "no server", "the deadline passed"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-MAX_DEADLINE_DIGITS = 11
+MAX_DEADLINE_DIGITS = 11  # digits of an x-request-timeout-ms value
 
 
 def record_nothing(event: str, **details: Any) -> None:
--- a/damsonpick/proxy/stream.py
+++ b/damsonpick/proxy/stream.py
@@ -15,10 +15,8 @@
 TIMER_TOLERANCE_S = 0.001  # a timer that fires early by at most this time counts as expired
 READ_AHEAD_BYTES = 262_144  # reading is paused while more received bytes than this are unread
 FLUSH_S = 2.0  # time to send the last bytes of a closed stream before it is aborted
-LINGER_S, LINGER_BYTES = (
-    1.0,
-    4_194_304,
-)  # bounds on reading and dropping data after a rejection, so that a reset does not destroy the response
+# Limits on reading and dropping data after a rejection, which keeps a reset from overtaking the response.
+LINGER_S, LINGER_BYTES = 1.0, 4_194_304
 
 
 class ConnectionLostError(Exception):
@@ -102,9 +100,8 @@
             on_connected: Called with the stream when the connection is open.
         """
         self.on_connected = on_connected
-        self.on_peer_closed: Callable[[], None] | None = (
-            None  # called when the peer closes the connection or it is lost
-        )
+        # Called when the peer closes the connection or the connection is lost.
+        self.on_peer_closed: Callable[[], None] | None = None
         self.data = b""  # received and not yet returned by `receive`
         self.eof = False
         self.lost = False
