--- a/tests/test_load_tool.py
+++ b/tests/test_load_tool.py
@@ -1,4 +1,4 @@
-"""The load tool: arrivals follow from the seed, every request is counted once, reports compare."""
+"""Tests of the load tool: the seed determines the arrivals, every request is counted once, reports are compared."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 
 
 def test_arrivals_follow_from_the_seed(tmp_path):
-    drawn = list(arrivals(experiment(tmp_path)))
-    assert len(drawn) == 174
-    assert drawn[0] == Arrival(3_108_854, "page", 1, 0) and drawn[-1] == Arrival(997_481_014, "page", 7, 173)
+    generated = list(arrivals(experiment(tmp_path)))
+    assert len(generated) == 174
+    assert generated[0] == Arrival(3_108_854, "page", 1, 0) and generated[-1] == Arrival(997_481_014, "page", 7, 173)
 
 
 def test_an_experiment_that_counts_nothing_is_refused(tmp_path):
@@ -53,7 +53,7 @@
 
 @pytest.mark.anyio
 async def test_every_request_after_the_warm_up_is_counted_once(tmp_path):
-    """Pages are answered, writes are cut: both are outcomes."""
+    """The server responds to pages and closes the connection of writes. Both are counted as outcomes."""
 
     async def serve(stream):
         async with stream:
@@ -65,10 +65,10 @@
 
     async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener, anyio.create_task_group() as group:
         group.start_soon(listener.serve, serve)
-        made = experiment(tmp_path, listener.extra(anyio.abc.SocketAttribute.local_port))
-        report = await Player(made).run()
+        loaded = experiment(tmp_path, listener.extra(anyio.abc.SocketAttribute.local_port))
+        report = await Player(loaded).run()
         group.cancel_scope.cancel()
-    counted = [arrival.request_class for arrival in arrivals(made) if arrival.due_ns >= made.load.warm_up]
+    counted = [arrival.request_class for arrival in arrivals(loaded) if arrival.due_ns >= loaded.load.warm_up]
     assert report["classes"]["page"]["ends"] == {"200": counted.count("page")}
     assert report["classes"]["write"]["ends"] == {"cut": counted.count("write")}
     earlier = tmp_path / "earlier.json"
@@ -81,7 +81,11 @@
 
 @pytest.mark.anyio
 async def test_a_response_to_head_ends_with_its_head_and_closed_connections_are_not_used_again(tmp_path):
-    """HEAD waited for a body until its timeout; a connection that the target had closed counted as cut."""
+    """Guards against two faults.
+
+    A HEAD request waited for a body until its timeout, and a reused connection that the target had closed was counted
+    as cut.
+    """
 
     async def serve(stream):
         async with stream:
@@ -89,7 +93,7 @@
             while not head.endswith(b"\r\n\r\n"):
                 head += await stream.receive()
             await stream.send(b"HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n")
-            # and closes without a word, long before the next request
+            # the connection closes without notice, long before the next request
 
     async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener, anyio.create_task_group() as group:
         group.start_soon(listener.serve, serve)
--- a/tests/test_proxy_admission.py
+++ b/tests/test_proxy_admission.py
@@ -1,4 +1,4 @@
-"""Admission by level: stable for a client, and in the published share."""
+"""Tests that the admission decision is stable for a client and that the admitted share matches the level."""
 
 from __future__ import annotations
 
--- a/tests/test_proxy_load_balancer.py
+++ b/tests/test_proxy_load_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer: policies against the weights and the closed form, ejection."""
+"""Tests of the load balancer: the policies against the weights and a closed form, and the ejection of servers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from damsonpick.proxy.load_balancer import LoadBalancer, Policy, WeightedTable
 
 SECOND = 1_000_000_000
-CHI_999 = {2: 13.82, 3: 16.27, 4: 18.47, 9: 27.88}  # 99.9% points of chi square by degrees of freedom
+# 99.9% quantiles of the chi-square distribution, by degrees of freedom.
+CHI_999 = {2: 13.82, 3: 16.27, 4: 18.47, 9: 27.88}
 
 
 def chi_square(counts, shares):
@@ -33,15 +34,15 @@
     balancer = LoadBalancer(rng, Policy.POWER_OF_TWO)
     counts = Counter(balancer.pick(0, table, ()) for _ in range(100_000))
     assert abs(counts["b"] / 100_000 - 0.75) < 0.02
-    balancer.active_requests["b"] = 1  # a wins whenever it is drawn at all: 1 - (3/4)^2
+    balancer.active_requests["b"] = 1  # a is picked if at least one of the two draws is a: 1 - (3/4)^2
     counts = Counter(balancer.pick(0, table, ()) for _ in range(100_000))
     assert abs(counts["a"] / 100_000 - 7 / 16) < 0.01
 
 
-def simulate(pick, servers, load, seed, steps=40_000):
-    """Mean and largest queue of equal servers with exponential service, by an independent event count."""
-    rng, balancer = random.Random(seed), LoadBalancer(random.Random(seed + 1), pick)
-    table, queue, seen, worst = WeightedTable(dict.fromkeys(map(str, range(servers)), 1.0)), Counter(), [], 0
+def simulate(policy, servers, load, seed, steps=40_000):
+    """Simulate equal servers with exponential service times. Return the mean and the largest queue length."""
+    rng, balancer = random.Random(seed), LoadBalancer(random.Random(seed + 1), policy)
+    table, queue, mean_lengths, longest = WeightedTable(dict.fromkeys(map(str, range(servers)), 1.0)), Counter(), [], 0
     for _ in range(steps):
         if rng.random() < load / (load + 1):
             name = balancer.pick(0, table, ())
@@ -52,26 +53,26 @@
             if queue[name]:
                 queue[name] -= 1
                 balancer.request_ended(0, name, True)
-        seen.append(sum(queue.values()) / servers)
-        worst = max(worst, max(queue.values(), default=0))
-    return sum(seen[steps // 4 :]) / len(seen[steps // 4 :]), worst
+        mean_lengths.append(sum(queue.values()) / servers)
+        longest = max(longest, max(queue.values(), default=0))
+    return sum(mean_lengths[steps // 4 :]) / len(mean_lengths[steps // 4 :]), longest
 
 
 def test_two_choices_against_the_closed_form():
-    """Mitzenmacher's fixed point: the share of servers with at least i requests is load ** (2 ** i - 1)."""
+    """In Mitzenmacher's fixed point, the share of servers with at least i requests is load ** (2 ** i - 1)."""
     load = 0.9
     expected = sum(load ** (2**i - 1) for i in range(1, 12))
     mean, _ = simulate(Policy.POWER_OF_TWO, 100, load, 5, 200_000)
     assert mean == pytest.approx(expected, rel=0.08)
-    random_mean, random_worst = simulate(Policy.RANDOM, 100, load, 5, 200_000)
-    assert random_mean > 2.5 * mean and random_worst > simulate(Policy.POWER_OF_TWO, 100, load, 5)[1]
+    random_mean, random_longest = simulate(Policy.RANDOM, 100, load, 5, 200_000)
+    assert random_mean > 2.5 * mean and random_longest > simulate(Policy.POWER_OF_TWO, 100, load, 5)[1]
 
 
 def test_round_robin_is_even_by_weight_in_every_turn():
     table, balancer = WeightedTable({"a": 5, "b": 1, "c": 1}), LoadBalancer(random.Random(1), Policy.ROUND_ROBIN)
-    seen = [balancer.pick(0, table, ()) for _ in range(70)]
-    assert Counter(seen) == {"a": 50, "b": 10, "c": 10}
-    assert all(Counter(seen[k : k + 7])["a"] == 5 for k in range(0, 70, 7))
+    picks = [balancer.pick(0, table, ()) for _ in range(70)]
+    assert Counter(picks) == {"a": 50, "b": 10, "c": 10}
+    assert all(Counter(picks[k : k + 7])["a"] == 5 for k in range(0, 70, 7))
 
 
 def test_a_failing_server_is_ejected_for_a_drawn_time_but_never_all_at_once():
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the proxy without sockets: pools, messages, kept tables."""
+"""Tests of parts of the proxy without sockets: connection pools, HTTP messages and the table cache."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
         and pool.reserve_new(1, "b")
     )
     assert pool.enqueue("a", "w1") and not pool.enqueue("a", "w2")
-    assert pool.release(2, "a", "wire") == "w1" and pool.acquire_idle(2, "a", SECOND) == "wire"
-    pool.release(3, "a", "wire")
-    assert pool.acquire_idle(3 + SECOND // 2, "a", SECOND // 4) is None, "too old for a write"
-    assert pool.evict_idle("a") == "wire" and pool.reserve_new(4, "a")
+    assert pool.release(2, "a", "connection") == "w1" and pool.acquire_idle(2, "a", SECOND) == "connection"
+    pool.release(3, "a", "connection")
+    assert pool.acquire_idle(3 + SECOND // 2, "a", SECOND // 4) is None, "idle for too long to be reused for a write"
+    assert pool.evict_idle("a") == "connection" and pool.reserve_new(4, "a")
     assert pool.counts()["a"].open == 2
 
 
 def test_new_connections_come_at_a_bounded_rate():
-    pool, now, made = ConnectionPool(1000, 10, 10.0, SECOND), SECOND, 0
+    pool, now, opened = ConnectionPool(1000, 10, 10.0, SECOND), SECOND, 0
     for _ in range(200):
         now += 10_000_000
         if pool.reserve_new(now, "a"):
-            made += 1
+            opened += 1
             pool.release(now, "a", None)
-    assert 28 <= made <= 31
+    assert 28 <= opened <= 31
 
 
 def test_idle_connections_expire_and_dropped_servers_keep_none():
@@ -168,10 +168,10 @@
     assert http.forwardable_headers(head) == [(b"host", b"a"), (b"x-b", b"2")] and not head.keep_alive
 
 
-# -- kept tables
+# -- table cache
 
 
-def filled():
+def serialized_tables():
     from damsonpick import interface as api
     from damsonpick.protocols.xds.assignment_builder import AssignmentBuilder
     from damsonpick.state.published_tables import PublishedTables
@@ -182,8 +182,8 @@
     return {EDS: {f"slice/{n}": (str(n), builder.build_slice(n).SerializeToString()) for n in (0, 1)}}
 
 
-def test_kept_tables_come_back_and_damaged_ones_are_refused(tmp_path):
-    path, bodies = tmp_path / "p.tables", filled()
+def test_cached_tables_are_restored_and_damaged_files_are_rejected(tmp_path):
+    path, bodies = tmp_path / "p.tables", serialized_tables()
     assert table_cache.load(path, ReceivedState()) == 0
     table_cache.save(path, bodies)
     received_state = ReceivedState()
@@ -208,10 +208,10 @@
 
 @pytest.mark.parametrize("path", sorted(Path("fuzz/corpus/http").iterdir()), ids=lambda p: p.name)
 def test_corpus_of_the_fuzzer_whole_and_with_every_byte_changed(path):
-    """What `python -m fuzz.http_messages` began from: one look by two parsers, wherever the bytes are cut."""
+    """The corpus of `python -m fuzz.http_messages`: two parsers agree, wherever the bytes are split."""
     data, rng = path.read_bytes(), random.Random(path.name)
     check(data)
-    for place in range(len(data)):
+    for index in range(len(data)):
         changed = bytearray(data)
-        changed[place] = rng.choice((0, 10, 13, 32, 48, 58, changed[place] ^ 1 << rng.randrange(8)))
+        changed[index] = rng.choice((0, 10, 13, 32, 48, 58, changed[index] ^ 1 << rng.randrange(8)))
         check(bytes(changed))
--- a/tests/test_proxy_program.py
+++ b/tests/test_proxy_program.py
@@ -1,4 +1,4 @@
-"""The proxy as a program: real command line, real pilot, kept tables, drain."""
+"""Tests of the proxy as a process, with the real command line and a real pilot: table cache, settings and drain."""
 
 from __future__ import annotations
 
@@ -34,17 +34,17 @@
 
 @pytest.fixture
 def servers():
-    made = [ThreadingHTTPServer(("127.0.0.1", 0), Handler) for _ in range(2)]
-    for server in made:
+    http_servers = [ThreadingHTTPServer(("127.0.0.1", 0), Handler) for _ in range(2)]
+    for server in http_servers:
         server.daemon_threads = True
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    yield [s.server_address[1] for s in made]
-    for server in made:
+    yield [s.server_address[1] for s in http_servers]
+    for server in http_servers:
         server.shutdown()
         server.server_close()
 
 
-class Program:
+class ProxyProcess:
     def __init__(self, folder, pilot):
         self.folder, self.file, self.port_file = folder, folder / "proxy.ini", folder / "proxy.port"
         self.file.write_text(
@@ -79,36 +79,38 @@
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=10)
         try:
             connection.request("GET", path, headers={"x-key": key})
-            answer = connection.getresponse()
-            return answer.status, answer.read().decode()
+            response = connection.getresponse()
+            return response.status, response.read().decode()
         finally:
             connection.close()
 
 
-def listed(pilot, **states):
+def write_endpoint_list(pilot, **states):
     pilot.put_list("".join(f"[server 127.0.0.1:{port}]\nzone = a\nstate = {state}\n" for port, state in states.items()))
 
 
 def test_a_proxy_serves_by_the_pilots_tables_through_its_absence_and_its_own_restart(tmp_path, servers):
     one, two = map(str, servers)
     pilot = Pilot(tmp_path)
-    listed(pilot, **{one: "in_service", two: "in_service"})
+    write_endpoint_list(pilot, **{one: "in_service", two: "in_service"})
     pilot.start()
-    proxy = Program(tmp_path, pilot).start()
+    proxy = ProxyProcess(tmp_path, pilot).start()
     try:
         until(lambda: proxy.get()[0] == 200)
         assert {proxy.get(key=str(k))[1] for k in range(40)} == {one, two}
-        listed(pilot, **{one: "terminating", two: "in_service"})
+        write_endpoint_list(pilot, **{one: "terminating", two: "in_service"})
         until(lambda: {proxy.get(key=str(k))[1] for k in range(20)} == {two})
         assert pilot.ask("status")["gateways"][0]["gateway"] == "px"
         until(lambda: (tmp_path / "kept" / "px.tables").exists())
-        time.sleep(1.5)  # the proxy keeps tables a second after they changed
+        time.sleep(1.5)  # the proxy writes its table cache one second after a change
         pilot.stop(signal.SIGKILL)
-        assert {proxy.get(key=str(k))[1] for k in range(20)} == {two}, "the pilot is gone, the tables stay"
+        assert {proxy.get(key=str(k))[1] for k in range(20)} == {two}, "the tables stay in use without a pilot"
         proxy.process.send_signal(signal.SIGKILL)
         proxy.process.wait(10)
         proxy.start()
-        assert {proxy.get(key=str(k))[1] for k in range(20)} == {two}, "restarted without a pilot, from kept tables"
+        assert {proxy.get(key=str(k))[1] for k in range(20)} == {two}, (
+            "restarted without a pilot, the proxy uses its cached tables"
+        )
     finally:
         pilot.stop()
         proxy.process.kill()
@@ -116,12 +118,15 @@
 
 
 def test_a_pilot_back_with_older_tables_is_followed_and_withdrawals_hold_meanwhile(tmp_path, servers):
-    """Its folder is put back to an earlier day: the pilot's word counts, and its list is what it reads now."""
+    """The state folder of the pilot is replaced by an older copy while the pilot is stopped.
+
+    Withdrawals stay in force until the pilot restarts. Then the proxy follows the pilot, which reads the new list.
+    """
     one, two = map(str, servers)
     pilot = Pilot(tmp_path)
-    listed(pilot, **{one: "in_service", two: "in_service"})
+    write_endpoint_list(pilot, **{one: "in_service", two: "in_service"})
     pilot.start()
-    proxy = Program(tmp_path, pilot)
+    proxy = ProxyProcess(tmp_path, pilot)
     proxy.file.write_text(proxy.file.read_text().replace(f"pilots = 127.0.0.1:{pilot.port}\n", "port_file = port\n"))
     proxy.start()
     try:
@@ -130,13 +135,15 @@
         pilot.stop()
         shutil.copytree(tmp_path / "state", tmp_path / "older")
         pilot.start()
-        listed(pilot, **{one: "terminating", two: "in_service"})
+        write_endpoint_list(pilot, **{one: "terminating", two: "in_service"})
         until(lambda: {proxy.get(key=str(k))[1] for k in range(20)} == {two})
         pilot.stop(signal.SIGKILL)
         shutil.rmtree(tmp_path / "state")
         shutil.copytree(tmp_path / "older", tmp_path / "state")
-        assert {proxy.get(key=str(k))[1] for k in range(20)} == {two}, "gone: what was withdrawn stays so"
-        listed(pilot, **{one: "in_service", two: "terminating"})
+        assert {proxy.get(key=str(k))[1] for k in range(20)} == {two}, (
+            "a withdrawn server stays withdrawn while the pilot is stopped"
+        )
+        write_endpoint_list(pilot, **{one: "in_service", two: "terminating"})
         pilot.start()
         until(lambda: {proxy.get(key=str(k))[1] for k in range(20)} == {one}, patience=20)
     finally:
@@ -147,18 +154,18 @@
 
 def test_sigterm_lets_requests_under_way_end_and_takes_no_new_ones(tmp_path, servers):
     pilot = Pilot(tmp_path)
-    listed(pilot, **{str(p): "in_service" for p in servers})
+    write_endpoint_list(pilot, **{str(p): "in_service" for p in servers})
     pilot.start()
-    proxy = Program(tmp_path, pilot).start()
+    proxy = ProxyProcess(tmp_path, pilot).start()
     try:
         until(lambda: proxy.get()[0] == 200)
-        found = []
-        thread = threading.Thread(target=lambda: found.append(proxy.get("/slow")))
+        responses = []
+        thread = threading.Thread(target=lambda: responses.append(proxy.get("/slow")))
         thread.start()
-        time.sleep(0.3)  # the request takes a second: it is under way
+        time.sleep(0.3)  # the request takes a second, so it is in flight
         proxy.process.send_signal(signal.SIGTERM)
         thread.join(10)
-        assert found[0][0] == 200
+        assert responses[0][0] == 200
         assert proxy.process.wait(10) == 0
         with pytest.raises(OSError):
             proxy.get()
--- a/tests/test_proxy_retry_policy.py
+++ b/tests/test_proxy_retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry policy: proof of execution, published conditions, budget."""
+"""Tests of the retry policy: proof of execution, published conditions and the retry budget."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
     published = PublishedRetries(conditions, 1)
     known = {"replayable": True, "left_ns": SECOND}
     assert allows_retry(execution, published, 1, effect, **known) is allowed
-    assert not allows_retry(execution, published, 2, effect, **known), "no more than published"
+    assert not allows_retry(execution, published, 2, effect, **known), "no more retries than published"
     assert not allows_retry(execution, published, 1, effect, replayable=False, left_ns=SECOND)
     assert not allows_retry(execution, published, 1, effect, replayable=True, left_ns=0)
 
 
 def test_the_budget_bounds_retries():
-    budget, made = RetryBudget(), 0
+    budget, retries = RetryBudget(), 0
     for _ in range(1000):
         budget.earn()
-        made += budget.spend()
-    assert 200 <= made <= 211
+        retries += budget.spend()
+    assert 200 <= retries <= 211
 
 
 @pytest.mark.parametrize("try_aims", [1.2, 0.5, 2.0])
 def test_an_attempt_takes_the_time_that_the_control_service_publishes(try_aims, tmp_path):
-    """It took 1.2 objectives whatever `try_aims` said."""
+    """Guards against a fixed attempt timeout of 1.2 latency objectives that ignored `try_aims`."""
     file = tmp_path / "pilot.ini"
     file.write_text(SETTINGS.format(slices=2, rate=0).replace("slices = 2", f"slices = 2\ntry_aims = {try_aims}"))
     settings = load(file)
@@ -64,5 +64,8 @@
     request = router.classify(0, "page", "k", "c", "slice/1", None)
     page_objective_s = settings.classes["page"].latency_objective / SECOND
     assert router.attempt_timeout(request, 0) / SECOND == pytest.approx(try_aims * page_objective_s)
-    router.received_state.retries = {("page", "slice/1"): PublishedRetries("5xx", 1)}  # its route tells no time
-    assert router.attempt_timeout(request, 0) / SECOND == pytest.approx(1.2 * 0.5), "none is published"
+    # The route of these retries has no timeout.
+    router.received_state.retries = {("page", "slice/1"): PublishedRetries("5xx", 1)}
+    assert router.attempt_timeout(request, 0) / SECOND == pytest.approx(1.2 * 0.5), (
+        "no timeout is published, so the default applies"
+    )
