--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -122,9 +122,7 @@
             self._log.error("watch_failed", pilot=address, error=reason, exc_info=group.exceptions[0])
         if self.connected:
             self.connected = False
-            self._log.warning(
-                "pilot_disconnected", pilot=address, reason=reason, tables="the last accepted tables stay in use"
-            )
+            self._log.warning("pilot_disconnected", pilot=address, reason=reason, tables="the last good ones stay")
             self.callbacks.record("stream", up=False)
 
     async def _stream(self, address: str) -> None:
