--- a/damsonpick/testing/__init__.py
+++ b/damsonpick/testing/__init__.py
@@ -1,1 +1,1 @@
-"""What only tests and rehearsals use: fakes, scenarios, the rule checker."""
+"""Code that only tests and scenario runs use: fakes, the soak, scenarios and the rule checker."""
--- a/damsonpick/testing/fakes/__init__.py
+++ b/damsonpick/testing/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes on loopback of what is not ours: gateways, results servers, list server, the platform's services."""
+"""Small loopback fakes of outside systems: gateways, results servers, the list server, the platform's services."""
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -1,4 +1,4 @@
-"""A fake balancer: it weighs requests by SASP advice, one group a slice, and forwards as the gateways do."""
+"""A fake balancer: it takes its weights from SASP advice, one group per slice, and forwards as the gateways do."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from damsonpick.testing.fakes.gateway import FakeGateway
 from damsonpick.testing.fakes.gateway_context import GatewayContext
 
-BATCH = 50  # groups in one registration
-LOST = (SaspError, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+GROUPS_PER_REGISTRATION = 50
+SESSION_LOST_ERRORS = (SaspError, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 class FakeBalancer(FakeGateway):
-    """One balancer; attributes as of `FakeGateway`."""
+    """One balancer. It has the attributes of `FakeGateway`."""
 
     def __init__(
         self,
@@ -32,30 +32,30 @@
         members: dict[str, str],
         slices: int,
     ) -> None:
-        """Prepare a balancer that is not yet connected.
+        """Create a balancer without a connection; `follow` opens the session.
 
         Args:
-            name: its name.
-            zone: where it is.
-            pilot_address: gives the address of the pilot's SASP port, or '' while there is none.
-            context: what it shares with the other gateways.
-            rng: draws servers and retries.
-            members: zone by server.
-            slices: how many, each a group.
+            name: Name of the balancer, also its identifier in the SASP session.
+            zone: Zone of the balancer.
+            pilot_address: Returns the address of the pilot's SASP port, or '' while the port is not open.
+            context: Objects shared by all gateways of the process.
+            rng: Source of the random draws for server choice and backoff.
+            members: Zone of each server, by server address.
+            slices: Number of slices. The balancer registers one group per slice.
         """
         super().__init__(name, zone, True, pilot_address, context, rng)
         self.pilot_address, self.members, self.slices = pilot_address, members, slices
         self.seen, self.count = False, 0
 
     async def follow(self) -> None:
-        """Keep a session with the pilot, for ever; what was advised last stays in force meanwhile."""
+        """Keep a session with the pilot until cancelled. Without a session, the latest advice stays in use."""
         backoff = Backoff(self.rng, 0.1, 1.0)
         while True:
             address = self.pilot_address()
             if address and self.network.reaches_pilot(self.name, self.zone):
                 try:
                     await self._session(address, backoff)
-                except* LOST:
+                except* SESSION_LOST_ERRORS:
                     pass
             await anyio.sleep(backoff.next_delay_s() / self.clock.rate)
 
@@ -84,17 +84,21 @@
         if code := await client.hello(LbFlag.PUSH | LbFlag.NO_CHANGE):
             raise SaspError(f"refused with 0x{code:02x}")
         listed = tuple(member(name) for name in self.members)
-        names = [f"slice/{n}".encode() for n in range(self.slices)]
-        for k in range(0, len(names), BATCH):
+        group_names = [f"slice/{n}".encode() for n in range(self.slices)]
+        for k in range(0, len(group_names), GROUPS_PER_REGISTRATION):
             body = Register(
-                Sender.BALANCER, tuple(MembersOf(Group(client.lb, n), listed) for n in names[k : k + BATCH])
+                Sender.BALANCER,
+                tuple(MembersOf(Group(client.lb, n), listed) for n in group_names[k : k + GROUPS_PER_REGISTRATION]),
             )
             code = (await client.ask(body)).code
-            if code not in (0, 0x40):  # 0x40: still registered from the session before
+            if code not in (0, 0x40):  # 0x40: still registered from the previous session
                 raise SaspError(f"refused with 0x{code:02x}")
 
     async def _poll(self, client: Client) -> None:
-        """Ask again when advised to: what a push left out as noise comes this way."""
+        """Poll the weights at the interval that the pilot recommends.
+
+        A push leaves out weight changes that count as noise; only a poll returns them.
+        """
         while True:
             reply = await client.weights()
             await self._apply_advice(reply.groups)
@@ -106,7 +110,7 @@
         scope.cancel()
 
     async def _apply_advice(self, groups: tuple[WeightsOf, ...]) -> None:
-        """Advice in force, after whatever holds this balancer up."""
+        """Apply advice to the tables, once a stall of this balancer is over and its read delay has passed."""
         if (wait := self.clock.seconds(max(self.stalled_until - self.clock.now(), 0) + self.read_delay)) > 0:
             await anyio.sleep(wait)
         shown = {}
@@ -114,7 +118,7 @@
             unit = group.name.decode()
             table = self.received_state.tables.get(unit)
             entries = dict(table.entries) if table else {}
-            for w in weights:  # a push may tell of some members alone
+            for w in weights:  # a push may contain only some of the members
                 entries.pop(w.member.endpoint, None)
                 if w.weight:
                     entries[w.member.endpoint] = ReceivedEntry(w.weight, self.members.get(w.member.endpoint, ""))
--- a/damsonpick/testing/fakes/discovery.py
+++ b/damsonpick/testing/fakes/discovery.py
@@ -1,4 +1,4 @@
-"""A fake of the platform's discovery: the endpoint list, its changes, and a watch that can be cut or fall silent."""
+"""A fake of the platform's discovery: the endpoint list, its changes, and watches that can be cut or silenced."""
 
 from __future__ import annotations
 
@@ -14,7 +14,12 @@
 
 
 class Change(NamedTuple):
-    """A change of the list: the version that it led to, and the entry as it is since."""
+    """A change of one entry of the list.
+
+    Attributes:
+        version: Version of the list after the change.
+        entry: The entry after the change.
+    """
 
     version: int
     entry: Entry
@@ -24,24 +29,24 @@
     """The discovery service.
 
     Attributes:
-        version: of the list.
-        servers: the list, by server.
-        history: all changes since the start.
-        requested_targets: targets of all requests.
-        is_down: requests are answered with an error.
-        holds_requests: requests are answered once the gate is opened.
-        omits_list: watches begin with a heartbeat in place of the list.
-        gate: see `holds_requests`.
+        version: Current version of the list.
+        servers: Entries of the list, by server name.
+        history: All changes of the list since the start.
+        requested_targets: HTTP targets of all requests received so far.
+        is_down: Whether every request is answered with status 503.
+        holds_requests: Whether requests wait for `gate` before they are answered.
+        omits_list: Whether a watch begins with a heartbeat instead of the list.
+        gate: Blocks requests while `holds_requests` is set.
     """
 
-    heartbeat_interval_s = 0.3  # a real one sends an empty line every two seconds
+    heartbeat_interval_s = 0.3  # the real service sends an empty line every two seconds
 
     def __init__(self, *servers: str, zone: str = "a") -> None:
-        """Start with these servers ready.
+        """Create a service whose list contains the given servers in state Ready.
 
         Args:
-            servers: their names.
-            zone: of all.
+            servers: Names of the servers.
+            zone: Zone of all servers.
         """
         super().__init__()
         self.version, self.zone = 1, zone
@@ -54,7 +59,7 @@
         self.gate = faulty_http.Gate()
 
     def entry(self, name: str, state: str = "Ready", **fields: Any) -> Entry:
-        """A server's entry in the list, as on the wire."""
+        """Return a server's entry of the list in its wire format; `fields` overrides the defaults."""
         return {
             "id": name,
             "addr": "127.0.0.1:1",
@@ -67,7 +72,7 @@
         } | fields
 
     async def update_server(self, name: str, state: str = "Ready", **fields: Any) -> None:
-        """Change one server and report it on the watches."""
+        """Change one server's entry and send the change to all watches. State Gone removes the server."""
         entry = self.entry(name, state, **fields)
         self.version += 1
         self.history.append(Change(self.version, entry))
@@ -75,15 +80,15 @@
             self.servers.pop(name, None)
         else:
             self.servers[name] = entry
-        await self.send_line(self._message(False, [entry]))
+        await self.send_line(self._list_message(False, [entry]))
 
     async def send_entries(self, entries: list[Entry]) -> None:
-        """Report entries on the watches as they are, under a version of their own; the list does not change."""
+        """Send entries to all watches unchanged and under a new version, without changing the list."""
         self.version += 1
-        await self.send_line(self._message(False, entries))
+        await self.send_line(self._list_message(False, entries))
 
     async def serve(self, request: faulty_http.Request, stream: SocketStream) -> bool:
-        """Answer with the list, or open a watch; returns whether the connection stays open."""
+        """Respond with the list or open a watch; returns whether the connection stays open."""
         self.requested_targets.append(request.target)
         if self.is_down:
             await stream.send(faulty_http.answer_bytes(b"", "503 Service Unavailable"))
@@ -92,20 +97,20 @@
             await self.gate.wait()
         query = parse_qs(urlsplit(request.target).query)
         if "watch" not in query:
-            await stream.send(faulty_http.answer_bytes(self._whole_list()))
+            await stream.send(faulty_http.answer_bytes(self._full_list_message()))
             return True
-        first_line = self._message_since(int(query["from"][0]))
+        first_line = self._changes_message(int(query["from"][0]))
         await self.watch(stream, [b"" if self.omits_list else first_line])
         return False
 
-    def _message_since(self, version: int) -> bytes:
-        """The changes since a version, or the whole list if the version is not known."""
+    def _changes_message(self, version: int) -> bytes:
+        """Return the changes since a version, or the whole list if that version is unknown."""
         if 0 < version <= self.version:
-            return self._message(False, [change.entry for change in self.history if change.version > version])
-        return self._whole_list()
+            return self._list_message(False, [change.entry for change in self.history if change.version > version])
+        return self._full_list_message()
 
-    def _whole_list(self) -> bytes:
-        return self._message(True, list(self.servers.values()))
+    def _full_list_message(self) -> bytes:
+        return self._list_message(True, list(self.servers.values()))
 
-    def _message(self, full: bool, entries: list[Entry]) -> bytes:
+    def _list_message(self, full: bool, entries: list[Entry]) -> bytes:
         return json.dumps({"version": self.version, "full": full, "servers": entries}).encode()
--- a/damsonpick/testing/fakes/faulty_http.py
+++ b/damsonpick/testing/fakes/faulty_http.py
@@ -1,4 +1,7 @@
-"""A small HTTP/1.1 server for fakes whose answers may fail at any byte: requests by h11, answers by hand."""
+"""A small HTTP/1.1 server for fakes whose responses may break off at any byte.
+
+h11 parses the requests. This module formats the responses itself, so that a fake can send partial or invalid ones.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 class Request(NamedTuple):
-    """One request."""
+    """An HTTP request with its whole body."""
 
     method: str
     target: str
@@ -24,17 +27,17 @@
 
 
 def answer_bytes(body: bytes, status: str = "200 OK") -> bytes:
-    """A whole answer."""
+    """Return a complete response with a Content-Length header."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 def chunk_bytes(body: bytes) -> bytes:
-    """One chunk of an answer with chunked transfer encoding."""
+    """Return one chunk of a response with chunked transfer encoding."""
     return f"{len(body):x}\r\n".encode() + body + b"\r\n"
 
 
 async def read_request(stream: SocketStream, http: h11.Connection) -> Request | None:
-    """The next request; None: the peer has closed."""
+    """Return the next request, or None if the peer has closed the connection."""
     head, body = None, b""
     while True:
         event = http.next_event()
@@ -54,15 +57,15 @@
 
 
 class Gate:
-    """Holds exchanges until it is opened, so that a test can have something else happen first.
+    """Blocks exchanges until it is opened, so that a test can make another event happen first.
 
     Attributes:
-        reached: set once an exchange waits.
-        opened: set it to let all continue.
+        reached: Set once an exchange waits at the gate.
+        opened: Setting this event lets all waiting exchanges continue.
     """
 
     def __init__(self) -> None:
-        """Start closed."""
+        """Create a closed gate."""
         self.reached, self.opened = anyio.Event(), anyio.Event()
 
     async def wait(self) -> None:
@@ -76,14 +79,14 @@
 
 @asynccontextmanager
 async def serving(handler: Handler, port: int = 0) -> AsyncIterator[int]:
-    """Open a port and serve its connections.
+    """Open a listening port on loopback and serve its connections.
 
     Args:
-        handler: writes the answer to a request and returns whether the connection stays open.
-        port: to listen on; 0: one that the system picks.
+        handler: Writes the response to a request and returns whether the connection stays open.
+        port: Port to listen on, or 0 to let the operating system choose one.
 
     Yields:
-        The port.
+        The port that was opened.
     """
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
 
@@ -111,44 +114,44 @@
 
 
 class WatchServer:
-    """A server with watches: answers that stay open, to which lines are added until they are cut.
+    """A server with watches: chunked responses to which it appends lines until the connection is closed.
 
     A subclass implements `serve`.
 
     Attributes:
-        heartbeat_line: sent on each watch in regular intervals.
-        heartbeat_interval_s: how often.
-        watchers: connections with an open watch.
-        silent: whether heartbeats stop while the connections stay open.
+        heartbeat_line: Line sent on each watch at regular intervals.
+        heartbeat_interval_s: Seconds between two heartbeat lines.
+        watchers: Connections with an open watch.
+        silent: Whether heartbeats are suppressed while the connections stay open.
     """
 
     heartbeat_line: ClassVar[bytes] = b""
     heartbeat_interval_s: ClassVar[float] = 1.0
 
     def __init__(self) -> None:
-        """Start without watches."""
+        """Create a server without open watches."""
         self.watchers: set[SocketStream] = set()
         self.silent = False
-        self._write_lock = anyio.Lock()  # a line is written whole before the next one
+        self._write_lock = anyio.Lock()  # one send completes before the next one starts, so lines never interleave
 
     async def serve(self, request: Request, stream: SocketStream) -> bool:
-        """Answer a request; returns whether the connection stays open."""
+        """Respond to a request; returns whether the connection stays open."""
         raise NotImplementedError
 
     @asynccontextmanager
     async def running(self, port: int = 0) -> AsyncIterator[int]:
-        """Serve on a port, which is yielded; 0: one that the system picks."""
+        """Serve on a port and yield its number. With port 0 the operating system chooses one."""
         async with serving(self.serve, port) as opened_port, anyio.create_task_group() as group:
             group.start_soon(self._send_heartbeats)
             yield opened_port
             group.cancel_scope.cancel()
 
     async def send_line(self, line: bytes) -> None:
-        """Send a line to all watchers."""
+        """Send a line, with its line feed, on all watches."""
         await self.send_bytes(line + b"\n")
 
     async def send_bytes(self, data: bytes) -> None:
-        """Send bytes to all watchers, as a chunk of their own."""
+        """Send bytes on all watches as one chunk."""
         async with self._write_lock:
             for stream in list(self.watchers):
                 try:
@@ -162,7 +165,7 @@
             await anyio.aclose_forcefully(stream)
 
     async def watch(self, stream: SocketStream, lines: list[bytes]) -> None:
-        """Answer with these lines, and keep the answer open until the peer sends a byte or closes."""
+        """Send these lines as the start of a response and keep it open until the peer sends a byte or closes."""
         first_chunks = [chunk_bytes(line + b"\n") for line in lines]
         await stream.send(CHUNKED_HEAD + b"".join(first_chunks))
         self.watchers.add(stream)
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -1,6 +1,7 @@
-"""A process full of gateways with their clients: `python -m damsonpick.testing.fakes.fleet`.
+"""A process that runs gateways and their clients: `python -m damsonpick.testing.fakes.fleet`.
 
-Reads one JSON object of settings on standard input, then one command a line; ends when the input does.
+It reads its settings as one JSON object on the first line of standard input, then one JSON command per line. It exits
+at the end of the input.
 """
 
 from __future__ import annotations
@@ -26,25 +27,25 @@
 from damsonpick.testing.fakes.request_outcome import Ending
 from damsonpick.time_units import NS_PER_MS, NS_PER_SECOND
 
-CLIENT_RETRY_DELAY_S = 0.15  # of the scenario, until a client repeats what is safe to repeat
-IDLE_POLL_S = 0.05  # of the wall clock, until a demand of nothing is looked at again
+CLIENT_RETRY_DELAY_S = 0.15  # in scenario time, before a client retries a request that is safe to repeat
+IDLE_POLL_S = 0.05  # in wall-clock time, between checks of a request rate that is 0
 NO_SLICE = -1
-# Spread (sigma of a lognormal factor) of slices' popularity, of requests' work and of gateways' shares of the traffic.
+# Sigma of the lognormal factors on the popularity of slices, the work of requests and the gateways' traffic shares.
 SLICE_SPREAD, WORK_SPREAD, GATEWAY_SPREAD = 0.6, 0.4, 0.8
-NOT_RUN_ENDINGS = (Ending.REFUSED, Ending.NO_SERVER, Ending.NEVER_RAN)
+NOT_RUN_ENDINGS = (Ending.REFUSED, Ending.NO_SERVER, Ending.NEVER_RAN)  # no server has run the request
 
 Command = dict[str, Any]
 Gateway = FakeGateway | ProxyGateway
 
 
 class ClientRequest(NamedTuple):
-    """What a client asks for.
+    """A request that a client sends.
 
     Attributes:
-        class_name: its request class.
-        priority_weight: of the class.
-        slice_number: -1: a table for zone and class.
-        work_ms: mean speed assumed.
+        class_name: Name of the request class.
+        priority_weight: Priority weight of the request class.
+        slice_number: Slice of the request, or -1 if the request uses the table of its zone and class.
+        work_ms: Duration of the work on a server of mean speed, in ms.
     """
 
     class_name: str
@@ -54,16 +55,17 @@
 
 
 class Demand:
-    """What clients ask for: slices by popularity, a share of it on hot slices.
+    """The clients' demand. Slices are drawn by popularity; a configurable share of requests goes to hot slices.
 
     Attributes:
-        rate: requests per second of the scenario.
-        factor: on the rate.
-        hot_slices, hot_share: which slices draw which share of all requests.
+        rate: Mean arrival rate, in requests per second of scenario time.
+        factor: Multiplier on `rate`.
+        hot_slices: Slices that receive an additional share of the requests. Empty if there are none.
+        hot_share: Share of all requests that goes to `hot_slices`.
     """
 
     def __init__(self, setup: dict[str, Any], rng: random.Random) -> None:
-        """Take rate, classes and slices from the process's settings."""
+        """Read rate, request classes and number of slices from the settings of the process."""
         self.rate = setup["rate"]
         self.factor = 1.0
         self.hot_slices: list[int] = []
@@ -71,11 +73,11 @@
         self._rng = rng
         self._classes: list[dict[str, Any]] = list(setup["kinds"])
         self._class_shares = [settings["share"] for settings in self._classes]
-        self._slices = range(setup["slices"])  # empty: tables by zone and class
+        self._slices = range(setup["slices"])  # empty if the tables are per zone and class
         self._popularity = [rng.lognormvariate(0.0, SLICE_SPREAD) for _ in self._slices]
 
     def draw(self) -> ClientRequest:
-        """Draw a request."""
+        """Draw class, slice and work of the next request."""
         settings = self._rng.choices(self._classes, self._class_shares)[0]
         slice_number = self._draw_slice()
         work_ms = self._rng.lognormvariate(0.0, WORK_SPREAD) * settings["work"]
@@ -90,10 +92,10 @@
 
 
 class Fleet:
-    """All gateways of the process."""
+    """All gateways and clients of the process."""
 
     def __init__(self, setup: dict[str, Any]) -> None:
-        """Build gateways and demand from the process's settings."""
+        """Create the gateways and the demand from the settings of the process."""
         self._part = setup["part"]
         self._rng = random.Random(f"{setup['seed']} {self._part}")
         self._clock = Clock(setup["clock_rate"], ClockOrigin(*setup["clock_origin"]))
@@ -143,14 +145,14 @@
         return port_files.address(self._port_file.with_suffix(".sasp"))
 
     async def run(self) -> None:
-        """Run gateways and clients, and carry out commands, until standard input ends."""
+        """Run the gateways and clients and execute commands until the end of standard input."""
         async with anyio.create_task_group() as group:
             for gateway in self._gateways.values():
                 group.start_soon(gateway.follow)
             group.start_soon(self._generate_requests, group)
             group.start_soon(self._loop_lag.run)
             async for line in anyio.wrap_file(sys.stdin):
-                self.carry_out(json.loads(line))
+                self.execute(json.loads(line))
             group.cancel_scope.cancel()
         self._record.put("process", name=f"gateways-{self._part}", **self._loop_lag.load()._asdict())
         self._record.close()
@@ -158,16 +160,20 @@
     # Clients
 
     async def _generate_requests(self, group: TaskGroup) -> None:
-        """Start clients in a Poisson process. Arrivals keep their own time: a busy process does not thin them out."""
-        due = self._clock.now()
+        """Start clients in a Poisson process.
+
+        Each arrival is scheduled relative to the previous scheduled arrival, not to its actual start. A busy process
+        therefore starts requests late but does not reduce their number.
+        """
+        next_arrival = self._clock.now()
         while True:
             rate = self._demand.rate * self._demand.factor
             if rate <= 0:
                 await anyio.sleep(IDLE_POLL_S)
-                due = self._clock.now()
+                next_arrival = self._clock.now()
                 continue
-            due += int(self._rng.expovariate(rate) * NS_PER_SECOND)
-            wait = due - self._clock.now()
+            next_arrival += int(self._rng.expovariate(rate) * NS_PER_SECOND)
+            wait = next_arrival - self._clock.now()
             if wait > 0:
                 await anyio.sleep(self._clock.seconds(wait))
             name = self._rng.choices(self._gateway_names, self._gateway_shares)[0]
@@ -175,7 +181,7 @@
             group.start_soon(self._run_client, self._gateways[name], self._request_count)
 
     async def _run_client(self, gateway: Gateway, number: int) -> None:
-        """One request, repeated once by the client where that is safe; its end is recorded."""
+        """Send one request, retry it once if that is safe, and record how it ended."""
         request = self._demand.draw()
         traffic_class = self._classes[request.class_name]
         start = self._clock.now()
@@ -201,11 +207,11 @@
 
     # Commands
 
-    def carry_out(self, command: Command) -> None:
-        """Carry out a command of the scenario.
+    def execute(self, command: Command) -> None:
+        """Execute a command of the scenario.
 
         Raises:
-            ValueError: there is no such command.
+            ValueError: The command is unknown.
         """
         handler = self._commands.get(command["do"])
         if handler is None:
@@ -213,7 +219,7 @@
         handler(command)
 
     def _named_gateways(self, command: Command) -> list[Gateway]:
-        """The gateways that a command names, or all; those that run in another process are left out."""
+        """Return the gateways of this process that a command names, or all of them if it names none."""
         names = command.get("gateways") or self._gateways
         return [self._gateways[name] for name in names if name in self._gateways]
 
@@ -248,7 +254,7 @@
 
 
 def _cluster(gateway: Gateway, request: ClientRequest) -> str:
-    """The cluster that a gateway sends a request to."""
+    """Return the cluster whose table the gateway uses for a request."""
     if request.slice_number != NO_SLICE:
         return f"slice/{request.slice_number}"
     return gateway.received_state.clusters.get((request.class_name, gateway.zone), f"slice/{NO_SLICE}")
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -1,4 +1,4 @@
-"""A fake gateway: an xDS and LRS client, and plain forwarding by the tables it was given."""
+"""A fake gateway: an xDS and LRS client that forwards requests by the tables it has received."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from damsonpick.testing.fakes.server_picker import ServerPicker
 from damsonpick.time_units import NS_PER_MS
 
-TABLE_WAIT_NS = 500_000_000  # that a request waits for a table with an entry
+TABLE_WAIT_NS = 500_000_000  # longest time that a request waits for a table with an entry
 CONNECT_TIMEOUT_NS = 400_000_000
 RETRY_ON_CONNECT_FAILURE = "connect-failure"
 RETRY_ON_ANY_FAILURE = "5xx"
@@ -31,7 +31,7 @@
 def response_details(
     received_state: ReceivedState, kind: str, nonce: str, resources: list, removed: list[str], bad: str
 ) -> dict[str, Any]:
-    """A response as the rule checker reads it."""
+    """Return an xDS response as the details of a `got` record, which the rule checker reads."""
     found: dict[str, Any] = {}
     for name, version, _ in resources:
         found[name] = {"v": version}
@@ -45,7 +45,7 @@
 
 
 def known_addresses(pilot_address: Callable[[], str]) -> list[str]:
-    """The pilot's address, if there is one."""
+    """Return a list with the pilot's address, or an empty list while the pilot has none."""
     address = pilot_address()
     return [address] if address else []
 
@@ -54,11 +54,11 @@
     """A request that a gateway has admitted.
 
     Attributes:
-        request_id: names it in the records.
-        traffic_class: its class.
-        cluster: whose table it goes by.
-        work_ms: ms that it takes at mean speed.
-        deadline: of all its attempts, ns.
+        request_id: Identifier of the request in the records.
+        traffic_class: Request class.
+        cluster: Cluster whose table the gateway uses.
+        work_ms: Duration of the work on a server of mean speed, in ms.
+        deadline: Time at which the last attempt must have ended, in ns of the scenario's clock.
     """
 
     request_id: str
@@ -68,7 +68,7 @@
     deadline: int
 
     def headers(self) -> dict[str, str]:
-        """What a results server reads of it."""
+        """Return the request headers that a results server reads."""
         return {
             "x-request-id": self.request_id,
             "x-damson-class": self.traffic_class.name,
@@ -81,10 +81,11 @@
     """One gateway.
 
     Attributes:
-        name, zone: node id and locality.
-        received_state: what it received from the pilot.
-        stalled_until: until when it reads and forwards nothing, ns.
-        read_delay: how much longer it takes to read a response, ns.
+        name: Node id.
+        zone: Zone of the locality.
+        received_state: State received from the pilot.
+        stalled_until: Time until which the gateway reads and forwards nothing, in ns of the scenario's clock.
+        read_delay: Additional delay before it reads a response of the pilot, in ns.
     """
 
     def __init__(
@@ -96,15 +97,15 @@
         context: GatewayContext,
         rng: random.Random,
     ) -> None:
-        """Prepare a gateway that is not yet connected.
+        """Create a gateway without a connection; `follow` opens the stream.
 
         Args:
-            name: node id.
-            zone: locality.
-            delta: which variant it speaks.
-            pilot_address: gives the pilot's address, or '' while there is none.
-            context: what it shares with the other gateways.
-            rng: draws servers, retries and admitted requests.
+            name: Node id.
+            zone: Zone of the locality.
+            delta: Whether it uses the delta variant of xDS instead of state of the world.
+            pilot_address: Returns the pilot's address, or '' while the pilot has none.
+            context: Objects shared by all gateways of the process.
+            rng: Source of the random draws for server choice, backoff and admission.
         """
         clock, network = context.clock, context.network
         self.name, self.zone = name, zone
@@ -129,7 +130,7 @@
 
     @property
     def report_delay(self) -> int:
-        """How late load reports are sent, ns."""
+        """Additional delay before a load report is sent, in ns."""
         return self.watch_client.report_delay
 
     @report_delay.setter
@@ -137,7 +138,7 @@
         self.watch_client.report_delay = ns
 
     async def follow(self) -> None:
-        """Keep a stream to the pilot, for ever."""
+        """Keep a stream to the pilot until cancelled."""
         await self.watch_client.run()
 
     def _resources_applied(self, type_url: str, resources: list, removed: list[str]) -> None:
@@ -160,7 +161,7 @@
             )
         self.record.put(event, gw=self.name, **details)
 
-    async def _stand_still(self) -> None:
+    async def _wait_while_stalled(self) -> None:
         wait = self.stalled_until - self.clock.now()
         if wait > 0:
             await anyio.sleep(self.clock.seconds(wait))
@@ -168,13 +169,13 @@
     # Requests
 
     async def serve(self, request_id: str, traffic_class: TrafficClass, cluster: str, work_ms: float) -> RequestOutcome:
-        """Forward one request.
+        """Admit or reject one request, and forward it if admitted.
 
         Args:
-            request_id: names the request in the records.
-            traffic_class: its class.
-            cluster: whose table it goes by.
-            work_ms: ms that it takes at mean speed.
+            request_id: Identifier of the request in the records.
+            traffic_class: Request class.
+            cluster: Cluster whose table the gateway uses.
+            work_ms: Duration of the work on a server of mean speed, in ms.
         """
         start = self.clock.now()
         counts = self.counts.setdefault(slice_of(cluster), load_stats.SliceCounts())
@@ -182,7 +183,7 @@
             counts.count_dropped(traffic_class.name)
             return ended(Ending.REFUSED)
         counts.count_admitted(traffic_class.name)
-        await self._stand_still()
+        await self._wait_while_stalled()
         forwarded = ForwardedRequest(request_id, traffic_class, cluster, work_ms, start + traffic_class.deadline)
         outcome = ended(await self._attempt_until_answered(forwarded))
         if not outcome.answered:
@@ -191,12 +192,12 @@
         return outcome
 
     async def _attempt_until_answered(self, request: ForwardedRequest) -> str:
-        """Make attempts as the published retries allow; returns how the last one ended."""
+        """Make attempts within the published retry settings; returns how the last attempt ended."""
         attempted: set[str] = set()
         retries = self.received_state.retries_of(request.cluster, request.traffic_class.name)
         ending: str = Ending.NO_SERVER
         for number in range(retries.limit + 1):
-            server = await self._choose(request, attempted, may_wait=number == 0)
+            server = await self._choose_server(request, attempted, may_wait=number == 0)
             if server is None:
                 return ending
             attempted.add(server)
@@ -211,20 +212,23 @@
             return True
         return RETRY_ON_ANY_FAILURE in conditions
 
-    async def _choose(self, request: ForwardedRequest, attempted: set[str], may_wait: bool) -> str | None:
-        """A server; the first attempt waits a little for a table with an entry, then is given up."""
+    async def _choose_server(self, request: ForwardedRequest, attempted: set[str], may_wait: bool) -> str | None:
+        """Return the server for an attempt, or None if there is none.
+
+        If `may_wait` is set, wait up to `TABLE_WAIT_NS`, but not beyond the deadline, for a table with an entry.
+        """
         until = min(request.deadline, self.clock.now() + TABLE_WAIT_NS) if may_wait else 0
         while True:
             entries = self.received_state.available_entries(request.cluster)
             server = self.picker.pick(self.clock.now(), entries, attempted)
-            left = until - self.clock.now()
-            if server is not None or left <= 0:
+            remaining = until - self.clock.now()
+            if server is not None or remaining <= 0:
                 return server
-            with anyio.move_on_after(self.clock.seconds(left)):
+            with anyio.move_on_after(self.clock.seconds(remaining)):
                 await self.changed.wait()
 
     async def _attempt(self, request: ForwardedRequest, server: str) -> str:
-        """One attempt, counted and recorded; returns how it ended."""
+        """Make, count and record one attempt; returns how it ended."""
         start = self.clock.now()
         entry = self.received_state.available_entries(request.cluster).get(server)
         zone = entry.zone if entry else ""
@@ -242,9 +246,9 @@
         return ending
 
     async def _exchange(self, request: ForwardedRequest, server: str, zone: str) -> str:
-        """Send the request and read the answer; returns how that ended."""
+        """Send the request and read the response; returns how the exchange ended."""
         if zone and not self.network.connects(self.zone, zone):
-            await anyio.sleep(self.clock.seconds(CONNECT_TIMEOUT_NS))  # across a cut link nothing answers
+            await anyio.sleep(self.clock.seconds(CONNECT_TIMEOUT_NS))  # no server across a cut link responds
             return Ending.NEVER_RAN
         connection, complete = None, False
         try:
@@ -265,7 +269,7 @@
                         await connection.close()
 
     async def _connection(self, server: str) -> http.ClientConnection:
-        """An idle connection, or a new one."""
+        """Return an idle connection to the server, or open a new one."""
         pool = self.pools.get(server)
         while pool:
             connection = pool.pop()
--- a/damsonpick/testing/fakes/gateway_context.py
+++ b/damsonpick/testing/fakes/gateway_context.py
@@ -1,4 +1,4 @@
-"""What all gateways of a process share: clock, records, request classes, and the network between zones."""
+"""Objects that all gateways of a process share: clock, records, request classes, and the network between zones."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TrafficClass(NamedTuple):
-    """A request class as clients and gateways know it; times in ns."""
+    """A request class with the settings that clients and gateways use. Times are in ns."""
 
     name: str
     latency_objective: int
@@ -20,12 +20,12 @@
 
 @dataclass(slots=True)
 class Network:
-    """Which zones reach which, and which gateways reach the pilot.
+    """Connectivity between zones, and from gateways to the pilot.
 
     Attributes:
-        pilot_zone: where the pilot is.
-        isolated_zones: zones cut off from all others.
-        isolated_gateways: gateways that do not reach the pilot.
+        pilot_zone: Zone of the pilot.
+        isolated_zones: Zones without a connection to any other zone.
+        isolated_gateways: Names of gateways that cannot reach the pilot.
     """
 
     pilot_zone: str = ""
@@ -33,23 +33,23 @@
     isolated_gateways: set[str] = field(default_factory=set)
 
     def connects(self, zone: str, other: str) -> bool:
-        """Whether two zones reach each other."""
+        """Return whether two zones can reach each other."""
         return zone == other or (zone not in self.isolated_zones and other not in self.isolated_zones)
 
     def reaches_pilot(self, gateway: str, zone: str) -> bool:
-        """Whether a gateway in a zone reaches the pilot."""
+        """Return whether a gateway in a zone can reach the pilot."""
         return gateway not in self.isolated_gateways and self.connects(zone, self.pilot_zone)
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayContext:
-    """What each gateway of a process is given.
+    """The objects that each gateway of a process receives.
 
     Attributes:
-        clock: the scenario's clock.
-        record: where records go.
-        network: may change at any time.
-        classes: request classes by name.
+        clock: Clock of the scenario.
+        record: Recorder of what the gateways observe.
+        network: Connectivity. It may change at any time.
+        classes: Request classes by name.
     """
 
     clock: Clock
--- a/damsonpick/testing/fakes/http.py
+++ b/damsonpick/testing/fakes/http.py
@@ -1,4 +1,4 @@
-"""Plain HTTP/1.1 on loopback between fakes: a parser from h11, streams from anyio."""
+"""Plain HTTP/1.1 on loopback between fakes. h11 parses the messages; anyio provides the streams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -24,22 +24,25 @@
 
 
 class HttpError(Exception):
-    """A request got no answer."""
+    """A request received no complete response."""
 
 
 class NotSentError(HttpError):
-    """The request did not reach a server: it has not run, and may be sent again."""
+    """The request did not reach a server. It has not run and may be sent again."""
 
 
 class ConnectionBrokenError(HttpError):
-    """The connection broke while a request was out: it may have run."""
+    """The connection closed or failed before the whole response was received. The request may have run.
+
+    A handler of `serve_connection` raises it to cut the connection.
+    """
 
 
 class ClientConnection:
-    """One client connection, one request at a time."""
+    """A client connection that carries one request at a time."""
 
     def __init__(self, stream: SocketStream) -> None:
-        """Send requests on an open stream."""
+        """Wrap an open stream."""
         self._stream = stream
         self._http = h11.Connection(h11.CLIENT)
 
@@ -48,7 +51,7 @@
         """Open a connection.
 
         Raises:
-            NotSentError: it was refused, or did not open in time.
+            NotSentError: The connection was refused, or did not open within `timeout_s`.
         """
         host, _, port = address.rpartition(":")
         try:
@@ -60,20 +63,20 @@
         return cls(stream)
 
     async def post(self, target: str, headers: dict[str, str]) -> Answer:
-        """Send a POST without body and wait for the answer.
+        """Send a POST without a body and wait for the response.
 
         Raises:
-            ConnectionBrokenError: the connection ended before the whole answer.
+            ConnectionBrokenError: The connection closed or failed before the whole response was received.
         """
         fixed_headers = [("host", "results"), ("content-length", "0")]
         request = h11.Request(method="POST", target=target, headers=[*fixed_headers, *headers.items()])
         try:
             await self._stream.send(self._http.send(request) + self._http.send(h11.EndOfMessage()))
-            return await self._read_answer()
+            return await self._read_response()
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, h11.ProtocolError) as error:
             raise ConnectionBrokenError(str(error)) from None
 
-    async def _read_answer(self) -> Answer:
+    async def _read_response(self) -> Answer:
         head, body = None, b""
         while True:
             event = self._http.next_event()
@@ -86,7 +89,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 return Answer(head.status_code, _text_headers(head.headers), body)
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionBrokenError("closed before an answer")
+                raise ConnectionBrokenError("connection closed before the whole response was received")
 
     async def _receive(self) -> bytes:
         try:
@@ -95,14 +98,14 @@
             return b""
 
     def prepare_reuse(self) -> bool:
-        """Make ready for another request; returns whether both sides left the connection open."""
+        """Prepare the connection for another request; returns whether both sides keep it open."""
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             return True
         return False
 
     def is_idle(self) -> bool:
-        """Whether the connection is open and nothing came on it unasked."""
+        """Return whether the connection is open and the server has sent no data outside a response."""
         return sockets.idle(self._stream)
 
     async def close(self) -> None:
@@ -121,13 +124,14 @@
     """Serve one connection until it closes.
 
     Args:
-        stream: the connection.
-        handler: gives the answer to a request's headers; it may raise ConnectionBrokenError to cut the connection.
+        stream: Connection to serve.
+        handler: Returns the response to a request with the given headers. It may raise ConnectionBrokenError to cut
+            the connection.
     """
     http = h11.Connection(h11.SERVER)
     try:
         while (headers := await _read_request(stream, http)) is not None:
-            await _send_answer(stream, http, await handler(headers))
+            await _send_response(stream, http, await handler(headers))
             http.start_next_cycle()
     except (ConnectionBrokenError, anyio.BrokenResourceError, anyio.ClosedResourceError, h11.ProtocolError):
         return
@@ -136,7 +140,7 @@
 
 
 async def _read_request(stream: SocketStream, http: h11.Connection) -> dict[str, str] | None:
-    """The next request's headers, its body read; None: the peer has closed."""
+    """Read the next request with its body; returns its headers, or None if the peer has closed the connection."""
     headers: dict[str, str] = {}
     while True:
         event = http.next_event()
@@ -153,7 +157,7 @@
             return None
 
 
-async def _send_answer(stream: SocketStream, http: h11.Connection, answer: Answer) -> None:
+async def _send_response(stream: SocketStream, http: h11.Connection, answer: Answer) -> None:
     headers = [("content-length", str(len(answer.body))), *answer.headers.items()]
     head = http.send(h11.Response(status_code=answer.status, headers=headers))
     body = http.send(h11.Data(data=answer.body))
