--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -1,4 +1,4 @@
-"""A fake list server: one EDS resource over ADS, state of the world, which can fail on command."""
+"""A fake list server: it serves one EDS resource over state-of-the-world ADS and can fail on command."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class FakeListServer(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
-    """Sends the whole list at each change; what it sent is recorded as what the pilot knows.
+    """Sends the whole list on each change, and records each list that it sends as the pilot's knowledge.
 
     Attributes:
-        entries: the list, by endpoint.
+        entries: Entries of the list, by endpoint.
     """
 
     def __init__(self, cluster: str, record: Recorder) -> None:
-        """Start with an empty list.
+        """Create a server with an empty list.
 
         Args:
-            cluster: name of the EDS resource.
-            record: where its records go.
+            cluster: Name of the EDS resource.
+            record: Recorder of the lists that the server sends.
         """
         self.entries: dict[str, api.EndpointEntry] = {}
         self._cluster, self._record = cluster, record
@@ -35,7 +35,7 @@
         self._wakeups: set[anyio.Event] = set()
 
     async def start(self) -> tuple[grpc.aio.Server, str]:
-        """Open a port; returns the server and its address."""
+        """Start a gRPC server on a free port; returns the server and its address."""
         server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         ads_pb2_grpc.add_AggregatedDiscoveryServiceServicer_to_server(self, server)
         port = server.add_insecure_port("127.0.0.1:0")
@@ -43,7 +43,7 @@
         return server, f"127.0.0.1:{port}"
 
     def put(self, *entries: api.EndpointEntry) -> None:
-        """Change entries; `terminated` ones leave the list."""
+        """Add or replace entries. An entry in state `terminated` is removed from the list."""
         for entry in entries:
             if entry.state == "terminated":
                 self.entries.pop(entry.endpoint, None)
@@ -52,11 +52,11 @@
         self._notify()
 
     def set_failure(self, is_down: bool, is_empty: bool) -> None:
-        """Fail, or work again.
+        """Set how the server fails. Both arguments False restore normal service.
 
         Args:
-            is_down: streams end, and new ones are refused.
-            is_empty: an empty list is sent.
+            is_down: Whether open streams end and new ones are refused.
+            is_empty: Whether the server sends an empty list instead of its entries.
         """
         self._is_down, self._is_empty = is_down, is_empty
         self._notify()
@@ -66,10 +66,10 @@
         for wakeup in self._wakeups:
             wakeup.set()
 
-    async def StreamAggregatedResources(  # noqa: N802 (the name that gRPC calls)
+    async def StreamAggregatedResources(  # noqa: N802 (gRPC calls this name)
         self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], context: grpc.aio.ServicerContext
     ) -> None:
-        """Serve one stream."""
+        """Serve one stream until the client closes it or the server is set to be down."""
         if self._is_down:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "the list is down")
         async with anyio.create_task_group() as group:
@@ -78,7 +78,7 @@
             group.cancel_scope.cancel()
 
     async def _send_changes(self, context: grpc.aio.ServicerContext) -> None:
-        """Send the list, and again at each change, until the server is down."""
+        """Send the list now and on each change until the server is down."""
         sent_version = 0
         while not self._is_down:
             wakeup = anyio.Event()
--- a/damsonpick/testing/fakes/platform_config.py
+++ b/damsonpick/testing/fakes/platform_config.py
@@ -1,4 +1,4 @@
-"""What a pilot on the platform's protocol is configured with among fakes: settings of a small site, and a port."""
+"""Configuration of a pilot on the platform's protocol that runs against fakes: settings of a small site, and a port."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 ZONES = ("a", "b")
-PORT_RANGE = 20_000, 32_000
+PORT_RANGE = 20_000, 32_000  # first port, and the port after the last one
 
 SETTINGS: dict[str, Any] = {
     "me": 0,
@@ -40,10 +40,10 @@
 
 
 def free_port() -> int:
-    """A port that was free a moment ago; the pilot is told its port and cannot pick one.
+    """Return a port that is free now, for a pilot, whose configuration must contain a fixed port.
 
-    It lies below the range from which the system takes the ports of outgoing connections (32768 and above): one of the
-    many of a test run could take the port before the pilot has opened it.
+    The port is below the range from which the operating system chooses the ports of outgoing connections (32768 and
+    above). Otherwise one of the many outgoing connections of a test run could take the port before the pilot opens it.
     """
     while True:
         port = random.randrange(*PORT_RANGE)
--- a/damsonpick/testing/fakes/proxy_gateway.py
+++ b/damsonpick/testing/fakes/proxy_gateway.py
@@ -1,4 +1,4 @@
-"""The project's own proxy in place of a fake gateway: the same interface to the fleet, real HTTP in and out."""
+"""The project's own proxy with the interface of a fake gateway: the fleet sends it requests over real HTTP."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from damsonpick.testing.fakes.request_outcome import HTTP_OK, Ending, RequestOutcome, ended, status_ending
 
 CONNECT_TIMEOUT_S = 2.0
-CLIENT_PATIENCE_S = 1.0  # beyond the deadline, which the proxy keeps by itself
+CLIENT_TIMEOUT_MARGIN_S = 1.0  # added to the request's deadline, which the proxy itself enforces
 
 
 class ProxyGateway:
-    """One proxy; attributes as of `FakeGateway`."""
+    """One proxy. It has the attributes of `FakeGateway` that the fleet uses."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         context: GatewayContext,
         rng: random.Random,
     ) -> None:
-        """Prepare a proxy that does not yet run; arguments as of `FakeGateway`."""
+        """Create a proxy; `follow` runs it. The arguments are those of `FakeGateway`."""
         clock, network = context.clock, context.network
         self.name, self.zone, self.clock, self.record = name, zone, clock, context.record
         settings = ProxySettings(
@@ -47,7 +47,7 @@
         callbacks = self.proxy.watch_client.callbacks
         callbacks.addresses = lambda: known_addresses(pilot_address)
         callbacks.may_connect = lambda: network.reaches_pilot(name, zone)
-        callbacks.read_pause = self._pause
+        callbacks.read_pause = self._read_pause_s
         self.proxy.requests.connector.reaches = lambda other: not other or network.connects(zone, other)
         self.proxy.requests.stall = lambda: clock.seconds(self.stalled_until - clock.now())
         self.received_state = self.proxy.router.received_state
@@ -56,14 +56,14 @@
 
     @property
     def report_delay(self) -> int:
-        """How late load reports are sent, ns."""
+        """Additional delay before a load report is sent, in ns."""
         return self.proxy.watch_client.report_delay
 
     @report_delay.setter
     def report_delay(self, ns: int) -> None:
         self.proxy.watch_client.report_delay = ns
 
-    def _pause(self) -> float:
+    def _read_pause_s(self) -> float:
         return self.clock.seconds(max(self.stalled_until - self.clock.now(), 0) + self.read_delay)
 
     def _record_event(self, event: str, **details: Any) -> None:
@@ -80,12 +80,12 @@
             self.record.put(event, gw=self.name, **details)
 
     async def follow(self) -> None:
-        """Run the proxy, for ever."""
+        """Run the proxy until cancelled."""
         async with self.proxy.running():
             await anyio.sleep_forever()
 
     async def serve(self, request_id: str, traffic_class: TrafficClass, cluster: str, work_ms: float) -> RequestOutcome:
-        """One client's request through the proxy's socket; arguments as of `FakeGateway`."""
+        """Send one client's request to the proxy's socket. The arguments are those of `FakeGateway.serve`."""
         if not self.proxy.port:
             return ended(Ending.NO_SERVER)
         request = ForwardedRequest(
@@ -94,7 +94,7 @@
         headers = request.headers() | {"x-damson-cluster": cluster, "x-client-id": request_id}
         connection = None
         try:
-            with anyio.fail_after(self.clock.seconds(traffic_class.deadline) + CLIENT_PATIENCE_S):
+            with anyio.fail_after(self.clock.seconds(traffic_class.deadline) + CLIENT_TIMEOUT_MARGIN_S):
                 connection = self._idle_connection() or await self._new_connection()
                 answer = await connection.post("/", headers)
         except (http.ConnectionBrokenError, http.NotSentError, TimeoutError) as error:
--- a/damsonpick/testing/fakes/registry.py
+++ b/damsonpick/testing/fakes/registry.py
@@ -1,6 +1,6 @@
-"""A fake of the platform's registry of proxies: it stores tables, accepts requests, and reports changes on a watch.
+"""A fake of the platform's registry of proxies: it stores tables, accepts requests and reports changes on a watch.
 
-Each request may fail in a way that a test queues in `faults`.
+A test queues faults in `FakeRegistry.faults`; each request takes the next one.
 """
 
 from __future__ import annotations
@@ -24,22 +24,26 @@
 
 
 class RequestFault(Enum):
-    """How a request fails."""
+    """How a request with orders fails."""
 
-    ANSWER_LOST = auto()  # applied; the connection is cut before the answer
-    ANSWER_WITHHELD = auto()  # applied; never answered
-    ANSWER_INVALID = auto()  # applied; the answer cannot be read
-    ANSWER_OUT_OF_RANGE = auto()  # applied; the answer counts more orders than there were
-    ANSWER_HELD = auto()  # applied; answered once the gate is opened
-    SYNC_WITHHELD = auto()  # applied and answered; its sync tokens are never reported
-    CONNECTION_CUT = auto()  # not applied; the connection is cut
-    IGNORED = auto()  # not applied; never answered
-    BUSY = auto()  # rejected
-    SYNTAX = auto()  # rejected
+    ANSWER_LOST = auto()  # applied; the connection is closed before the response
+    ANSWER_WITHHELD = auto()  # applied; no response is sent
+    ANSWER_INVALID = auto()  # applied; the response has a negative count of applied orders
+    ANSWER_OUT_OF_RANGE = auto()  # applied; the response counts more orders than the request had
+    ANSWER_HELD = auto()  # applied; the response is sent once the gate is opened
+    SYNC_WITHHELD = auto()  # applied, and the response is sent; the sync tokens are never reported
+    CONNECTION_CUT = auto()  # not applied; the connection is closed without a response
+    IGNORED = auto()  # not applied; no response is sent
+    BUSY = auto()  # rejected with the error BUSY
+    SYNTAX = auto()  # rejected with the error SYNTAX
 
 
 class PartlyApplied(NamedTuple):
-    """A request of which only the first orders are applied; the answer says so."""
+    """A request of which only the first orders are applied, as the response states.
+
+    Attributes:
+        orders: Number of orders that are applied.
+    """
 
     orders: int
 
@@ -55,25 +59,25 @@
     """The registry.
 
     Attributes:
-        tables: weight by server, by slice that the pilot owns.
-        members: the connected proxies, as they are reported.
-        levels: admitted share by route.
-        withdrawn: servers that no proxy may use.
-        faults: of the next requests, one each.
-        request_count: how many requests came.
-        gate: holds answers with the fault ANSWER_HELD.
+        tables: Table of each slice that the pilot owns, by slice number. A table maps a server to its weight.
+        members: Connected proxies by number, with the fields that the watch reports.
+        levels: Admitted share, by route.
+        withdrawn: Servers that no proxy may use.
+        faults: Faults of the next requests, in order. Each request removes one.
+        request_count: Number of requests with orders received so far.
+        gate: Blocks the responses of requests with the fault ANSWER_HELD.
     """
 
     heartbeat_line = b"{}"
-    heartbeat_interval_s = 0.2  # a real one sends one a second
+    heartbeat_interval_s = 0.2  # the real registry sends one per second
 
     def __init__(self, slices: int, proxies: int, zones: tuple[str, ...] = ("a",)) -> None:
-        """Start with empty tables.
+        """Create a registry with empty tables.
 
         Args:
-            slices: how many the pilot owns.
-            proxies: how many are connected.
-            zones: of the proxies, in turn.
+            slices: Number of slices that the pilot owns.
+            proxies: Number of connected proxies.
+            zones: Zones of the proxies, assigned round-robin.
         """
         super().__init__()
         self.tables: dict[int, dict[str, float]] = {number: {} for number in range(slices)}
@@ -87,34 +91,34 @@
         self.request_count = 0
         self.gate = faulty_http.Gate()
 
-    # Changes that a test makes
+    # Changes made by a test
 
     async def take_slice(self, number: int) -> dict[str, float]:
-        """End the pilot's ownership of a slice; returns its table."""
+        """End the pilot's ownership of a slice and report that on the watches; returns the table of the slice."""
         table = self.tables.pop(number)
-        await self.send_line(_change("owner", slice=number, on=False))
+        await self.send_line(_watch_line("owner", slice=number, on=False))
         return table
 
     async def give_slice(self, number: int, table: dict[str, float]) -> None:
-        """Make the pilot the owner of a slice with this table."""
+        """Make the pilot the owner of a slice with this table, and report both on the watches."""
         self.tables[number] = dict(table)
-        await self.send_line(_change("owner", slice=number, on=True))
+        await self.send_line(_watch_line("owner", slice=number, on=True))
         for server, weight in table.items():
-            await self.send_line(_change("entry", slice=number, server=server, weight=weight))
+            await self.send_line(_watch_line("entry", slice=number, server=server, weight=weight))
 
     async def reconnect_proxies(self) -> None:
-        """All proxies leave and join again, with the tables that they hold."""
+        """Report that each proxy disconnects and connects again, with the tables that it still has (not `fresh`)."""
         for member in self.members.values():
-            await self.send_line(_change("detach", proxy=member["proxy"]))
+            await self.send_line(_watch_line("detach", proxy=member["proxy"]))
             member["fresh"] = False
-            await self.send_line(_change("attach", **member))
+            await self.send_line(_watch_line("attach", **member))
 
     # Requests
 
     async def serve(self, request: faulty_http.Request, stream: SocketStream) -> bool:
-        """Answer a watch or a request; returns whether the connection stays open."""
+        """Open a watch or respond to a request with orders; returns whether the connection stays open."""
         if request.method == "GET" and request.target == "/watch":
-            await self.watch(stream, self._snapshot())
+            await self.watch(stream, self._initial_lines())
             return False
         try:
             orders = json.loads(request.body)["ops"]
@@ -123,12 +127,12 @@
             return True
         return await self._serve_orders(orders, stream)
 
-    def _snapshot(self) -> list[bytes]:
-        """What a watch begins with."""
-        lines = [_change("attach", **member) for member in self.members.values()]
+    def _initial_lines(self) -> list[bytes]:
+        """Return the lines with which a watch begins: all proxies, owned slices and table entries."""
+        lines = [_watch_line("attach", **member) for member in self.members.values()]
         for number, table in self.tables.items():
-            lines.append(_change("owner", slice=number, on=True))
-            lines += [_change("entry", slice=number, server=name, weight=weight) for name, weight in table.items()]
+            lines.append(_watch_line("owner", slice=number, on=True))
+            lines += [_watch_line("entry", slice=number, server=name, weight=weight) for name, weight in table.items()]
         return lines
 
     async def _serve_orders(self, orders: list[Order], stream: SocketStream) -> bool:
@@ -144,10 +148,10 @@
             await anyio.sleep_forever()
         applied = orders[: fault.orders] if isinstance(fault, PartlyApplied) else orders
         await self._apply(applied, reports_sync=fault is not RequestFault.SYNC_WITHHELD)
-        return await self._answer(len(applied), fault, stream)
+        return await self._respond(len(applied), fault, stream)
 
     async def _apply(self, orders: list[Order], reports_sync: bool) -> None:
-        """Apply orders, and report their sync tokens as reached by each proxy."""
+        """Apply orders, and report on the watches that each proxy has reached their sync tokens."""
         tokens = []
         for order in orders:
             if order["op"] == "SYNC":
@@ -158,9 +162,9 @@
             return
         for token in tokens:
             for proxy in list(self.members):
-                await self.send_line(_change("done", proxy=proxy, mark=token, took_ms=SYNC_LATENCY_MS))
+                await self.send_line(_watch_line("done", proxy=proxy, mark=token, took_ms=SYNC_LATENCY_MS))
 
-    async def _answer(self, applied: int, fault: RequestFault | PartlyApplied | None, stream: SocketStream) -> bool:
+    async def _respond(self, applied: int, fault: RequestFault | PartlyApplied | None, stream: SocketStream) -> bool:
         if fault is RequestFault.ANSWER_LOST:
             return False
         if fault is RequestFault.ANSWER_HELD:
@@ -192,6 +196,6 @@
             table.pop(server, None)
 
 
-def _change(kind: str, **fields: Any) -> bytes:
-    """A line of the watch."""
+def _watch_line(kind: str, **fields: Any) -> bytes:
+    """Return a line of the watch, without its line feed."""
     return json.dumps({"type": kind, "object": fields}).encode()
--- a/damsonpick/testing/fakes/request_outcome.py
+++ b/damsonpick/testing/fakes/request_outcome.py
@@ -1,4 +1,4 @@
-"""How a client's request ended at a gateway. The texts stand in the records and in a scenario's report."""
+"""How a client's request ended at a gateway. The texts are written to the records and to a scenario's report."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Ending(StrEnum):
-    """Endings other than an answer with another status than 200, whose text is `status N`."""
+    """How a request ended. A response with a status N other than 200 has no member; its text is `status N`."""
 
-    ANSWERED = "ok"
+    ANSWERED = "ok"  # a response with status 200
     REFUSED = "refused"  # not admitted
     NO_SERVER = "no server"
-    NEVER_RAN = "never ran"  # proved by the connection or by the server
-    BROKEN = "broken"  # the connection ended before the answer: it may have run
+    NEVER_RAN = "never ran"  # the connection or the server proves that the request has not run
+    BROKEN = "broken"  # the connection ended before the response; the request may have run
     TOO_LATE = "too late"
 
 
@@ -23,8 +23,8 @@
     """How a request ended.
 
     Attributes:
-        answered: whether the client got an answer.
-        ending: an `Ending`, or `status N`.
+        answered: Whether the client received a response with status 200.
+        ending: Text of an `Ending`, or `status N`.
     """
 
     answered: bool
@@ -37,5 +37,5 @@
 
 
 def status_ending(status: int) -> str:
-    """Return the ending for the status of an answer."""
+    """Return the ending for the status of a response."""
     return Ending.ANSWERED if status == HTTP_OK else f"status {status}"
--- a/damsonpick/testing/fakes/results_server.py
+++ b/damsonpick/testing/fakes/results_server.py
@@ -1,8 +1,8 @@
-"""A fake results server: cores, a queue, a warm-up during which it falls over when overloaded, faults on command.
+"""A fake results server: cores, a queue, a warm-up during which overload crashes it, and faults on command.
 
-Work is time, not computation: a request of so many ms holds a core for that long, divided by the server's present
-speed. What the server is asked and what it runs is recorded, so that a duplicate effect or an overload of a cold server
-is seen from its own side.
+Work is simulated by waiting: a request occupies a core for its work in ms divided by the current speed of the server.
+The server records each request that it receives and each one that it runs. Duplicate effects and overload of a cold
+server can therefore be detected from the server's side.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from damsonpick.testing.fakes.record import Recorder
 from damsonpick.time_units import MS_PER_SECOND, NS_PER_MS
 
-CHANCE_WORK_MS = 1500.0  # work above the limit that a cold server stands: a few requests at once by chance
+BURST_ALLOWANCE_MS = 1500.0  # work that a cold server tolerates above its limit: a few requests that coincide by chance
 UNAVAILABLE = http.Answer(503, {"x-not-run": "1"}, b"")
 FAILED = http.Answer(500, {}, b"")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerConfig:
-    """How a server is built; times in ns of the scenario.
+    """Properties of a server. Times are in ns of the scenario's clock.
 
     Attributes:
-        zone: where it is.
-        cores: requests that run at once.
-        capacity_factor: speed of its cores when warm.
-        cold_share: share of the speed right after a start.
-        warm_up_ns: time until the whole speed is there.
-        overload_multiple: offered work over present capacity at which a cold server falls over.
-        overload_window_ns: period over which that work is summed.
-        queue_limit: requests that may wait for a core.
-        connection_limit: connections that may be open.
+        zone: Zone of the server.
+        cores: Number of requests that run concurrently.
+        capacity_factor: Speed of a core when the server is warm. At speed 1 a request takes its work in ms.
+        cold_share: Share of the warm speed that a cold server has right after its start.
+        warm_up_ns: Time from a cold start until the server has its full speed.
+        overload_multiple: Ratio of offered work to current capacity above which a cold server crashes.
+        overload_window_ns: Period over which the offered work is summed.
+        queue_limit: Most requests that may wait for a core.
+        connection_limit: Most connections that may be open.
     """
 
     zone: str
@@ -53,15 +53,15 @@
 
 @dataclass(slots=True)
 class ServerFaults:
-    """What is wrong with a server now.
+    """The current faults of a server.
 
     Attributes:
-        slowdown: how many times slower it works.
-        hangs: whether requests are accepted and never answered.
-        error_share: share of requests that fail at once.
-        reports_idle: whether its load reports say that it has nothing to do.
-        failing_classes: request classes that fail.
-        lost_answer_share: share of requests that run, and whose answer is lost with the connection.
+        slowdown: Factor by which the server is slower than without the fault.
+        hangs: Whether the server accepts requests and never responds.
+        error_share: Share of requests that fail at once.
+        reports_idle: Whether the load reports claim that the server is idle.
+        failing_classes: Request classes whose requests all fail.
+        lost_answer_share: Share of requests that run and whose response is lost because the connection is cut.
     """
 
     slowdown: float = 1.0
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkRequest:
-    """A request as its headers state it."""
+    """A request, as its headers describe it."""
 
     request_id: str
     request_class: str
@@ -83,7 +83,7 @@
 
     @classmethod
     def from_headers(cls, headers: dict[str, str]) -> WorkRequest:
-        """Read a request's headers."""
+        """Parse the headers of a request."""
         return cls(
             request_id=headers["x-request-id"],
             request_class=headers["x-damson-class"],
@@ -93,40 +93,42 @@
 
 
 class FakeResultsServer:
-    """One server; its address stays the same when its process starts anew."""
+    """One server. It keeps its address when its process is restarted."""
 
     def __init__(self, config: ServerConfig, clock: Clock, record: Recorder, rng: random.Random) -> None:
-        """Prepare a server that is not yet started.
+        """Create a server; `start` starts its process.
 
         Args:
-            config: how it is built.
-            clock: the scenario's clock.
-            record: where its records go.
-            rng: draws errors and lost answers.
+            config: Properties of the server.
+            clock: Clock of the scenario.
+            record: Recorder of what the server receives and runs.
+            rng: Source of the random draws for errors and lost responses.
         """
         self.config, self.clock, self.record, self.rng = config, clock, record, rng
         self.address = ""
-        self.started = 0  # ns; 0: warm from the beginning
+        self.started = 0  # time of the last cold start, ns; 0 if the server is warm from the beginning
         self.faults = ServerFaults()
         self.is_up = False
         self.fell_over = False
         self._scope: anyio.CancelScope | None = None
         self._cores = anyio.CapacityLimiter(config.cores)
-        self._offered: deque[tuple[int, float]] = deque()  # time, ns, and work, ms, within the overload window
+        self._offered: deque[tuple[int, float]] = (
+            deque()
+        )  # time (ns) and work (ms) of each request within the overload window
         self._offered_ms = 0.0
         self._queued = 0
         self._connections = 0
         self._last_latency_ms = 0.0
 
     def warm_share(self, now: int) -> float:
-        """Present share of the warm speed."""
+        """Return the current speed as a share of the warm speed."""
         age = now - self.started
         if not self.started or age >= self.config.warm_up_ns:
             return 1.0
         return self.config.cold_share + (1 - self.config.cold_share) * age / self.config.warm_up_ns
 
     async def start(self, group: TaskGroup, cold: bool) -> None:
-        """Start a process in `group`; `cold`: it needs to warm up."""
+        """Start a process in `group`. If `cold`, the server has to warm up first."""
         port = int(self.address.rpartition(":")[2]) if self.address else 0
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
         self.address = "127.0.0.1:" + str(listener.extra(anyio.abc.SocketAttribute.local_port))
@@ -154,7 +156,7 @@
                 await anyio.aclose_forcefully(listener)
 
     def stop(self, reason: str) -> None:
-        """End the process at once: connections break, queued work is lost."""
+        """End the process at once. Its connections break and queued work is lost."""
         if self.is_up:
             self.is_up = False
             self.record.put("down", server=self.address, why=reason)
@@ -162,7 +164,7 @@
             self._scope.cancel()
 
     def record_slowdown(self) -> None:
-        """Record how much slower the server is now; for plans that know the true capacity."""
+        """Record the current slowdown, for plans that are given the true capacity."""
         self.record.put("speed", server=self.address, slow=self.faults.slowdown)
 
     async def _serve_connection(self, stream: SocketStream) -> None:
@@ -186,8 +188,8 @@
             slice=request.slice_number,
             work=request.work_ms,
         )
-        if self._falls_over(now, request.work_ms):
-            raise http.ConnectionBrokenError("fell over")
+        if self._crashes_from_overload(now, request.work_ms):
+            raise http.ConnectionBrokenError("the server crashed from overload")
         if faults.hangs:
             await anyio.sleep_forever()
         if request.request_class in faults.failing_classes or self.rng.random() < faults.error_share:
@@ -195,10 +197,10 @@
         if self._queued >= self.config.queue_limit:
             return UNAVAILABLE
         await self._run(request, faults)
-        return self._answer(faults)
+        return self._success_response(faults)
 
     async def _run(self, request: WorkRequest, faults: ServerFaults) -> None:
-        """Wait for a core and hold it for the request's work."""
+        """Wait for a core and occupy it for the duration of the request's work."""
         self._queued += 1
         async with self._cores:
             self._queued -= 1
@@ -214,18 +216,21 @@
             self._last_latency_ms = request.work_ms / speed
             self.record.put("end", server=self.address, id=request.request_id)
             if self.rng.random() < faults.lost_answer_share:
-                raise http.ConnectionBrokenError("the answer was lost")
+                raise http.ConnectionBrokenError("the response was lost")
 
-    def _answer(self, faults: ServerFaults) -> http.Answer:
-        """A success with a load report."""
+    def _success_response(self, faults: ServerFaults) -> http.Answer:
+        """Return a success with a load report."""
         queue, latency_ms = self._queued, round(self._last_latency_ms)
         if faults.reports_idle:
             queue, latency_ms = 0, 1
         load = f"TEXT named_metrics.queue={queue}, named_metrics.latency_ms={latency_ms}"
         return http.Answer(200, {"endpoint-load-metrics": load}, b"ok")
 
-    def _falls_over(self, now: int, work_ms: float) -> bool:
-        """Whether more work came within the window than a cold server stands; then it stays down."""
+    def _crashes_from_overload(self, now: int, work_ms: float) -> bool:
+        """Add offered work; return whether the server has crashed from overload.
+
+        A cold server crashes if the work within the window exceeds its limit and the burst allowance. It stays down.
+        """
         self._offered.append((now, work_ms))
         self._offered_ms += work_ms
         while self._offered[0][0] < now - self.config.overload_window_ns:
@@ -233,7 +238,7 @@
         warm_share = self.warm_share(now)
         if warm_share < 1:
             limit_ms = self._overload_limit_ms(warm_share)
-            if self._offered_ms > limit_ms + CHANCE_WORK_MS:
+            if self._offered_ms > limit_ms + BURST_ALLOWANCE_MS:
                 self.fell_over = True
                 self.record.put("fell", server=self.address, sum=self._offered_ms, most=limit_ms)
                 self.stop("fell over")
--- a/damsonpick/testing/fakes/server_picker.py
+++ b/damsonpick/testing/fakes/server_picker.py
@@ -1,4 +1,4 @@
-"""How a fake gateway picks a server: two by weight, the less busy of them, and no ejected one. Sans I/O."""
+"""Server choice of a fake gateway: the less busy of two servers drawn by weight, without ejected ones. No I/O."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 from damsonpick.time_units import NS_PER_SECOND
 
-EJECTION_MIN_S, EJECTION_MAX_S = 2.0, 6.0  # a random time between, so that gateways do not return at once
+EJECTION_MIN_S, EJECTION_MAX_S = 2.0, 6.0  # drawn at random between them, so that gateways do not return at once
 
 
 class ServerPicker:
-    """A gateway's own view of servers: requests in flight, consecutive failures, and which are ejected."""
+    """A gateway's own view of the servers: requests in flight, consecutive failures and ejections."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Draw servers and ejection times from `rng`."""
+        """Create a picker that draws servers and ejection times from `rng`."""
         self._rng = rng
         self._in_flight: dict[str, int] = {}
         self._consecutive_failures: dict[str, int] = {}
-        self._ejected_until: dict[str, int] = {}  # ns
+        self._ejected_until: dict[str, int] = {}  # by server, ns
 
     def pick(self, now: int, entries: Mapping[str, tuple[int, str]], excluded: set[str]) -> str | None:
-        """Pick a server; an ejected one only if all are.
+        """Pick a server. Ejected servers are used only if no other server is left.
 
         Args:
-            now: ns.
-            entries: weight and zone by server.
-            excluded: servers that must not be picked.
+            now: Current time, in ns.
+            entries: Weight and zone of each server.
+            excluded: Servers that must not be picked.
 
         Returns:
-            The server, or None if all are excluded.
+            The server, or None if every server is excluded.
         """
         weights = {server: weight for server, (weight, _) in entries.items() if server not in excluded}
         healthy = {server: weight for server, weight in weights.items() if self._ejected_until.get(server, 0) <= now}
@@ -47,10 +47,10 @@
         """Count the end of a request.
 
         Args:
-            now: ns.
-            server: which served it.
-            succeeded: whether it did.
-            ejection_failures: consecutive failures after which the server is ejected; 0: never.
+            now: Current time, in ns.
+            server: Server to which the request was sent.
+            succeeded: Whether the request succeeded.
+            ejection_failures: Number of consecutive failures after which a server is ejected. 0 disables ejection.
         """
         self._in_flight[server] -= 1
         failures = 0 if succeeded else self._consecutive_failures.get(server, 0) + 1
