--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -169,7 +169,7 @@
     # Requests
 
     async def serve(self, request_id: str, traffic_class: TrafficClass, cluster: str, work_ms: float) -> RequestOutcome:
-        """Admit or reject one request, and forward it if admitted.
+        """Admit or reject one request, and forward it if it is admitted.
 
         Args:
             request_id: Identifier of the request in the records.
--- a/damsonpick/testing/fakes/results_server.py
+++ b/damsonpick/testing/fakes/results_server.py
@@ -112,9 +112,7 @@
         self.fell_over = False
         self._scope: anyio.CancelScope | None = None
         self._cores = anyio.CapacityLimiter(config.cores)
-        self._offered: deque[tuple[int, float]] = (
-            deque()
-        )  # time (ns) and work (ms) of each request within the overload window
+        self._offered: deque[tuple[int, float]] = deque()  # time (ns) and work (ms) per request of the overload window
         self._offered_ms = 0.0
         self._queued = 0
         self._connections = 0
--- a/damsonpick/testing/soak/__main__.py
+++ b/damsonpick/testing/soak/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m damsonpick.testing.soak FIRST COUNT`: soaks of a range of seeds, side by side; exit code 1: one failed."""
+"""`python -m damsonpick.testing.soak FIRST COUNT`: runs the soaks of a range of seeds in parallel.
+
+The exit code is 1 if a soak failed.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 async def play_all(first: int, count: int, parallel: int, keep: Path | None) -> list[SoakResult]:
-    """Play seeds from `first` on, and print each result as it comes."""
+    """Run the soaks of `count` seeds from `first` on, and print each result once the soak has ended."""
     results: list[SoakResult] = []
     slots = anyio.Semaphore(parallel)
 
@@ -26,9 +29,9 @@
                 folder.mkdir(parents=True, exist_ok=True)
                 result = await play(seed, folder)
         results.append(result)
-        verdict = "; ".join(result.failures) or "in order"
-        lives = ", ".join(result.lives)
-        click.echo(f"seed {result.seed}: {verdict} ({lives}; {result.requests} requests)")
+        verdict = "; ".join(result.failures) or "passed"
+        endings = ", ".join(result.endings)
+        click.echo(f"seed {result.seed}: {verdict} ({endings}; {result.requests} requests)")
 
     async with anyio.create_task_group() as group:
         for seed in range(first, first + count):
@@ -42,7 +45,7 @@
 @click.option("--parallel", default=DEFAULT_PARALLEL, show_default=True, type=click.IntRange(min=1))
 @click.option("--keep", type=click.Path(path_type=Path), help="Keep configurations and logs in this folder.")
 def main(first: int, count: int, parallel: int, keep: Path | None) -> None:
-    """Play the soaks of COUNT seeds from FIRST on."""
+    """Run the soaks of COUNT seeds, starting with FIRST."""
     results = anyio.run(play_all, first, count, parallel, keep)
     failed = sorted(result.seed for result in results if result.failures)
     click.echo(f"{len(results)} soaks, {len(failed)} failed{': ' if failed else ''}{', '.join(map(str, failed))}")
--- a/damsonpick/testing/soak/pilot_process.py
+++ b/damsonpick/testing/soak/pilot_process.py
@@ -1,4 +1,4 @@
-"""The pilot of a soak: the real program as a process, its configuration, its log, and what is wrong with them."""
+"""The pilot of a soak: the real program as a process, its configuration, its log, and the faults that the log shows."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import anyio
 from anyio.abc import Process
 
-KILL_AFTER_S = 0.7  # after SIGTERM, at the platform's earliest
+KILL_AFTER_S = 0.7  # shortest time after SIGTERM at which the platform sends SIGKILL
 START_TIMEOUT_S = 20.0
 LOG_POLL_S = 0.01
 COMMAND = [sys.executable, "-m", "damsonpick.edge"]
@@ -30,29 +30,29 @@
 
 
 class PilotProcess:
-    """One pilot over all its lives.
+    """One pilot, whose process a soak starts several times.
 
     Attributes:
-        log_file: of all lives.
-        config_file: that it is started with.
+        log_file: Log of all incarnations of the pilot.
+        config_file: Configuration with which the process is started.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Prepare a pilot that is not yet started."""
+        """Create a pilot with its files in `folder`; `start` starts the process."""
         self.log_file = folder / "log"
         self.config_file = folder / "config.json"
         self._process: Process | None = None
-        self._log_start = 0  # where the log of this life begins
+        self._log_offset = 0  # offset in the log file at which the log of this incarnation begins
 
     def write_config(self, config: dict[str, Any] | None) -> None:
-        """Replace the configuration file; None: by one that cannot be used."""
+        """Replace the configuration file. None stands for a file with invalid JSON."""
         partial = self.config_file.with_suffix(".part")
         partial.write_text("{" if config is None else json.dumps(config))
         partial.replace(self.config_file)
 
     async def start(self) -> None:
-        """Start a life; it may not serve yet."""
-        self._log_start = self.log_file.stat().st_size if self.log_file.exists() else 0
+        """Start a new incarnation. It may not be ready when this returns."""
+        self._log_offset = self.log_file.stat().st_size if self.log_file.exists() else 0
         with self.log_file.open("a") as log:
             self._process = await anyio.open_process(
                 COMMAND, stdin=None, stdout=log, stderr=log, env=os.environ | {"EDGE_CONFIG": str(self.config_file)}
@@ -60,24 +60,24 @@
 
     @property
     def process(self) -> Process:
-        """The process of this life."""
-        assert self._process is not None, "start first"
+        """The process of the current incarnation."""
+        assert self._process is not None, "the pilot has not been started"
         return self._process
 
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Return whether the process has not ended."""
         return self.process.returncode is None
 
     def send(self, signal_number: signal.Signals) -> None:
-        """Send a signal, if the process runs still."""
+        """Send a signal if the process is still running."""
         if self.is_running():
             self.process.send_signal(signal_number)
 
-    async def end_after_term(self) -> int | None:
-        """Wait for the end after SIGTERM was sent; at the platform's earliest moment it is killed.
+    async def wait_for_exit_after_sigterm(self) -> int | None:
+        """Wait until the process exits after SIGTERM; kill it after the shortest time that the platform allows.
 
         Returns:
-            The exit code; None: it had to be killed.
+            The exit code, or None if the process had to be killed.
         """
         with anyio.move_on_after(KILL_AFTER_S):
             return await self.process.wait()
@@ -86,33 +86,37 @@
         return None
 
     async def kill(self) -> None:
-        """End the process without warning."""
+        """Kill the process without a prior SIGTERM."""
         if self.is_running():
             self.process.kill()
         await self.process.wait()
 
     def descriptor_count(self) -> int:
-        """How many descriptors the process holds."""
+        """Return how many file descriptors the process has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
-    # -- the log
+    # Log
 
     def entries(self) -> list[dict[str, Any]]:
-        """Return the log entries of this life; other text is left out."""
+        """Return the log entries of this incarnation, without lines that are not JSON objects."""
         entries = []
-        for line in self._life_text().splitlines():
+        for line in self._incarnation_log().splitlines():
             try:
                 entries.append(json.loads(line))
             except json.JSONDecodeError:
-                continue  # a line that a kill has cut, or a traceback
+                continue  # a line cut off by SIGKILL, or part of a traceback
         return [entry for entry in entries if isinstance(entry, dict)]
 
     def has_logged(self, *events: str) -> bool:
-        """Whether one of these events stands in the log of this life."""
+        """Return whether the log of this incarnation contains one of these events."""
         return any(entry.get("event") in events for entry in self.entries())
 
     async def wait_for_any(self, events: Collection[str], timeout_s: float = START_TIMEOUT_S) -> bool:
-        """Wait for one of these events in the log of this life; False: none came, or the process has ended."""
+        """Wait for one of these events in the log of this incarnation.
+
+        Returns:
+            Whether one was logged. False if the timeout passed or the process ended without it.
+        """
         with anyio.move_on_after(timeout_s):
             while not self.has_logged(*events):
                 if not self.is_running():
@@ -122,15 +126,15 @@
         return False
 
     def faults(self) -> list[str]:
-        """Return what the log of this life says of faults of the program."""
+        """Return the faults of the program that the log of this incarnation shows."""
         found = [
             f"{entry['event']}: {entry.get('error')}" for entry in self.entries() if entry["event"] in FAULT_EVENTS
         ]
-        if "Traceback" in self._life_text():
-            found.append("a traceback in the log")
+        if "Traceback" in self._incarnation_log():
+            found.append("the log contains a traceback")
         return found
 
-    def _life_text(self) -> str:
+    def _incarnation_log(self) -> str:
         with self.log_file.open("rb") as file:
-            file.seek(self._log_start)
+            file.seek(self._log_offset)
             return file.read().decode("utf-8", "replace")
--- a/damsonpick/testing/soak/plan.py
+++ b/damsonpick/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""What one soak does, drawn from its seed alone."""
+"""The plan of one soak, which depends on nothing but its seed."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-SMALL_DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT = 192, 384
-MIN_LIFE_S, MAX_LIFE_S = 1.5, 3.0
-MIN_PAUSE_S, MAX_PAUSE_S = 0.02, 0.25
+SMALL_DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT = 192, 384  # file descriptors of the pilot
+MIN_STEPS_S, MAX_STEPS_S = 1.5, 3.0  # range of the total pause of one incarnation; its last pause may exceed it
+MIN_PAUSE_S, MAX_PAUSE_S = 0.02, 0.25  # before each step
 
 
 class Ending(StrEnum):
-    """How a life of the pilot ends."""
+    """How an incarnation of the pilot ends: the signals that it receives, and when."""
 
     TERM = "TERM"
     TERM_TWICE = "TERM TERM"
@@ -23,7 +23,7 @@
 
 
 class Action(StrEnum):
-    """What happens to the pilot while it serves."""
+    """An action of the platform while the pilot serves."""
 
     SERVER_DRAINS = "server drains"
     SERVER_GONE = "server gone"
@@ -52,16 +52,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """An action after a pause, s; `draw` is for whatever the action has to choose."""
+    """An action after a pause.
+
+    Attributes:
+        pause_s: Pause before the action, in seconds.
+        action: The action.
+        choice_seed: Seed of the random choices that the action makes.
+    """
 
     pause_s: float
     action: Action
-    draw: int
+    choice_seed: int
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
-    """One life of the pilot: what happens in it, and how it ends."""
+class Incarnation:
+    """The plan of one incarnation of the pilot: the steps while it runs, and how it ends."""
 
     steps: tuple[Step, ...]
     ending: Ending
@@ -69,15 +75,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """A whole soak.
+    """The plan of a whole soak.
 
     Attributes:
-        seed: all that it takes to draw the plan again.
-        servers, slices, proxies: how many.
-        max_descriptors: that the pilot may hold.
-        strangers: connections that say nothing, or half a message; near the descriptor limit in a crowd.
-        odd_kept_list: whether the kept list of the configuration has entries of odd types.
-        lives: one after another; the last one is judged at its end.
+        seed: Seed from which the plan was drawn. The same seed gives the same plan.
+        servers: Number of servers.
+        slices: Number of slices.
+        proxies: Number of proxies.
+        max_descriptors: Most file descriptors that the pilot may have open.
+        unjoined_clients: Number of clients that connect and send nothing or half a message. In some plans the number
+            is close to `max_descriptors`.
+        malformed_cached_list: Whether the cached list in the configuration contains entries with malformed states.
+        incarnations: Incarnations of the pilot, in order. Only at the end of the last one are tables and open
+            descriptors checked.
     """
 
     seed: int
@@ -85,36 +95,36 @@
     slices: int
     proxies: int
     max_descriptors: int
-    strangers: int
-    odd_kept_list: bool
-    lives: tuple[Life, ...]
+    unjoined_clients: int
+    malformed_cached_list: bool
+    incarnations: tuple[Incarnation, ...]
 
 
 def draw_plan(seed: int) -> SoakPlan:
-    """Draw a plan from a seed."""
+    """Draw the plan for a seed."""
     rng = random.Random(seed)
-    has_crowd = rng.random() < 0.3
+    is_near_limit = rng.random() < 0.3
     max_descriptors = rng.choice((SMALL_DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
-    lives = [_draw_life(rng, rng.choice(tuple(Ending))) for _ in range(rng.randint(1, 2))]
+    incarnations = [_draw_incarnation(rng, rng.choice(tuple(Ending))) for _ in range(rng.randint(1, 2))]
     return SoakPlan(
         seed=seed,
         servers=rng.randint(3, 8),
         slices=rng.randint(6, 30),
         proxies=rng.randint(2, 8),
         max_descriptors=max_descriptors,
-        strangers=max_descriptors - rng.randint(0, 40) if has_crowd else rng.randint(0, 5),
-        odd_kept_list=rng.random() < 0.3,
-        lives=(*lives, _draw_life(rng, rng.choice((Ending.TERM, Ending.RELOADS_THEN_TERM)))),
+        unjoined_clients=max_descriptors - rng.randint(0, 40) if is_near_limit else rng.randint(0, 5),
+        malformed_cached_list=rng.random() < 0.3,
+        incarnations=(*incarnations, _draw_incarnation(rng, rng.choice((Ending.TERM, Ending.RELOADS_THEN_TERM)))),
     )
 
 
-def _draw_life(rng: random.Random, ending: Ending) -> Life:
+def _draw_incarnation(rng: random.Random, ending: Ending) -> Incarnation:
     if ending is Ending.TERM_BEFORE_READY:
-        return Life((), ending)
+        return Incarnation((), ending)
     steps: list[Step] = []
-    left_s = rng.uniform(MIN_LIFE_S, MAX_LIFE_S)
-    while left_s > 0:
+    remaining_s = rng.uniform(MIN_STEPS_S, MAX_STEPS_S)
+    while remaining_s > 0:
         step = Step(rng.uniform(MIN_PAUSE_S, MAX_PAUSE_S), rng.choice(tuple(Action)), rng.randrange(1 << 20))
         steps.append(step)
-        left_s -= step.pause_s
-    return Life(tuple(steps), ending)
+        remaining_s -= step.pause_s
+    return Incarnation(tuple(steps), ending)
--- a/damsonpick/testing/soak/platform.py
+++ b/damsonpick/testing/soak/platform.py
@@ -1,4 +1,4 @@
-"""The platform round a soak's pilot: its fakes, and the faults that a plan has them make."""
+"""The platform of a soak's pilot: the fakes of registry and discovery, and the faults that a plan injects into them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from damsonpick.testing.fakes.registry import FakeRegistry, PartlyApplied, RequestFault
 from damsonpick.testing.soak.plan import Action, SoakPlan, Step
 
-SILENCE_S = 2.6  # longer than a watch may be silent
-DOWN_S = 0.5
-ODD_SERVERS = ("odd", "Odd")  # that odd entries may name
-ODD_VALUES = (["Ready"], {"Ready": 1}, None, 7, "", "Odd", [[]], 1e300)
+REGISTRY_SILENCE_S = 2.6  # longer than the pilot tolerates a watch without heartbeats
+DISCOVERY_OUTAGE_S = 0.5
+ODD_SERVERS = ("odd", "Odd")  # names of servers that malformed entries may contain
+ODD_VALUES = (["Ready"], {"Ready": 1}, None, 7, "", "Odd", [[]], 1e300)  # values of a field in a malformed entry
 REQUEST_FAULTS = {
     Action.ANSWER_LOST: RequestFault.ANSWER_LOST,
     Action.ANSWER_WITHHELD: RequestFault.ANSWER_WITHHELD,
@@ -31,156 +31,157 @@
     """Registry and discovery of a soak.
 
     Args:
-        plan: says how large they are.
-        rng: draws what another pilot has made of a slice meanwhile.
-        reload: has the pilot read its configuration again, one that can be used or one that cannot.
+        plan: Plan of the soak, with the numbers of servers, slices and proxies.
+        rng: Source of the random draws for the tables that another pilot makes while it owns a slice.
+        reload: Makes the pilot reload its configuration. The argument says whether that configuration is valid.
 
     Attributes:
-        registry_ports: of the one registry; the first is in use.
+        registry_ports: Ports of the registry. The pilot's configuration contains the first one.
     """
 
     def __init__(self, plan: SoakPlan, rng: random.Random, reload: Callable[[bool], None]) -> None:
-        """Start nothing yet."""
+        """Create the fakes; the player opens their ports."""
         self.discovery = FakeDiscovery(*(f"s{number}" for number in range(plan.servers)))
         self.registry = FakeRegistry(plan.slices, plan.proxies, ZONES)
         self.registry_ports: list[int] = []
         self._server_count = plan.servers
         self._rng = rng
         self._reload = reload
-        self._lost: list[int] = []  # slices that another pilot has
+        self._lost_slices: list[int] = []  # slices that another pilot owns
 
     def pilot_ended(self) -> None:
-        """Drop the withdrawals of a life that has ended, as the operators' pages say of an instance."""
+        """Remove the withdrawals of an ended incarnation, as the operators' pages specify for an instance."""
         self.registry.withdrawn.clear()
 
     async def end_faults(self) -> None:
-        """End all faults, report the servers of odd entries as gone, and give all slices back.
+        """End all faults, report the servers of malformed entries as gone, and return all slices to the pilot.
 
-        An odd entry may still be a valid one, of a server without a zone say, that the pilot rightly believes in.
+        An entry that was meant to be malformed may be valid after all, for example that of a server without a zone. The
+        pilot then uses this server rightly.
         """
         self.registry.faults.clear()
         self.registry.silent = self.discovery.silent = self.discovery.is_down = False
         for name in ODD_SERVERS:
             await self.discovery.update_server(name, "Gone")
-        while self._lost:
-            await self._give_slice(0)
+        while self._lost_slices:
+            await self._return_slice(0)
 
     def uncovered_slices(self) -> list[int]:
-        """Return the slices without an entry for a usable server; none if no server is usable."""
+        """Return the slices without an entry for a usable server, or an empty list if no server is usable."""
         usable = {name for name, entry in self.discovery.servers.items() if entry["state"] == "Ready"}
         usable -= self.registry.withdrawn
         return [number for number, table in self.registry.tables.items() if not usable & set(table)] if usable else []
 
     def describe_uncovered(self) -> str:
-        """Return what is known of slices without a usable server, for a failure."""
+        """Return a description of the slices without a usable server, for the text of a failure."""
         states = {name: entry["state"] for name, entry in self.discovery.servers.items()}
         uncovered = {number: self.registry.tables[number] for number in self.uncovered_slices()}
         return f"tables without a usable server {uncovered}, servers {states}, withdrawn {self.registry.withdrawn}"
 
     async def act(self, step: Step, group: TaskGroup) -> None:
-        """Carry out one step of a plan; what ends by itself later runs in `group`."""
-        draw = random.Random(step.draw)
+        """Carry out one step of a plan. Tasks that end a temporary fault later run in `group`."""
+        rng = random.Random(step.choice_seed)
         if step.action in REQUEST_FAULTS:
-            self.registry.faults.extend([REQUEST_FAULTS[step.action]] * draw.randint(1, 2))
+            self.registry.faults.extend([REQUEST_FAULTS[step.action]] * rng.randint(1, 2))
             return
-        await getattr(self, f"_do_{step.action.name.lower()}")(draw, group)
+        await getattr(self, f"_do_{step.action.name.lower()}")(rng, group)
 
-    async def _do_partly_applied(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_partly_applied(self, rng: random.Random, group: TaskGroup) -> None:
         del group
-        self.registry.faults.append(PartlyApplied(draw.randint(0, 3)))
+        self.registry.faults.append(PartlyApplied(rng.randint(0, 3)))
 
-    async def _do_server_drains(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_server_drains(self, rng: random.Random, group: TaskGroup) -> None:
         del group
-        await self._change_server(draw, "Terminating")
+        await self._change_server(rng, "Terminating")
 
-    async def _do_server_gone(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_server_gone(self, rng: random.Random, group: TaskGroup) -> None:
         del group
-        await self._change_server(draw, "Gone")
+        await self._change_server(rng, "Gone")
 
-    async def _change_server(self, draw: random.Random, state: str) -> None:
+    async def _change_server(self, rng: random.Random, state: str) -> None:
         ready = [name for name, entry in self.discovery.servers.items() if entry["state"] == "Ready"]
         if len(ready) > 1:
-            await self.discovery.update_server(draw.choice(ready), state)
+            await self.discovery.update_server(rng.choice(ready), state)
 
-    async def _do_server_ready(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_server_ready(self, rng: random.Random, group: TaskGroup) -> None:
         del group
-        await self.discovery.update_server(f"s{draw.randrange(self._server_count + 2)}")
+        await self.discovery.update_server(f"s{rng.randrange(self._server_count + 2)}")
 
-    async def _do_odd_entry(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_odd_entry(self, rng: random.Random, group: TaskGroup) -> None:
         del group
         entry = self.discovery.entry(ODD_SERVERS[0]) | {
-            draw.choice(("state", "zone", "weight", "id")): draw.choice(ODD_VALUES)
+            rng.choice(("state", "zone", "weight", "id")): rng.choice(ODD_VALUES)
         }
         await self.discovery.send_entries([entry])
 
-    async def _do_half_line(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_half_line(self, rng: random.Random, group: TaskGroup) -> None:
         del group
-        await self.discovery.send_bytes(b'{"version":' + b"1" * draw.randint(0, 4))
+        await self.discovery.send_bytes(b'{"version":' + b"1" * rng.randint(0, 4))
         await self.discovery.cut_watches()
 
-    async def _do_discovery_cut(self, draw: random.Random, group: TaskGroup) -> None:
-        del draw, group
+    async def _do_discovery_cut(self, rng: random.Random, group: TaskGroup) -> None:
+        del rng, group
         await self.discovery.cut_watches()
 
-    async def _do_discovery_down(self, draw: random.Random, group: TaskGroup) -> None:
-        del draw
+    async def _do_discovery_down(self, rng: random.Random, group: TaskGroup) -> None:
+        del rng
         self.discovery.is_down = True
         await self.discovery.cut_watches()
         group.start_soon(self._restore_discovery)
 
     async def _restore_discovery(self) -> None:
-        await anyio.sleep(DOWN_S)
+        await anyio.sleep(DISCOVERY_OUTAGE_S)
         self.discovery.is_down = False
 
-    async def _do_slice_lost(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_slice_lost(self, rng: random.Random, group: TaskGroup) -> None:
         del group
         owned = list(self.registry.tables)
         if len(owned) > 1:
-            number = draw.choice(owned)
+            number = rng.choice(owned)
             await self.registry.take_slice(number)
-            self._lost.append(number)
+            self._lost_slices.append(number)
 
-    async def _do_slice_given(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_slice_given(self, rng: random.Random, group: TaskGroup) -> None:
         del group
-        if self._lost:
-            await self._give_slice(draw.randrange(len(self._lost)))
+        if self._lost_slices:
+            await self._return_slice(rng.randrange(len(self._lost_slices)))
 
-    async def _give_slice(self, index: int) -> None:
-        """Give a slice back with the table that another pilot has made for it meanwhile."""
-        number = self._lost.pop(index)
+    async def _return_slice(self, index: int) -> None:
+        """Return a lost slice to the pilot, with a table that another pilot has made for it."""
+        number = self._lost_slices.pop(index)
         servers = list(self.discovery.servers) or ["s0"]
         await self.registry.give_slice(number, {self._rng.choice(servers): 1.0})
 
-    async def _do_slice_lost_twice(self, draw: random.Random, group: TaskGroup) -> None:
-        await self._do_slice_lost(draw, group)
-        await self._do_slice_given(draw, group)
-        await self._do_slice_lost(draw, group)
+    async def _do_slice_lost_twice(self, rng: random.Random, group: TaskGroup) -> None:
+        await self._do_slice_lost(rng, group)
+        await self._do_slice_given(rng, group)
+        await self._do_slice_lost(rng, group)
 
-    async def _do_registry_cut(self, draw: random.Random, group: TaskGroup) -> None:
-        del draw, group
+    async def _do_registry_cut(self, rng: random.Random, group: TaskGroup) -> None:
+        del rng, group
         await self.registry.cut_watches()
 
-    async def _do_registry_silent(self, draw: random.Random, group: TaskGroup) -> None:
-        del draw
+    async def _do_registry_silent(self, rng: random.Random, group: TaskGroup) -> None:
+        del rng
         self.registry.silent = True
         group.start_soon(self._end_silence)
 
     async def _end_silence(self) -> None:
-        await anyio.sleep(SILENCE_S)
+        await anyio.sleep(REGISTRY_SILENCE_S)
         self.registry.silent = False
 
-    async def _do_proxies_reconnect(self, draw: random.Random, group: TaskGroup) -> None:
-        del draw, group
+    async def _do_proxies_reconnect(self, rng: random.Random, group: TaskGroup) -> None:
+        del rng, group
         await self.registry.reconnect_proxies()
 
-    async def _do_reload(self, draw: random.Random, group: TaskGroup) -> None:
-        del draw, group
+    async def _do_reload(self, rng: random.Random, group: TaskGroup) -> None:
+        del rng, group
         self._reload(True)
 
-    async def _do_reload_invalid(self, draw: random.Random, group: TaskGroup) -> None:
-        del draw, group
+    async def _do_reload_invalid(self, rng: random.Random, group: TaskGroup) -> None:
+        del rng, group
         self._reload(False)
 
-    async def _do_registry_moves(self, draw: random.Random, group: TaskGroup) -> None:
+    async def _do_registry_moves(self, rng: random.Random, group: TaskGroup) -> None:
         self.registry_ports.reverse()
-        await self._do_reload(draw, group)
+        await self._do_reload(rng, group)
--- a/damsonpick/testing/soak/player.py
+++ b/damsonpick/testing/soak/player.py
@@ -1,4 +1,4 @@
-"""Plays a soak: lives of one pilot among faults, and what must hold at the end of each."""
+"""Runs a soak: restarts one pilot several times, injects faults, and checks the invariants at the end of each run."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 from damsonpick.protocols.platform.stored_state import tables_digest
 from damsonpick.testing.fakes.platform_config import SETTINGS, ZONES, free_port
-from damsonpick.testing.soak.clients import ANSWER_GRACE_S, Clients
+from damsonpick.testing.soak.clients import HEARTBEAT_TIMEOUT_S, Clients
 from damsonpick.testing.soak.pilot_process import PilotProcess
-from damsonpick.testing.soak.plan import Ending, Life, SoakPlan, draw_plan
+from damsonpick.testing.soak.plan import Ending, Incarnation, SoakPlan, draw_plan
 from damsonpick.testing.soak.platform import ODD_VALUES, SoakPlatform
 
 SETTLE_TIMEOUT_S = 8.0
 SETTLE_POLL_S = 0.05
-QUIET_S = 1.2  # over which nothing may change at the end: longer than the time between two heartbeats
+STABLE_PERIOD_S = 1.2  # time without changes at the end of a soak; longer than the time between two heartbeats
 READY_EVENTS = frozenset(("pilot_ready", "readiness_timed_out"))
-MAX_IDLE_DESCRIPTORS = 40  # of a pilot without strangers
-TERM_SERIES: dict[Ending, tuple[signal.Signals, ...]] = {
+MAX_IDLE_DESCRIPTORS = 40  # of a pilot without clients that never join
+SIGNALS_BY_ENDING: dict[Ending, tuple[signal.Signals, ...]] = {
     Ending.TERM: (signal.SIGTERM,),
     Ending.TERM_TWICE: (signal.SIGTERM, signal.SIGTERM),
     Ending.RELOADS_THEN_TERM: (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM),
@@ -34,17 +34,17 @@
 
 @dataclass(slots=True)
 class SoakResult:
-    """What a soak showed.
+    """The result of a soak.
 
     Attributes:
-        seed: to play it again.
-        lives: how many it played, and how each ended.
-        requests: how many requests the registry had.
-        failures: what was wrong; empty: nothing.
+        seed: Seed of the soak, with which it can be repeated.
+        endings: How each incarnation that was started ended, in order.
+        requests: Number of requests that the registry received.
+        failures: Descriptions of the failures. Empty if the soak passed.
     """
 
     seed: int
-    lives: list[Ending] = field(default_factory=list)
+    endings: list[Ending] = field(default_factory=list)
     requests: int = 0
     failures: list[str] = field(default_factory=list)
 
@@ -53,12 +53,12 @@
     """One soak from its plan to its result.
 
     Args:
-        plan: what is to happen.
-        folder: for configuration and log; must be empty.
+        plan: Plan of the soak.
+        folder: Folder for configuration and log. It must be empty.
     """
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
-        """Start nothing yet."""
+        """Create the pilot and its platform; `play` starts them."""
         self.plan = plan
         self.result = SoakResult(plan.seed)
         self._rng = random.Random(f"{plan.seed} play")
@@ -69,7 +69,7 @@
         self._group: TaskGroup | None = None
 
     async def play(self) -> SoakResult:
-        """Play all lives."""
+        """Run all incarnations of the pilot; returns the result."""
         async with (
             self.platform.registry.running() as first_port,
             self.platform.registry.running() as second_port,
@@ -78,10 +78,12 @@
         ):
             self.platform.registry_ports = [first_port, second_port]
             clients = Clients(self._port, ZONES, lambda: list(self.platform.discovery.servers), self._rng)
-            self._group.start_soon(clients.run, self.plan.strangers)
+            self._group.start_soon(clients.run, self.plan.unjoined_clients)
             try:
-                for number, life in enumerate(self.plan.lives):
-                    await self._play_life(life, clients, is_last=number == len(self.plan.lives) - 1)
+                for number, incarnation in enumerate(self.plan.incarnations):
+                    await self._play_incarnation(
+                        incarnation, clients, is_last=number == len(self.plan.incarnations) - 1
+                    )
             finally:
                 with anyio.CancelScope(shield=True):
                     await self.pilot.kill()
@@ -91,7 +93,7 @@
 
     def _config(self) -> dict[str, Any]:
         known = [dict(entry) for entry in self.platform.discovery.servers.values()]
-        if self.plan.odd_kept_list:
+        if self.plan.malformed_cached_list:
             known += [self.platform.discovery.entry(f"odd{k}") | {"state": value} for k, value in enumerate(ODD_VALUES)]
         domain = SETTINGS["domain"] | {"shards": self.plan.slices, "agents": self.plan.proxies}
         return {
@@ -109,88 +111,90 @@
         self.pilot.write_config(self._config() if valid else None)
         self.pilot.send(signal.SIGHUP)
 
-    # -- one life
+    # One incarnation
 
-    async def _play_life(self, life: Life, clients: Clients, is_last: bool) -> None:
-        self.result.lives.append(life.ending)
+    async def _play_incarnation(self, incarnation: Incarnation, clients: Clients, is_last: bool) -> None:
+        self.result.endings.append(incarnation.ending)
         self.pilot.write_config(self._config())
         await self.pilot.start()
-        if life.ending is Ending.TERM_BEFORE_READY:
+        if incarnation.ending is Ending.TERM_BEFORE_READY:
             await anyio.sleep(self._rng.uniform(0.0, 0.6))
         elif not await self.pilot.wait_for_any(READY_EVENTS):
             self._fail("the pilot did not become ready")
-        for step in life.steps:
+        for step in incarnation.steps:
             await anyio.sleep(step.pause_s)
             await self.platform.act(step, self._group)
         if is_last:
             await self._settle()
             self._check_descriptors()
-        await self._end_life(life.ending, clients, is_last)
+        await self._end_incarnation(incarnation.ending, clients, is_last)
         self.platform.pilot_ended()
         for fault in self.pilot.faults():
             self._fail(fault)
 
-    async def _end_life(self, ending: Ending, clients: Clients, is_last: bool) -> None:
+    async def _end_incarnation(self, ending: Ending, clients: Clients, is_last: bool) -> None:
         if not self.pilot.is_running():
-            self._fail(f"the pilot ended by itself with code {self.pilot.process.returncode}")
+            self._fail(f"the pilot exited on its own with code {self.pilot.process.returncode}")
             return
-        overdue = clients.ledger.unanswered_before(anyio.current_time() - ANSWER_GRACE_S)
+        overdue = clients.pending_heartbeats.unanswered_before(anyio.current_time() - HEARTBEAT_TIMEOUT_S)
         if overdue:
-            self._fail(f"{overdue} heartbeats were not answered within {ANSWER_GRACE_S} s")
+            self._fail(f"{overdue} heartbeats were not answered within {HEARTBEAT_TIMEOUT_S} s")
         if ending is Ending.KILL:
             await self.pilot.kill()
-            clients.ledger.clear()
+            clients.pending_heartbeats.clear()
             return
         had_started = self.pilot.has_logged("pilot_started")
-        for number in TERM_SERIES[ending]:
+        for number in SIGNALS_BY_ENDING[ending]:
             self.pilot.send(number)
-        exit_code = await self.pilot.end_after_term()
-        clients.ledger.clear()
-        # Before the program has taken over its signals, SIGTERM ends the interpreter.
+        exit_code = await self.pilot.wait_for_exit_after_sigterm()
+        clients.pending_heartbeats.clear()
+        # Until the program has installed its signal handlers, SIGTERM ends the interpreter.
         allowed = (0,) if had_started else (0, -signal.SIGTERM)
         if exit_code not in allowed:
-            self._fail(f"after {ending} the pilot ended with {exit_code} (None: not within the platform's time)")
+            self._fail(
+                f"after {ending} the pilot exited with {exit_code} (None: it did not exit within the platform's time)"
+            )
         elif is_last:
             self._check_known_state()
 
-    # -- what must hold at the end
+    # Invariants at the end of the last incarnation
 
     async def _settle(self) -> None:
-        """End all faults, give all slices back, and wait until nothing changes any more."""
+        """End all faults, return all slices to the pilot, and wait until the tables are stable."""
         await self.platform.end_faults()
         with anyio.move_on_after(SETTLE_TIMEOUT_S) as scope:
-            await self._wait_until_quiet()
+            await self._wait_until_stable()
         if scope.cancelled_caught:
-            self._fail(f"not at rest within {SETTLE_TIMEOUT_S} s: {self.platform.describe_uncovered()}")
+            self._fail(f"the tables were not stable within {SETTLE_TIMEOUT_S} s: {self.platform.describe_uncovered()}")
 
-    async def _wait_until_quiet(self) -> None:
+    async def _wait_until_stable(self) -> None:
         digest, since_s = 0, anyio.current_time()
         while True:
-            present = tables_digest(self.platform.registry.tables)
-            if present != digest or self.platform.uncovered_slices():
-                digest, since_s = present, anyio.current_time()
-            if anyio.current_time() - since_s >= QUIET_S:
+            current_digest = tables_digest(self.platform.registry.tables)
+            if current_digest != digest or self.platform.uncovered_slices():
+                digest, since_s = current_digest, anyio.current_time()
+            if anyio.current_time() - since_s >= STABLE_PERIOD_S:
                 return
             await anyio.sleep(SETTLE_POLL_S)
 
     def _check_descriptors(self) -> None:
-        held, allowed = self.pilot.descriptor_count(), MAX_IDLE_DESCRIPTORS + self.plan.strangers
+        held, allowed = self.pilot.descriptor_count(), MAX_IDLE_DESCRIPTORS + self.plan.unjoined_clients
         if held > min(allowed, self.plan.max_descriptors):
-            self._fail(f"{held} descriptors held, {allowed} expected at most, {self.plan.max_descriptors} allowed")
+            self._fail(f"{held} descriptors open, at most {allowed} expected, limit {self.plan.max_descriptors}")
 
     def _check_known_state(self) -> None:
-        """What the pilot takes for stored is what is stored, and all that it ordered has been taken."""
+        """Check that the registry stores what the pilot believes to be stored, and has applied all of its orders."""
         endings = [entry for entry in self.pilot.entries() if entry["event"] == "pilot_ended"]
         if not endings:
-            self._fail("no pilot_ended in the log")
+            self._fail("the log contains no pilot_ended event")
             return
         if endings[-1]["tables_digest"] != tables_digest(self.platform.registry.tables):
-            self._fail("what the pilot takes for stored is not what the registry stores")
+            self._fail("the tables that the pilot believes to be stored differ from those in the registry")
 
     def _fail(self, text: str) -> None:
-        self.result.failures.append(f"life {len(self.result.lives)} ({self.result.lives[-1]}): {text}")
+        self.result.failures.append(f"incarnation {len(self.result.endings)} ({self.result.endings[-1]}): {text}")
 
 
 async def play(seed: int, folder: Path) -> SoakResult:
-    """Play the soak of a seed in an empty folder."""
+    """Run the soak of a seed in an empty folder; returns its result."""
     return await Soak(draw_plan(seed), folder).play()
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -26,8 +26,8 @@
 
 def test_the_fixed_seeds_have_a_crowd_and_every_way_to_end():
     plans = [draw_plan(seed) for seed in SEEDS]
-    assert any(plan.strangers > 100 for plan in plans) and any(plan.odd_kept_list for plan in plans)
-    assert {life.ending for plan in plans for life in plan.lives} == set(Ending)
+    assert any(plan.unjoined_clients > 100 for plan in plans) and any(plan.malformed_cached_list for plan in plans)
+    assert {incarnation.ending for plan in plans for incarnation in plan.incarnations} == set(Ending)
 
 
 def test_servers_that_only_odd_entries_named_are_reported_gone_at_the_end():
