--- a/damsonpick/protocols/sasp/__init__.py
+++ b/damsonpick/protocols/sasp/__init__.py
@@ -1,1 +1,1 @@
-"""The Server/Application State Protocol, version 1 (RFC 4678): weight advice to balancers that speak it."""
+"""Server for the Server/Application State Protocol, version 1 (RFC 4678): sends weight advice to load balancers."""
--- a/damsonpick/protocols/sasp/access.py
+++ b/damsonpick/protocols/sasp/access.py
@@ -1,4 +1,4 @@
-"""What the settings say of load balancers and their groups."""
+"""Access rights, zones and group coverage of load balancers, as configured in the settings."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 
 
 class AccessPolicy:
-    """Answers the registry's questions from the settings.
+    """Looks up the access rights of load balancers and the coverage of groups in the settings.
 
     Args:
-        settings: the pilot's settings.
+        settings: The pilot's settings.
     """
 
     def __init__(self, settings: PilotSettings) -> None:
-        """Read nothing yet."""
+        """Keep the settings; every method reads them when it is called."""
         self.settings = settings
 
     def coverage_of(self, group: bytes) -> str | None:
-        """What a group's name stands for; None: groups of that name are refused.
+        """Return which slices a group with this name covers, or None if groups with this name are rejected.
 
-        A group named in no section stands for one slice if it is named `slice/NUMBER`, else for the default.
+        A group without a section in the settings covers one slice if its name is `slice/NUMBER`, and has the default
+        coverage otherwise.
         """
         name = group.decode("utf-8", "replace")
         section = self.settings.sasp_groups.get(name)
@@ -32,13 +33,13 @@
         return "fleet" if self.settings.sasp.default_coverage == "fleet" else None
 
     def access_of(self, lb: bytes) -> AccessLevel:
-        """What a load balancer may do."""
+        """Return the access level of a load balancer: its own section's rights, else the default rights."""
         section = self._section(lb)
         rights = section.rights if section is not None else self.settings.sasp.default_rights
         return AccessLevel[rights.upper()]
 
     def zone_of(self, lb: bytes) -> str:
-        """The zone of a load balancer: its own if the settings name one, else the pilot's."""
+        """Return the zone that the settings give for a load balancer, or the pilot's zone if they give none."""
         section = self._section(lb)
         return section.zone if section is not None and section.zone else self.settings.pilot.zone
 
--- a/damsonpick/protocols/sasp/advisor.py
+++ b/damsonpick/protocols/sasp/advisor.py
@@ -1,4 +1,4 @@
-"""Advice on registered groups, shared by all sessions: computed and encoded once for all that may use it. Sans I/O."""
+"""Computes and encodes the advice on registered groups. Caches are shared by all sessions. Sans I/O."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from damsonpick.state.published_tables import FLEET, PublishedTables, slice_unit
 from damsonpick.time_units import NS_PER_SECOND
 
-SHARES_PERIOD_NS = 2 * NS_PER_SECOND  # that shares of several slices are kept while no table changes
-FLEET_COVERAGE = "fleet"  # of groups that stand for all slices
-MAX_CACHED_ADVICE = 20_000  # groups' advice
-MAX_CACHED_ENTRIES = 100_000  # encoded weight entries
+SHARES_PERIOD_NS = 2 * NS_PER_SECOND  # maximum age of the shares of several slices while no table changes
+FLEET_COVERAGE = "fleet"  # coverage of groups that cover all slices
+MAX_CACHED_ADVICE = 20_000  # cached advice dictionaries, one per coverage and member snapshot
+MAX_CACHED_ENTRIES = 100_000  # cached encodings of weight entries
 
 
-# Groups with the same coverage and the same members get the same advice: coverage, identity of the members' snapshot.
+# Coverage and `id` of the member snapshot. Groups with the same coverage and the same members get the same advice.
 AdviceKey = tuple[str, int]
 
 
 class SharesVersion(NamedTuple):
-    """What shares depend on: as long as it stays, so do they.
+    """Version of the inputs that shares are computed from. Shares are valid as long as the version is unchanged.
 
     Attributes:
-        fleet_seq: sequence number of the last change of the fleet.
-        tables_seq: of the last change of a covered table.
-        period: number of the period in which load was read; 0 where load does not matter.
+        fleet_seq: Sequence number of the last change of the fleet.
+        tables_seq: Sequence number of the last change of a covered table.
+        period: Number of the period in which the load was read; 0 if the shares do not depend on load.
     """
 
     fleet_seq: int
@@ -40,14 +40,14 @@
 
 
 class CachedShares(NamedTuple):
-    """Shares by endpoint, and what they depend on; one object as long as that stays."""
+    """Shares by endpoint and the version of their inputs. The object is reused as long as the version is unchanged."""
 
     version: SharesVersion
     shares: dict[str, float]
 
 
 class CachedAdvice(NamedTuple):
-    """Advice by endpoint with its encoded weight entries, and what it depends on."""
+    """Advice by endpoint, its encoded weight entries, and the inputs it was computed from."""
 
     snapshot: tuple[MemberSnapshot, ...]
     shares: CachedShares
@@ -60,8 +60,8 @@
     """Advice on a group.
 
     Attributes:
-        advice: by endpoint; the same object as long as nothing of it changes.
-        encoded: the group of weights as it goes on the wire.
+        advice: Advice by endpoint. The same object is returned as long as the advice is unchanged.
+        encoded: The Group of Weight Data component as sent on the wire.
     """
 
     advice: dict[str, Advice]
@@ -69,7 +69,7 @@
 
 
 class EncodedMembers(NamedTuple):
-    """A group of weights on the wire, and how many members are in it."""
+    """An encoded Group of Weight Data component and the number of members in it."""
 
     size: int
     encoded: bytes
@@ -81,17 +81,17 @@
 
 @dataclass(slots=True, eq=False)
 class WeightAdvisor:
-    """Computes what load balancers are told of their groups.
+    """Computes the advice that load balancers receive on their groups.
 
     Args:
-        published: the tables.
-        registry: all registrations.
-        pacer: chooses the interval between polls.
-        load_of: requests a second of a slice.
-        status_of: what is known of an endpoint.
-        queue_fill: share of the send queue's limit that waits.
-        fallback_capacities: capacities by endpoint while no load report comes in, else empty. Without reports the
-            tables stand still, and an endpoint that returns would not get an entry.
+        published: The published tables.
+        registry: All registrations.
+        pacer: Chooses the interval between polls.
+        load_of: Returns the requests per second of a slice.
+        status_of: Returns the status of an endpoint.
+        queue_fill: Returns the queued entries as a share of the send queue's limit.
+        fallback_capacities: Returns capacities by endpoint while no load reports arrive, else an empty dictionary.
+            Without reports the tables do not change, and an endpoint that returns would get no entry.
     """
 
     published: PublishedTables
@@ -103,27 +103,27 @@
     fallback_capacities: Callable[[], dict[str, float]] = _no_capacities
     _shares: dict[str, CachedShares] = field(default_factory=dict, init=False)  # by coverage
     _advice: dict[AdviceKey, CachedAdvice] = field(default_factory=dict, init=False)
-    _entries: dict[tuple[Member, int, Advice], bytes] = field(default_factory=dict, init=False)  # by member and state
+    _entries: dict[tuple[Member, int, Advice], bytes] = field(default_factory=dict, init=False)
     _units: dict[str, dict[str, None]] = field(default_factory=dict, init=False)  # by coverage
     _status_revision: int = field(default=0, init=False)
-    _last_seq: int = field(default=0, init=False)  # of the tables, when they were last looked at
+    _last_seq: int = field(default=0, init=False)  # of the tables, when last checked for changes
 
     def clear_caches(self) -> None:
-        """Forget what was computed; the next advice is computed anew."""
+        """Clear the cached shares, advice and encodings. The next advice is computed from the current state."""
         self._shares.clear()
         self._advice.clear()
         self._entries.clear()
 
     def note_status_change(self) -> None:
-        """What `status_of` returns has changed."""
+        """Record that the results of `status_of` have changed, which invalidates the cached advice."""
         self._status_revision += 1
 
     def poll_interval(self, now: int) -> int:
-        """Seconds after which a load balancer should poll again."""
+        """Return the seconds after which a load balancer should poll again."""
         return self.pacer.next_interval(now, self.registry.session_count(), self.queue_fill())
 
     def covered_units(self, coverage: str) -> Mapping[str, None]:
-        """Units of the tables that a group with this coverage stands for, in the order of the tables."""
+        """Return the units of the tables that a group with this coverage covers, in the order of the tables."""
         if coverage not in self._units:
             self._units[coverage] = dict.fromkeys(slice_unit(number) for number in self._covered_slices(coverage))
         return self._units[coverage]
@@ -138,7 +138,7 @@
         return list(range(self.published.slices))
 
     def _current_shares(self, now: int, coverage: str) -> CachedShares:
-        """Shares over what is covered; computed anew only if something they depend on has changed."""
+        """Return the shares over the covered slices. They are recomputed only if their version has changed."""
         if self.published.seq != self._last_seq:
             self._last_seq = self.published.seq
             self.pacer.note_change(now)
@@ -153,24 +153,24 @@
         changed = self.published.changed
         units = self.covered_units(coverage)
         tables_seq = max((changed[unit] for unit in units), default=0)
-        # Load weighs slices against each other, so it moves nothing where there is but one.
+        # Load weights slices against each other, so it has no effect on the shares of a single slice.
         period = now // SHARES_PERIOD_NS if len(units) > 1 else 0
         return SharesVersion(changed[FLEET], tables_seq, period)
 
     def _compute_shares(self, coverage: str) -> dict[str, float]:
-        if coverage == FLEET_COVERAGE:  # a single slice stays where its table has it
+        if coverage == FLEET_COVERAGE:  # the shares of a single slice always follow its table
             shares = weights.capacity_shares(self.fallback_capacities(), self.published.withdrawn)
             if shares:
                 return shares
         return weights.traffic_shares(self.published, self._covered_slices(coverage), self.load_of)
 
     def advise(self, now: int, group: RegisteredGroup) -> GroupAdvice:
-        """Advice on a group at `now` (ns)."""
+        """Return the advice on a group at `now` (ns)."""
         shares = self._current_shares(now, group.coverage)
         key = (group.coverage, id(group.snapshot))
         cached = self._advice.get(key)
         if cached is not None and cached.snapshot is not group.snapshot:
-            cached = None  # the identity was used again for another object
+            cached = None  # the `id` of a deleted snapshot was reused for another object
         is_current = cached is not None and cached.shares is shares and cached.status_revision == self._status_revision
         if cached is None or not is_current:
             cached = self._compute_advice(group, shares, cached)
@@ -198,7 +198,7 @@
     def encode_changed(
         self, group: RegisteredGroup, before: Mapping[str, Advice], after: Mapping[str, Advice]
     ) -> EncodedMembers:
-        """The members of a group whose advice has changed."""
+        """Encode the members of a group whose advice differs between `before` and `after`."""
         entries = []
         for row in group.snapshot:
             new = after[row.member.endpoint]
--- a/damsonpick/protocols/sasp/client.py
+++ b/damsonpick/protocols/sasp/client.py
@@ -1,4 +1,4 @@
-"""The load balancer's side of SASP on anyio: requests with their replies, pushes to a callback."""
+"""SASP client on anyio, in the role of a load balancer: sends requests and passes pushes to a callback."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 
 
 class SaspError(Exception):
-    """The manager cannot be asked, or refuses; the text says why."""
+    """Raised when a request to the manager fails: no connection, a closed connection or a reply of the wrong type."""
 
 
 class Client:
-    """One session.
+    """One session of a load balancer with the manager.
 
     Args:
-        stream: the connection.
-        lb: the load balancer's identifier.
-        on_push: called with each push.
+        stream: The connection to the manager.
+        lb: Identifier of the load balancer.
+        on_push: Callback for each push.
 
     Attributes:
-        ended: set when the stream has ended.
+        ended: Event that is set when the stream has ended.
     """
 
     def __init__(self, stream: SocketStream, lb: bytes, on_push: Callable[[sasp.SendWeights], None]) -> None:
-        """Begin without requests; `read` must run in a task of its own."""
+        """Create a client without pending requests. The caller must run `read` in a task of its own."""
         self.stream = stream
         self.lb = lb
         self.on_push = on_push
         self.ended = anyio.Event()
         self._number = 0  # message id of the last request
-        self._waiting: dict[int, anyio.Event] = {}  # by message id
+        self._waiting: dict[int, anyio.Event] = {}  # by message id: set when the reply arrives or the stream ends
         self._replies: dict[int, sasp.Body] = {}  # by message id
         self._write_lock = anyio.Lock()
 
@@ -46,7 +46,7 @@
         """Read messages until the stream ends.
 
         Raises:
-            SaspFormatError: the manager sent bytes that are no SASP.
+            SaspFormatError: The manager sent bytes that are not valid SASP.
         """
         splitter = codec.Splitter()
         try:
@@ -68,10 +68,10 @@
             self._waiting.pop(message.number).set()
 
     async def ask(self, body: sasp.Body) -> sasp.Body:
-        """Send a request; returns the reply.
+        """Send a request and return its reply.
 
         Raises:
-            SaspError: the stream ended first.
+            SaspError: The stream ended before the reply arrived.
         """
         self._number += 1
         number = self._number
@@ -81,43 +81,43 @@
             async with self._write_lock:
                 await self.stream.send(codec.encode(sasp.Message(number, body)))
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            raise SaspError(f"the stream broke ({error!r})") from None
+            raise SaspError(f"the connection to the manager failed ({error!r})") from None
         if self.ended.is_set():
             event.set()
         await event.wait()
         if number not in self._replies:
-            raise SaspError("the manager ended the stream before it answered")
+            raise SaspError("the manager closed the connection before it replied")
         return self._replies.pop(number)
 
     async def _ask_for_code(self, body: sasp.Body) -> int:
         reply = await self.ask(body)
         if not isinstance(reply, sasp.Reply):
-            raise SaspError(f"the manager answered {type(body).__name__} with {type(reply).__name__}")
+            raise SaspError(f"the manager replied to {type(body).__name__} with {type(reply).__name__}")
         return reply.code
 
     async def hello(self, flags: int = 0, health: int = 127) -> int:
-        """Make the load balancer known with `LbFlag` flags; returns the reply code."""
+        """Identify the load balancer to the manager with Set LB State and return the reply code."""
         return await self._ask_for_code(sasp.SetLbState(self.lb, health, LbFlag(flags)))
 
     async def register(self, name: bytes, members: list[Member], sender: Sender = Sender.BALANCER) -> int:
-        """Register members of a group; returns the reply code."""
+        """Register members of a group and return the reply code."""
         body = sasp.Register(sender, (MembersOf(Group(self.lb, name), tuple(members)),))
         return await self._ask_for_code(body)
 
     async def deregister(self, name: bytes) -> int:
-        """Deregister a whole group; returns the reply code."""
+        """Deregister a group with all its members and return the reply code."""
         body = sasp.Deregister(Sender.BALANCER, 0, (MembersOf(Group(self.lb, name), ()),))
         return await self._ask_for_code(body)
 
     async def weights(self, *names: bytes) -> sasp.WeightsReply:
-        """Poll the weights of groups; no names: all groups of the load balancer.
+        """Poll the weights of the named groups, or of all groups of the load balancer if no names are given.
 
         Raises:
-            SaspError: the stream ended first, or the reply is of another kind.
+            SaspError: The stream ended before the reply arrived, or the reply is not a Get Weights Reply.
         """
         reply = await self.ask(sasp.GetWeights(tuple(Group(self.lb, name) for name in names)))
         if not isinstance(reply, sasp.WeightsReply):
-            raise SaspError(f"the manager answered a poll with {type(reply).__name__}")
+            raise SaspError(f"the manager replied to a poll with {type(reply).__name__}")
         return reply
 
 
@@ -129,10 +129,10 @@
 async def connect(
     address: str, lb: bytes, on_push: Callable[[sasp.SendWeights], None] = _ignore_push
 ) -> AsyncIterator[Client]:
-    """A session with the manager at an address such as 127.0.0.1:3860.
+    """Open a session with the manager at an address such as 127.0.0.1:3860.
 
     Raises:
-        SaspError: nobody listens there.
+        SaspError: The connection cannot be opened.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -149,7 +149,7 @@
 
 
 def describe_code(code: int) -> str:
-    """A reply code as words for people."""
+    """Return a reply code as readable text."""
     try:
         return Code(code).name.lower().replace("_", " ")
     except ValueError:
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -1,8 +1,8 @@
-"""SASP messages to bytes and back, and the framing of a byte stream. Sans I/O.
+"""Encodes and decodes SASP messages and splits a byte stream into frames. Sans I/O.
 
-Nothing is allocated for what a length or a count claims, only for bytes that are there. A message whose frame is right
-and whose content is not leaves the stream usable and is answered NOT_UNDERSTOOD; a frame with a wrong header ends the
-stream, as nothing after it can be found.
+Memory is allocated only for bytes that were received, never for what a length or a count field claims. A message with
+a valid frame and invalid content leaves the stream usable: its reply has the code NOT_UNDERSTOOD. A frame with an
+invalid header ends the stream, because the start of the next frame cannot be determined.
 """
 
 from __future__ import annotations
@@ -28,124 +28,124 @@
 KNOWN_MEMBER_FLAGS = 0x01
 KNOWN_LB_FLAGS = 0x07
 KNOWN_SENDER_FLAGS = 0x01
-# Bytes that a component has at least, its own head included.
+# Minimum sizes of components in bytes, including their type and length.
 MIN_MEMBER_BYTES = 24
 MIN_GROUP_BYTES = 6
 MIN_WEIGHT_BYTES = 32
 MIN_STATE_BYTES = 30
-MIN_GROUP_OF_BYTES = 12  # a group with its rows, none of them there
+MIN_GROUP_OF_BYTES = 12  # a group of members, weights or states without any rows
 
 T = TypeVar("T")
 
 
 class SaspFormatError(ValueError):
-    """Bytes that are not as the protocol has them."""
+    """Base class of the errors for bytes that do not follow the protocol."""
 
 
 class FrameError(SaspFormatError):
-    """The stream cannot be followed any more; the text says what its header claims."""
+    """Raised for an invalid frame header, after which the stream cannot be read any further."""
 
 
 class MessageError(SaspFormatError):
-    """A message whose frame is right and whose content is not."""
+    """Raised for a message with a valid frame and invalid content."""
 
     def __init__(self, text: str, number: int = 0, kind: int = 0) -> None:
-        """Name what is wrong, the message id, and the type of the message (0: it could not be read)."""
+        """Store the error text, the message id and the message type; a type of 0 means that it could not be read."""
         super().__init__(text)
         self.number = number
         self.kind = kind
 
 
-# -- writing
+# -- encoding
 
 
-def _component(kind: int, body: bytes) -> bytes:
+def _write_component(kind: int, body: bytes) -> bytes:
     size = COMPONENT.size + len(body)
     if size > MAX_COMPONENT_BYTES:
-        raise ValueError(f"component 0x{kind:04x} has {size} bytes, a length holds at most 65535: split the group")
+        raise ValueError(f"component 0x{kind:04x} has {size} bytes, but a component has at most 65535: split the group")
     return COMPONENT.pack(kind, size) + body
 
 
-def _name(name: bytes) -> bytes:
+def _write_name(name: bytes) -> bytes:
     if len(name) > MAX_NAME_BYTES:
-        raise ValueError(f"{name[:20]!r}... has {len(name)} bytes, a name holds at most 255")
+        raise ValueError(f"{name[:20]!r}... has {len(name)} bytes, but a name has at most 255")
     return bytes((len(name),)) + name
 
 
 def write_member(member: sasp.Member) -> bytes:
-    """A member component (RFC 4678, 5.1).
+    """Encode a Member Data component (RFC 4678, 5.1).
 
     Raises:
-        ValueError: its label is longer than 255 bytes.
+        ValueError: The label of the member is longer than 255 bytes.
     """
     label = member.label
     if len(label) > MAX_NAME_BYTES:
-        raise ValueError(f"the label of {member.endpoint} has {len(label)} bytes, at most 255 fit")
-    return _component(sasp.MEMBER, MEMBER.pack(member.protocol, member.port, member.address, len(label)) + label)
+        raise ValueError(f"the label of {member.endpoint} has {len(label)} bytes, but a label has at most 255")
+    return _write_component(sasp.MEMBER, MEMBER.pack(member.protocol, member.port, member.address, len(label)) + label)
 
 
 def write_group(group: sasp.Group) -> bytes:
-    """A group component.
+    """Encode a Group Data component.
 
     Raises:
-        ValueError: one of its names is longer than 255 bytes.
+        ValueError: The group name or the load balancer identifier is longer than 255 bytes.
     """
-    return _component(sasp.GROUP, _name(group.lb) + _name(group.name))
+    return _write_component(sasp.GROUP, _write_name(group.lb) + _write_name(group.name))
 
 
 def write_weight(weight: sasp.Weight) -> bytes:
-    """A weight entry with its member."""
+    """Encode a weight entry with its member."""
     tail = WEIGHT_TAIL.pack(weight.state, weight.flags, weight.weight)
-    return _component(sasp.WEIGHT, write_member(weight.member) + tail)
+    return _write_component(sasp.WEIGHT, write_member(weight.member) + tail)
 
 
 def _write_state(state: sasp.MemberState) -> bytes:
-    return _component(sasp.STATE, write_member(state.member) + STATE_TAIL.pack(state.state, state.flags))
+    return _write_component(sasp.STATE, write_member(state.member) + STATE_TAIL.pack(state.state, state.flags))
 
 
 def _write_group_of(kind: int, group: sasp.Group, rows: Sequence[bytes]) -> bytes:
-    return _component(kind, COUNT.pack(len(rows)) + write_group(group) + b"".join(rows))
+    return _write_component(kind, COUNT.pack(len(rows)) + write_group(group) + b"".join(rows))
 
 
 def write_weights_of(group: sasp.Group, count: int, entries: bytes) -> bytes:
-    """A group of weights.
+    """Encode a Group of Weight Data component.
 
     Args:
-        group: the group.
-        count: number of entries.
-        entries: as `write_weight` gave them, one after the other.
+        group: The group.
+        count: Number of weight entries.
+        entries: Concatenated results of `write_weight`.
 
     Raises:
-        ValueError: it is longer than a component may be.
+        ValueError: The component is longer than 65535 bytes.
     """
-    return _component(sasp.WEIGHTS_OF, COUNT.pack(count) + write_group(group) + entries)
+    return _write_component(sasp.WEIGHTS_OF, COUNT.pack(count) + write_group(group) + entries)
 
 
 def write_groups(groups: Sequence[bytes]) -> bytes:
-    """The count of some encoded groups, and the groups: the body of a push."""
+    """Encode the number of encoded groups, followed by the groups. This is the body of a push."""
     return b"".join((COUNT.pack(len(groups)), *groups))
 
 
 def write_weights_reply(code: int, interval: int, groups: Sequence[bytes]) -> bytes:
-    """The body of Get Weights Reply (RFC 4678, 6.3) from encoded groups; `interval` in seconds."""
+    """Encode the body of Get Weights Reply (RFC 4678, 6.3) from encoded groups; `interval` is in seconds."""
     return b"".join((REPLY_HEAD.pack(code, interval), COUNT.pack(len(groups)), *groups))
 
 
-def _members_of(groups: Sequence[sasp.MembersOf]) -> bytes:
+def _write_member_groups(groups: Sequence[sasp.MembersOf]) -> bytes:
     encoded = []
     for group, members in groups:
         encoded.append(_write_group_of(sasp.MEMBERS_OF, group, [write_member(member) for member in members]))
     return write_groups(encoded)
 
 
-def _weights_of(groups: Sequence[sasp.WeightsOf]) -> list[bytes]:
+def _write_weight_groups(groups: Sequence[sasp.WeightsOf]) -> list[bytes]:
     encoded = []
     for group, weights in groups:
         encoded.append(_write_group_of(sasp.WEIGHTS_OF, group, [write_weight(weight) for weight in weights]))
     return encoded
 
 
-def _states_of(groups: Sequence[sasp.StatesOf]) -> bytes:
+def _write_state_groups(groups: Sequence[sasp.StatesOf]) -> bytes:
     encoded = []
     for group, states in groups:
         encoded.append(_write_group_of(sasp.STATES_OF, group, [_write_state(state) for state in states]))
@@ -153,35 +153,35 @@
 
 
 def _write_body(body: sasp.Body) -> tuple[int, bytes]:
-    """Type and content of a message."""
+    """Return the message type and the encoded body of a message."""
     kind: int
     match body:
         case sasp.Register(sender, groups):
-            kind, content = Kind.REGISTER, bytes((sender,)) + _members_of(groups)
+            kind, content = Kind.REGISTER, bytes((sender,)) + _write_member_groups(groups)
         case sasp.Deregister(sender, reason, groups):
-            kind, content = Kind.DEREGISTER, bytes((sender, reason)) + _members_of(groups)
+            kind, content = Kind.DEREGISTER, bytes((sender, reason)) + _write_member_groups(groups)
         case sasp.GetWeights(keys):
             kind, content = Kind.GET_WEIGHTS, write_groups([write_group(key) for key in keys])
         case sasp.WeightsReply(code, interval, weights):
-            kind, content = Kind.GET_WEIGHTS_REPLY, write_weights_reply(code, interval, _weights_of(weights))
+            kind, content = Kind.GET_WEIGHTS_REPLY, write_weights_reply(code, interval, _write_weight_groups(weights))
         case sasp.SendWeights(weights):
-            kind, content = Kind.SEND_WEIGHTS, write_groups(_weights_of(weights))
+            kind, content = Kind.SEND_WEIGHTS, write_groups(_write_weight_groups(weights))
         case sasp.SetLbState(lb, health, flags):
-            kind, content = Kind.SET_LB_STATE, _name(lb) + bytes((health, flags))
+            kind, content = Kind.SET_LB_STATE, _write_name(lb) + bytes((health, flags))
         case sasp.SetMemberState(sender, states):
-            kind, content = Kind.SET_MEMBER_STATE, bytes((sender,)) + _states_of(states)
+            kind, content = Kind.SET_MEMBER_STATE, bytes((sender,)) + _write_state_groups(states)
         case sasp.Reply(kind, code):
             content = bytes((code,))
         case _:
-            raise TypeError(f"{body!r} is no SASP message")
+            raise TypeError(f"{body!r} is not a SASP message")
     return kind, content
 
 
 def frame(number: int, kind: int, body: bytes) -> bytes:
-    """A message around an encoded body.
+    """Return a complete message with an encoded body.
 
-    A length above 65535 does not fit the message's own component: the message length of the header tells it all the
-    same, and the component's says 65535.
+    The 16-bit length field of the message component cannot represent a size above 65535. It then contains 65535, and
+    only the message length in the header gives the real size.
     """
     size = COMPONENT.size + len(body)
     header = HEADER.pack(sasp.HEADER, sasp.HEADER_SIZE, sasp.VERSION, sasp.HEADER_SIZE + size, number)
@@ -189,89 +189,89 @@
 
 
 def encode(message: sasp.Message) -> bytes:
-    """A message as one frame.
+    """Encode a message as one frame.
 
     Raises:
-        ValueError: a name or a group is longer than its length can tell.
+        ValueError: A name or a group is longer than its length field can represent.
     """
     kind, body = _write_body(message.body)
     return frame(message.number, kind, body)
 
 
-# -- reading
+# -- decoding
 
 
 class Reader:
-    """Reads the bytes of one component from front to back.
+    """Reads the fields of one component in order.
 
-    Every method raises MessageError where the bytes are not as the protocol has them.
+    Every method raises MessageError if the bytes do not follow the protocol.
 
     Args:
-        data: the bytes after the component's head.
-        what: name of the component in errors.
+        data: Bytes of the component after its type and length.
+        what: Name of the component in error messages.
     """
 
     def __init__(self, data: memoryview, what: str) -> None:
-        """Begin at the front."""
+        """Start reading at the first byte."""
         self.data = data
         self.position = 0
         self.what = what
 
     @property
     def remaining(self) -> int:
-        """Bytes that were not read yet."""
+        """Number of bytes that have not been read yet."""
         return len(self.data) - self.position
 
     def take(self, count: int) -> memoryview:
-        """The next bytes."""
+        """Read the next `count` bytes."""
         start = self.position
         end = start + count
         if end > len(self.data):
-            raise MessageError(f"{self.what}: {count} bytes are read at {start}, there are {len(self.data)}")
+            raise MessageError(f"{self.what}: {count} bytes are read at {start}, but it has {len(self.data)}")
         self.position = end
         return self.data[start:end]
 
     def unpack(self, form: struct.Struct) -> tuple[Any, ...]:
-        """The next fields."""
+        """Read the next fields according to a struct format."""
         return form.unpack(self.take(form.size))
 
     def byte(self) -> int:
-        """The next byte as a number."""
+        """Read the next byte as an unsigned number."""
         return self.take(1)[0]
 
     def short(self) -> int:
-        """The next two bytes as a number."""
+        """Read the next two bytes as an unsigned number."""
         return int.from_bytes(self.take(2), "big")
 
     def name(self) -> bytes:
-        """The next name, with its length before it."""
+        """Read a name, which has its length in the byte before it."""
         return bytes(self.take(self.byte()))
 
     def component(self, kind: int) -> Reader:
-        """The next component, which must be of a type."""
+        """Return a reader for the next component, whose type must be `kind`."""
         found, size = self.unpack(COMPONENT)
         if found != kind:
-            raise MessageError(f"{self.what}: component 0x{found:04x} where 0x{kind:04x} belongs")
+            raise MessageError(f"{self.what}: component 0x{found:04x} found where 0x{kind:04x} belongs")
         if size < COMPONENT.size:
             raise MessageError(
-                f"{self.what}: component 0x{kind:04x} says it has {size} bytes, its head alone has {COMPONENT.size}"
+                f"{self.what}: component 0x{kind:04x} says it has {size} bytes, but its head has {COMPONENT.size}"
             )
         return Reader(self.take(size - COMPONENT.size), f"component 0x{kind:04x}")
 
     def rows(self, count: int, min_row_bytes: int, read_row: Callable[[Reader], T]) -> tuple[T, ...]:
-        """So many rows. A count that the bytes left cannot hold is refused before anything is made for it."""
+        """Read `count` rows. A count that does not fit into the remaining bytes is rejected before any row is read."""
         if count * min_row_bytes > self.remaining:
-            raise MessageError(f"{self.what}: {count} rows are counted, {self.remaining} bytes are left")
+            raise MessageError(f"{self.what}: {count} rows are declared, but only {self.remaining} bytes are left")
         return tuple(read_row(self) for _ in range(count))
 
     def counted_rows(self, min_row_bytes: int, read_row: Callable[[Reader], T]) -> tuple[T, ...]:
-        """Rows with their count before them."""
+        """Read rows that are preceded by their count."""
         return self.rows(self.short(), min_row_bytes, read_row)
 
     def end(self) -> None:
-        """Nothing may be left."""
+        """Raise MessageError if any bytes have not been read."""
         if self.remaining:
-            raise MessageError(f"{self.what}: {self.remaining} bytes are left over")
+            raise MessageError(f"{self.what}: {self.remaining} unexpected bytes at the end")
 
 
 def _read_member(reader: Reader) -> sasp.Member:
@@ -309,7 +309,7 @@
 def _read_group_of(
     reader: Reader, kind: int, min_row_bytes: int, read_row: Callable[[Reader], T]
 ) -> tuple[sasp.Group, tuple[T, ...]]:
-    """A group with its rows, whose count stands before the group."""
+    """Read a group with its rows. The count of the rows precedes the group."""
     component = reader.component(kind)
     count = component.short()
     group = _read_group(component)
@@ -395,23 +395,23 @@
 
 
 def _check_size(kind: int, size: int, available: int) -> None:
-    """Whether the length of a message's component fits that of its header."""
+    """Raise MessageError if the length of the message component contradicts the message length in the header."""
     is_known = kind in CODE_REPLIES or kind in BODY_READERS
     if is_known and size != min(available, MAX_COMPONENT_BYTES):
-        raise MessageError(f"message 0x{kind:04x} says it has {size} bytes, the header leaves {available}")
+        raise MessageError(f"message 0x{kind:04x} says it has {size} bytes, but {available} follow the header")
 
 
 def decode(data: bytes) -> sasp.Message:
-    """One whole frame.
+    """Decode one complete frame.
 
     Raises:
-        MessageError: its content is not as the protocol has it; it holds message id and type for the reply.
+        MessageError: The content does not follow the protocol. The error has the message id and type for the reply.
     """
     _, _, version, _, number = HEADER.unpack_from(data)
     kind = 0
     try:
         if version != sasp.VERSION:
-            raise MessageError(f"version {version}, this is a manager of version {sasp.VERSION}")
+            raise MessageError(f"version {version} is not supported, this manager supports version {sasp.VERSION}")
         reader = Reader(memoryview(data)[sasp.HEADER_SIZE :], "the message")
         kind, size = reader.unpack(COMPONENT)
         _check_size(kind, size, len(data) - sasp.HEADER_SIZE)
@@ -422,47 +422,48 @@
 
 
 class Splitter:
-    """Cuts a byte stream into frames, wherever its reads end.
+    """Splits a byte stream into frames, independent of how the stream is divided into reads.
 
     Args:
-        max_message_bytes: a longer message ends the stream.
+        max_message_bytes: Maximum length of a message. A longer one ends the stream.
     """
 
     def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
-        """Begin with an empty buffer."""
+        """Create a splitter with an empty buffer."""
         self.max_message_bytes = max_message_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Whole frames that are there by now.
+        """Add received bytes and yield each frame that is complete.
 
         Raises:
-            FrameError: a header that is none, or a length that cannot be.
+            FrameError: The stream has an invalid header or a message length outside the accepted range.
         """
         self.buffer += data
         while True:
             size = self._frame_bytes()
             if size is None or len(self.buffer) < size:
                 return
-            whole = bytes(self.buffer[:size])
+            frame_data = bytes(self.buffer[:size])
             del self.buffer[:size]
-            yield whole
+            yield frame_data
 
     def _frame_bytes(self) -> int | None:
-        """Bytes of the frame at the front; None: not known yet. Each field is checked as soon as it is there."""
+        """Return the size of the first frame in the buffer, or None if it is not known yet.
+
+        Each field of the header is checked as soon as it has been received.
+        """
         if len(self.buffer) >= COMPONENT.size:
             kind, header_bytes = COMPONENT.unpack_from(self.buffer)
             if kind != sasp.HEADER or header_bytes != sasp.HEADER_SIZE:
                 raise FrameError(
-                    f"a message begins with 0x{kind:04x} of {header_bytes} bytes, "
-                    f"not with a SASP header of {sasp.HEADER_SIZE}"
+                    f"a message begins with component 0x{kind:04x} of {header_bytes} bytes, "
+                    f"not with a SASP header of {sasp.HEADER_SIZE} bytes"
                 )
         if len(self.buffer) < sasp.HEADER_SIZE:
             return None
         size = HEADER.unpack_from(self.buffer)[3]
         smallest = sasp.HEADER_SIZE + COMPONENT.size
         if not smallest <= size <= self.max_message_bytes:
-            raise FrameError(
-                f"a message says it has {size} bytes; from {smallest} to {self.max_message_bytes} are taken"
-            )
+            raise FrameError(f"a message says it has {size} bytes; {smallest} to {self.max_message_bytes} are accepted")
         return size
--- a/damsonpick/protocols/sasp/errors.py
+++ b/damsonpick/protocols/sasp/errors.py
@@ -4,13 +4,13 @@
 
 
 class SaspServerError(Exception):
-    """The SASP server cannot be run."""
+    """Base class of the errors that prevent the SASP server from running."""
 
 
 class ListenError(SaspServerError):
-    """The address cannot be opened."""
+    """Raised when the SASP server cannot listen on the address in the settings."""
 
     def __init__(self, address: str, cause: OSError) -> None:
-        """Name the setting, what the operating system says, and the remedy."""
+        """Build a message with the setting, the error of the operating system and the remedy."""
         super().__init__(f"[sasp] listen = {address}: cannot be opened ({cause}); free the port or choose another")
         self.address = address
--- a/damsonpick/protocols/sasp/fleet.py
+++ b/damsonpick/protocols/sasp/fleet.py
@@ -1,4 +1,4 @@
-"""What the controller knows of the fleet, as SASP advice needs it."""
+"""Read access to the controller's state of the fleet, for SASP advice."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from damsonpick.state.published_tables import PublishedTables
 from damsonpick.time_units import NS_PER_SECOND
 
-NO_REPORTS_NS = 60 * NS_PER_SECOND  # without any load report, after which advice goes by capacity
-RECENT_REPORT_NS = 10 * NS_PER_SECOND
-UNKNOWN_SLICE_LOAD = 0.01  # requests a second of a slice that the planner does not know
+NO_REPORTS_NS = 60 * NS_PER_SECOND  # time without any load report after which advice is derived from capacities
+RECENT_REPORT_NS = 10 * NS_PER_SECOND  # maximum age of the last load report on an endpoint with recent reports
+UNKNOWN_SLICE_LOAD = 0.01  # requests per second assumed for a slice that the planner does not know
 
 
 class Controller(Protocol):
-    """What the SASP server reads of the controller that owns it.
+    """The part of the controller's state that the SASP server reads.
 
     Attributes:
-        planner: None while it is being restarted.
-        published: the tables.
-        endpoint_list: the list in force.
+        planner: The planner; None while it is being restarted.
+        published: The published tables.
+        endpoint_list: The current endpoint list.
     """
 
     planner: Planner | None
@@ -31,26 +31,26 @@
 
 
 class Fleet:
-    """Answers the advisor's questions from the controller's state.
+    """Provides slice loads, endpoint statuses and capacities to the weight advisor.
 
     Args:
-        controller: whose state is read.
-        clock: the pilot's clock.
+        controller: Controller whose state is read.
+        clock: The pilot's clock.
     """
 
     def __init__(self, controller: Controller, clock: Clock) -> None:
-        """Read nothing yet."""
+        """Keep the controller and the clock; every method reads the state when it is called."""
         self.controller = controller
         self.clock = clock
 
     def load_of(self, number: int) -> float:
-        """Requests a second of a slice."""
+        """Return the requests per second of a slice; `UNKNOWN_SLICE_LOAD` if the planner does not know the slice."""
         planner = self.controller.planner
         slice_state = planner.slices.get(number) if planner else None
         return slice_state.load if slice_state is not None else UNKNOWN_SLICE_LOAD
 
     def status_of(self, endpoint: str) -> MemberStatus:
-        """What is known of an endpoint."""
+        """Return the status of an endpoint from the endpoint list and the load reports."""
         planner = self.controller.planner
         entry = self.controller.endpoint_list.entries.get(endpoint)
         state = planner.endpoints.get(endpoint) if planner else None
@@ -62,11 +62,14 @@
         )
 
     def statuses(self) -> dict[str, MemberStatus]:
-        """What is known of all listed endpoints."""
+        """Return the status of every endpoint on the endpoint list."""
         return {endpoint: self.status_of(endpoint) for endpoint in self.controller.endpoint_list.entries}
 
     def fallback_capacities(self) -> dict[str, float]:
-        """Capacities of routable endpoints if no load report came in for `NO_REPORTS_NS`, else empty."""
+        """Return the capacities of all routable endpoints if no load report arrived for `NO_REPORTS_NS`.
+
+        Empty if a load report arrived within that time, or while there is no planner.
+        """
         planner = self.controller.planner
         if planner is None:
             return {}
--- a/damsonpick/protocols/sasp/layout.py
+++ b/damsonpick/protocols/sasp/layout.py
@@ -1,6 +1,7 @@
-"""Numbers, messages and components of SASP version 1 (RFC 4678). Types only.
+"""Constants and types for the messages and components of SASP version 1 (RFC 4678). Contains no logic for encoding.
 
-All numbers are big-endian. A component is a type (2 bytes), a length (2 bytes, its own head included) and its fields.
+All numbers are big-endian. A component consists of a type (2 bytes), a length (2 bytes) and its fields. The length
+includes the type and the length themselves.
 """
 
 from __future__ import annotations
@@ -10,14 +11,14 @@
 from typing import NamedTuple
 
 VERSION = 1
-HEADER = 0x2010
+HEADER = 0x2010  # component type of the message header
 HEADER_SIZE = 13  # bytes: type, length, version, message length, message id
 MAX_WEIGHT = 65_535
 IPV4_COMPATIBLE_PREFIX = bytes(12)
 IPV4_MAPPED_PREFIX = b"\0" * 10 + b"\xff\xff"
 TCP = 6  # IANA protocol number
 
-# Types of components.
+# Component types.
 MEMBER = 0x3010
 GROUP = 0x3011
 WEIGHT = 0x3012
@@ -28,7 +29,7 @@
 
 
 class Kind(IntEnum):
-    """Types of messages."""
+    """Message types."""
 
     REGISTER = 0x1010
     REGISTER_REPLY = 0x1015
@@ -58,19 +59,19 @@
     DUPLICATE_GROUP = 0x46
     EMPTY_GROUP_NAME = 0x50
     EMPTY_LB_UID = 0x51
-    NO_BALANCER_YET = 0x61  # a member registers itself, and its balancer has not contacted the manager
+    NO_BALANCER_YET = 0x61  # a member registers itself, but its load balancer has no session with the manager
 
 
 class LbFlag(IntFlag):
-    """Flags of Set LB State."""
+    """Flags of the Set LB State message."""
 
-    PUSH = 0x01  # weights are to be sent without being asked for
-    TRUST = 0x02  # members may register and set states themselves
-    NO_CHANGE = 0x04  # members whose weights have not changed need not be sent
+    PUSH = 0x01  # the load balancer wants weights pushed to it, without polling
+    TRUST = 0x02  # members may register themselves and set their own states
+    NO_CHANGE = 0x04  # the manager may omit members whose weights have not changed
 
 
 class Sender(IntFlag):
-    """Who sends registrations and member states: without BALANCER, the member itself."""
+    """Who sends a registration or member states: the load balancer if BALANCER is set, else the member itself."""
 
     BALANCER = 0x01
 
@@ -78,16 +79,16 @@
 class WeightFlag(IntFlag):
     """Flags of a weight entry."""
 
-    CONTACT = 0x01  # the manager could contact the member
-    QUIESCE = 0x02  # no new work is to go there
-    REGISTERED = 0x04  # it registered itself
-    CONFIDENT = 0x08  # the weight rests on recent load reports
+    CONTACT = 0x01  # the manager was able to contact the member
+    QUIESCE = 0x02  # the member must not get new work
+    REGISTERED = 0x04  # the member registered itself
+    CONFIDENT = 0x08  # the weight is based on recent load reports
 
 
 class MemberFlag(IntFlag):
     """Flags of a member state."""
 
-    QUIESCE = 0x01  # no new work is to go there
+    QUIESCE = 0x01  # the member must not get new work
 
 
 class Member(NamedTuple):
@@ -95,12 +96,15 @@
 
     protocol: int  # IANA protocol number
     port: int
-    address: bytes  # 16 bytes; an IPv4 address as ::ffff:a.b.c.d
+    address: bytes  # 16 bytes; an IPv4 address is stored as ::ffff:a.b.c.d
     label: bytes = b""
 
     @property
     def endpoint(self) -> str:
-        """As endpoint lists write it. The mapped and the older compatible form of IPv4 are the same endpoint."""
+        """The member's address and port in the format of endpoint lists.
+
+        The IPv4-mapped and the older IPv4-compatible form of an address give the same endpoint.
+        """
         ip = ipaddress.IPv6Address(self.address)
         ipv4 = ip.ipv4_mapped
         is_compatible = self.address[:12] == IPV4_COMPATIBLE_PREFIX and self.address[12:14] != b"\0\0"
@@ -110,10 +114,10 @@
 
 
 def member(endpoint: str, protocol: int = TCP, label: bytes = b"") -> Member:
-    """The member of an endpoint such as 127.0.0.1:9001 or [::1]:9001.
+    """Return the member for an endpoint such as 127.0.0.1:9001 or [::1]:9001.
 
     Raises:
-        ValueError: the endpoint is no address with a port.
+        ValueError: The endpoint is not an IP address with a port.
     """
     host, _, port = endpoint.rpartition(":")
     ip = ipaddress.ip_address(host.strip("[]"))
@@ -122,37 +126,37 @@
 
 
 class Group(NamedTuple):
-    """A group's name, and the identifier of its load balancer."""
+    """Key of a group: the identifier of its load balancer and the group's name."""
 
     lb: bytes
     name: bytes
 
 
 class MembersOf(NamedTuple):
-    """A group with some of its members."""
+    """Group of Member Data: a group with some of its members."""
 
     group: Group
     members: tuple[Member, ...]
 
 
 class Weight(NamedTuple):
-    """A weight entry."""
+    """A weight entry: the advice on one member."""
 
     member: Member
-    state: int  # opaque, as the member set it
+    state: int  # opaque value that the member or its load balancer set
     flags: WeightFlag
     weight: int  # 0 to 65535
 
 
 class WeightsOf(NamedTuple):
-    """A group with weights of its members."""
+    """Group of Weight Data: a group with weights of its members."""
 
     group: Group
     weights: tuple[Weight, ...]
 
 
 class MemberState(NamedTuple):
-    """The state of a member."""
+    """The state of a member, as set by Set Member State."""
 
     member: Member
     state: int
@@ -160,21 +164,24 @@
 
 
 class StatesOf(NamedTuple):
-    """A group with states of its members."""
+    """Group of Member State Data: a group with states of its members."""
 
     group: Group
     states: tuple[MemberState, ...]
 
 
 class Register(NamedTuple):
-    """Registration (6.1)."""
+    """Registration request (RFC 4678, 6.1)."""
 
     sender: Sender
     groups: tuple[MembersOf, ...]
 
 
 class Deregister(NamedTuple):
-    """Deregistration (6.2); no groups: all of the sender's; a group without members: the whole group."""
+    """Deregistration request (RFC 4678, 6.2).
+
+    Without groups it applies to all groups of the sender. A group without members is deregistered with all its members.
+    """
 
     sender: Sender
     reason: int
@@ -182,42 +189,42 @@
 
 
 class GetWeights(NamedTuple):
-    """Get Weights (6.3); no groups: all of the sender's."""
+    """Get Weights request (RFC 4678, 6.3): a poll. Without groups it asks for all groups of the sender."""
 
     groups: tuple[Group, ...]
 
 
 class WeightsReply(NamedTuple):
-    """Get Weights Reply (6.3)."""
+    """Get Weights Reply (RFC 4678, 6.3)."""
 
     code: int
-    interval: int  # s until the next request is advised
+    interval: int  # advised time until the next poll, seconds
     groups: tuple[WeightsOf, ...]
 
 
 class SendWeights(NamedTuple):
-    """Send Weights (6.4): a push."""
+    """Send Weights (RFC 4678, 6.4): a push, which the manager sends without a request."""
 
     groups: tuple[WeightsOf, ...]
 
 
 class SetLbState(NamedTuple):
-    """Set LB State (6.5)."""
+    """Set LB State request (RFC 4678, 6.5)."""
 
     lb: bytes
-    health: int  # 0 to 127, worst to best
+    health: int  # from 0 (worst) to 127 (best)
     flags: LbFlag
 
 
 class SetMemberState(NamedTuple):
-    """Set Member State (6.6)."""
+    """Set Member State request (RFC 4678, 6.6)."""
 
     sender: Sender
     groups: tuple[StatesOf, ...]
 
 
 class Reply(NamedTuple):
-    """A reply that holds a code alone; `kind` says which."""
+    """A reply that consists of a reply code only. `kind` is its message type."""
 
     kind: Kind
     code: int
@@ -227,7 +234,7 @@
 
 
 class Message(NamedTuple):
-    """One message."""
+    """One SASP message."""
 
-    number: int  # message id; a reply has that of its request
+    number: int  # message id; a reply repeats the id of its request
     body: Body
--- a/damsonpick/protocols/sasp/member_source.py
+++ b/damsonpick/protocols/sasp/member_source.py
@@ -1,4 +1,4 @@
-"""Registered members as a source of the endpoint list."""
+"""Supplies the members that load balancers registered as a source of the endpoint list."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from damsonpick.protocols.sasp.fleet import Controller
 from damsonpick.protocols.sasp.registry import Registry
 
-DEFAULT_WEIGHT = 1.0  # of an endpoint that the list does not know
+DEFAULT_WEIGHT = 1.0  # weight of an endpoint that is not on the endpoint list
 
 
 class MemberSource:
-    """Hands the members of load balancers with access level STATE to the endpoint list whenever they change.
+    """Passes the members of load balancers with access level STATE to the endpoint list whenever they change.
 
     Args:
-        registry: all registrations.
-        controller: its endpoint list tells zone, weight and start of endpoints that it knows.
-        default_zone: of endpoints that it does not know.
-        receive: takes the members as list entries; a quiesced member as terminating.
+        registry: All registrations.
+        controller: Controller whose endpoint list supplies zone, weight and start time of the endpoints on it.
+        default_zone: Zone of endpoints that the endpoint list does not know.
+        receive: Callback for the members as list entries. A quiesced member has the state `terminating`.
     """
 
     def __init__(
@@ -28,16 +28,16 @@
         default_zone: str,
         receive: Callable[[list[api.EndpointEntry]], None],
     ) -> None:
-        """Begin with no members."""
+        """Create a source that has not passed on any members yet."""
         self.registry = registry
         self.controller = controller
         self.default_zone = default_zone
         self.receive = receive
-        self._revision = 0  # of the registry, when it was last read
-        self._quiesced: dict[str, bool] = {}  # by endpoint, as it was last handed over
+        self._revision = 0  # revision of the registry when it was last read
+        self._quiesced: dict[str, bool] = {}  # by endpoint, as last passed to `receive`
 
     def update(self) -> None:
-        """Hand over the members if they have changed since the last call."""
+        """Pass the members to `receive` if they have changed since the last call."""
         if self.registry.revision == self._revision:
             return
         self._revision = self.registry.revision
--- a/damsonpick/protocols/sasp/operator_view.py
+++ b/damsonpick/protocols/sasp/operator_view.py
@@ -1,4 +1,4 @@
-"""Registrations as operators see them: the answer to `damsonpick sasp balancers`."""
+"""JSON view of the registrations for operators: the response to `damsonpick sasp balancers`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def describe_registry(registry: Registry, port: int, now: int) -> dict[str, Any]:
-    """All load balancers with their groups, as JSON values; `now` in ns."""
+    """Return all load balancers with their groups as JSON values; `now` is in nanoseconds."""
     balancers = [
         _describe_balancer(lb, balancer, registry.trusts_members(lb), now)
         for lb, balancer in registry.balancers.items()
@@ -20,7 +20,7 @@
 
 def _describe_balancer(lb: bytes, balancer: Balancer, trusted: bool, now: int) -> dict[str, Any]:
     sessions = balancer.sessions
-    last_told_at = max((session.acknowledged_at() for session in sessions), default=0)
+    last_sent_at = max((session.acknowledged_at() for session in sessions), default=0)
     return {
         "balancer": _text(lb),
         "health": balancer.health,
@@ -29,7 +29,7 @@
         "trusted": trusted,
         "groups": {_text(group.key.name): _describe_group(group) for group in balancer.groups.values()},
         "seen": max((session.seen_seq for session in sessions), default=None),
-        "last_told_s": round((now - last_told_at) / NS_PER_SECOND, 1) if last_told_at else None,
+        "last_told_s": round((now - last_sent_at) / NS_PER_SECOND, 1) if last_sent_at else None,
     }
 
 
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -1,8 +1,9 @@
-"""Registrations: load balancers, their groups and members, and what each may do. Sans I/O.
+"""Registry of load balancers, their groups and members, and their access rights. Sans I/O.
 
-A request is carried out whole or not at all: the first thing wrong with it is its reply code, and nothing of it stays.
-The flags of Set LB State belong to a session. Two sessions may use one load balancer identifier, so members may act for
-themselves only where every session under that identifier has set the trust flag.
+A request is carried out completely or not at all: its reply code describes the first fault that is found, and a request
+with a fault changes nothing. The flags of Set LB State belong to a session. Because two sessions may use the same load
+balancer identifier, members may register themselves and set their own states only if every session with that
+identifier has set the trust flag.
 """
 
 from __future__ import annotations
@@ -15,28 +16,28 @@
 from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberFlag, MembersOf, Sender, StatesOf
 from damsonpick.time_units import NS_PER_SECOND
 
-REGISTRATION_RETENTION_NS = 60 * NS_PER_SECOND  # that registrations outlive the last session of their load balancer
-MAX_GROUP_BYTES = 65_535  # what the length of a component can tell
-GROUP_HEAD_BYTES = 12  # of a group of weights: two component heads, the count and two lengths of names
-WEIGHT_BYTES = 32  # of a weight entry without its label
-MAX_SHARED_SNAPSHOTS = 10_000  # kept before those that no group has are dropped
+REGISTRATION_RETENTION_NS = 60 * NS_PER_SECOND  # time for which registrations are kept after their last session ends
+MAX_GROUP_BYTES = 65_535  # largest size that the length field of a component can represent
+GROUP_HEAD_BYTES = 12  # in a group of weights: two component heads, the count and the length fields of two names
+WEIGHT_BYTES = 32  # size of a weight entry with an empty label
+MAX_SHARED_SNAPSHOTS = 10_000  # number of snapshots above which those that no group uses are dropped
 
 
 class AccessLevel(IntEnum):
-    """What a load balancer may do; each level includes those below it."""
+    """What a load balancer may do. Each level includes the levels below it."""
 
     REFUSE = 0
     READ = 1
     REGISTER = 2
-    STATE = 3  # set member states
+    STATE = 3  # may also set member states
 
 
 class Limits(NamedTuple):
     """Limits on registrations.
 
     Attributes:
-        groups: of one load balancer.
-        members: of one group.
+        groups: Most groups of one load balancer.
+        members: Most members of one group.
     """
 
     groups: int
@@ -44,12 +45,15 @@
 
 
 class RegisteredSession(Protocol):
-    """A session, as the registry knows it."""
+    """The part of a session that the registry and its operator view use."""
 
     seen_seq: int
 
     def acknowledged_at(self) -> int:
-        """Time of the last poll reply or push, ns; 0: none. SASP acknowledges nothing, so what was sent counts."""
+        """Return the time of the last poll reply or push in nanoseconds, or 0 if there was none.
+
+        SASP has no acknowledgements, so sending counts as acknowledgement.
+        """
 
 
 @dataclass(slots=True)
@@ -57,9 +61,9 @@
     """A registered member.
 
     Attributes:
-        self_registered: the member itself asked for its registration.
-        state: opaque, as it was set.
-        quiesced: it is to get no new work.
+        self_registered: Whether the member registered itself.
+        state: Opaque value from Set Member State.
+        quiesced: Whether the member must not get new work.
     """
 
     self_registered: bool
@@ -68,7 +72,7 @@
 
 
 class MemberSnapshot(NamedTuple):
-    """A member and its registration at one moment: what advice on it depends on, beside the fleet."""
+    """Copy of a member and its registration: the inputs of its advice, apart from the state of the fleet."""
 
     member: Member
     state: int
@@ -81,10 +85,11 @@
     """A registered group.
 
     Attributes:
-        key: the load balancer and the name.
-        coverage: what the group stands for: 'fleet', 'class NAME' or 'slices 0-9, 12'.
-        members: in the order of their registration.
-        snapshot: of all members; groups with equal members share one object, so that it may be compared by identity.
+        key: Load balancer identifier and group name.
+        coverage: Slices that the group covers: 'fleet', 'class NAME' or 'slices 0-9, 12'.
+        members: Registrations by member, in the order of registration.
+        snapshot: Snapshot of all members. Groups with equal members share one object, which allows comparison by
+            identity.
     """
 
     key: Group
@@ -95,13 +100,13 @@
 
 @dataclass(slots=True, eq=False)
 class Balancer:
-    """All that stands under one load balancer identifier.
+    """Sessions and registrations of one load balancer identifier.
 
     Attributes:
-        sessions: with the flags of each.
-        groups: by name.
-        health: as it last told, 0 to 127.
-        disconnected_at: ns; when its last session ended; 0: one is open.
+        sessions: Open sessions with their flags.
+        groups: Registered groups by name.
+        health: Health that the load balancer last sent, 0 to 127.
+        disconnected_at: Time at which its last session ended, nanoseconds; 0 while a session is open.
     """
 
     sessions: dict[RegisteredSession, LbFlag] = field(default_factory=dict)
@@ -111,33 +116,33 @@
 
 
 class Registry:
-    """All registrations.
+    """Keeps all registrations and carries out the requests that change them.
 
     Args:
-        limits: on what one load balancer may register.
-        coverage_of: what a group's name stands for; None: groups of that name are refused.
-        access_of: what a load balancer may do.
+        limits: Limits on the registrations of one load balancer.
+        coverage_of: Returns the coverage for a group name, or None if groups with this name are rejected.
+        access_of: Returns the access level of a load balancer.
     """
 
     def __init__(
         self, limits: Limits, coverage_of: Callable[[bytes], str | None], access_of: Callable[[bytes], AccessLevel]
     ) -> None:
-        """Begin without registrations."""
+        """Create an empty registry."""
         self.limits = limits
         self.coverage_of = coverage_of
         self.access_of = access_of
         self.balancers: dict[bytes, Balancer] = {}
-        self.revision = 0  # grows with each change of groups or members
+        self.revision = 0  # increases with each change of groups or members
         self._snapshots: dict[tuple[MemberSnapshot, ...], tuple[MemberSnapshot, ...]] = {}
 
     def may(self, lb: bytes, level: AccessLevel) -> bool:
-        """Whether a load balancer has this level of access."""
+        """Return whether a load balancer has at least this access level."""
         return self.access_of(lb) >= level
 
     # -- sessions
 
     def set_lb(self, session: RegisteredSession, lb: bytes, health: int, flags: LbFlag) -> Code:
-        """Carry out Set LB State (RFC 4678, 6.5): a load balancer makes itself known, or changes its flags."""
+        """Carry out Set LB State (RFC 4678, 6.5): a load balancer identifies itself or changes its flags."""
         if not lb:
             return Code.EMPTY_LB_UID
         if not self.may(lb, AccessLevel.READ):
@@ -152,14 +157,17 @@
         return balancer
 
     def leave(self, now: int, session: RegisteredSession) -> None:
-        """Note at `now` (ns) that a session has ended; what its load balancer registered stays for a while."""
+        """Record that a session ended at `now` (ns).
+
+        The registrations of its load balancer are kept for `REGISTRATION_RETENTION_NS`.
+        """
         for balancer in self.balancers.values():
             had_session = balancer.sessions.pop(session, None) is not None
             if had_session and not balancer.sessions:
                 balancer.disconnected_at = now
 
     def expire(self, now: int) -> list[bytes]:
-        """Drop load balancers without a session for `REGISTRATION_RETENTION_NS`; returns their identifiers."""
+        """Drop load balancers without a session for `REGISTRATION_RETENTION_NS` and return their identifiers."""
         expired = []
         for lb, balancer in self.balancers.items():
             if balancer.disconnected_at and now - balancer.disconnected_at >= REGISTRATION_RETENTION_NS:
@@ -170,18 +178,18 @@
         return expired
 
     def trusts_members(self, lb: bytes) -> bool:
-        """Whether members may register and set states themselves."""
+        """Return whether members of this load balancer may register themselves and set their own states."""
         sessions = self.balancers[lb].sessions if lb in self.balancers else {}
         return bool(sessions) and all(flags & LbFlag.TRUST for flags in sessions.values())
 
     def session_count(self) -> int:
-        """Sessions of all load balancers."""
+        """Return the number of sessions of all load balancers."""
         return sum(len(balancer.sessions) for balancer in self.balancers.values())
 
     # -- requests
 
     def register(self, session: RegisteredSession, sender: Sender, groups: Iterable[MembersOf]) -> Code:
-        """Carry out a registration (RFC 4678, 6.1)."""
+        """Carry out a registration request (RFC 4678, 6.1)."""
         seen: set[tuple[Group, Member]] = set()
         for group, members in groups:
             code = self._check_registration(sender, group, members, seen)
@@ -194,16 +202,16 @@
     def _check_registration(
         self, sender: Sender, group: Group, members: Sequence[Member], seen: set[tuple[Group, Member]]
     ) -> Code:
-        """Whether members may be added to a group; `seen` collects those of the whole request."""
+        """Check whether members may be added to a group; `seen` collects the members of the whole request."""
         code = _check_names(group) or self._check_sender(sender, group.lb, AccessLevel.REGISTER)
         if code != Code.OK:
             return code
         balancer = self.balancers.get(group.lb)
         groups = balancer.groups if balancer is not None else {}
         registered = groups[group.name].members if group.name in groups else {}
-        is_refused = self.coverage_of(group.name) is None
-        is_one_too_many = group.name not in groups and len(groups) >= self.limits.groups
-        if is_refused or is_one_too_many or not self._fits(group, [*registered, *members]):
+        is_uncovered = self.coverage_of(group.name) is None
+        exceeds_group_limit = group.name not in groups and len(groups) >= self.limits.groups
+        if is_uncovered or exceeds_group_limit or not self._fits(group, [*registered, *members]):
             return Code.INVALID_GROUP
         for member in members:
             if (group, member) in seen:
@@ -214,7 +222,7 @@
         return Code.OK
 
     def _fits(self, group: Group, members: Sequence[Member]) -> bool:
-        """Whether a group with these members is within the limits of the settings and of the protocol."""
+        """Return whether a group with these members is within the limits of the settings and of the protocol."""
         return len(members) <= self.limits.members and _encoded_bytes(group, members) <= MAX_GROUP_BYTES
 
     def _add(self, session: RegisteredSession, sender: Sender, group: Group, members: Iterable[Member]) -> None:
@@ -224,7 +232,7 @@
         groups = self.balancers[group.lb].groups
         if group.name not in groups:
             coverage = self.coverage_of(group.name)
-            assert coverage is not None, "checked before"
+            assert coverage is not None, "_check_registration has checked the coverage"
             groups[group.name] = RegisteredGroup(group, coverage)
         registered = groups[group.name]
         for member in members:
@@ -232,12 +240,16 @@
         self._update_snapshot(registered)
 
     def deregister(self, session: RegisteredSession, sender: Sender, groups: tuple[MembersOf, ...]) -> Code:
-        """Carry out a deregistration (RFC 4678, 6.2); a group without members goes whole, no group means all."""
+        """Carry out a deregistration request (RFC 4678, 6.2).
+
+        A group without members is removed with all its members. Without groups, all groups of the load balancer are
+        removed.
+        """
         if not groups:
             return self._deregister_all(session, sender)
         seen: set[Group] = set()
         for group, members in groups:
-            registered = self._changeable(sender, group, AccessLevel.REGISTER)
+            registered = self._find_changeable(sender, group, AccessLevel.REGISTER)
             if isinstance(registered, Code):
                 return registered
             if group in seen:
@@ -252,7 +264,7 @@
         return Code.OK
 
     def _deregister_all(self, session: RegisteredSession, sender: Sender) -> Code:
-        """Drop all groups of the session's load balancer."""
+        """Remove all groups of the session's load balancer."""
         balancers = [balancer for balancer in self.balancers.values() if session in balancer.sessions]
         if not sender & Sender.BALANCER or not balancers:
             return Code.UNKNOWN_LB
@@ -271,9 +283,9 @@
         self._update_snapshot(registered)
 
     def set_states(self, sender: Sender, groups: Iterable[StatesOf]) -> Code:
-        """Carry out Set Member State (RFC 4678, 6.6): opaque states, and which members are quiesced."""
+        """Carry out Set Member State (RFC 4678, 6.6): set opaque states and quiesce or resume members."""
         for group, states in groups:
-            registered = self._changeable(sender, group, AccessLevel.STATE)
+            registered = self._find_changeable(sender, group, AccessLevel.STATE)
             if isinstance(registered, Code):
                 return registered
             if len({state.member for state in states}) != len(states):
@@ -290,7 +302,7 @@
         return Code.OK
 
     def find(self, group: Group) -> RegisteredGroup | Code:
-        """A registered group, or the reply code that says why it cannot be had."""
+        """Return a registered group, or the reply code that says why it cannot be read."""
         code = _check_names(group)
         if code != Code.OK:
             return code
@@ -298,8 +310,8 @@
             return Code.NOT_FROM_SENDER
         return self._lookup(group)
 
-    def _changeable(self, sender: Sender, group: Group, level: AccessLevel) -> RegisteredGroup | Code:
-        """A registered group that this sender may change, or the reply code that says why not."""
+    def _find_changeable(self, sender: Sender, group: Group, level: AccessLevel) -> RegisteredGroup | Code:
+        """Return a registered group that this sender may change, or the reply code of the rejection."""
         code = _check_names(group) or self._check_sender(sender, group.lb, level)
         if code != Code.OK:
             return code
@@ -311,7 +323,7 @@
         return self.balancers[group.lb].groups.get(group.name) or Code.UNKNOWN_GROUP
 
     def _check_sender(self, sender: Sender, lb: bytes, level: AccessLevel) -> Code:
-        """Whether this sender may change groups of that load balancer."""
+        """Check whether this sender may change groups of a load balancer."""
         if sender & Sender.BALANCER:
             return Code.OK if self.may(lb, level) else Code.NOT_FROM_SENDER
         if lb not in self.balancers or not self.balancers[lb].sessions:
@@ -337,7 +349,10 @@
     # -- the fleet
 
     def endpoints(self) -> dict[str, bool]:
-        """Endpoints of members of load balancers with access level STATE, and whether any registration is quiesced."""
+        """Return the endpoints of all members of load balancers with access level STATE.
+
+        The value is True if any registration of the endpoint is quiesced.
+        """
         quiesced: dict[str, bool] = {}
         for lb, balancer in self.balancers.items():
             if not self.may(lb, AccessLevel.STATE):
@@ -350,7 +365,7 @@
 
 
 def _encoded_bytes(group: Group, members: Iterable[Member]) -> int:
-    """Bytes of a group's weights on the wire."""
+    """Return the encoded size of a group's weights in bytes."""
     names = len(group.lb) + len(group.name)
     return GROUP_HEAD_BYTES + names + sum(WEIGHT_BYTES + len(member.label) for member in members)
 
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -1,4 +1,7 @@
-"""The SASP server: TCP sessions on anyio. Decisions are the session's, the registry's and the advisor's."""
+"""The SASP server: accepts TCP connections on anyio and runs their sessions.
+
+The session, the registry and the advisor make all decisions about the protocol.
+"""
 
 from __future__ import annotations
 
@@ -33,11 +36,11 @@
 from damsonpick.runtime.supervision import ConnectionServer, keep_running
 from damsonpick.settings.model import PilotSettings
 
-PEER_LEFT = "the peer left"
+PEER_CLOSED = "the peer closed the connection"
 READ_BYTES = 65_536
-MAX_CONCURRENT_REQUESTS = 4  # worked on between two turns of the event loop: a burst of polls delays no push
-REFRESH_INTERVAL_S = 1.0  # between looks at what only time changes
-UNSENT_ADVICE_SHARE = 0.05  # of the send queue's limit that all sessions may take in one look without a table change
+MAX_CONCURRENT_REQUESTS = 4  # handled between two turns of the event loop, so that a burst of polls delays no push
+REFRESH_INTERVAL_S = 1.0  # interval between checks for changes that occur without a request or a table change
+UNSENT_ADVICE_SHARE = 0.05  # of the send queue's limit: most that one refresh may enqueue for all sessions
 
 
 @dataclass(slots=True, eq=False)
@@ -45,34 +48,34 @@
     """One TCP connection with its session.
 
     Attributes:
-        stream: the connection.
-        session: its state machine.
-        write_lock: held while a reply or a push is written.
-        push_ready: set when the session may have something to push.
-        end_reason: why it ended.
+        stream: The byte stream of the connection.
+        session: State machine of the session.
+        write_lock: Lock that is held while a reply or a push is written.
+        push_ready: Event that is set when the session may have something to push.
+        end_reason: Why the connection ended.
     """
 
     stream: SocketStream
     session: SaspSession
     write_lock: anyio.Lock = field(default_factory=anyio.Lock)
     push_ready: anyio.Event = field(default_factory=anyio.Event)
-    end_reason: str = PEER_LEFT
+    end_reason: str = PEER_CLOSED
 
 
 class SaspServer:
-    """Serves load balancers.
+    """Accepts connections of load balancers and runs their sessions.
 
     Args:
-        settings: the pilot's settings.
-        session_manager: keeps all sessions in step with what is published.
-        controller: whose state is read.
-        clock: the pilot's clock.
-        notify: wakes the controller's loop.
-        receive_members: takes registered members as entries of the endpoint list.
-        log: structured log.
+        settings: The pilot's settings.
+        session_manager: Sends each session the changes of the published state.
+        controller: Controller whose state is read.
+        clock: The pilot's clock.
+        notify: Callback that wakes the controller's loop.
+        receive_members: Callback for the registered members as entries of the endpoint list.
+        log: Structured log.
 
     Attributes:
-        port: where it listens; 0: not yet.
+        port: TCP port of the server; 0 until `open` has returned.
     """
 
     def __init__(
@@ -85,7 +88,7 @@
         receive_members: Callable[[list[api.EndpointEntry]], None],
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
-        """Prepare; `open` listens."""
+        """Create the server. It does not listen before `open` is called."""
         self.settings = settings
         self.session_manager = session_manager
         self.clock = clock
@@ -119,13 +122,13 @@
     # -- life cycle
 
     async def open(self) -> None:
-        """Listen.
+        """Listen on the address in the settings.
 
         Raises:
-            ListenError: the address cannot be opened.
+            ListenError: The address cannot be opened.
         """
         address = self.settings.sasp.listen
-        assert address is not None, "there is no server without an address"
+        assert address is not None, "the server is created only if [sasp] listen is set"
         host, _, port = address.rpartition(":")
         try:
             self._listener = await anyio.create_tcp_listener(local_host=host.strip("[]"), local_port=int(port))
@@ -135,8 +138,8 @@
         self.log.info("sasp_opened", port=self.port)
 
     async def run(self) -> None:
-        """Serve until cancelled; `open` comes first."""
-        assert self._listener is not None, "open first"
+        """Serve connections until cancelled. `open` must have been called before."""
+        assert self._listener is not None, "call open() before run()"
         async with self._listener, anyio.create_task_group() as group:
             group.start_soon(keep_running, "sasp refresh", self._refresh_periodically, self.log)
             server = ConnectionServer("sasp", self._serve, self.log)
@@ -144,7 +147,10 @@
                 group.start_soon(server.serve, listener, group)
 
     async def _refresh_periodically(self) -> None:
-        """Expire registrations, and offer advice that moves without a table: load, reports, the endpoint list."""
+        """Expire registrations and enqueue advice that changed without a table change, every `REFRESH_INTERVAL_S`.
+
+        Advice also depends on load, load reports and the endpoint list.
+        """
         while True:
             await anyio.sleep(REFRESH_INTERVAL_S / self.clock.rate)
             for lb in self.registry.expire(self.clock.now()):
@@ -152,7 +158,7 @@
             self._refresh()
 
     def _refresh(self) -> None:
-        """Something beside the tables may have changed advice."""
+        """Read members and endpoint statuses again and enqueue the advice that has changed with them."""
         if self.settings.sasp.members_as_list:
             self.member_source.update()
         self.update_statuses()
@@ -160,10 +166,10 @@
             self._enqueue_unsent(session)
 
     def update_statuses(self) -> None:
-        """Take over what is known of endpoints.
+        """Read the statuses of all endpoints and invalidate the cached advice if they have changed.
 
-        Polls hear of a drain at once. Pushes bring it with the withdrawal that the planner orders, behind those to
-        gateways, which are a single entry each.
+        Poll replies show a draining endpoint immediately. Pushes show it with the withdrawal that the planner orders,
+        after the withdrawal messages to gateways, each of which is a single entry.
         """
         statuses = self.fleet.statuses()
         if statuses != self._statuses:
@@ -172,7 +178,7 @@
 
     def _enqueue_unsent(self, session: SaspSession) -> None:
         if self._has_pending(session):
-            return  # its next message brings all that has changed by then
+            return  # the pending push will include every change up to the time it is composed
         now = self.clock.now()
         queue_limit = self.session_manager.send_queue.limit
         max_entries = max(1, int(UNSENT_ADVICE_SHARE * queue_limit / max(1, len(self._connections))))
@@ -189,13 +195,13 @@
         return pending is not None and bool(pending.units)
 
     def wake(self, sessions: list[Session]) -> None:
-        """Wake the writers of these sessions."""
+        """Wake the push tasks of these sessions."""
         for session in sessions:
             if isinstance(session, SaspSession) and session in self._connections:
                 self._connections[session].push_ready.set()
 
     def view(self) -> dict[str, Any]:
-        """Registrations, for operators."""
+        """Return the registrations as JSON values for operators."""
         return describe_registry(self.registry, self.port, self.clock.now())
 
     # -- one connection
@@ -218,7 +224,7 @@
 
     @contextmanager
     def _connected(self, stream: SocketStream, address: str) -> Iterator[Connection]:
-        """A connection, known to the server while the context lasts."""
+        """Create a connection that is registered with the server for the duration of the context."""
         rate_limiter = MessageRateLimiter(self.settings.sasp.messages_per_second)
         session = SaspSession(self.advisor, self.access.zone_of, rate_limiter)
         connection = Connection(stream, session)
@@ -238,16 +244,16 @@
             self.notify()
 
     async def _serve_session(self, connection: Connection) -> None:
-        """Read and push until the connection ends, and note why it did."""
+        """Read requests and write pushes until the connection ends, and store the reason for its end."""
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._push, connection)
                 connection.end_reason = await self._read(connection)
                 group.cancel_scope.cancel()
         except* (anyio.BrokenResourceError, anyio.ClosedResourceError, TimeoutError) as errors:
-            connection.end_reason = "it does not read" if errors.subgroup(TimeoutError) else "the stream broke"
-        except* Exception as errors:  # a fault of this program ends this session and nothing else
-            connection.end_reason = "a fault of the program"
+            connection.end_reason = "the peer does not read" if errors.subgroup(TimeoutError) else "connection failed"
+        except* Exception as errors:  # an internal error must end this session only
+            connection.end_reason = "internal error"
             self.log.error(
                 "sasp_session_failed",
                 balancer=connection.session.node,
@@ -257,13 +263,13 @@
             )
 
     async def _read(self, connection: Connection) -> str:
-        """Answer requests until the peer leaves or its stream cannot be followed; returns why."""
+        """Answer requests until the peer disconnects or a frame is invalid, and return the reason."""
         splitter = codec.Splitter()
         while True:
             try:
                 data = await connection.stream.receive(READ_BYTES)
             except anyio.EndOfStream:
-                return PEER_LEFT
+                return PEER_CLOSED
             try:
                 for frame in splitter.feed(data):
                     await self._answer(connection, frame)
@@ -287,7 +293,7 @@
                 await connection.stream.send(data)
 
     def _handle(self, session: SaspSession, frame: bytes) -> bytes:
-        """The reply to a request, once all that follows from it is under way."""
+        """Process a request, start the join or refresh that results from it, and return the reply."""
         revision = self.registry.revision
         was_joined = session.joined
         reply = session.receive(self.clock.now(), frame)
@@ -311,7 +317,7 @@
             zone=session.zone,
             pushes=session.accepts_pushes,
             trusts=bool(session.flags & LbFlag.TRUST),
-            note="SASP acknowledges nothing: a drain binds it at its next poll or push",
+            note="SASP has no acknowledgements: a drain takes effect at the next poll or push",
         )
         self.notify()
 
@@ -319,7 +325,7 @@
         session = connection.session
         while True:
             await connection.push_ready.wait()
-            # A new event before composing: what is enqueued meanwhile wakes this task again.
+            # Replace the event before composing, so that units enqueued meanwhile wake this task again.
             connection.push_ready = anyio.Event()
             push = session.compose(self.clock.now())
             while push is not None:
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -1,9 +1,9 @@
-"""One SASP connection as a state machine. Sans I/O.
+"""State machine of one SASP connection. Sans I/O.
 
-SASP has no acknowledgement. What stands in its place: a poll tells a load balancer all there is, so it has seen what
-was published when it was answered; a push counts as seen once the peer's socket took it. Until then its sync token
-stays unacknowledged, and so do its entries in the send queue. A load balancer that neither polls nor takes pushes is
-treated as holding what it was last told.
+SASP has no acknowledgements, so sending counts instead. A poll reply contains all advice, so the load balancer has seen
+everything that was published by the time of the reply. A push counts as seen as soon as the socket has accepted it.
+Until then, its sync token and its entries in the send queue are unacknowledged. A load balancer that neither polls nor
+accepts pushes is assumed to still use the advice that it received last.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from damsonpick.protocols.shared.session import CoveredChanges, RejectedVersion, SeqRange
 from damsonpick.state.published_tables import FLEET
 
-NOTHING_UNACKNOWLEDGED = 1 << 62  # above all sequence numbers
+NOTHING_UNACKNOWLEDGED = 1 << 62  # greater than every sequence number
 REPLY_KINDS: dict[int, Kind] = {
     Kind.REGISTER: Kind.REGISTER_REPLY,
     Kind.DEREGISTER: Kind.DEREGISTER_REPLY,
@@ -32,7 +32,7 @@
 
 
 class ChangedGroup(NamedTuple):
-    """A group of which the peer should be told."""
+    """A group whose changed advice should be sent to the peer."""
 
     group: RegisteredGroup
     advice: dict[str, Advice]
@@ -40,11 +40,11 @@
 
 
 class UnsentAdvice(NamedTuple):
-    """What a peer should be told though no table changed.
+    """Advice that has changed without a table change and should be pushed to a peer.
 
     Attributes:
-        entries: a name for each changed entry, by unit.
-        urgent: a member has newly been quiesced.
+        entries: Names of the entries to push, by unit.
+        urgent: Whether a member has newly been quiesced.
     """
 
     entries: dict[str, set[str]]
@@ -52,26 +52,26 @@
 
 
 class Subscription(NamedTuple):
-    """Units of all groups of a load balancer, at a revision of the registry."""
+    """Units that all groups of a load balancer cover, as of a revision of the registry."""
 
     revision: int
     units: frozenset[str]
 
 
 class SaspSession:
-    """One connection. Implements `protocols.shared.session.Session` once its load balancer has made itself known.
+    """Session of one connection. Implements `protocols.shared.session.Session` once its load balancer is identified.
 
     Args:
-        advisor: computes advice; shared by all sessions.
-        zone_of: the zone of a load balancer.
-        rate_limiter: of the messages of this session.
+        advisor: Computes advice; shared by all sessions.
+        zone_of: Returns the zone of a load balancer.
+        rate_limiter: Limits the message rate of this session.
 
     Attributes:
-        lb: identifier of the load balancer; empty: not known yet.
-        flags: as the load balancer last set them.
-        seen_seq: sequence number of the newest change that the peer was told of.
-        pushed_members: members in the last push.
-        decode_error: why the last message was not understood; empty: it was.
+        lb: Identifier of the load balancer; empty until the load balancer has identified itself.
+        flags: Flags that the load balancer set last.
+        seen_seq: Sequence number of the newest change that was sent to the peer.
+        pushed_members: Number of members in the last push.
+        decode_error: Why the last message could not be decoded; empty if it could.
     """
 
     variant = "sasp"
@@ -80,7 +80,7 @@
     def __init__(
         self, advisor: WeightAdvisor, zone_of: Callable[[bytes], str], rate_limiter: MessageRateLimiter
     ) -> None:
-        """Begin with a load balancer that is not known."""
+        """Create a session whose load balancer has not identified itself yet."""
         self.advisor = advisor
         self.zone_of = zone_of
         self.rate_limiter = rate_limiter
@@ -95,25 +95,25 @@
         self.decode_error = ""
         self.seen_seq = 0
         self.pushed_members = 0
-        self._last_advice: dict[bytes, dict[str, Advice]] = {}  # by group: what the peer was last told
-        self._polled_at = 0  # ns
-        self._pushed_at = 0  # ns
-        self._pending: CoveredChanges | None = None  # changes that are to be pushed
-        self._pending_units: set[str] = set()  # units whose groups may have changed; FLEET: all
+        self._last_advice: dict[bytes, dict[str, Advice]] = {}  # by group name: advice that the peer received last
+        self._polled_at = 0  # time of the last poll reply in ns; 0 if there was none
+        self._pushed_at = 0  # time of the last push in ns; 0 if there was none
+        self._pending: CoveredChanges | None = None  # changes to push
+        self._pending_units: set[str] = set()  # units whose groups may have changed; FLEET stands for all groups
         self._subscription = Subscription(-1, frozenset())
-        self._writing_seq = 0  # lowest sequence number of a push that the socket has not taken; 0: none
+        self._writing_seq = 0  # lowest sequence number in the push being written; 0 if no push is being written
         self._push_number = 0  # message id of the last push
 
     # -- requests
 
     def receive(self, now: int, data: bytes) -> bytes:
-        """The reply to one whole frame."""
+        """Process one complete frame and return the encoded reply."""
         self.decode_error = ""
         try:
             message = codec.decode(data)
         except codec.MessageError as error:
             self.decode_error = str(error)
-            return _not_understood(error)
+            return _encode_not_understood(error)
         return self._answer(now, message)
 
     def _answer(self, now: int, message: sasp.Message) -> bytes:
@@ -129,7 +129,7 @@
                 kind, code = Kind.DEREGISTER, registry.deregister(self, sender, groups)
             case sasp.SetMemberState(sender, groups):
                 kind, code = Kind.SET_MEMBER_STATE, registry.set_states(sender, groups)
-            case _:  # a reply or a push: only this side sends those
+            case _:  # a reply or a push, which only the manager sends
                 kind, code = Kind.SET_LB_STATE, Code.NOT_UNDERSTOOD
         return codec.encode(sasp.Message(message.number, sasp.Reply(REPLY_KINDS[kind], code)))
 
@@ -155,7 +155,10 @@
         self.flags = flags
 
     def _answer_poll(self, now: int, number: int, groups: tuple[sasp.Group, ...]) -> bytes:
-        """Get Weights Reply (RFC 4678, 6.3). With NO_CHANGE, groups whose advice is as last told are left out."""
+        """Return the encoded Get Weights Reply (RFC 4678, 6.3).
+
+        With the flag NO_CHANGE, the reply omits groups whose advice is the same as last sent.
+        """
         if not groups:
             groups = self._own_groups()
         encoded_groups: list[bytes] = []
@@ -169,14 +172,14 @@
         return codec.frame(number, Kind.GET_WEIGHTS_REPLY, codec.write_weights_reply(code, interval, encoded_groups))
 
     def _own_groups(self) -> tuple[sasp.Group, ...]:
-        """All groups of the load balancer."""
+        """Return the keys of all groups of the load balancer."""
         balancer = self.advisor.registry.balancers.get(self.lb) if self.lb else None
         if balancer is None:
             return ()
         return tuple(group.key for group in balancer.groups.values())
 
     def _collect_weights(self, now: int, groups: tuple[sasp.Group, ...], encoded_groups: list[bytes]) -> Code:
-        """Append the encoded weights of groups; stops at the first that cannot be had."""
+        """Append the encoded weights of groups, up to the first group that cannot be read; return its reply code."""
         if len(set(groups)) != len(groups):
             return Code.DUPLICATE_GROUP
         for key in groups:
@@ -194,11 +197,15 @@
 
     @property
     def accepts_pushes(self) -> bool:
-        """Whether the load balancer asked for pushes."""
+        """Whether the load balancer has asked for pushes with the flag PUSH."""
         return bool(self.flags & LbFlag.PUSH)
 
     def compose(self, now: int) -> bytes | None:
-        """The next push (Send Weights; RFC 4678, 6.4); None: nothing that the peer was not told, beyond noise."""
+        """Return the next push (Send Weights; RFC 4678, 6.4).
+
+        None if no changes are pending, if no advice has changed significantly since it was last sent, or while a push is
+        being written.
+        """
         if self._pending is None or self._writing_seq:
             return None
         covered, self._pending = self._pending, None
@@ -217,7 +224,7 @@
         return codec.frame(self._push_number, Kind.SEND_WEIGHTS, codec.write_groups(encoded_groups))
 
     def _encode_push(self, changed: ChangedGroup) -> bytes:
-        """A group of weights: the changed members alone if the load balancer set NO_CHANGE, else all."""
+        """Encode the weights of a group: only the changed members if the load balancer set NO_CHANGE, else all."""
         before = self._last_advice.get(changed.group.key.name)
         if not self.flags & LbFlag.NO_CHANGE or before is None:
             self.pushed_members += len(changed.group.snapshot)
@@ -227,7 +234,7 @@
         return members.encoded
 
     def _changed_groups(self, now: int, units: set[str]) -> Iterator[ChangedGroup]:
-        """Groups within `units` of which the peer should be told, beyond noise."""
+        """Yield the groups that cover any of `units` and whose advice has changed significantly since last sent."""
         balancer = self.advisor.registry.balancers.get(self.lb)
         groups = balancer.groups if balancer else {}
         for name in [name for name in self._last_advice if name not in groups]:
@@ -242,12 +249,12 @@
                 yield ChangedGroup(group, current.advice, current.encoded)
 
     def unsent_advice(self, now: int, max_entries: int) -> UnsentAdvice:
-        """What the peer should be told though no table changed.
+        """Return advice that has changed without a table change and should be pushed.
 
         Args:
-            now: ns.
-            max_entries: about how many; newly quiesced members come all the same, the rest waits for the next call or
-                for the peer's poll.
+            now: Current time, nanoseconds.
+            max_entries: Approximate limit on the entries. Groups with newly quiesced members are included beyond it;
+                other groups wait for the next call or for the peer's poll.
         """
         entries: dict[str, set[str]] = {}
         if not self.accepts_pushes or self._pending is not None or self._writing_seq:
@@ -266,18 +273,21 @@
         return UnsentAdvice(entries, urgent)
 
     def push_written(self) -> None:
-        """The socket took the push."""
+        """Record that the socket has accepted the push."""
         self._writing_seq = 0
 
     # -- protocols.shared.session.Session
 
     @property
     def joined(self) -> bool:
-        """Whether the load balancer has made itself known."""
+        """Whether the load balancer has identified itself."""
         return bool(self.lb)
 
     def subscribes_to(self, unit: str) -> bool:
-        """Whether changes of a unit are pushed. Polls take no room in the send queue: the peer asks for them."""
+        """Return whether changes of a unit are pushed to the peer.
+
+        Poll replies need no capacity of the send queue, because the peer asks for them.
+        """
         registry = self.advisor.registry
         if not self.accepts_pushes or self.lb not in registry.balancers:
             return False
@@ -291,7 +301,7 @@
         return unit in self._subscription.units
 
     def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
-        """Take units that have changed; they are merged with what waits for the next push."""
+        """Add changed units to those that wait for the next push."""
         first_seq = covered.first_seq
         if self._pending is not None and self._pending.first_seq:
             first_seq = min(first_seq, self._pending.first_seq)
@@ -299,33 +309,39 @@
         self._pending_units.update(units)
 
     def ready(self) -> bool:
-        """Whether the socket has taken the last push."""
+        """Return whether the socket has accepted the last push."""
         return not self._writing_seq
 
     def oldest_unacknowledged(self) -> int:
-        """The lowest sequence number that the peer was not told of, or a number above all."""
+        """Return the lowest sequence number that was not sent to the peer, or `NOTHING_UNACKNOWLEDGED`."""
         pending_seq = self._pending.first_seq if self._pending else 0
         return min((seq for seq in (self._writing_seq, pending_seq) if seq), default=NOTHING_UNACKNOWLEDGED)
 
     def unacknowledged_messages(self) -> int:
-        """Pushes that the socket has not taken: 0 or 1."""
+        """Return the number of pushes that the socket has not accepted yet: 0 or 1."""
         return int(bool(self._writing_seq))
 
     def acknowledged_versions(self) -> dict[str, str]:
-        """Empty: SASP tells no versions."""
+        """Return an empty dictionary, because SASP messages carry no versions."""
         return {}
 
     def acknowledged_at(self) -> int:
-        """Time of the last poll reply or push, ns; 0: none. SASP acknowledges nothing, so what was sent counts."""
+        """Return the time of the last poll reply or push in nanoseconds, or 0 if there was none.
+
+        SASP has no acknowledgements, so sending counts as acknowledgement.
+        """
         return max(self._polled_at, self._pushed_at)
 
     def held_counts(self) -> dict[str, int]:
-        """Groups that the peer was told of."""
+        """Return the number of groups whose advice was sent to the peer."""
         return {"groups": len(self._last_advice)}
 
 
-def _not_understood(error: codec.MessageError) -> bytes:
-    """The reply to a message that cannot be decoded; of the kind that its request asks for, if that is known."""
+def _encode_not_understood(error: codec.MessageError) -> bytes:
+    """Return the encoded reply to a message that cannot be decoded.
+
+    The reply type matches the type of the request if that is known, and is Set LB State Reply otherwise.
+    """
     kind = REPLY_KINDS.get(error.kind, Kind.SET_LB_STATE_REPLY)
     if kind is Kind.GET_WEIGHTS_REPLY:
         return codec.encode(sasp.Message(error.number, sasp.WeightsReply(Code.NOT_UNDERSTOOD, 0, ())))
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -1,9 +1,9 @@
-"""Weights of a group's members from the published tables. Sans I/O.
+"""Derives the weights of a group's members from the published tables. Sans I/O.
 
-A member's share of a set of slices is the part of their requests that the tables send to it: summed over the slices,
-the slice's load times the weight of the member's entry among the routable entries. Shares become the 16-bit weights of
-RFC 4678 without losing the difference between zero and non-zero, nor which of two is the larger. Endpoints that are
-withdrawn weigh 0 and are quiesced.
+A member's share of a set of slices is the fraction of their requests that the tables send to it: the sum over the
+slices of the slice's load times the member's fraction of the weight of all routable entries. Shares are converted to
+the 16-bit weights of RFC 4678. The conversion preserves the order of shares and the difference between zero and
+non-zero. Withdrawn endpoints have weight 0 and are quiesced.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from damsonpick.protocols.sasp.layout import MAX_WEIGHT, WeightFlag
 from damsonpick.state.published_tables import PublishedTables
 
-LARGEST_SHARE_WEIGHT = 60_000  # leaves room up to MAX_WEIGHT to separate shares that round to one number
-EQUAL_SHARE_TOLERANCE = 1e-9  # of the largest share: shares closer than this get one weight
-WEIGHT_NOISE = 0.05  # share by which a weight may change without being pushed
+LARGEST_SHARE_WEIGHT = 60_000  # the range above it, up to MAX_WEIGHT, separates shares that round to the same number
+EQUAL_SHARE_TOLERANCE = 1e-9  # fraction of the largest share; shares that differ by less get the same weight
+WEIGHT_CHANGE_TOLERANCE = 0.05  # relative change of a weight up to which it is not pushed
 
 
 class Advice(NamedTuple):
-    """What a load balancer is told of an endpoint.
+    """Advice to a load balancer on one endpoint.
 
     Attributes:
-        weight: 0 to `MAX_WEIGHT`.
-        flags: of the weight entry.
+        weight: Weight from 0 to `MAX_WEIGHT`.
+        flags: Flags of the weight entry.
     """
 
     weight: int
@@ -33,12 +33,12 @@
 
 
 class MemberStatus(NamedTuple):
-    """What is known of an endpoint, whatever the tables say.
+    """Status of an endpoint, independent of the tables.
 
     Attributes:
-        listed: it is on the endpoint list.
-        serving: it is listed as in service.
-        has_recent_reports: load reports named it lately.
+        listed: Whether it is on the endpoint list.
+        serving: Whether the endpoint list has it as in service.
+        has_recent_reports: Whether recent load reports include it.
     """
 
     listed: bool
@@ -48,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Exclusions:
-    """Endpoints that get no new work, and those that registered themselves.
+    """Endpoints that must not get new work, and endpoints that registered themselves.
 
     Attributes:
-        withdrawn: by this controller.
-        quiesced: by members or load balancers.
-        self_registered: the member itself asked for its registration.
+        withdrawn: Endpoints that this controller has withdrawn.
+        quiesced: Endpoints that members or load balancers have quiesced.
+        self_registered: Endpoints that registered themselves.
     """
 
     withdrawn: Iterable[str] = ()
@@ -64,15 +64,16 @@
 def traffic_shares(
     published: PublishedTables, slices: Iterable[int], load_of: Callable[[int], float]
 ) -> dict[str, float]:
-    """The share of the requests for some slices that each endpoint gets by the tables.
+    """Return the fraction of the requests for some slices that the tables send to each endpoint.
 
     Args:
-        published: the tables.
-        slices: numbers of the slices.
-        load_of: requests a second of a slice.
+        published: The published tables.
+        slices: Numbers of the slices.
+        load_of: Returns the requests per second of a slice.
 
     Returns:
-        By endpoint, adding up to 1; equal shares if no slice has any load; empty if none has a routable entry.
+        Shares by endpoint, which add up to 1. All shares are equal if no slice has any load. Empty if no slice has a
+        routable entry.
     """
     rates: dict[str, float] = {}
     for number in slices:
@@ -89,7 +90,7 @@
 
 
 def capacity_shares(capacities: Mapping[str, float], withdrawn: Iterable[str]) -> dict[str, float]:
-    """Shares in proportion to capacity, adding up to 1; empty if no endpoint is left."""
+    """Return shares in proportion to capacity, which add up to 1; empty if no endpoint can be used."""
     excluded = set(withdrawn)
     usable = {name: capacity for name, capacity in capacities.items() if capacity > 0 and name not in excluded}
     total = sum(usable.values())
@@ -99,7 +100,11 @@
 
 
 def whole_weights(shares: Mapping[str, float]) -> dict[str, int]:
-    """Whole weights: 0 only for 0, larger for larger, equal for equal; as near to proportion as that allows."""
+    """Convert shares to integer weights.
+
+    Only a share of 0 gets weight 0, a larger share gets a larger weight, and equal shares get equal weights. Within
+    these constraints, weights are as close to proportional as possible.
+    """
     largest = max(shares.values(), default=0.0)
     weights = dict.fromkeys(shares, 0)
     if largest <= 0:
@@ -116,7 +121,10 @@
 
 
 def _ranks(shares: Mapping[str, float], tolerance: float) -> list[list[str]]:
-    """Endpoints with a share above 0, ascending; those within `tolerance` of the first of a rank stand together."""
+    """Rank the endpoints with a share above 0 in ascending order.
+
+    Endpoints whose share is within `tolerance` of the first share of a rank belong to this rank.
+    """
     positive = [name for name, share in shares.items() if share > 0]
     ranks: list[list[str]] = []
     rank_share = 0.0
@@ -135,16 +143,16 @@
     status_of: Callable[[str], MemberStatus],
     exclusions: Exclusions,
 ) -> dict[str, Advice]:
-    """Advice on a group's endpoints.
+    """Return the advice on the endpoints of a group.
 
     Args:
-        shares: by endpoint, over the slices that the group covers.
-        endpoints: of the group's members.
-        status_of: what is known of an endpoint.
-        exclusions: endpoints that are to be quiesced.
+        shares: Shares by endpoint over the slices that the group covers.
+        endpoints: Endpoints of the group's members.
+        status_of: Returns the status of an endpoint.
+        exclusions: Endpoints to quiesce, and endpoints that registered themselves.
 
     Returns:
-        By endpoint, in the order of `endpoints`.
+        Advice by endpoint, in the order of `endpoints`.
     """
     withdrawn = set(exclusions.withdrawn)
     asked = set(exclusions.quiesced)
@@ -174,22 +182,26 @@
 
 
 def is_significant(before: Mapping[str, Advice], after: Mapping[str, Advice]) -> bool:
-    """Whether a change is worth a push: other members, zero or not, quiesced or not, a weight by more than noise."""
+    """Return whether a change of advice must be pushed.
+
+    It must if the set of members changes, a weight becomes zero or non-zero, a member becomes quiesced or is no longer
+    quiesced, or a weight changes by more than `WEIGHT_CHANGE_TOLERANCE`.
+    """
     if before.keys() != after.keys():
         return True
-    return any(_differs(before[name], new) for name, new in after.items())
+    return any(_differs_significantly(before[name], new) for name, new in after.items())
 
 
-def _differs(old: Advice, new: Advice) -> bool:
+def _differs_significantly(old: Advice, new: Advice) -> bool:
     if (old.weight == 0) != (new.weight == 0):
         return True
     if (old.flags ^ new.flags) & WeightFlag.QUIESCE:
         return True
-    return abs(new.weight - old.weight) > WEIGHT_NOISE * max(old.weight, new.weight)
+    return abs(new.weight - old.weight) > WEIGHT_CHANGE_TOLERANCE * max(old.weight, new.weight)
 
 
 def has_newly_quiesced(before: Mapping[str, Advice], after: Mapping[str, Advice]) -> bool:
-    """Whether a member has newly been quiesced: such a push is urgent."""
+    """Return whether a member has newly been quiesced, which makes a push urgent."""
     for name, new in after.items():
         was_quiesced = name in before and before[name].flags & WeightFlag.QUIESCE
         if new.flags & WeightFlag.QUIESCE and not was_quiesced:
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -208,7 +208,7 @@
     [
         (4, 2, "version 2"),
         (13, 0x77, "type 0x7730 is unknown"),
-        (17, 0xFF, "rows are counted"),
+        (17, 0xFF, "rows are declared"),
         (19, 0x40, "where 0x3011 belongs"),
         (22, 3, "says it has 3 bytes"),
         (23, 200, "bytes are read"),
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -291,7 +291,7 @@
                 while any(name(3) in g.received_state.available_entries(n) for g in gates for n in weights(g)):
                     await anyio.sleep(0.02)
             assert told(await client.weights(b"web"))[name(3)].weight == 0
-            await true(lambda: [e["why"] for e in made.pilot.log("balancer_left")] == ["it does not read"])
+            await true(lambda: [e["why"] for e in made.pilot.log("balancer_left")] == ["the peer does not read"])
         finally:
             deaf.close()
 
