--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -203,8 +203,8 @@
     def compose(self, now: int) -> bytes | None:
         """Return the next push (Send Weights; RFC 4678, 6.4).
 
-        None if no changes are pending, if no advice has changed significantly since it was last sent, or while a push is
-        being written.
+        None if no changes are pending, if no advice has changed significantly since it was last sent, or while a push
+        is being written.
         """
         if self._pending is None or self._writing_seq:
             return None
--- a/damsonpick/solver/__init__.py
+++ b/damsonpick/solver/__init__.py
@@ -1,1 +1,1 @@
-"""Weights solved under capacity and cost. Sans I/O; see docs/design/solver.md."""
+"""Linear programs that compute table weights from capacities and costs. Sans I/O; see docs/design/solver.md."""
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -1,9 +1,9 @@
-"""From what the planner knows to a problem, and from a plan to advice. Sans I/O.
+"""Builds solver problems from the planner's state and turns plans into advice for the planner. Sans I/O.
 
-The solver sees the fleet through the planner: which endpoints are unroutable, warm-up, learned capacity factors and
-averaged demand are the planner's. What servers report of themselves is not used at all, as in the planner: a server
-that claims to be idle is judged by its answers. Advice goes back as events; the planner's rules, withdrawals, flow
-control and admission levels bind it.
+The solver uses the planner's view of the fleet: unroutable endpoints, warm-up, learned capacity factors and averaged
+demand. Like the planner, it does not use what servers report about themselves: a server that claims to be idle is
+assessed by its responses. Advice is returned to the planner as events and is subject to the planner's rules,
+withdrawals, flow control and admission levels.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem
 from damsonpick.time_units import NS_PER_SECOND
 
-MIN_CAPACITY = 1e-3  # cores; replaces a capacity near 0
-MIN_RATE = 1e-6  # requests a second that count as none
-MAX_RATE = 1e12  # requests a second; more is taken for a fault of the reports
-MAX_CORES = 256
-MIN_WARMING_SHARE = 0.05  # of its present capacity that a server may have at least while it warms up
-MAX_RETRY_INTERVAL_NS = 30 * NS_PER_SECOND  # between solves after failures
-MAX_BACKOFF_DOUBLINGS = 10
-FULLY_ADMITTED = 0.999  # share of a class from which all of it counts as admitted
+MIN_CAPACITY = 1e-3  # cores; lower bound of a server's capacity
+MIN_RATE = 1e-6  # requests per second up to which demand counts as 0
+MAX_RATE = 1e12  # requests per second; a higher rate is considered a fault in the reports and counts as 0
+MAX_CORES = 256  # upper bound of a server's number of cores in a problem
+MIN_WARMING_SHARE = 0.05  # lower bound of `Server.max_share` while a server warms up
+MAX_RETRY_INTERVAL_NS = 30 * NS_PER_SECOND  # longest interval between solves after failures
+MAX_BACKOFF_DOUBLINGS = 10  # of the interval between solves after failures
+FULLY_ADMITTED = 0.999  # admitted share above which a class counts as fully admitted
 
 
 class FleetMember(NamedTuple):
-    """A routable endpoint and when it last started, ns."""
+    """A routable endpoint and the time of its last start in nanoseconds."""
 
     endpoint: str
     started: int
 
 
 class TableSlot(NamedTuple):
-    """A table where there are no slices: one for each zone and class.
+    """A table of a deployment without slices, which has one table for each zone and request class.
 
     Attributes:
-        number: of the table.
-        zone: of its gateways.
-        class_index: of `request_class`, in the order of the settings.
-        request_class: that it is for.
+        number: Number of the table.
+        zone: Zone of the gateways that use the table.
+        class_index: Index of `request_class` in the order of the settings.
+        request_class: Request class that the table is for.
     """
 
     number: int
@@ -55,24 +55,29 @@
 
 
 class Advisor:
-    """When to solve, what to ask, and what to tell the planner. Tables are assigned where there are no slices.
+    """Schedules solves, builds problems and gives advice to the planner.
+
+    In a deployment without slices, the advice also assigns endpoints to tables.
 
     Args:
-        settings: the pilot's settings.
-        zone_of: the zone of an endpoint, '' if unknown.
+        settings: The pilot's settings.
+        zone_of: Returns the zone of an endpoint, or '' if it is unknown.
 
     Attributes:
-        classes: of requests, in the order of the settings.
-        costs: what the solver charges.
-        due_at: ns; when the next solve is due.
-        last_plan: the last good one.
-        advised_weights: by table and endpoint, as last told.
-        repaired_fleet: the fleet for which `repaired_tables` last gave advice.
-        failures: solves that failed since the last good one.
+        classes: Request classes, in the order of the settings.
+        costs: Costs and limits for the solver.
+        due_at: Time at which the next solve is due, nanoseconds.
+        last_plan: The last plan that the solver found; None before the first.
+        previous_plan: The plan before `last_plan`, or None.
+        advised_weights: Last advised weights by table and endpoint.
+        solved_fleet: The fleet at the start of the last solve.
+        repaired_fleet: The fleet for which `repaired_tables` last returned advice.
+        failures: Number of failed solves since the last successful solve.
+        failure_reason: Reason of the last failure; empty after a successful solve.
     """
 
     def __init__(self, settings: PilotSettings, zone_of: Callable[[str], str]) -> None:
-        """Begin without a plan."""
+        """Create an advisor that has no plan yet."""
         self.settings = settings
         self.zone_of = zone_of
         self.classes = _request_classes(settings)
@@ -86,14 +91,17 @@
         self.failures = 0
         self.failure_reason = ""
 
-    # -- when
+    # -- schedule
 
     def is_due(self, now: int, planner: Planner) -> bool:
-        """Whether to solve at `now` (ns): at its interval, and at once when servers come, go, or start anew."""
+        """Return whether to solve at `now` (ns).
+
+        A solve is due after the interval, and immediately when servers were added, removed or restarted.
+        """
         return now >= self.due_at or self.fleet(planner) != self.solved_fleet
 
     def fleet(self, planner: Planner) -> tuple[FleetMember, ...]:
-        """All routable endpoints, by name."""
+        """Return all routable endpoints in the order of their names."""
         members = []
         for name, state in sorted(planner.endpoints.items()):
             if not planner.is_unroutable(name):
@@ -101,12 +109,16 @@
         return tuple(members)
 
     def begin_solve(self, now: int, planner: Planner) -> None:
-        """Note that a solve starts at `now` (ns)."""
+        """Record that a solve starts at `now` (ns)."""
         self.solved_fleet = self.fleet(planner)
         self.due_at = now + self.settings.solver.period
 
     def note_failure(self, now: int, reason: str) -> None:
-        """Note that a solve failed at `now` (ns): the last good weights stay, the next try waits longer each time."""
+        """Record that a solve failed at `now` (ns).
+
+        The last advised weights stay valid. The delay before the next attempt grows with each failure, up
+        to `MAX_RETRY_INTERVAL_NS`.
+        """
         self.failures += 1
         self.failure_reason = reason
         backoff = self.settings.solver.period * 2 ** min(self.failures, MAX_BACKOFF_DOUBLINGS)
@@ -116,13 +128,13 @@
         self.failures = 0
         self.failure_reason = ""
 
-    # -- what is asked
+    # -- problems
 
     def servers(self, planner: Planner) -> tuple[Server, ...]:
-        """Every server that may be used, by name."""
+        """Return every server that may be used, in the order of their names."""
         last_shares = {row.name: row.share for row in self.last_plan.servers} if self.last_plan else {}
         usable = planner.usable_capacities()
-        warming_share = max(MIN_WARMING_SHARE, self._utilisation(planner, sum(usable.values())))
+        max_warming_share = max(MIN_WARMING_SHARE, self._utilisation(planner, sum(usable.values())))
         servers = []
         for name in sorted(usable):
             state = planner.endpoints[name]
@@ -133,7 +145,7 @@
                     zone=self.zone_of(name),
                     capacity=max(MIN_CAPACITY, capacity),
                     cores=max(1, min(MAX_CORES, round(state.weight))),
-                    max_share=warming_share if planner.is_warming_up(name) else 1.0,
+                    max_share=max_warming_share if planner.is_warming_up(name) else 1.0,
                     failure_ratio=round(min(1.0, max(0.0, 1.0 - state.success_ratio)), 3),
                     work_share=last_shares.get(name, 0.0),
                 )
@@ -141,17 +153,17 @@
         return tuple(servers)
 
     def _utilisation(self, planner: Planner, capacity: float) -> float:
-        """Share of the fleet's capacity that is used, at most 1."""
+        """Return the used share of the fleet's capacity, at most 1."""
         work = sum(map(self._work, planner.slices.values()))
         return min(1.0, work / (capacity or 1.0))
 
     def _work(self, slice_state: SliceState) -> float:
-        """Averaged core-seconds a second that a table's requests bring."""
+        """Return the averaged work of a table's requests in core-seconds per second."""
         rates = zip(slice_state.rates, self.classes, strict=True)
         return sum(rate * request_class.mean_work_s for rate, request_class in rates)
 
     def _table_slots(self) -> Iterator[TableSlot]:
-        """All tables where there are no slices, in their order."""
+        """Yield all tables of a deployment without slices, in the order of their numbers."""
         number = 0
         for zone in self.settings.pilot.zones:
             for class_index, request_class in enumerate(self.classes):
@@ -159,7 +171,7 @@
                 number += 1
 
     def problem(self, planner: Planner) -> Problem:
-        """Tables by zone and class over all servers."""
+        """Return the problem for tables by zone and class over all servers, for deployments without slices."""
         demand = []
         for number, zone, class_index, request_class in self._table_slots():
             slice_state = planner.slices.get(number)
@@ -169,7 +181,7 @@
         return Problem(self.classes, self.servers(planner), tuple(demand), self.costs)
 
     def slice_problem(self, planner: Planner) -> SliceWeightsProblem:
-        """Weights among the endpoints of slices that are assigned to several."""
+        """Return the problem for the weights of all slices that have endpoints and work."""
         loads = []
         for number, slice_state in sorted(planner.slices.items()):
             work = self._work(slice_state)
@@ -178,10 +190,10 @@
                 loads.append(SliceLoad(number, work, tuple(slice_state.assigned), weights))
         return SliceWeightsProblem(self.classes, self.servers(planner), tuple(loads), self.costs)
 
-    # -- what is told
+    # -- advice
 
     def initial_tables(self, planner: Planner) -> list[api.Event]:
-        """Where there are no slices: tables by capacity, at once, until the first plan."""
+        """Return initial advice by capacity in a deployment without slices. It applies until the first plan."""
         if self.settings.tables.slices or self.advised_weights or not planner.endpoints:
             return []
         servers = self.servers(planner)
@@ -193,9 +205,9 @@
         return self.advise_tables(tables, planner)
 
     def repaired_tables(self, planner: Planner) -> list[api.Event]:
-        """Advice at once when servers come or go, before any solve.
+        """Return advice when servers were added or removed, without waiting for a solve.
 
-        The last weights stay; servers that are new to a table get the level of the others by capacity.
+        Servers keep their last weights. Servers that are new to a table get the same weight per capacity as the others.
         """
         fleet = self.fleet(planner)
         if self.settings.tables.slices or not self.advised_weights or fleet == self.repaired_fleet:
@@ -206,11 +218,11 @@
         for number, zone, _, request_class in self._table_slots():
             usable = _usable_servers(servers, zone, request_class)
             old = self.advised_weights.get(number, {})
-            tables[zone, request_class.name] = normalise(_extended(old, usable))
+            tables[zone, request_class.name] = normalise(_extend_weights(old, usable))
         return self.advise_tables(tables, planner)
 
     def accept(self, plan: Plan, planner: Planner) -> list[api.Event]:
-        """Advice from a plan; entries that barely change are left as they are."""
+        """Store a plan and return advice from it. Entries that barely change keep their weight."""
         self._note_success()
         self.previous_plan = self.last_plan
         self.last_plan = plan
@@ -220,39 +232,41 @@
         return events
 
     def accept_slice_weights(self, weights: Mapping[int, Weights]) -> list[api.Event]:
-        """Advice on the entries of slices; a slice left out keeps what it has."""
+        """Return advice on the entries of slices. Slices that are not in `weights` keep their entries."""
         self._note_success()
         return [api.TableAdvised(number, entries, False) for number, entries in sorted(weights.items())]
 
     def advise_tables(self, tables: Mapping[tuple[str, str], Weights], planner: Planner) -> list[api.Event]:
-        """What differs from what the planner has: it may have dropped entries since they were told.
+        """Return advice on the tables that differ from the planner's current tables.
+
+        The comparison uses the planner's state, because the planner may have dropped entries since they were advised.
 
         Args:
-            tables: by zone and class.
-            planner: that gets the advice.
+            tables: New weights by zone and class.
+            planner: The planner that receives the advice.
         """
         events: list[api.Event] = []
         for number, zone, _, request_class in self._table_slots():
             slice_state = planner.slices.get(number)
             is_assigned = slice_state is not None and slice_state.externally_assigned
-            present: dict[str, float] = {}
+            current_weights: dict[str, float] = {}
             if slice_state is not None and is_assigned:
-                present = {endpoint: slice_state.desired_weight(endpoint) for endpoint in slice_state.assigned}
-            entries = keep_similar(tables.get((zone, request_class.name), ()), present)
+                current_weights = {endpoint: slice_state.desired_weight(endpoint) for endpoint in slice_state.assigned}
+            entries = keep_similar(tables.get((zone, request_class.name), ()), current_weights)
             self.advised_weights[number] = dict(entries)
-            if dict(entries) != present or not is_assigned:
+            if dict(entries) != current_weights or not is_assigned:
                 events.append(api.TableAdvised(number, entries, True))
         return events
 
     def readvise(self) -> list[api.Event]:
-        """All advice anew, for a planner that was started over."""
+        """Return all advice again, for a planner that was restarted."""
         return [
             api.TableAdvised(number, tuple(weights.items()), True)
             for number, weights in sorted(self.advised_weights.items())
         ]
 
     def _sustainable_rate(self, plan: Plan) -> float:
-        """Requests a second that fit, where not all do; 0 where all do."""
+        """Return the requests per second that the fleet can sustain, or 0 if the plan admits all demand."""
         if all(share > FULLY_ADMITTED for share in plan.admitted.values()):
             return 0.0
         if sum(plan.shed.values()) <= 0:
@@ -261,10 +275,10 @@
         mean_work_s = sum(each.mean_work_s for each in self.classes) / len(self.classes)
         return work / mean_work_s
 
-    # -- why
+    # -- explanation
 
     def explain(self) -> dict[str, Any]:
-        """The last plan for people and scripts, as JSON values."""
+        """Return an explanation of the last plan as JSON values, for operators and scripts."""
         if self.last_plan is None:
             return explain_nothing(self.failure_reason or "no plan yet")
         return explain_plan(self.last_plan, self.previous_plan, self.failure_reason or self.last_plan.status)
@@ -298,16 +312,16 @@
 
 
 def _usable_servers(servers: tuple[Server, ...], zone: str, request_class: RequestClass) -> list[Server]:
-    """Servers that requests of a class from a zone may go to."""
+    """Return the servers that may serve requests of a class from gateways of a zone."""
     return [server for server in servers if server.zone == zone or not request_class.own_zone_only]
 
 
-def _extended(weights: Mapping[str, float], servers: list[Server]) -> dict[str, float]:
-    """A table's weights for these servers; a new one gets the level of the others by capacity."""
+def _extend_weights(weights: Mapping[str, float], servers: list[Server]) -> dict[str, float]:
+    """Return a table's weights for these servers. New servers get the same weight per capacity as the others."""
     known = [server for server in servers if server.name in weights]
     capacity = sum(server.capacity for server in known) or 1.0
     level = sum(weights[server.name] for server in known) / capacity or 1.0
-    extended = {}
+    all_weights = {}
     for server in servers:
-        extended[server.name] = weights.get(server.name, level * server.capacity * server.max_share)
-    return extended
+        all_weights[server.name] = weights.get(server.name, level * server.capacity * server.max_share)
+    return all_weights
--- a/damsonpick/solver/explanation.py
+++ b/damsonpick/solver/explanation.py
@@ -1,4 +1,4 @@
-"""Why a plan is as it is: the answer to `damsonpick explain weights`, as JSON values."""
+"""Explains a plan as JSON values: the response to `damsonpick explain weights`."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 from damsonpick.solver.model import Limit, Plan, ServerPlan
 
-SIMILAR_SHARE = 0.02  # relative change of a share that counts as none
+SIMILAR_SHARE = 0.02  # relative change of a share up to which it counts as unchanged
 LIMIT_REASONS: dict[Limit, str] = {
-    "capacity": "it is full",
-    "cold": "it is cold",
-    "least": "it keeps the least share",
-    "moves": "the bound on moves holds it",
+    "capacity": "it is at its capacity",
+    "cold": "it is still warming up",
+    "least": "it is at its minimum share",
+    "moves": "the bound on moves limits it",
 }
 
 
 def explain_nothing(status: str) -> dict[str, Any]:
-    """There is no plan; `status` says why."""
+    """Return the explanation for the case that there is no plan; `status` gives the reason."""
     return {"status": status, "servers": [], "buildings": [], "classes": []}
 
 
 def explain_plan(plan: Plan, previous: Plan | None, status: str) -> dict[str, Any]:
-    """Loads, limits and prices of a plan, and how it differs from the one before.
+    """Return loads, limits and prices of a plan, and its differences from the previous plan.
 
     Args:
-        plan: the last good plan.
-        previous: the one before it.
-        status: of the solver at present.
+        plan: The last plan that the solver found.
+        previous: The plan before it, or None.
+        status: Current status of the solver.
     """
     previous_shares = {row.name: row.share for row in previous.servers} if previous else {}
     return {
@@ -64,7 +64,7 @@
 
 
 def _reason(row: ServerPlan, previous_shares: Mapping[str, float]) -> str:
-    """How a server's share has changed, and what limits it."""
+    """Return how a server's share has changed and what limits it."""
     if row.name not in previous_shares:
         return "new to the plan"
     previous = previous_shares[row.name]
--- a/damsonpick/solver/latency.py
+++ b/damsonpick/solver/latency.py
@@ -1,9 +1,9 @@
-"""Lateness as a convex function of utilisation, cut into linear segments.
+"""Approximates lateness as a convex, piecewise linear function of utilisation.
 
-The share of requests that wait past their latency objective on a server with c cores at utilisation u is taken from
-M/M/c (Erlang's C formula; A. K. Erlang 1917, in any text on queues): P(wait > t) = C(c, u) exp(-c (1-u) t / m).
-What a server loses is u times that share; its lower convex hull over a grid of u is what the linear program charges,
-so that latency stands in the objective and not only as a hard limit.
+The share of requests that wait longer than t on a server with c cores at utilisation u follows the M/M/c queue
+(Erlang's C formula; A. K. Erlang 1917, in any textbook on queueing): P(wait > t) = C(c, u) exp(-c (1-u) t / m), where m
+is the mean service time. A server loses u times this share of its capacity. The linear program charges the lower convex
+hull of this loss over a grid of u, so that latency is part of the objective and not only a hard limit.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 GRID_STEPS = 40
 UTILISATION_GRID = tuple(k / GRID_STEPS for k in range(GRID_STEPS + 1))
-MAX_SEGMENTS = 8
-FULL_UTILISATION = 0.95  # at which load shedding refuses the rest
-EPSILON = 1e-12
+MAX_SEGMENTS = 8  # of a loss curve
+FULL_UTILISATION = 0.95  # utilisation above which load shedding rejects the rest
+EPSILON = 1e-12  # tolerance for comparing slopes and utilisations
 MAX_CACHED_CURVES = 4096
 
 
 class Point(NamedTuple):
-    """A point of a loss curve: lost share of capacity at a utilisation."""
+    """A point of a loss curve: the lost share of capacity at a utilisation."""
 
     utilisation: float
     loss: float
@@ -32,8 +32,8 @@
     """A linear segment of a loss curve.
 
     Attributes:
-        width: in utilisation.
-        slope: lost share of capacity for each unit of utilisation.
+        width: Width of the segment in utilisation.
+        slope: Lost share of capacity per unit of utilisation.
     """
 
     width: float
@@ -41,41 +41,41 @@
 
 
 class DemandScenario(NamedTuple):
-    """Demand as a multiple of its estimate, and how probable it is."""
+    """Demand as a multiple of its estimate, and its probability."""
 
     factor: float
     probability: float
 
 
 def erlang_c(cores: int, utilisation: float) -> float:
-    """Probability that a request must wait; `utilisation` from 0 to 1."""
+    """Return the probability that a request must wait, for a `utilisation` from 0 to 1."""
     if utilisation >= 1:
         return 1.0
     load = cores * utilisation
     inverse = 1.0
-    for k in range(1, cores + 1):  # Erlang's B by its recursion, stable for any number of cores
+    for k in range(1, cores + 1):  # recursion for Erlang's B formula, numerically stable for any number of cores
         inverse = 1.0 + inverse * k / load if load > 0 else math.inf
     blocked = 1.0 / inverse
     return blocked / (1.0 - utilisation * (1.0 - blocked))
 
 
 def late_share(cores: int, utilisation: float, patience: float) -> float:
-    """Share of requests that wait longer than `patience` mean service times."""
+    """Return the share of requests that wait longer than `patience` mean service times."""
     idle = 1.0 - min(utilisation, 1.0)
     return erlang_c(cores, utilisation) * math.exp(-cores * idle * max(0.0, patience))
 
 
 def expected_loss(cores: int, utilisation: float, patience: float, spread: float) -> float:
-    """Lost share of capacity, expected over demand.
+    """Return the expected value of the lost share of capacity over uncertain demand.
 
-    Demand is below, at or above its estimate by the share `spread`, 1 : 2 : 1. What is above a nearly full server is
-    refused, the rest is as late as there.
+    Demand is below, at or above its estimate by the share `spread`, with probabilities in the ratio 1 : 2 : 1. Load
+    above `FULL_UTILISATION` is rejected and counts as lost; the rest has the lateness at that utilisation.
 
     Args:
-        cores: of the server.
-        utilisation: at the estimated demand.
-        patience: mean service times that a request may wait.
-        spread: 0: demand is as estimated.
+        cores: Number of cores of the server.
+        utilisation: Utilisation at the estimated demand.
+        patience: Longest acceptable wait in mean service times.
+        spread: Largest deviation of demand from its estimate, as a share; 0 if demand is as estimated.
     """
     total = 0.0
     for scenario in _demand_scenarios(spread):
@@ -93,32 +93,36 @@
 
 @lru_cache(maxsize=MAX_CACHED_CURVES)
 def segments(cores: int, patience: float, spread: float = 0.0, max_slope: float = 0.0) -> tuple[Segment, ...]:
-    """The loss curve of a server as segments with growing slopes.
+    """Return the loss curve of a server as segments with increasing slopes.
 
-    Estimates by zone are late and noisy: without `spread` a plan fills a zone up to the knee of its lateness while the
-    next one stands idle, and the first surge goes over it. That caution spreads work, and may not shed it.
+    Estimates of demand by zone are delayed and noisy. Without `spread`, a plan would load one zone up to the knee of
+    its lateness curve while the next zone is idle, and the first surge would exceed it. The spread must distribute
+    work more evenly but must not cause work to be shed.
 
     Args:
-        cores: of the server.
-        patience: mean service times that a request may wait.
-        spread: how far demand may be from its estimate, as a share.
-        max_slope: under which the slope stays where the spread alone raises it; the value of the cheapest work.
+        cores: Number of cores of the server.
+        patience: Longest acceptable wait in mean service times.
+        spread: Largest deviation of demand from its estimate, as a share.
+        max_slope: Upper bound of slopes that only the spread raises: the value of the cheapest work.
     """
     slopes = _grid_slopes(_loss_curve(cores, patience, 0.0))
     if spread:
-        cautious = _grid_slopes(_loss_curve(cores, patience, spread))
-        slopes = [max(plain, min(careful, max_slope)) for plain, careful in zip(slopes, cautious, strict=True)]
+        spread_slopes = _grid_slopes(_loss_curve(cores, patience, spread))
+        slopes = [
+            max(base_slope, min(spread_slope, max_slope))
+            for base_slope, spread_slope in zip(slopes, spread_slopes, strict=True)
+        ]
     curve = _simplified(_hull(_integrated(slopes)))
     return tuple(Segment(right.utilisation - left.utilisation, _slope(left, right)) for left, right in pairwise(curve))
 
 
 def _loss_curve(cores: int, patience: float, spread: float) -> list[Point]:
-    """The lower convex hull of the expected loss over the grid."""
+    """Return the lower convex hull of the expected loss over the grid."""
     return _hull([Point(u, expected_loss(cores, u, patience, spread)) for u in UTILISATION_GRID])
 
 
 def _integrated(slopes: list[float]) -> list[Point]:
-    """The curve with these slopes over the steps of the grid."""
+    """Return the curve that starts at 0 and has these slopes over the steps of the grid."""
     curve = [Point(0.0, 0.0)]
     loss = 0.0
     for (left, right), slope in zip(pairwise(UTILISATION_GRID), slopes, strict=True):
@@ -128,7 +132,7 @@
 
 
 def _simplified(curve: list[Point]) -> list[Point]:
-    """Leaves out the corners that matter least until `MAX_SEGMENTS` are left; the curve stays convex."""
+    """Remove the points with the smallest effect on the curve until it has `MAX_SEGMENTS` segments; it stays convex."""
     points = list(curve)
     while len(points) - 1 > MAX_SEGMENTS:
         gaps = [_gap(points[k - 1], points[k], points[k + 1]) for k in range(1, len(points) - 1)]
@@ -137,7 +141,7 @@
 
 
 def _hull(points: list[Point]) -> list[Point]:
-    """Lower convex hull, from left to right."""
+    """Return the lower convex hull of points that are ordered from left to right."""
     hull: list[Point] = []
     for point in points:
         while len(hull) > 1 and _slope(hull[-2], hull[-1]) >= _slope(hull[-1], point) - EPSILON:
@@ -147,16 +151,16 @@
 
 
 def _grid_slopes(hull: list[Point]) -> list[float]:
-    """A hull's slope over each step of the grid."""
+    """Return the slope of a hull over each step of the grid."""
     return [_slope_at(hull, utilisation) for utilisation in UTILISATION_GRID[1:]]
 
 
 def _slope_at(hull: list[Point], utilisation: float) -> float:
-    """The slope of the first segment that reaches a utilisation."""
+    """Return the slope of the first segment that reaches a utilisation."""
     for left, right in pairwise(hull):
         if right.utilisation >= utilisation - EPSILON:
             return _slope(left, right)
-    raise ValueError(f"the hull ends before utilisation {utilisation}")
+    raise ValueError(f"the convex hull ends before utilisation {utilisation}")
 
 
 def _slope(left: Point, right: Point) -> float:
@@ -164,12 +168,12 @@
 
 
 def _gap(left: Point, middle: Point, right: Point) -> float:
-    """How far the straight line from `left` to `right` lies above `middle`."""
+    """Return the vertical distance of the line from `left` to `right` above `middle`."""
     return left.loss + _slope(left, right) * (middle.utilisation - left.utilisation) - middle.loss
 
 
 def loss(cores: int, patience: float, utilisation: float) -> float:
-    """Lost share of capacity at a utilisation up to 1, by the segments without caution."""
+    """Return the lost share of capacity at a utilisation up to 1, from the segments without demand spread."""
     total = 0.0
     remaining = utilisation
     for segment in segments(cores, patience):
--- a/damsonpick/solver/linear_program.py
+++ b/damsonpick/solver/linear_program.py
@@ -1,4 +1,4 @@
-"""A linear program in the making, row by row, and its form for HiGHS."""
+"""Builds a linear program row by row and converts it to the format of HiGHS."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Term(NamedTuple):
-    """Columns that have one coefficient in a row."""
+    """Columns that share one coefficient in a row."""
 
     columns: Sequence[int]
     coefficient: float
@@ -25,7 +25,7 @@
 class LinearProgram:
     """Minimise cost * x with 0 <= x <= upper and lower <= row * x <= upper for each row.
 
-    The order of columns and rows is part of the result: it decides between solutions of equal cost.
+    The order of columns and rows affects the result: it determines which of several solutions of equal cost is found.
     """
 
     costs: list[float] = field(default_factory=list)  # by column
@@ -39,17 +39,17 @@
 
     @property
     def column_count(self) -> int:
-        """Columns so far; the index of the next one."""
+        """Number of columns added so far, which is the index of the next column."""
         return len(self.costs)
 
     def add_column(self, cost: float, upper: float) -> int:
-        """Add a column; returns its index."""
+        """Add a column and return its index."""
         self.costs.append(cost)
         self.upper.append(upper)
         return len(self.costs) - 1
 
     def add_row(self, *terms: Term, lower: float, upper: float) -> None:
-        """Add a row: the sum of its terms is from `lower` to `upper`."""
+        """Add a row, which constrains the sum of its terms to the range from `lower` to `upper`."""
         for columns, coefficient in terms:
             self.entry_columns.extend(columns)
             self.entry_values.extend([coefficient] * len(columns))
@@ -58,7 +58,7 @@
         self.row_upper.append(upper)
 
     def to_highs(self) -> highspy.HighsLp:
-        """The program in the form of HiGHS."""
+        """Return the program in the format of HiGHS."""
         lp = highspy.HighsLp()
         lp.num_col_ = len(self.costs)
         lp.num_row_ = len(self.row_lower)
@@ -75,7 +75,7 @@
 
 
 def new_highs(options: Mapping[str, HighsOption]) -> highspy.Highs:
-    """A silent solver on one thread, with further options."""
+    """Create a HiGHS solver without output and with one thread; `options` may override these defaults."""
     highs = highspy.Highs()
     all_options: dict[str, HighsOption] = {"output_flag": False, "threads": 1, "parallel": "off", **options}
     for name, value in all_options.items():
--- a/damsonpick/solver/model.py
+++ b/damsonpick/solver/model.py
@@ -1,13 +1,15 @@
-"""What the solver is asked and what it answers.
+"""Input and output types of the solver.
 
-Work is counted in core-seconds a second at capacity factor 1. Objectives and prices are in priority weight a second: a
-request that is answered in time is worth its class's priority weight.
+Work is measured in core-seconds per second at capacity factor 1. Objectives and prices are in priority weight per
+second: a request that is answered in time contributes the priority weight of its class.
 """
 
 from __future__ import annotations
 
 from typing import Literal, NamedTuple
 
+# Limits that can bind a server: its usable capacity ("cold" while it warms up, else "capacity"), its minimum share
+# ("least") and the bound on moves ("moves").
 Limit = Literal["capacity", "cold", "least", "moves"]
 OPTIMAL = "optimal"
 
@@ -16,12 +18,12 @@
     """A request class.
 
     Attributes:
-        name: of the class.
-        priority_weight: worth of a request that is answered in time.
-        late_weight: worth of a request that is answered late.
-        mean_work_s: mean core time of a request, seconds.
-        latency_objective_s: within which an answer is in time, seconds.
-        own_zone_only: its requests may go only to servers in the gateway's zone.
+        name: Name of the class.
+        priority_weight: Value of a request that is answered in time.
+        late_weight: Value of a request that is answered late.
+        mean_work_s: Mean core time of a request, seconds.
+        latency_objective_s: Time within which a response counts as in time, seconds.
+        own_zone_only: Whether its requests may go only to servers in the gateway's zone.
     """
 
     name: str
@@ -33,16 +35,17 @@
 
 
 class Server(NamedTuple):
-    """A server as it is believed to be.
+    """Current estimate of a server.
 
     Attributes:
-        name: its endpoint.
-        zone: where it stands.
-        capacity: work a second that it can do at present, warm-up and learned capacity factor in it; above 0.
-        cores: how many requests it works on at once.
-        max_share: the share of its capacity that it may be given (less than 1 while it warms up).
-        failure_ratio: share of its answers that fail.
-        work_share: part of all work that the last plan gave it, 0 if none.
+        name: Endpoint of the server.
+        zone: Zone of the server.
+        capacity: Work per second that it can do now, including the effects of warm-up and the learned capacity factor;
+            greater than 0.
+        cores: Number of requests that it processes concurrently.
+        max_share: Largest share of its capacity that a plan may use; less than 1 while it warms up.
+        failure_ratio: Share of its responses that are failures.
+        work_share: Share of all work that the last plan assigned to it; 0 if none.
     """
 
     name: str
@@ -55,16 +58,17 @@
 
 
 class Costs(NamedTuple):
-    """What is charged, in priority weight for each unit of work a second, and the limits of a plan.
+    """Costs in priority weight per unit of work per second, and the limits of a plan.
 
     Attributes:
-        cross_zone: for work that goes to another zone, for pairs that are not named.
-        zone_pairs: (from, to, cost).
-        move: for work that goes to another server than by the last plan.
-        min_share: share of an even part that each server keeps, so that load reports go on coming from it.
-        max_move_share: share of all work that may move in one plan, beyond what must.
-        headroom: part of demand for which room is kept free under every server's capacity.
-        demand_spread: how far demand of a zone may be from its estimate, as a share; lateness is expected over it.
+        cross_zone: Cost of work that goes to another zone, for pairs of zones that are not in `zone_pairs`.
+        zone_pairs: Costs of pairs of zones as (from, to, cost).
+        move: Cost of work that moves to a different server than in the last plan.
+        min_share: Share of an even distribution that each server keeps, so that load reports on it continue.
+        max_move_share: Share of all work that may move in one plan, in addition to work that must move.
+        headroom: Share of demand for which spare capacity is kept on every server.
+        demand_spread: Largest deviation of a zone's demand from its estimate, as a share of the estimate. Lateness is
+            the expected value over this range.
     """
 
     cross_zone: float = 0.02
@@ -76,7 +80,7 @@
     demand_spread: float = 0.35
 
     def between(self, source: str, target: str) -> float:
-        """The cost of work from gateways of one zone to servers of another; 0 within a zone."""
+        """Return the cost of work from gateways of one zone to servers of another; 0 within a zone."""
         if source == target:
             return 0.0
         for pair_source, pair_target, cost in self.zone_pairs:
@@ -86,7 +90,7 @@
 
 
 class Demand(NamedTuple):
-    """Requests a second of a class from the gateways of a zone."""
+    """Requests per second of a class from the gateways of a zone."""
 
     zone: str
     request_class: str
@@ -94,13 +98,13 @@
 
 
 class Problem(NamedTuple):
-    """All that a plan depends on.
+    """Complete input for a plan.
 
     Attributes:
-        classes: of requests.
-        servers: that may be used.
-        demand: by zone and class, each pair once.
-        costs: what is charged.
+        classes: Request classes.
+        servers: Servers that may be used.
+        demand: Demand by zone and class; each pair occurs once.
+        costs: Costs and limits of the plan.
     """
 
     classes: tuple[RequestClass, ...]
@@ -110,16 +114,16 @@
 
 
 class ServerPlan(NamedTuple):
-    """One server's part, and what limits it.
+    """Work that a plan assigns to one server, and the limits that bind it.
 
     Attributes:
-        name: its endpoint.
-        zone: where it stands.
-        load: work a second.
-        share: of all work.
-        utilisation: load as a share of its present capacity.
-        price: priority weight a second that one more core-second a second of capacity there would bring.
-        limits: that it stands at.
+        name: Endpoint of the server.
+        zone: Zone of the server.
+        load: Assigned work per second.
+        share: Share of all work.
+        utilisation: Load as a share of its current capacity.
+        price: Priority weight per second gained by one more core-second per second of capacity on this server.
+        limits: Limits that the server has reached.
     """
 
     name: str
@@ -138,16 +142,17 @@
     """A solved plan.
 
     Attributes:
-        status: `OPTIMAL`, or why there is no plan; the other fields are then empty or 0.
-        servers: their parts.
-        weights: by (zone, class).
-        admitted: share of each class that fits.
-        shed: priority weight a second that is refused, by class.
-        zone_prices: priority weight that one more unit of work a second in each zone would bring.
-        cross_zone_prices: priority weight of one unit of cross-zone work for free, by (from, to).
-        objective: priority weight a second; lower is worse.
-        solve_s: how long the solve took, seconds.
-        iterations: of the simplex method.
+        status: `OPTIMAL`, or the reason why there is no plan. In that case the other fields are empty or 0, except for
+            `solve_s`.
+        servers: Assigned work by server.
+        weights: Weights by (zone, class).
+        admitted: Share of each class's demand that the servers have capacity for.
+        shed: Priority weight per second of the rejected demand, by class.
+        zone_prices: Priority weight gained by one more unit of work per second in a zone, by zone.
+        cross_zone_prices: Priority weight gained by one unit of cross-zone work without cost, by (from, to).
+        objective: Priority weight per second; a lower value is worse.
+        solve_s: Duration of the solve, seconds.
+        iterations: Iterations of the simplex method.
     """
 
     status: str
--- a/damsonpick/solver/plan.py
+++ b/damsonpick/solver/plan.py
@@ -1,4 +1,7 @@
-"""From a solved program to tables: weights by zone and class, what is admitted, and what need not be sent."""
+"""Converts a solved program to a plan: table weights by zone and class, admitted shares and shed demand.
+
+Also keeps table entries whose weight barely changes, so that they need not be sent.
+"""
 
 from __future__ import annotations
 
@@ -8,22 +11,25 @@
 from damsonpick.solver.model import OPTIMAL, Plan, Problem, ServerPlan, Weights
 from damsonpick.solver.program import Program, Solution
 
-ENTRY_NOISE = 0.08  # relative change of an entry that is not worth sending
-MAX_TABLE_DRIFT = 0.03  # share of a table's weight that may be off before all of it is sent
-MIN_WEIGHT = 0.001  # of the mean, below which an entry is left out
-MIN_FLOW = 1e-9  # core-seconds a second that count as none
-SMALLEST_WEIGHT = 1e-9
+ENTRY_CHANGE_TOLERANCE = 0.08  # relative change of an entry up to which it is not sent
+MAX_TABLE_DRIFT = 0.03  # share of a table's weight that may deviate before the whole table is sent
+MIN_WEIGHT = 0.001  # fraction of the mean weight below which an entry is left out
+MIN_FLOW = 1e-9  # core-seconds per second up to which a flow counts as zero
+SMALLEST_WEIGHT = 1e-9  # lower bound of the weight that a relative change is compared with
 
 
 class Admission(NamedTuple):
-    """What is admitted and refused, by class; see `model.Plan`."""
+    """Admitted shares and shed priority weight by class; see `model.Plan`."""
 
     admitted: dict[str, float]
     shed: dict[str, float]
 
 
 def plan(program: Program, problem: Problem) -> Plan:
-    """Solve and read. A program without an optimum gives a plan without weights and the reason as status."""
+    """Solve a problem and return its plan.
+
+    If the program has no optimum, the plan has no weights and its status is the reason.
+    """
     if not problem.servers:
         return empty_plan("no server may be used")
     solution = program.solve(problem)
@@ -45,7 +51,7 @@
 
 
 def empty_plan(status: str, solve_s: float = 0.0) -> Plan:
-    """A plan without weights; `status` says why."""
+    """Return a plan without weights; `status` gives the reason."""
     return Plan(status, (), {}, {}, {}, {}, {}, 0.0, solve_s)
 
 
@@ -82,16 +88,17 @@
     shed = {}
     for each in problem.classes:
         asked = sum(rate * each.mean_work_s for _, name, rate in problem.demand if name == each.name)
-        given = sum(work for (_, name, _), work in solution.flows.items() if name == each.name)
-        admitted[each.name] = min(1.0, given / asked) if asked > 0 else 1.0
-        shed[each.name] = max(0.0, asked - given) * each.priority_weight / each.mean_work_s
+        admitted_work = sum(work for (_, name, _), work in solution.flows.items() if name == each.name)
+        admitted[each.name] = min(1.0, admitted_work / asked) if asked > 0 else 1.0
+        shed[each.name] = max(0.0, asked - admitted_work) * each.priority_weight / each.mean_work_s
     return Admission(admitted, shed)
 
 
 def _weights(problem: Problem, solution: Solution) -> dict[tuple[str, str], Weights]:
-    """A table for each zone and class: the flow into a zone over its servers by their loads.
+    """Return a table for each zone and class.
 
-    Where nothing flows, by capacity: a table is never empty while a server may be used.
+    The flow into a target zone is divided among the zone's servers in proportion to their loads. If there is no flow,
+    weights are in proportion to capacity, so that a table is never empty while any server may be used.
     """
     own_zone_only = {each.name: each.own_zone_only for each in problem.classes}
     zone_loads: dict[str, float] = {}
@@ -113,7 +120,7 @@
 
 
 def normalise(raw: Mapping[str, float]) -> Weights:
-    """Weights with mean 1 over the entries that have any; those under `MIN_WEIGHT` are left out."""
+    """Scale weights to a mean of 1 over the entries above 0, and leave out entries below `MIN_WEIGHT`."""
     positive_count = sum(value > 0 for value in raw.values())
     mean = sum(raw.values()) / (positive_count or 1)
     if mean <= 0:
@@ -122,14 +129,17 @@
 
 
 def keep_similar(new: Weights, old: Mapping[str, float]) -> Weights:
-    """What is worth sending: entries that barely change stay as they are, unless the table drifts for it."""
+    """Return the new weights, but keep old entries that barely change.
+
+    All entries are replaced if the kept ones would make the table deviate by more than `MAX_TABLE_DRIFT`.
+    """
     if not old or not new:
         return new
     new_total = sum(weight for _, weight in new)
     scale = new_total / sum(old.values())
     kept = dict(new)
     for name, weight in new:
-        if name in old and abs(old[name] * scale - weight) <= ENTRY_NOISE * max(weight, SMALLEST_WEIGHT):
+        if name in old and abs(old[name] * scale - weight) <= ENTRY_CHANGE_TOLERANCE * max(weight, SMALLEST_WEIGHT):
             kept[name] = old[name] * scale
     kept_total = sum(kept.values())
     drift = sum(abs(kept[name] / kept_total - weight / new_total) for name, weight in new) / 2
--- a/damsonpick/solver/program.py
+++ b/damsonpick/solver/program.py
@@ -1,14 +1,20 @@
-"""The linear program of a whole plan, built for HiGHS and kept warm between plans.
+"""The linear program of a whole plan for HiGHS, which keeps its basis between plans.
 
-Minimise, in priority weight a second,
+The program minimises, in priority weight per second,
     - value F + cross F + (density * loss slope + highest value * failure ratio) l + move t + penalties
-over flows F[z,c,b] (work of class c from gateways of zone z to servers of zone b), loads l[s,k] in the segments of a
-server's loss curve, gains t[s] over the last plan, shortfalls n[s] under the least share, and m over the bound on
-moves. Classes share a zone's servers alike, as what limits a server is its whole load: the program grows with servers
-plus zones squared, not with servers times zones times classes. It is always feasible: nothing admitted satisfies it.
-
-Servers that are alike in everything are one block of columns: symmetry would be broken by luck, so the same input
-gives the same weights everywhere, and like servers get like weights.
+over these variables:
+    F[z,c,b]  flows: work of class c from gateways of zone z to servers of zone b
+    l[s,k]    loads in the segments k of a server's loss curve
+    t[s]      gains of a server over the last plan
+    n[s]      shortfalls under a server's minimum share
+    m         excess over the bound on moves
+All classes use a zone's servers in the same proportions, because a server is limited by its total load. The size of the
+program therefore grows with servers plus zones squared, not with servers times zones times classes. The program is
+always feasible: admitting no work satisfies all constraints.
+
+Servers with equal properties share one group of columns. With separate columns, the solver would break the symmetry
+between them arbitrarily. With groups, the same input gives the same weights on every machine, and equal servers get
+equal weights.
 """
 
 from __future__ import annotations
@@ -24,17 +30,17 @@
 from damsonpick.solver.linear_program import INFINITY, LinearProgram, Term, new_highs
 from damsonpick.solver.model import OPTIMAL, Limit, Problem, RequestClass, Server
 
-SHORTFALL_PENALTY = 10.0  # times the highest value: a least share is missed only where it cannot be had
-EXCESS_MOVE_PENALTY = 5.0  # times the highest value
-TIE_BREAK_COST = 1e-7  # by which another zone, then a smaller server, is dearer: decides between equal solutions
-CAUTION_SHARE = 0.95  # of the value of the cheapest work, under which caution stays
-RELATIVE_TOLERANCE = 1e-6
-LOAD_TOLERANCE = 1e-12
-GAIN_TOLERANCE = 1e-9
+SHORTFALL_PENALTY = 10.0  # factor on the highest value; a minimum share is missed only if it cannot be reached
+EXCESS_MOVE_PENALTY = 5.0  # factor on the highest value
+TIE_BREAK_COST = 1e-7  # added cost of other zones and of smaller servers; selects one of several equal solutions
+SPREAD_SLOPE_SHARE = 0.95  # fraction of the value of the cheapest work that bounds slopes raised by demand spread
+RELATIVE_TOLERANCE = 1e-6  # for comparing a load with a limit
+LOAD_TOLERANCE = 1e-12  # core-seconds per second, for comparing a load with a minimum load
+GAIN_TOLERANCE = 1e-9  # for gains and row prices that count as zero
 
 
 class ServerGroup(NamedTuple):
-    """Servers alike in all that matters; see `model.Server`."""
+    """Servers with equal properties except for their names; see `model.Server`."""
 
     zone: str
     capacity: float
@@ -54,7 +60,7 @@
 
 
 class ClassWork(NamedTuple):
-    """Core-seconds a second that a class brings from the gateways of a zone."""
+    """Work of a class from the gateways of a zone, core-seconds per second."""
 
     zone: str
     request_class: str
@@ -62,25 +68,26 @@
 
 
 class Shape(NamedTuple):
-    """The columns of a program. A basis fits another program of the same shape."""
+    """Structure of a program's columns. A basis can be reused for another program of the same shape."""
 
     flows: tuple[Flow, ...]
     segments: tuple[tuple[str, int], ...]  # zone and number of segments, by group
 
 
 class Solution(NamedTuple):
-    """What the solver found.
+    """Solution of a program.
 
     Attributes:
-        status: `OPTIMAL`, or why there is no optimum; the rest is empty then.
-        objective: priority weight a second.
-        flows: core-seconds a second.
-        loads: core-seconds a second, by server.
-        prices: of one more core-second a second of capacity, by server.
-        limits: that bind a server.
-        zone_prices: of one more unit of work a second, by zone.
-        solve_s: seconds.
-        iterations: of the simplex method.
+        status: `OPTIMAL`, or the reason why there is no optimum. In that case the other fields are empty or 0, except
+            for `solve_s`.
+        objective: Priority weight per second.
+        flows: Work in core-seconds per second, by (zone, class, target zone).
+        loads: Work in core-seconds per second, by server.
+        prices: Value of one more core-second per second of capacity, by server.
+        limits: Limits that bind a server, by server.
+        zone_prices: Value of one more unit of work per second, by zone.
+        solve_s: Duration of the solve, seconds.
+        iterations: Iterations of the simplex method.
     """
 
     status: str
@@ -95,7 +102,7 @@
 
 
 def group_servers(servers: tuple[Server, ...]) -> list[ServerGroup]:
-    """Groups in a settled order: by zone, larger servers first."""
+    """Group servers with equal properties, in a deterministic order: by zone, larger servers first."""
     groups: dict[ServerGroup, list[str]] = {}
     for server in servers:
         key = ServerGroup(
@@ -113,33 +120,39 @@
 
 
 def patience(classes: tuple[RequestClass, ...]) -> float:
-    """Mean service times that a request may wait, by the most impatient class; coarse, so curves are shared."""
+    """Return the longest acceptable wait in mean service times, for the class that accepts the shortest wait.
+
+    The value is rounded, so that cached loss curves can be shared.
+    """
     waits = [max(0.0, each.latency_objective_s / each.mean_work_s - 1.0) for each in classes]
     return round(min(waits), 2)
 
 
-def max_caution_slope(classes: tuple[RequestClass, ...], density: float) -> float:
-    """Slope under which caution stays: just below the value of the cheapest work, against the mean `density`."""
+def max_spread_slope(classes: tuple[RequestClass, ...], density: float) -> float:
+    """Return the upper bound of slopes that only the demand spread raises.
+
+    It is slightly below the value of the cheapest work, relative to the mean loss `density`.
+    """
     if not density:
         return 0.0
     cheapest = min(each.priority_weight / each.mean_work_s for each in classes)
-    return round(CAUTION_SHARE * cheapest / density, 2)
+    return round(SPREAD_SLOPE_SHARE * cheapest / density, 2)
 
 
 class Program:
-    """Builds, solves and reads. One instance keeps its last basis and starts from it while the shape holds.
+    """Solves problems. It keeps its last basis and starts from it as long as the shape of the program is unchanged.
 
     Args:
-        time_limit: seconds for one solve.
+        time_limit: Time limit of one solve, seconds.
     """
 
     def __init__(self, time_limit: float = 5.0) -> None:
-        """Begin without a basis."""
+        """Create a solver without a basis."""
         self.highs = new_highs({"random_seed": 1, "time_limit": time_limit, "solver": "simplex"})
-        self._shape: Shape | None = None  # of the program whose basis is kept
+        self._shape: Shape | None = None  # shape of the program that the basis belongs to
 
     def solve(self, problem: Problem) -> Solution:
-        """The optimum, or a status that says why there is none."""
+        """Return the optimum, or a solution whose status is the reason why there is none."""
         started = time.perf_counter()
         builder = ProgramBuilder(problem)
         model = builder.build().to_highs()
@@ -160,17 +173,17 @@
 
 
 class ProgramBuilder:
-    """The columns and rows of one problem.
+    """Builds the columns and rows for one problem, and converts the result of HiGHS to a solution.
 
     Args:
-        problem: what is asked.
+        problem: The problem to solve.
 
     Attributes:
-        shape: of the program.
+        shape: Shape of the program.
     """
 
     def __init__(self, problem: Problem) -> None:
-        """Work out what columns and rows rest on."""
+        """Compute the values that columns and rows are built from."""
         self.problem = problem
         self.costs = problem.costs
         self.classes = {each.name: each for each in problem.classes}
@@ -183,20 +196,20 @@
         self.value = {each.name: each.priority_weight / each.mean_work_s for each in problem.classes}
         self.highest_value = max(self.value.values(), default=1.0)
         self.density = self._loss_density()
-        self.flows = self._possible_flows()
+        self.flows = self._allowed_flows()
         self.segments = self._segments()
         segment_counts = [
             (group.zone, len(segments)) for group, segments in zip(self.groups, self.segments, strict=True)
         ]
         self.shape = Shape(tuple(self.flows), tuple(segment_counts))
-        self.room = [
+        self.usable_capacities = [
             len(group.names) * group.capacity * group.max_share / (1 + self.costs.headroom) for group in self.groups
         ]
         self.min_load = self._min_loads()
-        self._work_out_moves()
+        self._compute_move_bound()
 
     def _loss_density(self) -> float:
-        """Priority weight that a unit of late work loses, over the demand."""
+        """Return the priority weight that a unit of late work loses, as a mean over the demand."""
         if not self.total_work:
             return self.highest_value
         lost = {
@@ -204,7 +217,7 @@
         }
         return sum(lost[each.request_class] * each.work for each in self.demand) / self.total_work
 
-    def _possible_flows(self) -> list[Flow]:
+    def _allowed_flows(self) -> list[Flow]:
         flows = []
         for zone, name, _ in self.demand:
             for target in self.zones:
@@ -213,40 +226,55 @@
         return flows
 
     def _segments(self) -> list[tuple[Segment, ...]]:
-        """The loss curve of each group's servers."""
+        """Return the segments of the loss curve of each group's servers."""
         max_wait = patience(self.problem.classes)
-        max_slope = max_caution_slope(self.problem.classes, self.density)
+        max_slope = max_spread_slope(self.problem.classes, self.density)
         spread = self.costs.demand_spread
         return [latency.segments(group.cores, max_wait, spread, max_slope) for group in self.groups]
 
     def _min_loads(self) -> list[float]:
-        """What each group keeps at least."""
-        even = self.total_work / (sum(self.room) or 1.0)
-        return [self.costs.min_share * min(1.0, even) * room for room in self.room]
+        """Return the minimum load of each group."""
+        even_utilisation = self.total_work / (sum(self.usable_capacities) or 1.0)
+        return [
+            self.costs.min_share * min(1.0, even_utilisation) * usable_capacity
+            for usable_capacity in self.usable_capacities
+        ]
 
-    def _work_out_moves(self) -> None:
-        """The last plan scaled to present demand and to what is possible now; what must leave is no move."""
-        planned = [group.work_share * len(group.names) * self.total_work for group in self.groups]
-        self.past = [min(work, room) for work, room in zip(planned, self.room, strict=True)]
-        self.has_past = sum(group.work_share * len(group.names) for group in self.groups) > 0
-        forced = max(0.0, self.total_work - sum(self.past))
-        self.max_moved = self.costs.max_move_share * self.total_work + forced if self.has_past else INFINITY
+    def _compute_move_bound(self) -> None:
+        """Scale the last plan to the current demand and capacities, and compute the bound on moves.
 
-    # -- building
+        Work that must leave its servers does not count as moved.
+        """
+        planned_loads = [group.work_share * len(group.names) * self.total_work for group in self.groups]
+        self.previous_loads = [
+            min(work, usable_capacity)
+            for work, usable_capacity in zip(planned_loads, self.usable_capacities, strict=True)
+        ]
+        self.has_previous_plan = sum(group.work_share * len(group.names) for group in self.groups) > 0
+        forced_moves = max(0.0, self.total_work - sum(self.previous_loads))
+        self.max_moved = (
+            self.costs.max_move_share * self.total_work + forced_moves if self.has_previous_plan else INFINITY
+        )
+
+    # -- building the program
 
     def build(self) -> LinearProgram:
-        """Columns: flows, segments, gains, shortfalls, excess. Rows: demand, zones, gains, least loads, bound."""
+        """Build the program.
+
+        Columns, in this order: flows, segments, gains, shortfalls, excess moves. Rows, in this order: demand, zones,
+        gains, minimum loads, bound on moves.
+        """
         program = LinearProgram()
         self._add_flow_columns(program)
         self.spans = self._add_segment_columns(program)
         self.gains = [program.add_column(self.costs.move, INFINITY) for _ in self.groups]
         shortfall_cost = self.highest_value * SHORTFALL_PENALTY
         self.shortfalls = [program.add_column(shortfall_cost, min_load) for min_load in self.min_load]
-        self.excess = program.add_column(self.highest_value * EXCESS_MOVE_PENALTY, INFINITY)
+        self.excess_moves = program.add_column(self.highest_value * EXCESS_MOVE_PENALTY, INFINITY)
         self._add_demand_rows(program)
         self._add_zone_rows(program)
         self._add_group_rows(program)
-        program.add_row(Term(self.gains, 1.0), Term([self.excess], -1.0), lower=-INFINITY, upper=self.max_moved)
+        program.add_row(Term(self.gains, 1.0), Term([self.excess_moves], -1.0), lower=-INFINITY, upper=self.max_moved)
         return program
 
     def _add_flow_columns(self, program: LinearProgram) -> None:
@@ -256,23 +284,23 @@
             program.add_column(cost, INFINITY)
 
     def _add_segment_columns(self, program: LinearProgram) -> list[range]:
-        """The columns of each group's segments, together no wider than its room."""
+        """Add columns for each group's segments, whose total width is its usable capacity, and return them."""
         spans = []
         for rank, (group, segments) in enumerate(zip(self.groups, self.segments, strict=True)):
             first = program.column_count
             capacity = len(group.names) * group.capacity / (1 + self.costs.headroom)
-            remaining = self.room[rank]
-            failing = self.highest_value * group.failure_ratio
+            remaining = self.usable_capacities[rank]
+            failure_cost = self.highest_value * group.failure_ratio
             tie_break = TIE_BREAK_COST * rank / len(self.groups)
             for segment in segments:
                 width = min(segment.width * capacity, remaining)
                 remaining -= width
-                program.add_column(self.density * segment.slope + failing + tie_break, width)
+                program.add_column(self.density * segment.slope + failure_cost + tie_break, width)
             spans.append(range(first, program.column_count))
         return spans
 
     def _add_demand_rows(self, program: LinearProgram) -> None:
-        """No more flows than is asked for."""
+        """Add rows that limit the flows of each zone and class to its demand."""
         columns: dict[tuple[str, str], list[int]] = {}
         for column, flow in enumerate(self.flows):
             columns.setdefault((flow.zone, flow.request_class), []).append(column)
@@ -280,7 +308,7 @@
             program.add_row(Term(columns.get((zone, name), []), 1.0), lower=-INFINITY, upper=work)
 
     def _add_zone_rows(self, program: LinearProgram) -> None:
-        """What flows into a zone is the load of its servers."""
+        """Add rows that equate the flow into a zone with the load of its servers."""
         columns: dict[str, list[int]] = {zone: [] for zone in self.zones}
         for column, flow in enumerate(self.flows):
             columns[flow.target_zone].append(column)
@@ -292,17 +320,17 @@
             program.add_row(Term(columns[zone], 1.0), Term(load, -1.0), lower=0.0, upper=0.0)
 
     def _add_group_rows(self, program: LinearProgram) -> None:
-        """Gains over the last plan, then least loads."""
-        for span, gain, past in zip(self.spans, self.gains, self.past, strict=True):
-            max_load = past if self.has_past else INFINITY
+        """Add rows for the gains over the last plan, then rows for the minimum loads."""
+        for span, gain, previous_load in zip(self.spans, self.gains, self.previous_loads, strict=True):
+            max_load = previous_load if self.has_previous_plan else INFINITY
             program.add_row(Term(span, 1.0), Term([gain], -1.0), lower=-INFINITY, upper=max_load)
         for span, shortfall, min_load in zip(self.spans, self.shortfalls, self.min_load, strict=True):
             program.add_row(Term(span, 1.0), Term([shortfall], 1.0), lower=min_load, upper=INFINITY)
 
-    # -- reading
+    # -- reading the solution
 
     def read(self, solution: highspy.HighsSolution, info: highspy.HighsInfo, solve_s: float) -> Solution:
-        """What HiGHS found for the program that was built."""
+        """Convert the result of HiGHS for the program that was built to a solution."""
         values = np.array(solution.col_value)
         reduced_costs = np.array(solution.col_dual)
         row_prices = np.array(solution.row_dual)
@@ -330,7 +358,10 @@
         )
 
     def _price(self, index: int, reduced_costs: np.ndarray) -> float:
-        """Value of one more unit of capacity: what the group's full segments, each a part of it, would bring."""
+        """Return the value of one more unit of capacity in a group.
+
+        It is the sum of the values of the group's full segments, weighted by each segment's part of the capacity.
+        """
         remaining = self.groups[index].max_share
         price = 0.0
         for column, segment in zip(self.spans[index], self.segments[index], strict=True):
@@ -340,9 +371,9 @@
         return price
 
     def _limits(self, index: int, load: float, is_move_bound: bool) -> tuple[Limit, ...]:
-        """What binds a group with a load in all."""
+        """Return the limits that bind a group with a total load of `load`."""
         limits: list[Limit] = []
-        if load >= self.room[index] * (1 - RELATIVE_TOLERANCE):
+        if load >= self.usable_capacities[index] * (1 - RELATIVE_TOLERANCE):
             limits.append("cold" if self.groups[index].max_share < 1 else "capacity")
         if load <= self.min_load[index] * (1 + RELATIVE_TOLERANCE) + LOAD_TOLERANCE:
             limits.append("least")
--- a/damsonpick/solver/slice_weights.py
+++ b/damsonpick/solver/slice_weights.py
@@ -1,7 +1,8 @@
-"""Weights among the endpoints of slices that are assigned to several: placement decides where, this divides.
+"""Computes the weights of slices that are assigned to several endpoints. Placement chooses the endpoints.
 
-Minimise lateness over servers plus what moves, over y[p,h]: the work of slice p that endpoint h gets. Slices with one
-endpoint are given load. The same loss segments as in the whole program.
+The program minimises the lateness of all servers plus the cost of moved work, over y[p,h]: the work of slice p that
+endpoint h gets. The work of slices with one endpoint is fixed. The loss segments are the same as in the linear program
+of a whole plan.
 """
 
 from __future__ import annotations
@@ -16,23 +17,24 @@
 from damsonpick.solver.model import Costs, RequestClass, Server, Weights
 from damsonpick.solver.program import patience
 
-MIN_PART = 0.15  # of an even part that each entry keeps
-MIN_CHANGE = 0.1  # of an even part, from which a change is worth an entry
-OVERLOAD_SLOPE = 3.0  # past the last segment: given load may be above capacity, the program stays feasible
+MIN_WEIGHT = 0.15  # least weight of an entry, as a fraction of an even distribution
+MIN_CHANGE = 0.1  # least change of a weight that is sent, as a fraction of an even distribution
+# Slope beyond the last segment. It keeps the program feasible if fixed work exceeds the capacity of a server.
+OVERLOAD_SLOPE = 3.0
 
 
 class NoOptimumError(ArithmeticError):
-    """The program has no optimum; the text is the solver's status."""
+    """Raised if the program has no optimum; the message is the solver's status."""
 
 
 class SliceLoad(NamedTuple):
-    """A slice and the work that it brings.
+    """A slice, its work and its endpoints.
 
     Attributes:
-        number: of the slice.
-        work: core-seconds a second that its requests bring.
-        endpoints: that it is assigned to.
-        weights: their present ones, in the order of `endpoints`.
+        number: Number of the slice.
+        work: Work of its requests, core-seconds per second.
+        endpoints: Endpoints that it is assigned to.
+        weights: Current weights, in the order of `endpoints`.
     """
 
     number: int
@@ -42,7 +44,7 @@
 
 
 class SliceWeightsProblem(NamedTuple):
-    """All that the weights depend on."""
+    """Complete input for the weights of slices."""
 
     classes: tuple[RequestClass, ...]
     servers: tuple[Server, ...]
@@ -51,18 +53,20 @@
 
 
 class Placement(NamedTuple):
-    """The column of a slice's work at an endpoint, and its work there by the present weights."""
+    """The column for a slice's work at an endpoint, and its work there with the current weights."""
 
     endpoint: str
     column: int
-    present_work: float
+    current_work: float
 
 
 def divide_slices(problem: SliceWeightsProblem) -> dict[int, Weights]:
-    """New weights by slice, only of those that are worth sending; mean 1 over a slice's entries.
+    """Return new weights by slice, with mean 1 over a slice's entries.
+
+    Slices whose weights change by at most `MIN_CHANGE` are left out.
 
     Raises:
-        NoOptimumError: the program has no optimum.
+        NoOptimumError: The program has no optimum.
     """
     replicated = [slice_load for slice_load in problem.slices if len(slice_load.endpoints) > 1]
     if not replicated:
@@ -72,19 +76,19 @@
     for slice_load in replicated:
         parts = [next(work_of_columns) for _ in slice_load.endpoints]
         weights = _weights(slice_load, parts)
-        if _is_worth_sending(slice_load, weights):
+        if _has_significant_change(slice_load, weights):
             changed[slice_load.number] = weights
     return changed
 
 
 def _weights(slice_load: SliceLoad, parts: list[float]) -> Weights:
-    """Weights in proportion to parts of the work, none below `MIN_PART`."""
-    relative = [max(MIN_PART, len(parts) * part / slice_load.work) for part in parts]
+    """Return weights in proportion to parts of the work, after raising each relative part to at least `MIN_WEIGHT`."""
+    relative = [max(MIN_WEIGHT, len(parts) * part / slice_load.work) for part in parts]
     scale = len(relative) / sum(relative)
     return tuple((name, round(part * scale, 3)) for name, part in zip(slice_load.endpoints, relative, strict=True))
 
 
-def _is_worth_sending(slice_load: SliceLoad, weights: Weights) -> bool:
+def _has_significant_change(slice_load: SliceLoad, weights: Weights) -> bool:
     total = sum(slice_load.weights)
     for (_, new), old in zip(weights, slice_load.weights, strict=True):
         if abs(new - old * len(weights) / total) > MIN_CHANGE:
@@ -93,7 +97,7 @@
 
 
 def _solve(problem: SliceWeightsProblem, replicated: list[SliceLoad]) -> list[float]:
-    """The work of each (slice, endpoint), in the order of the slices."""
+    """Return the work of each (slice, endpoint) pair, in the order of the slices and their endpoints."""
     servers = {server.name: server for server in problem.servers}
     program = LinearProgram()
     placements: list[Placement] = []
@@ -115,7 +119,7 @@
 
 
 def _add_slice(program: LinearProgram, slice_load: SliceLoad, servers: Mapping[str, Server]) -> list[Placement]:
-    """Columns of a slice's endpoints, and the row by which they take all of its work if any is usable."""
+    """Add a column for each endpoint of a slice and a row that assigns all its work if any endpoint is usable."""
     placements = []
     total_weight = sum(slice_load.weights)
     for name, weight in zip(slice_load.endpoints, slice_load.weights, strict=True):
@@ -127,18 +131,18 @@
     return placements
 
 
-def _given_work(problem: SliceWeightsProblem) -> dict[str, float]:
-    """Work a second of slices with a single endpoint, by server."""
-    given = dict.fromkeys((server.name for server in problem.servers), 0.0)
+def _fixed_work(problem: SliceWeightsProblem) -> dict[str, float]:
+    """Return the work per second of slices with a single endpoint, by server."""
+    fixed = dict.fromkeys((server.name for server in problem.servers), 0.0)
     for slice_load in problem.slices:
-        if len(slice_load.endpoints) == 1 and slice_load.endpoints[0] in given:
-            given[slice_load.endpoints[0]] += slice_load.work
-    return given
+        if len(slice_load.endpoints) == 1 and slice_load.endpoints[0] in fixed:
+            fixed[slice_load.endpoints[0]] += slice_load.work
+    return fixed
 
 
 def _add_servers(program: LinearProgram, problem: SliceWeightsProblem, columns_of: Mapping[str, list[int]]) -> None:
-    """Loss segments of each server, filled by its slices and its given work."""
-    given = _given_work(problem)
+    """Add the loss segments of each server, and a row that equates them with its slices' work and its fixed work."""
+    fixed = _fixed_work(problem)
     max_wait = patience(problem.classes)
     for server in problem.servers:
         first = program.column_count
@@ -147,14 +151,14 @@
             program.add_column(segment.slope + server.failure_ratio, upper)
         program.add_column(OVERLOAD_SLOPE, INFINITY)
         load = range(first, program.column_count)
-        given_work = given[server.name]
-        program.add_row(Term(columns_of[server.name], 1.0), Term(load, -1.0), lower=-given_work, upper=-given_work)
+        fixed_work = fixed[server.name]
+        program.add_row(Term(columns_of[server.name], 1.0), Term(load, -1.0), lower=-fixed_work, upper=-fixed_work)
 
 
 def _add_moves(program: LinearProgram, placements: list[Placement], move_cost: float) -> None:
-    """Charge work above that of the present weights."""
+    """Charge the cost of moves for work above that of the current weights."""
     for placement in placements:
         gained = program.add_column(move_cost, INFINITY)
         program.add_row(
-            Term([placement.column], 1.0), Term([gained], -1.0), lower=-INFINITY, upper=placement.present_work
+            Term([placement.column], 1.0), Term([gained], -1.0), lower=-INFINITY, upper=placement.current_work
         )
--- a/damsonpick/solver/work.py
+++ b/damsonpick/solver/work.py
@@ -1,6 +1,6 @@
-"""What runs in the worker process: a solver kept warm from plan to plan.
+"""Functions that run in the solver's worker process, which keeps the solver's basis between plans.
 
-The functions are called there by their module path, so they stand at module level.
+The functions are called by their module path, so they must be defined at module level.
 """
 
 from __future__ import annotations
@@ -14,11 +14,13 @@
 
 
 def solve(problem: Problem, time_limit: float) -> Plan:
-    """A plan; the process keeps the program, so the next one starts from this basis.
+    """Solve a problem and return the plan.
+
+    The process keeps the program, so that the next solve starts from the basis of this one.
 
     Args:
-        problem: what is asked.
-        time_limit: seconds.
+        problem: The problem to solve.
+        time_limit: Time limit of the solver, seconds.
     """
     if time_limit not in _programs:
         _programs[time_limit] = Program(time_limit)
@@ -26,10 +28,10 @@
 
 
 def solve_slices(problem: SliceWeightsProblem, time_limit: float) -> dict[int, Weights]:
-    """New weights by slice; `time_limit` is not needed, as the program is small by construction.
+    """Return new weights by slice. `time_limit` is ignored, because the program is small by construction.
 
     Raises:
-        NoOptimumError: the program has no optimum.
+        NoOptimumError: The program has no optimum.
     """
     del time_limit
     return divide_slices(problem)
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -22,7 +22,7 @@
 from damsonpick.solver.advice import Advisor
 from damsonpick.solver.model import Costs, Demand, Problem, RequestClass, Server
 from damsonpick.solver.plan import keep_similar, normalise, plan
-from damsonpick.solver.program import SHORTFALL_PENALTY, Program, max_caution_slope, patience
+from damsonpick.solver.program import SHORTFALL_PENALTY, Program, max_spread_slope, patience
 from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem, divide_slices
 from damsonpick.state.load_reports import ClientReport, EndpointStats, LoadReports, SliceStats
 from tests.pilots import SETTINGS
@@ -68,7 +68,7 @@
     cuts = [
         (j, width * s.capacity / (1 + costs.headroom), slope)
         for j, s in enumerate(servers)
-        for width, slope in latency.segments(s.cores, wait, costs.demand_spread, max_caution_slope(p.classes, dense))
+        for width, slope in latency.segments(s.cores, wait, costs.demand_spread, max_spread_slope(p.classes, dense))
     ]
     n, f, q = len(servers), len(flows), len(cuts)
     cost = (
