--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -1,4 +1,4 @@
-"""The SASP front through real sockets: a pilot's process, raw bytes and the project's own balancer client."""
+"""Tests of the SASP server over real sockets: a pilot process, raw bytes and the project's SASP client."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from tests.pilots import Pilot, name, until
 
 pytestmark = pytest.mark.anyio
-FRONT = """
+SASP_SETTINGS = """
 [sasp]
 listen = 127.0.0.1:0
 messages = 2000
@@ -58,8 +58,8 @@
     return "asyncio"
 
 
-class Front:
-    """A pilot with the SASP front."""
+class SaspPilot:
+    """A pilot process that serves SASP."""
 
     def __init__(self, pilot):
         self.pilot = pilot
@@ -70,86 +70,92 @@
 
 
 @contextlib.asynccontextmanager
-async def front(folder, servers=3, gates=1, more=FRONT, **options):
-    """A pilot, gateways on its other front, and the address of this one."""
-    made = Pilot.start
+async def running_pilot(folder, servers=3, gates=1, sasp_settings=SASP_SETTINGS, **options):
+    """Run a pilot that serves SASP, and gateways that are connected to it with their own protocol."""
+    original_start = Pilot.start
 
     def start(self):
         text = self.file.read_text()
         if "[sasp]" not in text:
-            self.file.write_text(text + more)
-        return made(self)
+            self.file.write_text(text + sasp_settings)
+        return original_start(self)
 
     Pilot.start = start
     try:
         async with world(folder, gates=gates, servers=servers, **options) as (pilot, gateways):
-            await true(lambda: all(len(weights(g)) == 6 and all(weights(g).values()) for g in gateways))
-            yield Front(pilot), gateways
+            await wait_until(lambda: all(len(weights(g)) == 6 and all(weights(g).values()) for g in gateways))
+            yield SaspPilot(pilot), gateways
     finally:
-        Pilot.start = made
+        Pilot.start = original_start
 
 
-async def true(what):
+async def wait_until(what):
     async def look():
         return what()
 
     return await soon(look)
 
 
-ALL = [member(name(k)) for k in (1, 2, 3)]
+ALL_MEMBERS = [member(name(k)) for k in (1, 2, 3)]
 
 
-def told(reply):
+def by_endpoint(reply):
     return {w.member.endpoint: w for g in reply.groups for w in g.weights}
 
 
-async def settled(client, what, *names):
-    """The first poll that shows what is expected."""
+async def poll_until(client, what, *names):
+    """Poll until the weights by endpoint satisfy the condition, and return that reply."""
 
     async def look():
         reply = await client.weights(*names)
-        return reply if not reply.code and what(told(reply)) else None
+        return reply if not reply.code and what(by_endpoint(reply)) else None
 
     return await soon(look)
 
 
-async def test_weights_follow_the_tables_and_a_drain_means_the_same_on_both_fronts(tmp_path):
-    async with front(tmp_path) as (made, gates), connect(made.address, b"lb1") as client:
-        assert await client.hello() == Code.OK and await client.register(b"web", ALL) == Code.OK
+async def test_weights_follow_the_tables_and_a_drain_has_the_same_effect_on_gateways_and_balancers(tmp_path):
+    async with running_pilot(tmp_path) as (server, gates), connect(server.address, b"lb1") as client:
+        assert await client.hello() == Code.OK and await client.register(b"web", ALL_MEMBERS) == Code.OK
         reply = await client.weights(b"web")
         assert reply.code == Code.OK and reply.interval >= 1
-        assert all(w.weight > 0 and w.flags & WeightFlag.CONTACT for w in told(reply).values())
-        made.pilot.list(s1="in_service", s2="in_service", s3="terminating")
-        await true(lambda: all(name(3) not in g.received_state.available_entries(n) for g in gates for n in weights(g)))
-        after = told(await client.weights(b"web"))
+        assert all(w.weight > 0 and w.flags & WeightFlag.CONTACT for w in by_endpoint(reply).values())
+        server.pilot.list(s1="in_service", s2="in_service", s3="terminating")
+        await wait_until(
+            lambda: all(name(3) not in g.received_state.available_entries(n) for g in gates for n in weights(g))
+        )
+        after = by_endpoint(await client.weights(b"web"))
         assert after[name(3)].weight == 0 and after[name(3)].flags & WeightFlag.QUIESCE
         assert after[name(1)].weight > 0 and after[name(2)].weight > 0
-        assert await client.register(b"slice/0", ALL) == Code.OK
+        assert await client.register(b"slice/0", ALL_MEMBERS) == Code.OK
         lines = weights(gates[0])["slice/0"]
-        assert {n for n, w in told(await client.weights(b"slice/0")).items() if w.weight} == set(lines) - {name(3)}
+        assert {n for n, w in by_endpoint(await client.weights(b"slice/0")).items() if w.weight} == set(lines) - {
+            name(3)
+        }
 
 
 async def test_a_drain_is_pushed_within_the_grace_and_noise_is_not(tmp_path):
     pushes = []
-    async with front(tmp_path) as (made, _), connect(made.address, b"lb1", pushes.append) as client:
-        assert await client.hello(LbFlag.PUSH) == Code.OK and await client.register(b"web", ALL) == Code.OK
-        await true(lambda: pushes)
+    async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1", pushes.append) as client:
+        assert await client.hello(LbFlag.PUSH) == Code.OK and await client.register(b"web", ALL_MEMBERS) == Code.OK
+        await wait_until(lambda: pushes)
         count = len(pushes)
-        await anyio.sleep(1.5)  # looks at heat and evidence go by
+        await anyio.sleep(1.5)  # refreshes of load and reports occur in this time
         assert len(pushes) == count
-        made.pilot.list(s1="in_service", s2="terminating", s3="in_service")
+        server.pilot.list(s1="in_service", s2="terminating", s3="in_service")
         with anyio.fail_after(2.2):
-            while not any(told(p).get(name(2)) and told(p)[name(2)].weight == 0 for p in pushes[count:]):
+            while not any(by_endpoint(p).get(name(2)) and by_endpoint(p)[name(2)].weight == 0 for p in pushes[count:]):
                 await anyio.sleep(0.01)
 
 
-async def test_quiesce_over_sasp_drains_the_gateways_of_the_other_front_and_races_with_the_list(tmp_path):
+async def test_quiesce_over_sasp_drains_the_gateways_and_races_with_the_list(tmp_path):
     def states(flag):
-        return SetMemberState(Sender.BALANCER, (StatesOf(Group(b"lb1", b"web"), (MemberState(ALL[1], 9, flag),)),))
+        return SetMemberState(
+            Sender.BALANCER, (StatesOf(Group(b"lb1", b"web"), (MemberState(ALL_MEMBERS[1], 9, flag),)),)
+        )
 
-    async with front(tmp_path) as (made, gates), connect(made.address, b"lb1") as client:
+    async with running_pilot(tmp_path) as (server, gates), connect(server.address, b"lb1") as client:
         await client.hello()
-        await client.register(b"web", ALL)
+        await client.register(b"web", ALL_MEMBERS)
 
         def reached():
             return any(name(2) in g.received_state.available_entries(n) for g in gates for n in weights(g))
@@ -159,28 +165,28 @@
         with anyio.fail_after(2.2):
             while reached():
                 await anyio.sleep(0.02)
-        reply = told(await client.weights(b"web"))
+        reply = by_endpoint(await client.weights(b"web"))
         assert reply[name(2)].weight == 0 and reply[name(2)].state == 9
-        for k in range(10):  # the list says something new each time a quiesce is set or lifted
-            made.pilot.list(s1="in_service", s2="in_service", s3="terminating" if k % 2 else "in_service")
+        for k in range(10):  # the endpoint list changes each time a quiesce is set or cleared
+            server.pilot.list(s1="in_service", s2="in_service", s3="terminating" if k % 2 else "in_service")
             await client.ask(states(MemberFlag(k % 2)))
         await client.ask(states(MemberFlag.QUIESCE))
-        made.pilot.list(s1="in_service", s2="in_service", s3="in_service")
-        await settled(client, lambda w: w[name(2)].weight == 0 and not w[name(3)].flags & WeightFlag.QUIESCE, b"web")
+        server.pilot.list(s1="in_service", s2="in_service", s3="in_service")
+        await poll_until(client, lambda w: w[name(2)].weight == 0 and not w[name(3)].flags & WeightFlag.QUIESCE, b"web")
         await not_bare(lambda: all(g.received_state.available_entries(n) for g in gates for n in weights(g)))
         assert not reached()
         await client.ask(states(MemberFlag(0)))
-        await settled(client, lambda w: not w[name(2)].flags & WeightFlag.QUIESCE, b"web")
+        await poll_until(client, lambda w: not w[name(2)].flags & WeightFlag.QUIESCE, b"web")
 
 
-def raw(address):
+def connect_raw(address):
     host, _, port = address.rpartition(":")
-    made = socket.create_connection((host, int(port)), timeout=10)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return made
+    sock = socket.create_connection((host, int(port)), timeout=10)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return sock
 
 
-def read(sock, count=1):
+def read_messages(sock, count=1):
     splitter, got = codec.Splitter(), []
     while len(got) < count:
         data = sock.recv(65536)
@@ -194,181 +200,197 @@
 
 
 async def test_requests_split_at_every_byte_are_answered_alike(tmp_path):
-    async with front(tmp_path) as (made, _):
-        register = codec.encode(Message(2, Register(Sender.BALANCER, (MembersOf(Group(b"raw", b"g"), tuple(ALL)),))))
+    async with running_pilot(tmp_path) as (server, _):
+        register = codec.encode(
+            Message(2, Register(Sender.BALANCER, (MembersOf(Group(b"raw", b"g"), tuple(ALL_MEMBERS)),)))
+        )
         poll = codec.encode(Message(3, GetWeights((Group(b"raw", b"g"),))))
 
-        def talk():
-            with raw(made.address) as sock:
+        def exchange():
+            with connect_raw(server.address) as sock:
                 sock.sendall(HELLO + register)
-                assert [m.body.code for m in read(sock, 2)] == [0, 0]
+                assert [m.body.code for m in read_messages(sock, 2)] == [0, 0]
                 for cut in range(1, len(poll)):
                     sock.sendall(poll[:cut])
                     sock.sendall(poll[cut:])
-                    assert read(sock)[0].number == 3
+                    assert read_messages(sock)[0].number == 3
                 for byte in poll * 3:
                     sock.sendall(bytes((byte,)))
-                assert len(read(sock, 3)) == 3
+                assert len(read_messages(sock, 3)) == 3
 
-        await anyio.to_thread.run_sync(talk)
+        await anyio.to_thread.run_sync(exchange)
 
 
 @pytest.mark.parametrize("length", [0, 5, 2**32 - 1, 2**31, 5_000_000])
-async def test_a_length_that_lies_ends_that_session_alone(tmp_path, length):
-    async with front(tmp_path) as (made, _), connect(made.address, b"lb1") as client:
+async def test_an_invalid_length_ends_only_that_session(tmp_path, length):
+    async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1") as client:
         await client.hello()
 
-        def talk():
-            with raw(made.address) as sock:
+        def exchange():
+            with connect_raw(server.address) as sock:
                 bad = bytearray(HELLO)
                 bad[5:9] = length.to_bytes(4, "big")
                 sock.sendall(bytes(bad))
                 return sock.recv(100)
 
-        assert await anyio.to_thread.run_sync(talk) == b""
-        await true(lambda: any("bytes" in e["why"] for e in made.pilot.log("sasp_frame_invalid")))
-        assert await client.register(b"web", ALL) == Code.OK
+        assert await anyio.to_thread.run_sync(exchange) == b""
+        await wait_until(lambda: any("bytes" in e["why"] for e in server.pilot.log("sasp_frame_invalid")))
+        assert await client.register(b"web", ALL_MEMBERS) == Code.OK
 
 
 async def test_unknown_types_and_versions_are_answered_and_the_session_goes_on(tmp_path):
-    async with front(tmp_path) as (made, _):
+    async with running_pilot(tmp_path) as (server, _):
 
-        def talk():
-            with raw(made.address) as sock:
+        def exchange():
+            with connect_raw(server.address) as sock:
                 for place, value in ((13, 0x66), (4, 9)):
                     bad = bytearray(HELLO)
                     bad[place] = value
                     sock.sendall(bytes(bad))
-                    assert read(sock)[0].body.code == Code.NOT_UNDERSTOOD
+                    assert read_messages(sock)[0].body.code == Code.NOT_UNDERSTOOD
                 sock.sendall(HELLO)
-                assert read(sock)[0].body.code == Code.OK
+                assert read_messages(sock)[0].body.code == Code.OK
 
-        await anyio.to_thread.run_sync(talk)
-        assert len(made.pilot.log("sasp_message_invalid")) == 2
+        await anyio.to_thread.run_sync(exchange)
+        assert len(server.pilot.log("sasp_message_invalid")) == 2
 
 
 async def test_rights_are_refused_with_their_code(tmp_path):
-    async with front(tmp_path) as (made, _):
-        quiesce = MemberState(ALL[0], 0, MemberFlag.QUIESCE)
+    async with running_pilot(tmp_path) as (server, _):
+        quiesce = MemberState(ALL_MEMBERS[0], 0, MemberFlag.QUIESCE)
         for lb, codes in (
             (b"stranger", (0x11, 0x11, 0x11)),
             (b"reader", (0, 0x11, 0x11)),
             (b"modest", (0, 0, 0x11)),
             (b"anybody", (0, 0, 0)),
         ):
-            async with connect(made.address, lb) as client:
+            async with connect(server.address, lb) as client:
                 state = SetMemberState(Sender.BALANCER, (StatesOf(Group(lb, b"web"), (quiesce,)),))
-                got = (await client.hello(), await client.register(b"web", ALL), (await client.ask(state)).code)
+                got = (await client.hello(), await client.register(b"web", ALL_MEMBERS), (await client.ask(state)).code)
                 assert got == codes, lb
 
 
-async def test_a_balancer_that_stops_reading_is_ended_and_holds_up_nobody(tmp_path):
-    """Its socket takes no more replies; others are answered, drains bind the other front."""
-    more = FRONT.replace("messages = 2000", "messages = 2000\npatience = 2 s")
-    async with front(tmp_path, more=more) as (made, gates), connect(made.address, b"lb1") as client:
+async def test_a_balancer_that_stops_reading_is_disconnected_and_delays_nobody(tmp_path):
+    """A balancer that does not read must not delay replies to others or drains of gateways.
+
+    Replies fill its socket until a send times out.
+    """
+    sasp_settings = SASP_SETTINGS.replace("messages = 2000", "messages = 2000\npatience = 2 s")
+    async with (
+        running_pilot(tmp_path, sasp_settings=sasp_settings) as (server, gates),
+        connect(server.address, b"lb1") as client,
+    ):
         await client.hello()
-        await client.register(b"web", ALL)
+        await client.register(b"web", ALL_MEMBERS)
         many = tuple(member(f"10.1.{k // 200}.{k % 200}:80") for k in range(900))
         poll = codec.encode(Message(3, GetWeights((Group(b"raw", b"g"),))))
 
-        def talk():
-            sock = raw(made.address)
+        def exchange():
+            sock = connect_raw(server.address)
             body = Register(Sender.BALANCER, (MembersOf(Group(b"raw", b"g"), many),))
             sock.sendall(HELLO + codec.encode(Message(2, body)))
-            assert [m.body.code for m in read(sock, 2)] == [0, 0]
+            assert [m.body.code for m in read_messages(sock, 2)] == [0, 0]
             sock.settimeout(3)
             with contextlib.suppress(TimeoutError, OSError):
                 for _ in range(3000):
                     sock.sendall(poll)
             return sock
 
-        deaf = await anyio.to_thread.run_sync(talk)
+        stalled_socket = await anyio.to_thread.run_sync(exchange)
         try:
             reply = await client.weights(b"web")
             assert reply.code == Code.OK
-            made.pilot.list(s1="in_service", s2="in_service", s3="terminating")
+            server.pilot.list(s1="in_service", s2="in_service", s3="terminating")
             with anyio.fail_after(2.2):
                 while any(name(3) in g.received_state.available_entries(n) for g in gates for n in weights(g)):
                     await anyio.sleep(0.02)
-            assert told(await client.weights(b"web"))[name(3)].weight == 0
-            await true(lambda: [e["why"] for e in made.pilot.log("balancer_left")] == ["the peer does not read"])
+            assert by_endpoint(await client.weights(b"web"))[name(3)].weight == 0
+            await wait_until(
+                lambda: [e["why"] for e in server.pilot.log("balancer_left")] == ["the peer does not read"]
+            )
         finally:
-            deaf.close()
+            stalled_socket.close()
 
 
 async def test_two_balancers_with_one_identifier_one_of_them_without_trust(tmp_path):
-    """A member may speak for itself only while every session under that identifier trusts members."""
+    """A member may set its own state only while every session with that identifier trusts members."""
     quiesce = SetMemberState(
-        Sender(0), (StatesOf(Group(b"lb1", b"web"), (MemberState(ALL[0], 0, MemberFlag.QUIESCE),)),)
+        Sender(0), (StatesOf(Group(b"lb1", b"web"), (MemberState(ALL_MEMBERS[0], 0, MemberFlag.QUIESCE),)),)
     )
-    async with front(tmp_path) as (made, _), connect(made.address, b"member") as own:
-        assert await own.register(b"web", [ALL[0]], Sender(0)) == Code.NO_BALANCER_YET
-        async with connect(made.address, b"lb1") as one:
+    async with running_pilot(tmp_path) as (server, _), connect(server.address, b"member") as own:
+        assert await own.register(b"web", [ALL_MEMBERS[0]], Sender(0)) == Code.NO_BALANCER_YET
+        async with connect(server.address, b"lb1") as one:
             await one.hello(LbFlag.TRUST)
-            body = Register(Sender(0), (MembersOf(Group(b"lb1", b"web"), (ALL[0],)),))
+            body = Register(Sender(0), (MembersOf(Group(b"lb1", b"web"), (ALL_MEMBERS[0],)),))
             assert (await own.ask(body)).code == Code.OK
-            assert told(await one.weights(b"web"))[name(1)].flags & WeightFlag.REGISTERED
-            async with connect(made.address, b"lb1") as other:
+            assert by_endpoint(await one.weights(b"web"))[name(1)].flags & WeightFlag.REGISTERED
+            async with connect(server.address, b"lb1") as other:
                 await other.hello()
                 assert (await own.ask(quiesce)).code == Code.NOT_FROM_SENDER
-            await true(lambda: len(made.pilot.log("balancer_left")) == 1)
+            await wait_until(lambda: len(server.pilot.log("balancer_left")) == 1)
             assert (await own.ask(quiesce)).code == Code.OK
-            await settled(one, lambda w: w[name(1)].weight == 0, b"web")
+            await poll_until(one, lambda w: w[name(1)].weight == 0, b"web")
 
 
-async def test_duplicates_strangers_and_one_member_by_two_protocols(tmp_path):
-    async with front(tmp_path) as (made, _), connect(made.address, b"lb1") as client:
+async def test_duplicate_members_unknown_members_and_one_member_with_two_protocols(tmp_path):
+    async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1") as client:
         await client.hello()
-        twin = ALL[0]._replace(protocol=17)
-        assert await client.register(b"web", [ALL[0], ALL[0]]) == Code.DUPLICATE_MEMBER
-        assert await client.register(b"web", [ALL[0], twin]) == Code.OK
-        assert await client.register(b"web", [ALL[0]]) == Code.ALREADY_REGISTERED
+        twin = ALL_MEMBERS[0]._replace(protocol=17)
+        assert await client.register(b"web", [ALL_MEMBERS[0], ALL_MEMBERS[0]]) == Code.DUPLICATE_MEMBER
+        assert await client.register(b"web", [ALL_MEMBERS[0], twin]) == Code.OK
+        assert await client.register(b"web", [ALL_MEMBERS[0]]) == Code.ALREADY_REGISTERED
         rows = [w for g in (await client.weights(b"web")).groups for w in g.weights]
-        assert len(rows) == 2 and rows[0].weight == rows[1].weight > 0, "one endpoint, one advice"
-        stranger = Deregister(Sender.BALANCER, 0, (MembersOf(Group(b"lb1", b"web"), (ALL[2],)),))
+        assert len(rows) == 2 and rows[0].weight == rows[1].weight > 0, (
+            "both members have the same endpoint and get the same weight"
+        )
+        stranger = Deregister(Sender.BALANCER, 0, (MembersOf(Group(b"lb1", b"web"), (ALL_MEMBERS[2],)),))
         assert (await client.ask(stranger)).code == Code.NOT_REGISTERED
         assert await client.deregister(b"nosuch") == Code.UNKNOWN_GROUP
         await client.register(b"odd", [member("10.9.9.9:1")])
-        assert told(await client.weights(b"odd"))["10.9.9.9:1"].weight == 0, "listed nowhere: no work for it"
+        assert by_endpoint(await client.weights(b"odd"))["10.9.9.9:1"].weight == 0, (
+            "an endpoint that is not on the endpoint list gets weight 0"
+        )
 
 
 async def test_groups_deleted_while_their_pushes_are_written(tmp_path):
-    """Each drain sets off a push; the group goes in the same moment. Nothing of it comes after its deregistration."""
+    """No push of a group may arrive after its deregistration, although each drain starts a push just before it."""
     pushes = []
-    async with front(tmp_path) as (made, _), connect(made.address, b"lb1", pushes.append) as client:
+    async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1", pushes.append) as client:
         await client.hello(LbFlag.PUSH)
         for k in range(8):
-            await client.register(b"web", ALL)
-            made.pilot.list(s1="in_service", s2="in_service", s3="terminating" if k % 2 else "in_service")
+            await client.register(b"web", ALL_MEMBERS)
+            server.pilot.list(s1="in_service", s2="in_service", s3="terminating" if k % 2 else "in_service")
             await anyio.sleep(0.02 * (k % 4))
             assert await client.deregister(b"web") == Code.OK
             pushes.clear()
             await anyio.sleep(0.1)
             assert not pushes
-        assert await client.register(b"web", ALL) == Code.OK
+        assert await client.register(b"web", ALL_MEMBERS) == Code.OK
         assert (await client.weights(b"web")).code == Code.OK
 
 
-async def test_a_poll_while_the_pilot_has_no_list_and_members_that_nobody_knows(tmp_path):
-    async with front(tmp_path, gates=0) as (made, _):
-        made.pilot.stop()
+async def test_a_poll_while_the_pilot_has_no_list_and_knows_no_member(tmp_path):
+    async with running_pilot(tmp_path, gates=0) as (server, _):
+        server.pilot.stop()
         (tmp_path / "servers.ini").unlink()
         for path in (tmp_path / "state").glob("tables.db*"):
             path.unlink()
-        await anyio.to_thread.run_sync(made.pilot.start)
-        async with connect(made.address, b"lb1") as client:
+        await anyio.to_thread.run_sync(server.pilot.start)
+        async with connect(server.address, b"lb1") as client:
             await client.hello()
-            await client.register(b"web", ALL)
+            await client.register(b"web", ALL_MEMBERS)
             reply = await client.weights(b"web")
-            assert reply.code == Code.OK and len(told(reply)) == 3
+            assert reply.code == Code.OK and len(by_endpoint(reply)) == 3
 
 
 async def test_a_thousand_groups(tmp_path):
-    async with front(tmp_path) as (made, _), connect(made.address, b"lb1") as client:
+    async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1") as client:
         await client.hello()
         names = [f"group {k}".encode() for k in range(1000)]
         for k in range(0, 1000, 100):
-            body = Register(Sender.BALANCER, tuple(MembersOf(Group(b"lb1", n), tuple(ALL)) for n in names[k : k + 100]))
+            body = Register(
+                Sender.BALANCER, tuple(MembersOf(Group(b"lb1", n), tuple(ALL_MEMBERS)) for n in names[k : k + 100])
+            )
             assert (await client.ask(body)).code == Code.OK
         reply = await client.weights()
         assert reply.code == Code.OK and len(reply.groups) == 1000
@@ -378,61 +400,63 @@
 
 
 async def test_a_group_too_large_for_its_component_is_refused_and_the_session_goes_on(tmp_path):
-    async with front(tmp_path) as (made, _), connect(made.address, b"lb1") as client:
+    async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1") as client:
         await client.hello()
         wordy = [member(f"10.2.{k // 200}.{k % 200}:80", label=b"x" * 250) for k in range(200)]
         assert await client.register(b"wordy", wordy) == Code.OK
         more = [member(f"10.3.{k // 200}.{k % 200}:80", label=b"x" * 250) for k in range(100)]
         assert await client.register(b"wordy", more) == Code.INVALID_GROUP
-        assert len(told(await client.weights(b"wordy"))) == 200 and not made.pilot.log("sasp_session_failed")
+        assert len(by_endpoint(await client.weights(b"wordy"))) == 200 and not server.pilot.log("sasp_session_failed")
 
 
-async def test_a_restart_drops_registrations_and_who_does_not_come_back_is_told_so(tmp_path):
-    async with front(tmp_path) as (made, gates):
-        async with connect(made.address, b"lb1") as client:
+async def test_a_restart_drops_registrations_and_polls_get_an_error_code_until_reregistration(tmp_path):
+    async with running_pilot(tmp_path) as (server, gates):
+        async with connect(server.address, b"lb1") as client:
             await client.hello()
-            await client.register(b"web", ALL)
-            made.pilot.stop(signal.SIGKILL)
+            await client.register(b"web", ALL_MEMBERS)
+            server.pilot.stop(signal.SIGKILL)
             with anyio.fail_after(10):
                 await client.ended.wait()
-        await anyio.to_thread.run_sync(made.pilot.start)
-        async with connect(made.address, b"lb1") as client:
+        await anyio.to_thread.run_sync(server.pilot.start)
+        async with connect(server.address, b"lb1") as client:
             assert (await client.weights(b"web")).code == Code.UNKNOWN_LB
             await client.hello()
             assert (await client.weights(b"web")).code == Code.UNKNOWN_GROUP
-            assert await client.register(b"web", ALL) == Code.OK
-        await true(lambda: all(g.watch_client.connected for g in gates))
+            assert await client.register(b"web", ALL_MEMBERS) == Code.OK
+        await wait_until(lambda: all(g.watch_client.connected for g in gates))
 
 
-async def test_without_any_gateway_that_reports_a_server_that_returns_gets_its_part_by_capacity(tmp_path):
-    async with front(tmp_path, gates=0) as (made, _), connect(made.address, b"lb1") as client:
+async def test_without_load_reports_a_returning_server_gets_weight_by_capacity(tmp_path):
+    async with running_pilot(tmp_path, gates=0) as (server, _), connect(server.address, b"lb1") as client:
         await client.hello()
-        await client.register(b"web", ALL)
-        made.pilot.list(s1="in_service", s2="in_service", s3="terminating")
-        await settled(client, lambda w: w[name(3)].weight == 0, b"web")
-        made.pilot.list(s1="in_service", s2="in_service", s3="in_service")
-        await settled(client, lambda w: w[name(3)].weight == w[name(1)].weight > 0, b"web")
+        await client.register(b"web", ALL_MEMBERS)
+        server.pilot.list(s1="in_service", s2="in_service", s3="terminating")
+        await poll_until(client, lambda w: w[name(3)].weight == 0, b"web")
+        server.pilot.list(s1="in_service", s2="in_service", s3="in_service")
+        await poll_until(client, lambda w: w[name(3)].weight == w[name(1)].weight > 0, b"web")
 
 
 async def test_two_pilots_asked_by_one_balancer_agree_on_what_the_list_says(tmp_path):
-    """Weights differ by what each has seen; zero, quiesce and membership do not, as they follow the list."""
+    """Weights depend on what each pilot has seen. Zero, quiesce and membership follow the list and must agree."""
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
-    async with front(tmp_path / "a") as (one, _), front(tmp_path / "b") as (other, _):
+    async with running_pilot(tmp_path / "a") as (one, _), running_pilot(tmp_path / "b") as (other, _):
         got = []
-        for made in (one, other):
-            made.pilot.list(s1="in_service", s2="terminating", s3="in_service")
-            async with connect(made.address, b"lb1") as client:
+        for server in (one, other):
+            server.pilot.list(s1="in_service", s2="terminating", s3="in_service")
+            async with connect(server.address, b"lb1") as client:
                 await client.hello()
-                await client.register(b"web", ALL)
-                reply = await settled(client, lambda w: w[name(2)].weight == 0, b"web")
-                got.append({n: (w.weight > 0, bool(w.flags & WeightFlag.QUIESCE)) for n, w in told(reply).items()})
+                await client.register(b"web", ALL_MEMBERS)
+                reply = await poll_until(client, lambda w: w[name(2)].weight == 0, b"web")
+                got.append(
+                    {n: (w.weight > 0, bool(w.flags & WeightFlag.QUIESCE)) for n, w in by_endpoint(reply).items()}
+                )
         assert got[0] == got[1]
 
 
-def test_what_operators_ask_on_the_command_line(tmp_path):
+def test_sasp_commands_of_operators(tmp_path):
     pilot = Pilot(tmp_path)
-    pilot.file.write_text(pilot.file.read_text() + FRONT)
+    pilot.file.write_text(pilot.file.read_text() + SASP_SETTINGS)
     pilot.list(s1="in_service", s2="in_service")
     pilot.start()
 
@@ -442,7 +466,7 @@
         )
 
     try:
-        address = Front(pilot).address
+        address = SaspPilot(pilot).address
         until(lambda: pilot.log("list_applied"))
         done = run("get", address, name(1), name(2), "--json")
         assert done.returncode == 0 and {r["endpoint"] for r in json.loads(done.stdout)} == {name(1), name(2)}
@@ -459,7 +483,7 @@
     assert done.returncode == 3 and "no manager answers" in done.stderr
 
 
-def test_an_address_that_is_taken_is_said_with_its_setting(tmp_path):
+def test_an_address_in_use_is_reported_with_its_setting(tmp_path):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -474,7 +498,7 @@
     assert "Traceback" not in done.stderr
 
 
-def test_settings_of_the_front_are_checked_whole(tmp_path):
+def test_sasp_settings_are_checked_completely(tmp_path):
     pilot = Pilot(tmp_path)
     text = pilot.file.read_text()
     for wrong, said in (
