--- a/damsonpick/protocols/sasp/advisor.py
+++ b/damsonpick/protocols/sasp/advisor.py
@@ -61,7 +61,7 @@
 
     Attributes:
         advice: Advice by endpoint. The same object is returned as long as the advice is unchanged.
-        encoded: The Group of Weight Data component as sent on the wire.
+        encoded: The group with its weights as sent on the wire.
     """
 
     advice: dict[str, Advice]
@@ -69,7 +69,7 @@
 
 
 class EncodedMembers(NamedTuple):
-    """An encoded Group of Weight Data component and the number of members in it."""
+    """An encoded group with weights and the number of members in it."""
 
     size: int
     encoded: bytes
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -73,7 +73,7 @@
 
 
 def write_member(member: sasp.Member) -> bytes:
-    """Encode a Member Data component (RFC 4678, 5.1).
+    """Encode a member component (RFC 4678, 5.1).
 
     Raises:
         ValueError: The label of the member is longer than 255 bytes.
@@ -85,7 +85,7 @@
 
 
 def write_group(group: sasp.Group) -> bytes:
-    """Encode a Group Data component.
+    """Encode a group component.
 
     Raises:
         ValueError: The group name or the load balancer identifier is longer than 255 bytes.
@@ -108,7 +108,7 @@
 
 
 def write_weights_of(group: sasp.Group, count: int, entries: bytes) -> bytes:
-    """Encode a Group of Weight Data component.
+    """Encode a component with a group and its weights.
 
     Args:
         group: The group.
--- a/damsonpick/protocols/sasp/fleet.py
+++ b/damsonpick/protocols/sasp/fleet.py
@@ -12,7 +12,7 @@
 from damsonpick.time_units import NS_PER_SECOND
 
 NO_REPORTS_NS = 60 * NS_PER_SECOND  # time without any load report after which advice is derived from capacities
-RECENT_REPORT_NS = 10 * NS_PER_SECOND  # maximum age of the last load report on an endpoint with recent reports
+RECENT_REPORT_NS = 10 * NS_PER_SECOND  # age up to which a load report on an endpoint counts as recent
 UNKNOWN_SLICE_LOAD = 0.01  # requests per second assumed for a slice that the planner does not know
 
 
--- a/damsonpick/protocols/sasp/layout.py
+++ b/damsonpick/protocols/sasp/layout.py
@@ -133,7 +133,7 @@
 
 
 class MembersOf(NamedTuple):
-    """Group of Member Data: a group with some of its members."""
+    """A group with some of its members."""
 
     group: Group
     members: tuple[Member, ...]
@@ -149,7 +149,7 @@
 
 
 class WeightsOf(NamedTuple):
-    """Group of Weight Data: a group with weights of its members."""
+    """A group with weights of its members."""
 
     group: Group
     weights: tuple[Weight, ...]
@@ -164,7 +164,7 @@
 
 
 class StatesOf(NamedTuple):
-    """Group of Member State Data: a group with states of its members."""
+    """A group with states of its members."""
 
     group: Group
     states: tuple[MemberState, ...]
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -18,7 +18,7 @@
 
 REGISTRATION_RETENTION_NS = 60 * NS_PER_SECOND  # time for which registrations are kept after their last session ends
 MAX_GROUP_BYTES = 65_535  # largest size that the length field of a component can represent
-GROUP_HEAD_BYTES = 12  # in a group of weights: two component heads, the count and the length fields of two names
+GROUP_HEAD_BYTES = 12  # encoded group without names and entries: two component heads, count, two name lengths
 WEIGHT_BYTES = 32  # size of a weight entry with an empty label
 MAX_SHARED_SNAPSHOTS = 10_000  # number of snapshots above which those that no group uses are dropped
 
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -38,9 +38,9 @@
 
 PEER_CLOSED = "the peer closed the connection"
 READ_BYTES = 65_536
-MAX_CONCURRENT_REQUESTS = 4  # handled between two turns of the event loop, so that a burst of polls delays no push
-REFRESH_INTERVAL_S = 1.0  # interval between checks for changes that occur without a request or a table change
-UNSENT_ADVICE_SHARE = 0.05  # of the send queue's limit: most that one refresh may enqueue for all sessions
+MAX_CONCURRENT_REQUESTS = 4  # requests per turn of the event loop, limited so that a burst of polls delays no push
+REFRESH_INTERVAL_S = 1.0  # interval of checks for changes that occur without a request or a table change
+UNSENT_ADVICE_SHARE = 0.05  # share of the send queue's limit that one refresh may enqueue for all sessions
 
 
 @dataclass(slots=True, eq=False)
