--- a/damsonpick/protocols/xds/__init__.py
+++ b/damsonpick/protocols/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The xDS protocol: resources, ADS sessions of both variants, load reports. The mapping is in docs/design/xds.md."""
+"""The xDS protocol: resources, ADS sessions of both variants and load reports. docs/design/xds.md has the mapping."""
--- a/damsonpick/protocols/xds/assignment_builder.py
+++ b/damsonpick/protocols/xds/assignment_builder.py
@@ -1,4 +1,4 @@
-"""Load assignments: the entries of slices, withdrawals and admission levels. Pure."""
+"""Builds the xDS load assignments: table entries, withdrawals and admission levels. Pure functions."""
 
 from __future__ import annotations
 
@@ -11,33 +11,36 @@
 from damsonpick.state.persistent_actions import FULL_LEVEL
 from damsonpick.state.published_tables import FLEET, PublishedTables, slice_unit
 
-XDS_WEIGHT_OF_ONE = 1000  # xDS weights are whole numbers: an entry of weight 1 has this one
+XDS_WEIGHT_SCALE = 1000  # xDS weight of a table entry with weight 1; xDS weights are integers
 MILLION = 1_000_000
-WITHDRAWN_WEIGHT = 1.0
+WITHDRAWN_WEIGHT = 1.0  # weight of every entry that marks a withdrawal
 
 
 class AssignmentBuilder:
     """Builds ClusterLoadAssignments from the published state."""
 
     def __init__(self, published: PublishedTables, zone_of: Callable[[str], str]) -> None:
-        """Build from a state.
+        """Create a builder for a published state.
 
         Args:
-            published: the state.
-            zone_of: the zone of an endpoint, '' if unknown.
+            published: The published state.
+            zone_of: Returns the zone of an endpoint, or '' if the zone is unknown.
         """
         self._published = published
         self._zone_of = zone_of
 
     def build_slice(self, number: int) -> endpoint_pb2.ClusterLoadAssignment:
-        """Entries and admission levels of a slice."""
+        """Build the assignment with the entries and admission levels of a slice."""
         assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=slice_unit(number))
         self._add_entries(assignment, self._published.tables[number], health_check_pb2.UNKNOWN)
         self._add_drops(assignment, number)
         return assignment
 
     def build_fleet(self) -> endpoint_pb2.ClusterLoadAssignment:
-        """Withdrawals, one entry an endpoint, and fleet-wide admission levels: one resource that all clients share."""
+        """Build the assignment that all clients share: entries of withdrawn endpoints, and fleet-wide admission levels.
+
+        Each withdrawn endpoint has one entry.
+        """
         assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=FLEET)
         withdrawn = dict.fromkeys(self._published.withdrawn, WITHDRAWN_WEIGHT)
         self._add_entries(assignment, withdrawn, health_check_pb2.DRAINING)
@@ -47,7 +50,7 @@
     def _add_entries(
         self, assignment: endpoint_pb2.ClusterLoadAssignment, weights: Mapping[str, float], health: int
     ) -> None:
-        """Add entries by zone and name, so that equal content is serialized to equal bytes."""
+        """Add entries sorted by zone and endpoint name, so that equal content is serialized to equal bytes."""
         endpoints_by_zone: dict[str, list[str]] = {}
         for endpoint in sorted(weights):
             endpoints_by_zone.setdefault(self._zone_of(endpoint), []).append(endpoint)
@@ -60,11 +63,11 @@
             locality.load_balancing_weight.value = total
 
     def _add_drops(self, assignment: endpoint_pb2.ClusterLoadAssignment, table: int | None) -> None:
-        """Add the share of each class that is not admitted.
+        """Add the share of requests that clients must drop, for each class that is not fully admitted.
 
         Args:
-            assignment: to be added to.
-            table: a slice; None: for the whole fleet.
+            assignment: Assignment to which the drop shares are added.
+            table: Number of the slice, or None for the whole fleet.
         """
         for class_number, class_name in enumerate(self._published.classes):
             level = self._published.levels.get((table, class_number), FULL_LEVEL)
@@ -80,4 +83,4 @@
     address = entry.endpoint.address.socket_address
     address.address = host.strip("[]")
     address.port_value = int(port)
-    entry.load_balancing_weight.value = max(1, round(weight * XDS_WEIGHT_OF_ONE))
+    entry.load_balancing_weight.value = max(1, round(weight * XDS_WEIGHT_SCALE))
--- a/damsonpick/protocols/xds/cluster_builder.py
+++ b/damsonpick/protocols/xds/cluster_builder.py
@@ -1,4 +1,4 @@
-"""Clusters: how clients balance load within a table. Pure."""
+"""Builds the xDS clusters, which define how clients balance load within a table. Pure functions."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 from damsonpick.settings.model import Tables
 
-XDS_POLICIES = {
+XDS_POLICIES = {  # by the value of the balancing_policy setting
     "pair": cluster_pb2.Cluster.LEAST_REQUEST,
     "wheel": cluster_pb2.Cluster.ROUND_ROBIN,
     "lottery": cluster_pb2.Cluster.RANDOM,
 }
 LEAST_REQUEST_SETTING = "pair"
-LEAST_REQUEST_CHOICES = 2
+LEAST_REQUEST_CHOICES = 2  # endpoints that a client compares for each request
 
 
 def build_cluster(name: str, tables: Tables) -> cluster_pb2.Cluster:
-    """The cluster of a unit.
+    """Build the cluster of a unit.
 
     Args:
-        name: of the unit and of its resources.
-        tables: settings of balancing and ejection.
+        name: Name of the unit and of its resources.
+        tables: Settings for load balancing and outlier ejection.
     """
     policy = XDS_POLICIES[tables.balancing_policy]
     cluster = cluster_pb2.Cluster(name=name, type=cluster_pb2.Cluster.EDS, lb_policy=policy)
--- a/damsonpick/protocols/xds/delta_session.py
+++ b/damsonpick/protocols/xds/delta_session.py
@@ -11,7 +11,7 @@
 
 
 class DeltaSession(Session):
-    """A stream on which requests add to and remove from the subscription of a type."""
+    """The session of a stream on which requests add names to, and remove names from, the subscription to a type."""
 
     variant = "delta"
 
@@ -30,7 +30,7 @@
             _unsubscribe_from(watch, name)
 
     def _start(self, watch: ResourceWatch, request: discovery_pb2.DeltaDiscoveryRequest) -> None:
-        """Begin with what the client says that it holds from earlier streams."""
+        """Initialize the watch with the versions that the client states to have from earlier streams."""
         watch.started = True
         versions = dict(request.initial_resource_versions)
         watch.reset(versions)
@@ -52,7 +52,10 @@
 
 
 def _subscribe_to(now: int, watch: ResourceWatch, name: str) -> None:
-    """Subscribe to a name; one that was subscribed to before, or does not exist, is answered in any case."""
+    """Subscribe to a name.
+
+    The client always gets a response if it was already subscribed to the name, or if no such resource exists.
+    """
     repeated = name in watch.names
     watch.names.add(name)
     missing = not watch.published_version(name)
@@ -60,7 +63,10 @@
 
 
 def _unsubscribe_from(watch: ResourceWatch, name: str) -> None:
-    """End the subscription to a name, or to all that have none of their own."""
+    """End the subscription to a name.
+
+    For the wildcard, end the subscription to all resources that the client does not also subscribe to by name.
+    """
     if name == WILDCARD:
         watch.wildcard = False
         for other in [held for held in watch.expected if held not in watch.names]:
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -1,8 +1,9 @@
-"""The endpoint list over a published protocol: an EDS subscription (state of the world, ADS) upstream.
+"""A client that receives the endpoint list over a public protocol: an EDS subscription (state of the world, ADS).
 
-One ClusterLoadAssignment lists the fleet: locality zone, weight, health (HEALTHY or UNKNOWN: in service, DRAINING:
-terminating, else terminated) and, in the endpoint's filter metadata under `damsonpick`, the field `started`: wall-clock
-nanoseconds of the last start, as text (a protobuf Struct has no 64-bit number).
+One ClusterLoadAssignment of the upstream server lists the fleet. Each endpoint has a locality zone, a weight and a
+health status: HEALTHY or UNKNOWN for in service, DRAINING for terminating, and any other for terminated. Its filter
+metadata under `damsonpick` has the field `started`: the wall-clock time of the last start in nanoseconds. The field is
+text, because a protobuf Struct has no 64-bit integer.
 """
 
 from __future__ import annotations
@@ -36,46 +37,46 @@
 
 
 class UpstreamEntryError(ListError):
-    """An endpoint of an upstream list cannot be used.
+    """An endpoint in an upstream list is invalid.
 
     Attributes:
-        endpoint: which one.
-        problem: what is wrong with it, and the remedy.
+        endpoint: Name of the endpoint.
+        problem: What is wrong with the endpoint, and the remedy.
     """
 
     def __init__(self, endpoint: str, problem: str) -> None:
-        """Put endpoint and problem into one text."""
+        """Build the message from the endpoint and the problem."""
         super().__init__(f"upstream list: endpoint {endpoint} {problem}")
         self.endpoint = endpoint
         self.problem = problem
 
 
 class UpstreamTypeError(ListError):
-    """An upstream response holds a resource of another type.
+    """An upstream response contains a resource of another type than ClusterLoadAssignment.
 
     Attributes:
-        type_url: of the resource.
+        type_url: Type URL of the resource.
     """
 
     def __init__(self, type_url: str) -> None:
-        """Name the type that came and the one that is needed."""
+        """Build the message with the received and the expected type."""
         super().__init__(f"upstream list: a resource is {type_url}, not a ClusterLoadAssignment")
         self.type_url = type_url
 
 
 class UpstreamFormatError(ListError):
-    """A resource names the right type and cannot be decoded."""
+    """A resource states the expected type, but its content cannot be decoded."""
 
     def __init__(self) -> None:
-        """The text is the same for every resource."""
-        super().__init__("upstream list: a resource is no ClusterLoadAssignment, though it says so")
+        """Build the message, which is the same for every resource."""
+        super().__init__("upstream list: a resource is not a valid ClusterLoadAssignment, though it says so")
 
 
 def read_entries(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.EndpointEntry]:
-    """Entries of an assignment.
+    """Convert an assignment to endpoint list entries.
 
     Raises:
-        UpstreamEntryError: an endpoint without a socket address or with a start that is no number.
+        UpstreamEntryError: An endpoint has no socket address or port, or its start time is not an integer.
     """
     return [
         _read_entry(locality.locality.zone, endpoint)
@@ -96,20 +97,20 @@
 
 
 def _read_started(name: str, lb_endpoint: endpoint_components_pb2.LbEndpoint) -> int:
-    """When an endpoint started, ns since 1970; 0: long ago."""
+    """Return the start time of an endpoint, ns since 1970; 0 if it is absent, which means long ago."""
     metadata = lb_endpoint.metadata.filter_metadata
     if METADATA_KEY not in metadata or STARTED_FIELD not in metadata[METADATA_KEY].fields:
         return 0
     text = metadata[METADATA_KEY].fields[STARTED_FIELD].string_value
     try:
         return int(text)
-    except ValueError:  # also for text of more digits than int takes
-        shown = repr(text[:MAX_LOGGED_VALUE])
-        raise UpstreamEntryError(name, f"started = {shown}: write nanoseconds as text") from None
+    except ValueError:  # also raised for text with more digits than int() accepts
+        quoted = repr(text[:MAX_LOGGED_VALUE])
+        raise UpstreamEntryError(name, f"started = {quoted}: write nanoseconds as text") from None
 
 
 def write_entries(cluster: str, entries: list[api.EndpointEntry]) -> endpoint_pb2.ClusterLoadAssignment:
-    """The other half of `read_entries`, for fake list servers."""
+    """Build an assignment from entries, the inverse of `read_entries`; for fake list servers."""
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=cluster)
     by_zone: dict[str, list[api.EndpointEntry]] = {}
     for entry in entries:
@@ -133,7 +134,10 @@
 
 
 class UpstreamSource:
-    """Gives whole lists as the upstream sends them; a stream that broke is a ListError and is opened again."""
+    """Yields each complete list that the upstream server sends.
+
+    If the stream breaks, it yields a ListError and connects again.
+    """
 
     def __init__(
         self,
@@ -144,7 +148,7 @@
         budget: CallBudget | None = None,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        """Open nothing yet."""
+        """Create a source; it connects once `lists` is iterated."""
         self.address = address
         self.cluster = cluster
         self.node = node
@@ -153,7 +157,7 @@
         self.clock = clock
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        """Endless; an error stands in the place of a list."""
+        """Yield lists without end; after a failure, yield the error instead of a list."""
         while True:
             await anyio.sleep(self.budget.wait(self.clock()) / 1e9)
             self.budget.spend(self.clock())
@@ -162,14 +166,14 @@
                     yield content
             except grpc_stream.StreamEndedError as error:
                 why = str(error)
-            yield ListError(f"upstream list at {self.address}: {why}; it is dialled again")
+            yield ListError(f"upstream list at {self.address}: {why}; reconnecting")
             await anyio.sleep(self.backoff.next_delay_s())
 
     async def _stream(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        """What one stream brings.
+        """Yield the lists and errors from one stream.
 
         Raises:
-            StreamEndedError: it is over; it ends in no other way.
+            StreamEndedError: The stream has ended. The iteration always ends with this error.
         """
         async with grpc.aio.insecure_channel(self.address, KEEPALIVE) as channel:
             call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources()
@@ -189,7 +193,7 @@
                     await grpc_stream.write(call, self._request(accepted_version, response.nonce, str(error)))
 
     def _request(self, version: str = "", nonce: str = "", rejection: str = "") -> discovery_pb2.DiscoveryRequest:
-        """A request that accepts `version`, or, with `rejection`, rejects the response of that nonce."""
+        """Build a request that accepts `version` or, if `rejection` is given, rejects the response with that nonce."""
         request = discovery_pb2.DiscoveryRequest(
             node=base_pb2.Node(id=self.node),
             type_url=EDS,
@@ -204,10 +208,10 @@
 
 
 def _unpack_all(response: discovery_pb2.DiscoveryResponse) -> list[endpoint_pb2.ClusterLoadAssignment]:
-    """All assignments of a response.
+    """Unpack all assignments in a response.
 
     Raises:
-        UpstreamTypeError: a resource is of another type; nothing of the response is used then.
+        UpstreamTypeError: A resource has another type; nothing in the response is used then.
     """
     return [_unpack(body) for body in response.resources]
 
--- a/damsonpick/protocols/xds/errors.py
+++ b/damsonpick/protocols/xds/errors.py
@@ -1,49 +1,49 @@
-"""Errors that end a client's stream. The text goes to the client with a gRPC status."""
+"""Errors that end a client's stream. The server sends the error text to the client with a gRPC status."""
 
 from __future__ import annotations
 
 
 class StreamError(Exception):
-    """A stream breaks the protocol and is ended.
+    """The client broke the protocol, and the server ends the stream.
 
     Attributes:
-        status: the name of the gRPC status that it ends with.
+        status: Name of the gRPC status with which the server ends the stream.
     """
 
     status = "INVALID_ARGUMENT"
 
 
 class MissingNodeIdError(StreamError):
-    """The first request of a stream does not identify its client."""
+    """The first request of a stream does not identify the client."""
 
     def __init__(self) -> None:
-        """Compose the text."""
-        super().__init__("the first request names no node.id; set one for each gateway")
+        """Build the message."""
+        super().__init__("the first request has no node.id; set one for each gateway")
 
 
 class RequestFormatError(StreamError):
-    """Received bytes are no message of the expected type.
+    """The received bytes are not a message of the expected type.
 
     Attributes:
-        message_name: the expected protobuf message.
+        message_name: Name of the expected protobuf message.
     """
 
     def __init__(self, message_name: str) -> None:
-        """Compose the text for the expected message."""
-        super().__init__(f"a request is no {message_name}; send protobuf as specified")
+        """Build the message that names the expected type."""
+        super().__init__(f"a request is not a valid {message_name}; send protobuf as specified")
         self.message_name = message_name
 
 
 class RequestRateError(StreamError):
-    """A client sends more requests than any client needs.
+    """A client sends more requests than any client needs, so the server ends its stream.
 
     Attributes:
-        limit_per_s: the admitted rate.
+        limit_per_s: Highest sustained rate that is accepted, requests per second.
     """
 
     status = "RESOURCE_EXHAUSTED"
 
     def __init__(self, limit_per_s: float) -> None:
-        """Compose the text for the admitted rate."""
-        super().__init__(f"over {limit_per_s:g} requests a second: no client needs that")
+        """Build the message that states the accepted rate."""
+        super().__init__(f"more than {limit_per_s:g} requests per second; no client needs that many")
         self.limit_per_s = limit_per_s
--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -1,9 +1,9 @@
 """Load reports of clients as LRS messages. Sans I/O.
 
-LRS counts attempts and outcomes by cluster, locality and endpoint. It has no latency and no request class, so both
-travel as `load_metric_stats`, which the specification leaves to the parties: `latency_ms` by endpoint,
-`requests.CLASS` and `failures.CLASS` in one locality of a slice's cluster, with sub-zone `asked` and no zone, whatever
-server the requests went to.
+LRS counts attempts and outcomes by cluster, locality and endpoint. It has no fields for latency and request class, so
+reports transfer both as `load_metric_stats`, whose meaning the specification leaves to client and server. `latency_ms`
+is reported by endpoint. `requests.CLASS` and `failures.CLASS` are reported in one locality of a slice's cluster, with
+sub-zone `asked` and no zone, regardless of the server that received the requests.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 LATENCY_METRIC = "latency_ms"
 REQUESTS_PREFIX = "requests."
 FAILURES_PREFIX = "failures."
-CLASS_COUNTS_SUB_ZONE = "asked"  # the locality with counts by class, whatever server a request went to
-MAX_CLUSTERS = 70_000  # in one report: more than there can be slices
-MAX_LATENCY_SUM_MS = 1e15
-MAX_COUNT = 1e12
+CLASS_COUNTS_SUB_ZONE = "asked"  # of the locality with counts by class, regardless of the server of a request
+MAX_CLUSTERS = 70_000  # read from one report; greater than the largest possible number of slices
+MAX_LATENCY_SUM_MS = 1e15  # sums of this size or larger are ignored
+MAX_COUNT = 1e12  # counts of this size or larger are ignored
 
 
 def subscription(report_period: int) -> lrs_pb2.LoadStatsResponse:
-    """What a client is to report: all clusters, by endpoint.
+    """Build the message that asks a client to report all clusters, by endpoint.
 
     Args:
-        report_period: ns between reports.
+        report_period: Time between two reports, ns.
     """
     response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
     response.load_reporting_interval.FromNanoseconds(report_period)
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class _EndpointCounts:
-    """Attempts at one endpoint, over all clusters of a report."""
+    """Attempts at one endpoint, summed over all clusters of a report."""
 
     attempts: int = 0
     failures: int = 0
@@ -52,7 +52,7 @@
     total_latency: int = 0  # ns
 
     def add(self, stats: load_report_pb2.UpstreamEndpointStats) -> None:
-        """Add the attempts of one cluster."""
+        """Add the endpoint's statistics from one cluster."""
         self.attempts += stats.total_successful_requests + stats.total_error_requests
         self.failures += stats.total_error_requests
         for metric in stats.load_metric_stats:
@@ -63,19 +63,19 @@
 
 @dataclass(slots=True)
 class _ClassCounts:
-    """Requests of one class in one slice."""
+    """Number of requests of one class in one slice."""
 
     requests: int = 0
     failures: int = 0
 
 
 def read(client: int, zone: str, request: lrs_pb2.LoadStatsRequest) -> ClientReport | None:
-    """The report in a message; None if it reports nothing.
+    """Convert a message to a report; return None if the message contains no statistics.
 
     Args:
-        client: the client's number.
-        zone: of the client.
-        request: the message; the longest interval of its clusters stands for the whole report.
+        client: Number of the client.
+        zone: Zone of the client.
+        request: The message. The longest interval of its clusters counts as the interval of the whole report.
     """
     if not request.cluster_stats:
         return None
@@ -102,7 +102,7 @@
 
 
 def _slice_stats(cluster: load_report_pb2.ClusterStats) -> Iterator[SliceStats]:
-    """Counts by class of a slice's cluster; nothing for other clusters."""
+    """Yield the counts of each class if the cluster stands for a slice; yield nothing for other clusters."""
     number = slice_of(cluster.cluster_name)
     if number < 0:
         return
@@ -131,7 +131,7 @@
 
 
 def introduction(node_id: str, zone: str) -> lrs_pb2.LoadStatsRequest:
-    """The first message of a client's stream: who it is."""
+    """Build the first message of a client's stream, which identifies the client."""
     request = lrs_pb2.LoadStatsRequest()
     request.node.id = node_id
     request.node.locality.zone = zone
@@ -139,11 +139,11 @@
 
 
 def write(period: int, slices: Mapping[int, SliceCounts]) -> lrs_pb2.LoadStatsRequest:
-    """A client's report; the inverse of `read`.
+    """Build the message for a client's report; the inverse of `read`.
 
     Args:
-        period: ns that it covers.
-        slices: counts by slice; a report without any still accounts for the time.
+        period: Time that the report covers, ns.
+        slices: Counts by slice number. A report without slices still states the time that it covers.
     """
     request = lrs_pb2.LoadStatsRequest()
     for number, counts in sorted(slices.items()):
@@ -157,16 +157,16 @@
 
 @dataclass(slots=True)
 class _AttemptCounts:
-    """Attempts at one endpoint in one zone."""
+    """Outcomes and latency of the attempts at one endpoint in one zone."""
 
     successes: int = 0
     failures: int = 0
-    latency_ms: float = 0.0  # sum over successes
+    latency_ms: float = 0.0  # sum over the successful attempts
 
 
 @dataclass(slots=True)
 class _RequestCounts:
-    """Requests of one class."""
+    """Number of admitted requests of one class, and how many of them failed."""
 
     admitted: int = 0
     failed: int = 0
@@ -174,12 +174,12 @@
 
 @dataclass(slots=True)
 class SliceCounts:
-    """What one client counted in one slice since its last report.
+    """Statistics of one client for one slice since the client's last report.
 
     Attributes:
-        attempts: by zone of the server, and endpoint.
-        requests: by class.
-        dropped: requests that were not admitted, by class.
+        attempts: Counts of attempts by (zone of the server, endpoint).
+        requests: Counts of admitted requests by class.
+        dropped: Number of requests that were not admitted, by class.
     """
 
     attempts: dict[tuple[str, str], _AttemptCounts] = field(default_factory=dict)
@@ -203,7 +203,7 @@
         self._requests_of(request_class).admitted += 1
 
     def count_failed(self, request_class: str) -> None:
-        """Count an admitted request that was not answered."""
+        """Count an admitted request that got no response."""
         self._requests_of(request_class).failed += 1
 
     def count_dropped(self, request_class: str) -> None:
@@ -217,7 +217,7 @@
         return counts
 
     def write_to(self, cluster: load_report_pb2.ClusterStats) -> None:
-        """Add all counts to the slice's cluster in a message."""
+        """Write all counts into the cluster of the slice in a message."""
         for zone, endpoint in sorted(self.attempts):
             attempts = self.attempts[zone, endpoint]
             _write_attempts(cluster.upstream_locality_stats.add(), zone, endpoint, attempts)
--- a/damsonpick/protocols/xds/rejections.py
+++ b/damsonpick/protocols/xds/rejections.py
@@ -1,10 +1,11 @@
-"""What follows from a client's rejection (NACK) of a response. Sans I/O.
+"""Handling of a client's rejection (NACK) of a response. Sans I/O.
 
-A rejection says that something in a response is wrong, not what. The response is split in halves until the wrong
-resource is alone in a response; that version is never sent again, and all others get through.
+A rejection states that something in a response is invalid, but not which resource. The session therefore splits the
+response in halves until the invalid resource is alone in a response. It never sends that version again, and the client
+receives all other resources.
 
-A client that checks roots rejects a response also when it holds something else than it should. Then the ranges of the
-digest that differ are sent whole.
+A client that checks roots also rejects a response if the state that it has differs from the state that it should have.
+The session then resends the differing ranges of the digest completely.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 
 
 class RejectionHandler:
-    """Rejections on one stream.
+    """Handles and records the rejections on one stream.
 
     Attributes:
-        seq_ranges: changes of rejected responses.
-        reasons: the client's error text by resource whose version it rejected.
-        new_versions: versions rejected since the session manager last looked.
-        events: for the log.
+        seq_ranges: Sequence numbers of the changes that rejected responses covered.
+        reasons: The client's error text, by name of the resource whose version it rejected.
+        new_versions: Versions that were rejected since the session manager last read this list.
+        events: Events for the log.
     """
 
     def __init__(self, events: list[SessionEvent]) -> None:
-        """Begin without rejections.
+        """Create a handler without rejections.
 
         Args:
-            events: the stream's events, to which rejections add theirs.
+            events: Event list of the stream, to which this handler appends.
         """
         self.seq_ranges: list[SeqRange] = []
         self.reasons: dict[str, str] = {}
@@ -41,17 +42,17 @@
         self.events = events
 
     def accept(self, versions: dict[str, str]) -> None:
-        """Forget the reasons of resources that the client has now accepted."""
+        """Remove the rejection reasons of resources that the client has now accepted."""
         for name in versions:
             self.reasons.pop(name, None)
 
     def reject(self, watch: ResourceWatch, response: InFlightResponse, error_text: str) -> None:
-        """Apply a rejection.
+        """Process the rejection of a response.
 
         Args:
-            watch: of the response's type.
-            response: the rejected response.
-            error_text: the client's.
+            watch: Subscription to the response's resource type.
+            response: The rejected response.
+            error_text: The error text that the client sent.
         """
         reason = error_text[:MAX_REASON_CHARS]
         self.seq_ranges.append(SeqRange(response.covered.first_seq, response.published_seq))
@@ -65,14 +66,14 @@
             self._reject_versions(watch, response, reason)
 
     def _split(self, watch: ResourceWatch, response: InFlightResponse, reason: str) -> None:
-        """Send what is still published of a response again, in two halves."""
+        """Schedule two new responses, each with half of the resources whose rejected version is still published."""
         names = [name for name, version in response.versions.items() if watch.published_version(name) == version]
         middle = (len(names) + 1) // 2
         watch.isolated_batches.extend(half for half in (names[:middle], names[middle:]) if half)
         self._report(SessionEventKind.RESPONSE_SPLIT, watch, reason=reason, resource_count=len(response.versions))
 
     def _reject_versions(self, watch: ResourceWatch, response: InFlightResponse, reason: str) -> None:
-        """Stop sending the version of the only resource of a response."""
+        """Record the version of the only resource in the response as rejected, so that it is not sent again."""
         for name, version in response.versions.items():
             watch.rejected[name] = version
             self.reasons[name] = reason
@@ -80,9 +81,9 @@
             self._report(SessionEventKind.RESOURCE_REJECTED, watch, resource=name, version=version, reason=reason)
 
     def _repair_mismatch(self, watch: ResourceWatch, range_sums: str, reason: str) -> None:
-        """Replace the ranges in which the client differs from what it should hold.
+        """Schedule the replacement of the ranges in which the client's state differs from the published state.
 
-        If an earlier repair did not help, or the client's range sums cannot be read, all ranges are replaced.
+        All ranges are replaced if an earlier repair did not help or the client's range sums cannot be parsed.
         """
         target = self._target_versions(watch)
         try:
@@ -101,7 +102,7 @@
 
     @staticmethod
     def _target_versions(watch: ResourceWatch) -> dict[str, str]:
-        """The published versions of everything that the client subscribes to."""
+        """Return the published version of each resource that the client subscribes to, by name."""
         versions = {}
         for name in watch.catalogue.by_type[watch.type_url]:
             version = watch.published_version(name)
--- a/damsonpick/protocols/xds/resource_watch.py
+++ b/damsonpick/protocols/xds/resource_watch.py
@@ -1,7 +1,10 @@
-"""One stream's subscription to one resource type: what the client has, and what it is to be sent. Sans I/O.
+"""One stream's subscription to one resource type: what the client has and what it must still receive. Sans I/O.
 
-Three sets of versions by resource name are kept apart. *Acknowledged* is what the client has accepted, *expected* is
-what it will hold if it accepts every response in flight, *pending* names what is to be sent.
+The watch tracks three sets by resource name. *Acknowledged* contains the versions that the client has accepted.
+*Expected* contains the versions that the client will have if it accepts every response in flight. *Pending* contains
+the names of the resources that must still be sent.
+
+An answer is the client's ACK or NACK of a response.
 """
 
 from __future__ import annotations
@@ -16,18 +19,18 @@
 from damsonpick.state.history.digest import Digest
 from damsonpick.state.published_tables import FLEET
 
-MAX_RESPONSE_BYTES = 1_000_000  # of resources; a quarter of what a gRPC client accepts by default
-MAX_ANSWERED_RESPONSES = 32  # remembered after their answer: a rejection that comes late still counts
+MAX_RESPONSE_BYTES = 1_000_000  # of resources; a quarter of the message size that a gRPC client accepts by default
+MAX_ANSWERED_RESPONSES = 32  # kept after their answer, because a late rejection must still take effect
 
 
 class InFlightResponse(NamedTuple):
-    """A response that was sent and is not yet answered.
+    """A response that was sent and that the client has not answered yet.
 
     Attributes:
-        nonce: its identifier.
-        versions: version by resource name; '' stands for a removed resource.
-        covered: the changes that it brings.
-        published_seq: the newest change when it was sent.
+        nonce: Identifier of the response.
+        versions: Version by resource name; '' marks a removed resource.
+        covered: The changes that the response contains.
+        published_seq: Sequence number of the newest published change when the response was sent.
     """
 
     nonce: str
@@ -37,33 +40,34 @@
 
 
 class ResourceWatch:
-    """A subscription to one type.
+    """A stream's subscription to one resource type.
 
     Attributes:
-        names: resources subscribed to by name.
-        wildcard: all resources are subscribed to.
-        started: a request has set the subscription.
-        acknowledged: versions that the client has accepted, by name.
-        expected: versions that it holds once it accepts all responses in flight.
-        digest: over `expected`.
-        rejected: a version of each name that the client rejected; it is not sent again.
-        pending: names to be sent, with the changes that their response covers.
-        resend: pending names that are sent although the same version was sent before.
-        isolated_batches: parts of a rejected response, each to be sent in a response of its own.
-        in_flight: responses without an answer, by nonce, in the order of sending.
-        answered: the newest answered responses.
-        last_nonce: of the newest response.
-        ranges_to_replace: ranges of the digest to be sent whole once nothing is in flight; None: there is no mismatch.
-        repairs: mismatches since the last accepted response.
-        acknowledged_at: ns; when the client last accepted a response.
+        names: Names of the resources to which the client subscribes by name.
+        wildcard: Whether the client subscribes to all resources.
+        started: Whether the first request for this type has been received.
+        acknowledged: Versions that the client has accepted, by name.
+        expected: Versions that the client will have once it has accepted all responses in flight, by name.
+        digest: Digest of `expected`.
+        rejected: By name, the version that the client rejected and that is not sent again.
+        pending: Names that must be sent, each with the changes that its response covers.
+        resend: Pending names that are sent even if the same version was sent before.
+        isolated_batches: Parts of rejected responses; each is sent in a separate response.
+        in_flight: Unanswered responses by nonce, in sending order.
+        answered: The most recently answered responses by nonce.
+        last_nonce: Nonce of the newest response.
+        ranges_to_replace: Ranges of the digest that are sent completely once nothing is in flight. None if there is no
+            mismatch.
+        repairs: Number of mismatches since the last accepted response.
+        acknowledged_at: Time at which the client last accepted a response, ns.
     """
 
     def __init__(self, catalogue: Catalogue, type_url: str) -> None:
-        """Begin without a subscription.
+        """Create a watch without a subscription.
 
         Args:
-            catalogue: the published resources.
-            type_url: the type.
+            catalogue: The published resources.
+            type_url: Type URL of the resources.
         """
         self.catalogue = catalogue
         self.type_url = type_url
@@ -87,16 +91,16 @@
     # -- subscription
 
     def wants(self, name: str) -> bool:
-        """Whether the client subscribes to a resource."""
+        """Return whether the client subscribes to a resource."""
         return self.wildcard or name in self.names
 
     def request(self, now: int, names: Iterable[str], resend: bool = False) -> None:
-        """Make newly requested names pending.
+        """Mark newly requested resources as pending.
 
         Args:
-            now: ns.
-            names: requested resources.
-            resend: they are sent even if the same version was sent before.
+            now: Current time, ns.
+            names: Names of the requested resources.
+            resend: Send the resources even if the same version was sent before.
         """
         for name in names:
             if resend:
@@ -105,35 +109,35 @@
                 self.pending.setdefault(name, CoveredChanges(0, now, 0))
 
     def drop(self, name: str) -> None:
-        """Forget a name that the client does not subscribe to any longer."""
+        """Remove the state of a resource to which the client no longer subscribes."""
         self.expect(name, "")
         self.acknowledged.pop(name, None)
         self.pending.pop(name, None)
 
     def enqueue(self, name: str, covered: CoveredChanges) -> None:
-        """Make a changed resource pending if it concerns the client."""
+        """Mark a changed resource as pending if the client subscribes to it."""
         if self.wants(name) and name not in self.pending:
             self.pending[name] = covered
 
     # -- versions
 
     def published_version(self, name: str) -> str:
-        """The published version of a resource; '' if there is none."""
+        """Return the published version of a resource, or '' if the resource is not published."""
         resource = self.catalogue.get(self.type_url, name)
         return resource.version if resource else ""
 
     def needs(self, name: str) -> bool:
-        """Whether the published version is to be sent: the client neither has it nor rejected it."""
+        """Return whether the published version must be sent, because the client neither has it nor rejected it."""
         version = self.published_version(name)
         if version and version == self.rejected.get(name):
             return False
         stopped = version and version == self.catalogue.stopped.get(name)
         if stopped and self.expected.get(name):
-            return False  # it keeps the former version; a client that has none is sent the stopped one
+            return False  # the client keeps its earlier version; a client without a version receives the stopped one
         return self.expected.get(name, "") != version
 
     def expect(self, name: str, version: str) -> None:
-        """Set the version that the client will hold of a resource; '' for none."""
+        """Record the version of a resource that the client is expected to have; '' if it has none."""
         old = self.expected.get(name, "")
         if old != version:
             self.digest.change(name, old, version)
@@ -143,15 +147,15 @@
             self.expected.pop(name, None)
 
     def reset(self, versions: dict[str, str]) -> None:
-        """Take these versions as what the client holds, whatever was known of it."""
+        """Set the acknowledged and expected versions to these versions and discard the previous ones."""
         self.acknowledged = dict(versions)
         self.expected = dict(versions)
         self.digest = Digest(versions)
 
-    # -- answers
+    # -- answers (ACK and NACK)
 
-    def take_answered(self, nonce: str) -> list[InFlightResponse]:
-        """Move a response and those sent before it from in flight to answered; returns them in order."""
+    def move_to_answered(self, nonce: str) -> list[InFlightResponse]:
+        """Move a response and all earlier responses from `in_flight` to `answered`; return them in sending order."""
         answered: list[InFlightResponse] = []
         while not answered or answered[-1].nonce != nonce:
             _, response = self.in_flight.popitem(last=False)
@@ -160,7 +164,7 @@
         return answered
 
     def forget_old_answers(self) -> None:
-        """Limit the number of remembered answered responses."""
+        """Remove the oldest answered responses beyond `MAX_ANSWERED_RESPONSES`."""
         while len(self.answered) > MAX_ANSWERED_RESPONSES:
             self.answered.popitem(last=False)
 
@@ -168,8 +172,8 @@
         """Record that the client accepted a response with these versions.
 
         Args:
-            now: ns.
-            versions: by resource name; '' stands for a removed resource.
+            now: Current time, ns.
+            versions: Versions by resource name; '' marks a removed resource.
         """
         self.repairs = 0
         self.acknowledged_at = now
@@ -180,21 +184,21 @@
                 self.acknowledged.pop(name, None)
 
     def revert(self, versions: dict[str, str]) -> None:
-        """Expect the acknowledged versions again where a rejected response would have brought others."""
+        """Reset the expected versions that a rejected response would have set to the acknowledged versions."""
         for name, version in versions.items():
             if self.expected.get(name, "") == version:
                 self.expect(name, self.acknowledged.get(name, ""))
 
     # -- responses
 
-    def has_waiting(self) -> bool:
-        """Whether names wait for a response."""
+    def has_pending(self) -> bool:
+        """Return whether any resource must still be sent."""
         return bool(self.pending or self.isolated_batches)
 
     def next_batch(self) -> list[str]:
-        """Names for the next response.
+        """Return the names of the resources for the next response.
 
-        Withdrawals go in a response of their own: a client that rejects a table must still apply a withdrawal.
+        Withdrawals are sent in a separate response, so that a client that rejects a table still applies them.
         """
         if self.type_url == EDS and FLEET in self.pending:
             return [FLEET]
@@ -210,8 +214,8 @@
             names.append(name)
         return names
 
-    def take_pending(self, names: Iterable[str]) -> list[CoveredChanges]:
-        """Remove names from those pending; returns the changes of those that were."""
+    def pop_pending(self, names: Iterable[str]) -> list[CoveredChanges]:
+        """Remove names from `pending`; return the changes of the names that were pending."""
         covered = []
         for name in names:
             changes = self.pending.pop(name, None)
@@ -220,7 +224,7 @@
         return covered
 
     def oldest_unacknowledged(self) -> int | None:
-        """The lowest sequence number of what is in flight or pending; None if there is nothing."""
+        """Return the lowest sequence number of all changes in flight or pending, or None if there are none."""
         sequence_numbers = [response.covered.first_seq for response in self.in_flight.values()]
         sequence_numbers += [covered.first_seq for covered in self.pending.values()]
         return min(sequence_numbers, default=None)
--- a/damsonpick/protocols/xds/resources.py
+++ b/damsonpick/protocols/xds/resources.py
@@ -1,9 +1,10 @@
 """The published state as xDS resources, each serialized once for all clients.
 
-A resource's version is the hash of its content (XXH3, 64 bits, over protobuf's deterministic form), so a client that
-rejoins, even after a restart of the control service, is sent only what differs. A resource is kept as a serialized
-field of a response: a response is a concatenation of such fields (protobuf parses joined messages as their merge), so
-its cost grows with what is sent, not with the whole state.
+The version of a resource is the hash of its content (64-bit XXH3 over protobuf's deterministic serialization). A client
+that rejoins, even after a restart of the control service, therefore receives only the resources that differ. Each
+resource is stored as a serialized field of a response. A response is a concatenation of such fields, because protobuf
+parses concatenated messages as their merge. Its cost therefore grows with the data that is sent, not with the size of
+the whole state.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 from damsonpick.state.published_tables import FLEET, ROUTES, PublishedTables
 
 
-def type_of(unit: str) -> str:
-    """The type of the resource that carries a unit."""
+def type_url_of(unit: str) -> str:
+    """Return the type URL of the resource that represents a unit."""
     return RDS if unit == ROUTES else EDS
 
 
@@ -33,9 +34,9 @@
     """One version of a resource.
 
     Attributes:
-        version: the hash of its content, 16 hex digits.
-        delta: a serialized DeltaDiscoveryResponse with this resource alone.
-        sotw: a serialized DiscoveryResponse with this resource alone.
+        version: Hash of the content, 16 hex digits.
+        delta: Serialized DeltaDiscoveryResponse that contains only this resource.
+        sotw: Serialized DiscoveryResponse that contains only this resource.
     """
 
     version: str
@@ -44,20 +45,20 @@
 
 
 class Catalogue:
-    """All resources, kept in step with the published state.
+    """All resources, kept consistent with the published state.
 
     Attributes:
-        by_type: resources by type URL and name.
-        stopped: by resource, a version whose rollout was stopped as too many clients rejected it.
+        by_type: Resources by type URL and name.
+        stopped: By resource name, the version whose rollout was stopped because too many clients rejected it.
     """
 
     def __init__(self, published: PublishedTables, settings: PilotSettings, zone_of: Callable[[str], str]) -> None:
-        """Build the resources of the whole state.
+        """Build the resources of the complete published state.
 
         Args:
-            published: the state.
-            settings: of the control service.
-            zone_of: the zone of an endpoint, '' if unknown.
+            published: The published state.
+            settings: Settings of the control service.
+            zone_of: Returns the zone of an endpoint, or '' if the zone is unknown.
         """
         self.published = published
         self._assignments = AssignmentBuilder(published, zone_of)
@@ -70,16 +71,16 @@
         self.refresh(published.units())
 
     def refresh(self, units: Iterable[str]) -> None:
-        """Build the resources of units that may have changed."""
+        """Rebuild the resources of units that may have changed."""
         for unit in units:
-            self._put(type_of(unit), unit, self._build(unit))
+            self._put(type_url_of(unit), unit, self._build(unit))
 
     def versions(self, units: Iterable[str]) -> dict[str, str]:
-        """Version by unit."""
-        return {unit: self.by_type[type_of(unit)][unit].version for unit in units}
+        """Return the current version of each unit's resource, by unit."""
+        return {unit: self.by_type[type_url_of(unit)][unit].version for unit in units}
 
     def get(self, type_url: str, name: str) -> Resource | None:
-        """A resource, if there is one."""
+        """Return the resource with a type and name, or None if it does not exist."""
         return self.by_type[type_url].get(name)
 
     def _build(self, unit: str) -> Message:
@@ -90,16 +91,16 @@
         return self._assignments.build_slice(slice_of(unit))
 
     def _put(self, type_url: str, name: str, message: Message) -> None:
-        """Store a resource, unless its content is the same as before."""
+        """Serialize and store a resource, unless its content is unchanged."""
         body = message.SerializeToString(deterministic=True)
         version = xxhash.xxh3_64_hexdigest(body)
-        former = self.by_type[type_url].get(name)
-        if former is not None and former.version == version:
+        stored = self.by_type[type_url].get(name)
+        if stored is not None and stored.version == version:
             return
         packed = any_pb2.Any(type_url=type_url, value=body)
-        named = discovery_pb2.Resource(name=name, version=version, resource=packed)
+        resource_message = discovery_pb2.Resource(name=name, version=version, resource=packed)
         self.by_type[type_url][name] = Resource(
             version=version,
-            delta=discovery_pb2.DeltaDiscoveryResponse(resources=[named]).SerializeToString(),
+            delta=discovery_pb2.DeltaDiscoveryResponse(resources=[resource_message]).SerializeToString(),
             sotw=discovery_pb2.DiscoveryResponse(resources=[packed]).SerializeToString(),
         )
--- a/damsonpick/protocols/xds/route_builder.py
+++ b/damsonpick/protocols/xds/route_builder.py
@@ -1,4 +1,4 @@
-"""Routes: the cluster, deadline and retry policy of requests by class. Pure."""
+"""Builds the xDS routes: the cluster, deadline and retry policy of each request class. Pure functions."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.state.published_tables import NO_RETRIES, ROUTES, PublishedTables, slice_unit
 
-NOT_PROCESSED = "connect-failure,refused-stream"  # conditions that prove that the server did not begin a request
-ANY_FAILURE = NOT_PROCESSED + ",5xx,reset"
+RETRY_ON_UNPROCESSED = "connect-failure,refused-stream"  # they prove that the server has not started the request
+RETRY_ON_FAILURE = RETRY_ON_UNPROCESSED + ",5xx,reset"
 FIRST_MODE_WITH_ATTEMPT_TIMEOUT = 2
 
 
 class RetryRule(NamedTuple):
-    """A retry mode in terms of xDS: conditions and the most retries."""
+    """The xDS form of a retry mode: the `retry_on` conditions and the maximum number of retries."""
 
     conditions: str
     retries: int
 
 
-RETRY_RULES = {
+RETRY_RULES = {  # by retry mode
     0: RetryRule("", 0),
-    1: RetryRule(NOT_PROCESSED, 1),
-    2: RetryRule(ANY_FAILURE, 1),
-    3: RetryRule(ANY_FAILURE, 2),
+    1: RetryRule(RETRY_ON_UNPROCESSED, 1),
+    2: RetryRule(RETRY_ON_FAILURE, 1),
+    3: RetryRule(RETRY_ON_FAILURE, 2),
 }
 
 
@@ -34,12 +34,15 @@
     """Builds the RouteConfiguration from the published state."""
 
     def __init__(self, published: PublishedTables, settings: PilotSettings) -> None:
-        """Build from a state and the settings of request classes, zones and slices."""
+        """Create a builder for a published state, with the settings of request classes, zones and slices."""
         self._published = published
         self._settings = settings
 
     def build(self) -> route_pb2.RouteConfiguration:
-        """All routes; those for one table come before those for all, as the first match counts."""
+        """Build all routes.
+
+        Routes for one table precede routes for all tables, because a proxy uses the first route that matches.
+        """
         config = route_pb2.RouteConfiguration(name=ROUTES)
         host = config.virtual_hosts.add(name="all", domains=["*"])
         retries = self._published.retries
@@ -56,7 +59,7 @@
         return config
 
     def _zone_routes(self, table: int | None, class_number: int, mode: int) -> list[route_components_pb2.Route]:
-        """Routes where there are no slices: zone and class of a request name its table."""
+        """Build the routes of a class without slices, where the zone and class of a request determine its table."""
         routes = []
         for zone_number, zone in enumerate(self._settings.pilot.zones):
             number = zone_number * len(self._published.classes) + class_number
@@ -70,7 +73,7 @@
         return routes
 
     def _route(self, table: int | None, class_number: int, mode: int) -> route_components_pb2.Route:
-        """The route of a class, for one table or for all (None)."""
+        """Build the route of a class, for one table or, if `table` is None, for all tables."""
         class_name = self._published.classes[class_number]
         route = route_components_pb2.Route(name=class_name if table is None else f"{class_name}/{table}")
         route.match.prefix = "/"
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -1,4 +1,4 @@
-"""The gRPC server of the xDS protocol: ADS in both variants and LRS. It moves bytes; sessions decide what is sent."""
+"""The gRPC server for xDS: ADS in both variants, and LRS. It transfers bytes; the sessions decide what is sent."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from damsonpick.protocols.xds.sotw_session import SotwSession
 from damsonpick.state.load_reports import ClientReport
 
-SERVER_OPTIONS = [  # a client that is gone without a message is noticed within 20 s
+SERVER_OPTIONS = [  # the server detects within 20 s that a client has disappeared without closing its connection
     ("grpc.keepalive_time_ms", 10000),
     ("grpc.keepalive_timeout_ms", 10000),
     ("grpc.keepalive_permit_without_calls", 1),
@@ -35,13 +35,13 @@
 
 
 class Stream:
-    """A session with the event that wakes its writer."""
+    """A session, with the event that wakes the task that sends its responses (the writer)."""
 
     def __init__(self, session: Session, request_type: RequestType) -> None:
-        """Begin with a session and the type of the requests that it takes."""
+        """Create a stream for a session and the type of the requests that the session accepts."""
         self.session = session
         self.request_type = request_type
-        self.error: StreamError | None = None  # why it is ended
+        self.error: StreamError | None = None  # why the server ends the stream; None if the server does not end it
         self._wakeup = anyio.Event()
 
     def notify(self) -> None:
@@ -49,13 +49,13 @@
         self._wakeup.set()
 
     async def wait(self) -> None:
-        """Wait until the writer is woken."""
+        """Wait until `notify` is called."""
         await self._wakeup.wait()
         self._wakeup = anyio.Event()
 
 
 class XdsServer:
-    """Serves the sessions of one session manager."""
+    """Serves the xDS sessions of one session manager."""
 
     def __init__(
         self,
@@ -67,16 +67,16 @@
         report_period: int,
         log: FilteringBoundLogger,
     ) -> None:
-        """Prepare a server; `start` opens it.
+        """Create a server; `start` opens its port.
 
         Args:
-            session_manager: of the sessions.
-            epoch: how often the control service has started.
-            now: the clock, ns.
-            notify: called when the controller has something to do.
-            receive_report: called with each load report of a client.
-            report_period: ns between load reports of a client.
-            log: logger.
+            session_manager: Manager of all sessions.
+            epoch: Number of starts of the control service so far.
+            now: Returns the current time, ns.
+            notify: Called when the controller has work to do.
+            receive_report: Called with each load report of a client.
+            report_period: Time between two load reports of a client, ns.
+            log: Logger.
         """
         self.session_manager = session_manager
         self.epoch = epoch
@@ -88,7 +88,7 @@
         self._receive_report = receive_report
 
     async def start(self, address: str, max_message_bytes: int) -> tuple[grpc.aio.Server, int]:
-        """Listen at an address; returns the server and its port."""
+        """Listen on an address and return the server and its port."""
         options = [*SERVER_OPTIONS, ("grpc.max_receive_message_length", max_message_bytes)]
         server = grpc.aio.server(options=options)
         ads_methods = {
@@ -107,7 +107,7 @@
         return server, port
 
     def wake(self, sessions: list[Session]) -> None:
-        """Wake the writers of those sessions that are this server's."""
+        """Wake the writers of the given sessions, except those that belong to other servers."""
         for session in sessions:
             if session in self.streams:
                 self.streams[session].notify()
@@ -123,7 +123,7 @@
         await self._serve(Stream(session, discovery_pb2.DeltaDiscoveryRequest), requests, context)
 
     async def _serve(self, stream: Stream, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
-        """Serve a stream until either side ends it."""
+        """Serve a stream until the client or the server ends it."""
         self.streams[stream.session] = stream
         try:
             async with anyio.create_task_group() as group:
@@ -135,7 +135,7 @@
             await context.abort(grpc.StatusCode[stream.error.status], str(stream.error))
 
     async def _write(self, stream: Stream, context: grpc.aio.ServicerContext) -> None:
-        """Send responses for ever."""
+        """Send responses until the task is cancelled."""
         session = stream.session
         while True:
             await stream.wait()
@@ -143,10 +143,10 @@
                 await context.write(response)
                 await anyio.lowlevel.checkpoint()
             if self.session_manager.update_ready(session):
-                self._notify()  # changes that were merged meanwhile may be sent now
+                self._notify()  # changes that were merged while the client was not ready may be sent now
 
     async def _read(self, stream: Stream, requests: AsyncIterator[bytes], scope: anyio.CancelScope) -> None:
-        """Apply requests until the stream ends, then end its writer."""
+        """Process requests until the stream ends, then cancel its writer."""
         message_name = stream.request_type.DESCRIPTOR.name
         try:
             async for raw_request in requests:
@@ -185,38 +185,41 @@
             self.log.warning(
                 "node_id_duplicated",
                 gateway=session.node,
-                remedy="two streams use one node id; both are served, but give each gateway its own",
+                remedy="two streams use the same node id; both are served, but give each gateway a node id of its own",
             )
 
     def _leave(self, stream: Stream) -> None:
         session = stream.session
         del self.streams[session]
         if session in self.session_manager.by_session:
-            reason = "the stream broke" if stream.error is None else str(stream.error)
+            reason = "the stream ended" if stream.error is None else str(stream.error)
             self.log.info("gateway_left", gateway=session.node, reason=reason)
         self.session_manager.leave(session)
         self._notify()
 
     def _log_events(self, session: Session) -> None:
         for event in session.events:
-            write_line = self.log.warning if event.kind in WARNING_EVENTS else self.log.info
-            write_line(event.kind.value, gateway=session.node, type=event.type_name, **event.fields)
+            log_method = self.log.warning if event.kind in WARNING_EVENTS else self.log.info
+            log_method(event.kind.value, gateway=session.node, type=event.type_name, **event.fields)
         session.events.clear()
 
     # -- LRS
 
     async def _serve_load_stats(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
-        """Receive load reports; the first message names the node and is answered with what is to be reported."""
+        """Receive load reports.
+
+        The first message identifies the node; the server responds with the statistics that the client must report.
+        """
         node, zone, number = "", "", -1
         async for raw_request in requests:
             try:
                 request = lrs_pb2.LoadStatsRequest.FromString(raw_request)
             except DecodeError:
-                await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "a report is no LoadStatsRequest")
+                await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "a report is not a valid LoadStatsRequest")
             if not node:
                 node, zone = request.node.id, request.node.locality.zone
                 if not node:
-                    await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report names no node.id")
+                    await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report has no node.id")
                 number = self.session_manager.number_of(node)
                 await context.write(load_stats.subscription(self.report_period).SerializeToString())
             report = load_stats.read(number, zone, request)
--- a/damsonpick/protocols/xds/session.py
+++ b/damsonpick/protocols/xds/session.py
@@ -1,7 +1,7 @@
-"""One client's ADS stream as a state machine: the half that both variants share. Sans I/O.
+"""The state machine of one client's ADS stream: the part that both variants share. Sans I/O.
 
-What follows the public specification (xDS REST and gRPC protocol) is listed clause by clause, with its test, in
-docs/design/xds.md.
+docs/design/xds.md lists each clause of the public specification (xDS REST and gRPC protocol) that this code follows,
+with the test for it.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 from damsonpick.protocols.xds.rejections import RejectionHandler
 from damsonpick.protocols.xds.request_rate import RequestRateLimit
 from damsonpick.protocols.xds.resource_watch import InFlightResponse, ResourceWatch
-from damsonpick.protocols.xds.resources import Catalogue, type_of
+from damsonpick.protocols.xds.resources import Catalogue, type_url_of
 from damsonpick.protocols.xds.session_events import SessionEvent, SessionEventKind
 from damsonpick.state.history import root_statement
 from damsonpick.state.history.digest import names_in_ranges
 
-MAX_IN_FLIGHT = 4  # responses of a type; beyond, changes wait and are merged
-MAX_TYPE_URL_CHARS = 200  # of an unknown type, in the log
-MAX_NONCE_CHARS = 80  # of an unknown nonce, in the log
-ABOVE_ALL_SEQ = 1 << 62
+MAX_IN_FLIGHT = 4  # responses per resource type; while so many are unanswered, further changes wait and are merged
+MAX_TYPE_URL_CHARS = 200  # of an unknown type URL in the log
+MAX_NONCE_CHARS = 80  # of an unknown nonce in the log
+SEQ_UPPER_BOUND = 1 << 62  # greater than every sequence number
 
 Request: TypeAlias = discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest
 
 
 class Session:
-    """Base of both variants; see `protocols.shared.session.Session` for the public attributes.
+    """Base class of both variants. `protocols.shared.session.Session` documents the public attributes.
 
     Attributes:
-        watches: the client's subscriptions by type URL.
-        events: for the log, until the server has written them.
+        watches: The client's subscriptions by type URL.
+        events: Events for the log that the server has not written yet.
     """
 
     variant = ""
 
     def __init__(self, catalogue: Catalogue, epoch: int) -> None:
-        """Begin a stream.
+        """Create the session of a new stream.
 
         Args:
-            catalogue: the published resources.
-            epoch: how often the control service has started; part of version_info.
+            catalogue: The published resources.
+            epoch: Number of starts of the control service so far; part of version_info.
         """
         self.catalogue = catalogue
         self.epoch = epoch
@@ -65,15 +65,15 @@
     # -- requests
 
     def receive(self, now: int, request: Request) -> None:
-        """Apply one request.
+        """Process one request.
 
         Args:
-            now: ns.
-            request: of the session's variant.
+            now: Current time, ns.
+            request: Request of the session's variant.
 
         Raises:
-            MissingNodeIdError: the first request has no node id.
-            RequestRateError: more requests than any client needs.
+            MissingNodeIdError: The first request has no node id.
+            RequestRateError: The client sends more requests than any client needs.
         """
         self._request_rate.count_request(now)
         self._identify(request)
@@ -96,15 +96,15 @@
             raise MissingNodeIdError
 
     def _apply_answer(self, now: int, watch: ResourceWatch, request: Request) -> None:
-        """Apply an ACK or NACK.
+        """Process the answer (ACK or NACK) in a request.
 
-        A stream is read in order: an answer also accepts the responses before it, unless they were rejected in a
-        request of their own, before or after.
+        A client reads a stream in order, so an answer also accepts all earlier responses in flight. An earlier response
+        counts as rejected only if a separate request rejects it, before or after this one.
         """
         nonce = request.response_nonce
         rejected = request.HasField("error_detail")
         if nonce in watch.in_flight:
-            for response in watch.take_answered(nonce):
+            for response in watch.move_to_answered(nonce):
                 if rejected and response.nonce == nonce:
                     self._rejections.reject(watch, response, request.error_detail.message)
                 else:
@@ -119,41 +119,41 @@
             self._report(SessionEventKind.STALE_NONCE_RECEIVED, type_name, nonce=nonce[:MAX_NONCE_CHARS])
 
     def _subscribe(self, now: int, watch: ResourceWatch, request: Request) -> None:
-        """Apply what a request says of the client's subscription."""
+        """Update the client's subscription from a request."""
         raise NotImplementedError
 
     def _report(self, kind: SessionEventKind, type_name: str, **fields: str | int) -> None:
         self.events.append(SessionEvent(kind, type_name, fields))
 
-    # -- changes, and what the session manager asks
+    # -- changes, and queries of the session manager
 
     def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
-        """Take resources that have changed and may be sent now."""
+        """Mark resources as pending that have changed and may be sent now."""
         for unit in units:
-            watch = self.watches.get(type_of(unit))
+            watch = self.watches.get(type_url_of(unit))
             if watch is not None:
                 watch.enqueue(unit, covered)
 
     def subscribes_to(self, unit: str) -> bool:
-        """Whether a resource concerns the client."""
-        watch = self.watches.get(type_of(unit))
+        """Return whether the client subscribes to the resource of a unit."""
+        watch = self.watches.get(type_url_of(unit))
         return watch is not None and watch.wants(unit)
 
     @property
     def joined(self) -> bool:
-        """Whether the client counts as joined: it has asked for tables."""
+        """Whether the client counts as joined, which is the case once it has requested tables (EDS)."""
         return EDS in self.watches
 
     def ready(self) -> bool:
-        """Whether another response may be sent: few enough are unanswered."""
+        """Return whether another response may be sent: fewer than `MAX_IN_FLIGHT` of each type are unanswered."""
         return all(len(watch.in_flight) < MAX_IN_FLIGHT for watch in self.watches.values())
 
     def unacknowledged_messages(self) -> int:
-        """Responses in flight."""
+        """Return the number of responses in flight."""
         return sum(len(watch.in_flight) for watch in self.watches.values())
 
     def acknowledged_versions(self) -> dict[str, str]:
-        """Versions of tables and routes that the client has acknowledged, by resource."""
+        """Return the versions of tables and routes that the client has acknowledged, by resource name."""
         versions: dict[str, str] = {}
         for type_url in (EDS, RDS):
             watch = self.watches.get(type_url)
@@ -162,16 +162,16 @@
         return versions
 
     def acknowledged_at(self) -> int:
-        """When the client last accepted a response, ns; 0: never."""
+        """Return the time at which the client last accepted a response, ns; 0 if it never did."""
         return max((watch.acknowledged_at for watch in self.watches.values()), default=0)
 
     def held_counts(self) -> dict[str, int]:
-        """How many resources the client has acknowledged, by type."""
+        """Return the number of resources that the client has acknowledged, by short type name."""
         return {SHORT_NAMES[type_url]: len(watch.acknowledged) for type_url, watch in self.watches.items()}
 
     def oldest_unacknowledged(self) -> int:
-        """The lowest sequence number that the client has not acknowledged, or a number above all."""
-        oldest = ABOVE_ALL_SEQ
+        """Return the lowest sequence number not acknowledged by the client, or `SEQ_UPPER_BOUND` if there is none."""
+        oldest = SEQ_UPPER_BOUND
         for watch in self.watches.values():
             seq = watch.oldest_unacknowledged()
             if seq is not None:
@@ -181,13 +181,13 @@
     # -- responses
 
     def compose(self, now: int) -> bytes | None:
-        """The next response, clusters first.
+        """Build the next response; clusters precede endpoints, and endpoints precede routes.
 
         Args:
-            now: ns.
+            now: Current time, ns.
 
         Returns:
-            A serialized response; None: nothing is pending or too much is unanswered.
+            A serialized response. None if nothing is pending or too many responses are unanswered.
         """
         for type_url in SEND_ORDER:
             watch = self.watches.get(type_url)
@@ -196,7 +196,7 @@
             if watch.ranges_to_replace is None:
                 response = self._compose_pending(now, watch)
             elif watch.in_flight:
-                response = None  # responses in flight start from the same wrong root and will be rejected too
+                response = None  # the responses in flight start from the same wrong root and will be rejected as well
             else:
                 response = self._compose_replacement(now, watch, watch.ranges_to_replace)
             if response is not None:
@@ -204,18 +204,18 @@
         return None
 
     def _compose_pending(self, now: int, watch: ResourceWatch) -> bytes | None:
-        """A response with the next batch that has anything to send."""
-        while watch.has_waiting():
+        """Build a response from the next batch that contains a resource to send; return None if there is none."""
+        while watch.has_pending():
             response = self._compose_batch(now, watch, watch.next_batch())
             if response is not None:
                 return response
         return None
 
     def _compose_batch(self, now: int, watch: ResourceWatch, names: list[str]) -> bytes | None:
-        """A response with those of these names that are still to be sent."""
-        parts = watch.take_pending(names)
+        """Build a response with the resources of a batch that must still be sent; return None if there are none."""
+        parts = watch.pop_pending(names)
         to_send = [name for name in names if watch.wants(name) and (name in watch.resend or watch.needs(name))]
-        to_send = self._complete(watch, to_send)
+        to_send = self._required_names(watch, to_send)
         watch.resend.difference_update(names)
         if not to_send:
             return None
@@ -228,11 +228,11 @@
         return self._send(now, watch, versions, covered)
 
     def _compose_replacement(self, now: int, watch: ResourceWatch, ranges: list[int]) -> bytes:
-        """A response that replaces whole ranges, whatever the client holds in them."""
+        """Build a response that replaces complete ranges, regardless of what the client has in them."""
         watch.ranges_to_replace = None
         known = self.catalogue.by_type[watch.type_url]
         names = [name for name in names_in_ranges(known, ranges) if watch.wants(name)]
-        parts = watch.take_pending(names)
+        parts = watch.pop_pending(names)
         for name in names:
             watch.rejected.pop(name, None)
         first_seq = min((part.first_seq for part in parts), default=0)
@@ -248,7 +248,7 @@
         covered: CoveredChanges,
         replaces: tuple[int, ...] = (),
     ) -> bytes:
-        """Put a response in flight; returns it serialized."""
+        """Record a response as in flight and return it serialized."""
         self._response_count += 1
         nonce = f"{self._response_count}.{covered.ordered_at}.{now}.{covered.entries}"
         watch.in_flight[nonce] = InFlightResponse(nonce, versions, covered, self.catalogue.published.seq)
@@ -261,21 +261,21 @@
             statement = root_statement.RootStatement(start_root, watch.digest.root(), replaces).text()
         return self._serialize(watch.type_url, nonce, versions, statement)
 
-    def _complete(self, watch: ResourceWatch, names: list[str]) -> list[str]:
-        """The names that a response must carry if it carries these."""
+    def _required_names(self, watch: ResourceWatch, names: list[str]) -> list[str]:
+        """Return the names that a response must contain if it contains the given names."""
         return names
 
     def _serialize(self, type_url: str, nonce: str, versions: dict[str, str], statement: str) -> bytes:
-        """A response of the session's variant.
+        """Serialize a response of the session's variant.
 
         Args:
-            type_url: of all its resources.
-            nonce: its identifier.
-            versions: by resource name; '' stands for a removed resource.
-            statement: the stated roots; '' for a client that does not check them.
+            type_url: Type URL of all resources in the response.
+            nonce: Identifier of the response.
+            versions: Versions by resource name; '' marks a removed resource.
+            statement: Root statement of the response, or '' for a client that does not check roots.
         """
         raise NotImplementedError
 
     def _version_info(self) -> str:
-        """The version of the published state as a whole."""
+        """Return the version of the complete published state."""
         return f"{self.epoch}.{self.catalogue.published.seq}"
--- a/damsonpick/protocols/xds/session_events.py
+++ b/damsonpick/protocols/xds/session_events.py
@@ -1,4 +1,4 @@
-"""What a session reports to the log. Types only."""
+"""Events that a session reports for the log. Types only."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class SessionEventKind(StrEnum):
-    """Names of the log events of a session."""
+    """Log event names that a session uses."""
 
     RESOURCE_REJECTED = "resource_rejected"
     RESPONSE_SPLIT = "response_split"
@@ -20,12 +20,12 @@
 
 
 class SessionEvent(NamedTuple):
-    """One event.
+    """One event of a session, which the server writes to the log.
 
     Attributes:
-        kind: what happened.
-        type_name: the short name of the resource type; the type URL of an unknown one.
-        fields: further fields of the log line.
+        kind: Name of the log event.
+        type_name: Short name of the resource type, or the type URL if the type is unknown.
+        fields: Additional fields of the log line.
     """
 
     kind: SessionEventKind
--- a/damsonpick/protocols/xds/sotw_session.py
+++ b/damsonpick/protocols/xds/sotw_session.py
@@ -12,14 +12,14 @@
 
 
 class SotwSession(Session):
-    """A stream on which each request repeats the whole subscription of a type."""
+    """The session of a stream on which each request repeats the complete subscription to a type."""
 
     variant = "sotw"
 
     def _subscribe(self, now: int, watch: ResourceWatch, request: discovery_pb2.DiscoveryRequest) -> None:
         first = not watch.started
         if not first and request.response_nonce and request.response_nonce != watch.last_nonce:
-            return  # it answers an older response; the answer to the newest repeats the subscription
+            return  # the request answers an older response; the answer to the newest response repeats the subscription
         if first and request.version_info:
             self.fresh = False
         watch.started = True
@@ -34,11 +34,12 @@
                 watch.drop(name)
         watch.names = names
         watch.wildcard = wildcard
-        # version_info of a first request tells no version of single resources: all that it names is sent.
+        # The version_info of a first request does not state the versions of single resources, so every requested one
+        # is sent.
         watch.request(now, sorted(requested - previous))
 
-    def _complete(self, watch: ResourceWatch, names: list[str]) -> list[str]:
-        """All clusters instead of some: in this variant one that is left out is deleted."""
+    def _required_names(self, watch: ResourceWatch, names: list[str]) -> list[str]:
+        """Return all clusters instead of a subset, because a client of this variant deletes omitted clusters."""
         if watch.type_url != CDS or not names:
             return names
         return [name for name in self.catalogue.by_type[CDS] if watch.wants(name)]
@@ -53,5 +54,5 @@
 
 
 def _is_implicit_wildcard(watch: ResourceWatch, names: set[str], first: bool) -> bool:
-    """Whether a request without names asks for all clusters, as the older form of a wildcard."""
+    """Return whether a request without names subscribes to all clusters (the older form of a wildcard)."""
     return watch.type_url == CDS and not names and (first or watch.wildcard)
