--- a/damsonpick/cli/__init__.py
+++ b/damsonpick/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line of damsonpick."""
--- a/damsonpick/cli/explain.py
+++ b/damsonpick/cli/explain.py
@@ -15,22 +15,27 @@
 
 @click.group()
 def explain() -> None:
-    """Why things are as they are."""
+    """Explain what the pilot publishes."""
 
 
 @explain.command()
 @settings_file
 @as_json
 def weights(file: Path, as_json: bool) -> None:
-    """The solver's last plan: each server's share, the limits it stands at, what a core more would be worth.
+    """Show the solver's last plan: the share of each server, the limits that bind it, the value of one more core.
 
-    `limits`: capacity (full), cold (only a part while it warms), least (kept for its evidence), moves (bound on
-    change). Prices are worth a second for one more unit of work a second. Exit code 3: no pilot answers.
+    `limits`: capacity (the server is full), cold (the server gets only a part while it warms up), least (the server
+    keeps a least share for its evidence), moves (bound on the change of shares). Prices are priority weight per second
+    for one more unit of work per second. Exit code 3: no pilot answers.
     """
     reply = ask_pilot(file, {"ask": "weights"})
     if print_json(reply, as_json):
         return
-    objective = f", worth {reply['value']} a second, solved in {reply['solved_in_ms']} ms" if "value" in reply else ""
+    objective = (
+        f", priority weight {reply['value']} per second, solved in {reply['solved_in_ms']} ms"
+        if "value" in reply
+        else ""
+    )
     click.echo(f"plan: {reply['status']}{objective}")
     print_table(
         ["class", "admitted", "value shed"],
--- a/damsonpick/cli/load.py
+++ b/damsonpick/cli/load.py
@@ -1,4 +1,4 @@
-"""`damsonpick load`: the load generator."""
+"""`damsonpick load`: generates load and prints the results."""
 
 from __future__ import annotations
 
@@ -14,13 +14,16 @@
 
 @click.command()
 @click.argument("experiment", type=click.Path(path_type=Path))
-@click.option("--out", type=click.Path(path_type=Path), help="Write the results here, for a later --compare.")
-@click.option("--compare", type=click.Path(path_type=Path), help="An earlier results file of the same experiment.")
+@click.option("--out", type=click.Path(path_type=Path), help="Write the results to this file, for a later --compare.")
+@click.option(
+    "--compare", type=click.Path(path_type=Path), help="Compare with this earlier results file of the same experiment."
+)
 @as_json
 def load(experiment: Path, out: Path | None, compare: Path | None, as_json: bool) -> None:
-    """Send the load that EXPERIMENT describes and print what came of it.
+    """Send the load that EXPERIMENT describes and print the results.
 
-    Open loop: requests are sent when they are due, and latency counts from then. Exit code 2: wrong input.
+    The load is open loop: each request is sent when it is due, and its latency counts from that time. Exit code 2:
+    wrong input.
     """
     from damsonpick.load_tool import player, results
     from damsonpick.load_tool.experiment import read
@@ -36,7 +39,7 @@
     if print_json(result, as_json):
         return
     _print_classes(result, results.PERCENTILES)
-    click.echo(f"the sender was late by {result['sender_late_us']} us at its worst")
+    click.echo(f"the sender was late by at most {result['sender_late_us']} us")
     if comparison:
         print_table(["class", "figure", "earlier", "now", "ratio"], comparison)
 
--- a/damsonpick/cli/main.py
+++ b/damsonpick/cli/main.py
@@ -1,4 +1,4 @@
-"""`damsonpick`: the operators' commands. Exit codes: 0 done, 1 not as it should be, 2 wrong input, 3 no pilot."""
+"""`damsonpick`: the operators' commands. Exit codes: 0 done, 1 negative result, 2 wrong input, 3 no pilot."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from damsonpick.cli.versions import versions
 
 COMMANDS = (check, run, status, tables, proxy, load, explain, versions, learned, endpoint_list, sasp, scenario)
-FORMER_NAMES = {"knowledge": learned, "badday": scenario}  # go on working, and are not shown
+FORMER_NAMES = {"knowledge": learned, "badday": scenario}  # still accepted, but not shown in --help
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Publishes tables of servers, weights and levels to plain proxies over xDS.
+    """Publishes routing tables (servers, weights and admission levels) to standard proxies over xDS.
 
-    Start with `damsonpick check FILE`, then `damsonpick run FILE`; ask the running pilot with
-    `damsonpick status FILE`. `damsonpick scenario examples/*.ini` rehearses faults on this machine.
+    Start with `damsonpick check FILE`, then `damsonpick run FILE`. Query the running pilot with
+    `damsonpick status FILE`. `damsonpick scenario examples/*.ini` plays scripted faults on this machine.
 
-    Exit codes: 0 done; 1 the answer is no (a rule was broken); 2 wrong input; 3 no pilot answers.
+    Exit codes: 0 done; 1 the answer is no, or a rule was broken; 2 wrong input; 3 no pilot answers.
     """
 
 
 def _hidden_alias(command: click.Command, name: str) -> click.Command:
-    """The same command under a former name, left out of `--help`."""
+    """Return a copy of a command under a former name that `--help` does not list."""
     alias = copy.copy(command)
     alias.name = name
     alias.hidden = True
--- a/damsonpick/cli/pilot.py
+++ b/damsonpick/cli/pilot.py
@@ -1,4 +1,4 @@
-"""`damsonpick check`, `run`, `status` and `tables`: one pilot, from its settings to what it publishes."""
+"""`damsonpick check`, `run`, `status` and `tables`: check settings, run a pilot, show its state and its tables."""
 
 from __future__ import annotations
 
@@ -32,9 +32,10 @@
 @settings_file
 @as_json
 def check(file: Path, as_json: bool) -> None:
-    """Read FILE whole and list everything that is wrong with it.
+    """Read all of FILE and list every problem in it.
 
-    Each line names file, section, key, value and remedy. Exit code 0: the pilot would start on it; 2: not.
+    Each line states file, section, key, value and remedy. Exit code 0: the pilot would start with FILE; 2: it would
+    not.
     """
     from damsonpick.settings import read
 
@@ -44,17 +45,17 @@
         for problem in problems:
             click.echo(f"{file}: {problem}")
         if not problems:
-            click.echo(f"{file}: in order")
+            click.echo(f"{file}: no problems found")
     sys.exit(EXIT_WRONG_INPUT if problems else 0)
 
 
 @click.command()
 @settings_file
-@click.option("--port-file", type=click.Path(path_type=Path), help="Write the xDS port here once it is open.")
+@click.option("--port-file", type=click.Path(path_type=Path), help="Write the xDS port to this file once it is open.")
 def run(file: Path, port_file: Path | None) -> None:
     """Run the pilot that FILE describes until SIGTERM or SIGINT.
 
-    Logs go to standard error. Exit code 0: ended in order; 2: settings, store or address cannot be used.
+    Logs are written to standard error. Exit code 0: shut down cleanly; 2: settings, store or address cannot be used.
     """
     run_pilot(load_settings(file), port_file)
 
@@ -63,9 +64,10 @@
     """Run a pilot in the foreground until a signal ends it.
 
     Args:
-        settings: checked settings.
-        port_file: where the xDS port is written; the SASP port goes beside it, with the suffix `.sasp`.
-        parts: factories handed to `Pilot` as they are.
+        settings: Validated settings.
+        port_file: File to which the xDS port is written. The SASP port is written to the same path with the suffix
+            `.sasp`.
+        parts: Factories that are passed to `Pilot` unchanged.
     """
     from damsonpick.controller.control_socket import ControlListenError
     from damsonpick.controller.daemon import Pilot, XdsListenError
@@ -95,7 +97,11 @@
 
 
 def _write_port_files(pilot: Pilot, port_file: Path | None) -> PortFileError | None:
-    """Write the ports; returns what went wrong, so that the pilot ends in order first."""
+    """Write the ports to their files.
+
+    Returns:
+        The error if a file cannot be written, so that the pilot shuts down cleanly before the error is raised.
+    """
     from damsonpick.runtime import port_files
 
     try:
@@ -111,9 +117,9 @@
 @settings_file
 @as_json
 def status(file: Path, as_json: bool) -> None:
-    """What each gateway holds, what waits, and how each server is judged and why.
+    """Show what each gateway has acknowledged, what waits to be sent, and the state of each server with the reason.
 
-    `behind` is how many changes a gateway has not acknowledged. Exit code 3: no pilot answers.
+    `behind` is the number of changes that a gateway has not acknowledged. Exit code 3: no pilot answers.
     """
     reply = ask_pilot(file, {"ask": "status"})
     if print_json(reply, as_json):
@@ -131,13 +137,13 @@
 def _print_summary(reply: Reply) -> None:
     channel = reply["channel"]
     click.echo(
-        f"{reply['pilot']}: start {reply['epoch']}, port {reply['port']}, change {reply['published']}, "
-        f"{reply['slices']} slices, module {reply['module']}, list: {reply['list']}"
+        f"{reply['pilot']}: start number {reply['epoch']}, port {reply['port']}, change {reply['published']}, "
+        f"{reply['slices']} slices, planner {reply['module']}, list: {reply['list']}"
     )
     levels = ", ".join(f"{name} {level:.0%}" for name, level in reply["levels"].items())
     click.echo(
         f"admitted: {levels}; waiting entries {channel['waiting']:g} of {channel['limit']:g} "
-        f"(most so far {channel['most']:g})"
+        f"(highest so far {channel['most']:g})"
     )
 
 
@@ -164,7 +170,7 @@
 @click.argument("slices", nargs=-1, type=int)
 @as_json
 def tables(file: Path, slices: tuple[int, ...], as_json: bool) -> None:
-    """The published tables, all or those of the SLICES named; `*` marks a withdrawn server."""
+    """Show the published tables of all SLICES or of those given; `*` marks a withdrawn server."""
     reply = ask_pilot(file, {"ask": "tables", "slices": list(slices) or None})
     if print_json(reply, as_json):
         return
--- a/damsonpick/cli/proxy.py
+++ b/damsonpick/cli/proxy.py
@@ -1,4 +1,4 @@
-"""`damsonpick proxy`: a data plane that follows the pilots' tables."""
+"""`damsonpick proxy`: a proxy that forwards requests according to the pilots' tables."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @click.command()
 @settings_file
-@click.option("--port-file", type=click.Path(path_type=Path), help="Write the port here once it is open.")
+@click.option("--port-file", type=click.Path(path_type=Path), help="Write the port to this file once it is open.")
 @click.option("--log-format", type=click.Choice(["console", "json"]), default="console", show_default=True)
 def proxy(file: Path, port_file: Path | None, log_format: str) -> None:
-    """Run a proxy that obeys the pilots' tables, until SIGTERM; requests under way may then end.
+    """Run a proxy that follows the pilots' tables until SIGTERM; requests in progress may then finish.
 
-    Exit code 0: ended in order; 2: settings or address cannot be used.
+    Exit code 0: shut down cleanly; 2: settings or address cannot be used.
     """
     from damsonpick.proxy import program
     from damsonpick.proxy.settings import load
--- a/damsonpick/cli/sasp.py
+++ b/damsonpick/cli/sasp.py
@@ -1,4 +1,4 @@
-"""`damsonpick sasp`: the advice that a balancer would get, and who is registered."""
+"""`damsonpick sasp`: the weight advice that a balancer receives, and the registered balancers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import click
 
 from damsonpick.cli.shared import (
-    EXIT_NO,
+    EXIT_NEGATIVE_RESULT,
     EXIT_NO_PILOT,
     EXIT_WRONG_INPUT,
     as_json,
@@ -24,7 +24,7 @@
 from damsonpick.protocols.sasp import client as sasp_client
 from damsonpick.protocols.sasp.layout import LbFlag, Member, SendWeights, WeightFlag, WeightsOf, member
 
-PUSH_BUFFER = 100  # pushes that may wait to be printed
+PUSH_BUFFER = 100  # most pushes that may wait to be printed
 FLAG_NAMES = {
     WeightFlag.CONTACT: "contact",
     WeightFlag.QUIESCE: "quiesced",
@@ -37,11 +37,11 @@
 
 @click.group()
 def sasp() -> None:
-    """Weight advice over SASP (RFC 4678), as a balancer meets it."""
+    """Weight advice over SASP (RFC 4678), as a balancer receives it."""
 
 
-class RefusedError(Exception):
-    """The manager refused a request; the text is its answer in words."""
+class RequestRejectedError(Exception):
+    """The manager rejected a request. The message describes the code of its response."""
 
 
 def _print_weights(groups: tuple[WeightsOf, ...], as_json: bool) -> None:
@@ -74,10 +74,10 @@
 
 
 async def _register(client: sasp_client.Client, group: bytes, members: list[Member], flags: int = 0) -> None:
-    """Greet the manager and register members.
+    """Send the hello message to the manager and register members.
 
     Raises:
-        RefusedError: the manager refuses either.
+        RequestRejectedError: The manager rejects the hello message or the registration.
     """
     _require_success(await client.hello(flags))
     _require_success(await client.register(group, members))
@@ -85,7 +85,7 @@
 
 def _require_success(code: int) -> None:
     if code:
-        raise RefusedError(sasp_client.describe_code(code))
+        raise RequestRejectedError(sasp_client.describe_code(code))
 
 
 address = click.argument("address")
@@ -101,9 +101,9 @@
 @uid
 @as_json
 def get(address: str, members: tuple[str, ...], name: str, lb: str, as_json: bool) -> None:
-    """Register MEMBERS with the manager at ADDRESS, ask for their weights once and deregister.
+    """Register MEMBERS with the manager at ADDRESS, request their weights once and deregister them.
 
-    Exit code 1: the manager refuses; 2: wrong input; 3: nobody listens.
+    Exit code 1: the manager rejects a request; 2: wrong input; 3: no manager answers.
     """
     parsed = _parse_members(members)
 
@@ -115,7 +115,7 @@
             if not as_json:
                 click.echo(f"{sasp_client.describe_code(reply.code)}; ask again in {reply.interval} s")
             await client.deregister(name.encode())
-            return EXIT_NO if reply.code else 0
+            return EXIT_NEGATIVE_RESULT if reply.code else 0
 
     sys.exit(_run_client(get_once))
 
@@ -125,10 +125,10 @@
 @members
 @group
 @uid
-@click.option("--count", type=click.IntRange(1), help="End after so many pushes.")
+@click.option("--count", type=click.IntRange(1), help="Stop after this number of pushes.")
 @as_json
 def watch(address: str, members: tuple[str, ...], name: str, lb: str, count: int | None, as_json: bool) -> None:
-    """Register MEMBERS and print what the manager at ADDRESS pushes, until interrupted."""
+    """Register MEMBERS and print the weights that the manager at ADDRESS pushes, until interrupted."""
     parsed = _parse_members(members)
 
     async def print_pushes() -> int:
@@ -148,22 +148,22 @@
 
 
 def _run_client(conversation: Callable[[], Awaitable[int]]) -> int:
-    """The exit code of a conversation with a manager; what goes wrong is printed."""
+    """Run a conversation with a manager and return the exit code; print any error."""
     try:
         return anyio.run(conversation)
     except BaseExceptionGroup as group:
-        errors = group.subgroup((sasp_client.SaspError, RefusedError))
+        errors = group.subgroup((sasp_client.SaspError, RequestRejectedError))
         if errors is None:
             raise
         return _print_error(errors.exceptions[0])
-    except (sasp_client.SaspError, RefusedError) as error:
+    except (sasp_client.SaspError, RequestRejectedError) as error:
         return _print_error(error)
 
 
 def _print_error(error: BaseException) -> int:
-    if isinstance(error, RefusedError):
-        click.echo(f"refused: {error}", err=True)
-        return EXIT_NO
+    if isinstance(error, RequestRejectedError):
+        click.echo(f"rejected by the manager: {error}", err=True)
+        return EXIT_NEGATIVE_RESULT
     click.echo(str(error), err=True)
     return EXIT_NO_PILOT
 
@@ -172,7 +172,7 @@
 @settings_file
 @as_json
 def balancers(file: Path, as_json: bool) -> None:
-    """Who is registered with the pilot that runs on FILE: balancers, groups, when each was last told."""
+    """Show the balancers and groups registered with the pilot that runs on FILE, and when each was last notified."""
     reply = ask_pilot(file, {"ask": "sasp"})
     if print_json(reply, as_json):
         return
--- a/damsonpick/cli/shared.py
+++ b/damsonpick/cli/shared.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, options, settings, questions to a running pilot, printed tables."""
+"""Code that the commands share: exit codes, options, settings, queries to a running pilot, printed tables."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from damsonpick.settings import PilotSettings
 
-EXIT_NO = 1  # the answer is no, or a rule was broken
+EXIT_NEGATIVE_RESULT = 1  # the answer is no, or a rule was broken
 EXIT_WRONG_INPUT = 2
 EXIT_NO_PILOT = 3
 
@@ -26,13 +26,13 @@
 
 
 def fail(message: str, exit_code: int) -> NoReturn:
-    """Print `message` on standard error and end the program."""
+    """Print `message` on standard error and end the program with `exit_code`."""
     click.echo(message, err=True)
     sys.exit(exit_code)
 
 
 def load_settings(file: Path) -> PilotSettings:
-    """Settings of a pilot; ends the program with code 2 where they are wrong."""
+    """Load the settings of a pilot; end the program with exit code 2 if they are invalid."""
     from damsonpick.settings import SettingsError, load
 
     try:
@@ -42,9 +42,9 @@
 
 
 def ask_pilot(file: Path, request: Request) -> Reply:
-    """The reply of the pilot that runs on these settings.
+    """Send a request to the pilot that runs with these settings and return its reply.
 
-    Ends the program with code 3 where none answers, with code 2 where it refuses.
+    Ends the program with exit code 3 if no pilot answers, and with exit code 2 if the pilot rejects the request.
     """
     settings = load_settings(file)
     try:
@@ -57,14 +57,14 @@
 
 
 def print_json(value: Any, enabled: bool) -> bool:
-    """Print `value` as JSON if that is `enabled`; returns whether it was."""
+    """Print `value` as JSON if `enabled` is true; return `enabled`."""
     if enabled:
         click.echo(json.dumps(value))
     return enabled
 
 
 def print_table(titles: Sequence[str], lines: Sequence[Sequence[object]]) -> None:
-    """Print left-aligned columns."""
+    """Print a table with left-aligned columns."""
     cells = [list(titles)]
     for line in lines:
         cells.append([str(value) for value in line])
--- a/damsonpick/cli/versions.py
+++ b/damsonpick/cli/versions.py
@@ -1,4 +1,4 @@
-"""`damsonpick versions`: which table each gateway holds, and the way back to an earlier one."""
+"""`damsonpick versions`: the table version that each gateway has, and rollback to an earlier version."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import click
 
 from damsonpick.cli.shared import (
-    EXIT_NO,
+    EXIT_NEGATIVE_RESULT,
     EXIT_WRONG_INPUT,
     as_json,
     ask_pilot,
@@ -25,22 +25,26 @@
 if TYPE_CHECKING:
     from damsonpick.controller.control_socket import Reply
 
-SHORT_ROOT = 12  # characters of a root that are shown
+SHORT_ROOT_CHARS = 12  # length of a root as printed in a table
 
-expect = click.option("--expect", type=int, help="Act only if this is still the act number that `list` shows.")
-span = click.option("--for", "span", help="How long the tables stay pinned, such as 10 min; else as in the settings.")
+expect = click.option(
+    "--expect", type=int, help="Run the command only if `list` still shows this act number (pins and releases so far)."
+)
+span = click.option(
+    "--for", "span", help="How long the tables stay pinned, such as 10 min; default: as in the settings."
+)
 
 
 @click.group()
 def versions() -> None:
-    """Versions of the published tables, and the way back.
+    """Versions of the published tables, and rollback to an earlier version.
 
-    A version is named by its number or by the beginning of its root.
+    A version is identified by its number or by the beginning of its root.
     """
 
 
 def _duration_option(text: str | None) -> int | None:
-    """ns of an option such as `10 min`; ends the program with code 2 where it is no duration."""
+    """Parse an option such as `10 min` and return ns; end the program with exit code 2 if it is not a duration."""
     if text is None:
         return None
     try:
@@ -63,7 +67,7 @@
         pinned = f"pinned at {reply['pinned']} for {reply['pin_left_s']} s"
     click.echo(f"version {reply['newest']}, root {reply['root']}; {pinned}; act {reply['generation']}")
     if reply["waiting_for_disk"]:
-        click.echo(f"{reply['waiting_for_disk']} versions are not on disk yet; see the log")
+        click.echo(f"{reply['waiting_for_disk']} versions are not stored on disk yet; see the log")
 
 
 @versions.command("list")
@@ -71,7 +75,7 @@
 @click.option("--most", default=20, show_default=True, type=click.IntRange(1, 1000))
 @as_json
 def list_versions(file: Path, most: int, as_json: bool) -> None:
-    """The newest versions: when, why and how much each changed."""
+    """List the newest versions, with the time, the cause and the size of each change."""
     reply = _ask_versions(file, "list", most=most)
     if print_json(reply, as_json):
         return
@@ -81,7 +85,7 @@
         rows.append(
             [
                 version["version"],
-                version["root"][:SHORT_ROOT],
+                version["root"][:SHORT_ROOT_CHARS],
                 version["parent"],
                 _format_time(version["at"]),
                 version["cause"],
@@ -110,7 +114,7 @@
 @click.argument("version")
 @as_json
 def show(file: Path, version: str, as_json: bool) -> None:
-    """One version: where it came from and what it changed."""
+    """Show the origin of a version and what it changed."""
     reply = _ask_versions(file, "show", version=version)
     if print_json(reply, as_json):
         return
@@ -127,11 +131,11 @@
 @click.argument("other")
 @as_json
 def diff(file: Path, one: str, other: str, as_json: bool) -> None:
-    """What changes from version ONE to OTHER."""
+    """Show what changes from version ONE to OTHER."""
     reply = _ask_versions(file, "diff", one=one, other=other)
     if print_json(reply, as_json):
         return
-    click.echo("the same" if reply["same"] else f"{reply['one']} to {reply['other']}:")
+    click.echo("no difference" if reply["same"] else f"{reply['one']} to {reply['other']}:")
     _print_difference(reply["difference"])
 
 
@@ -140,15 +144,15 @@
 @click.argument("version", required=False)
 @as_json
 def who(file: Path, version: str | None, as_json: bool) -> None:
-    """Which gateways hold VERSION, the newest if none is named; exit code 1: not all of them."""
+    """Show which gateways have VERSION (default: the newest). Exit code 1: not all gateways have it."""
     reply = _ask_versions(file, "who", version=version)
     if not print_json(reply, as_json):
         click.echo(f"version {reply['version']}, root {reply['root']}")
         _print_holders(reply)
         for resource, stopped_version in reply["stopped"].items():
-            click.echo(f"{resource}: version {stopped_version} is held back: too many gateways refused it")
+            click.echo(f"{resource}: version {stopped_version} is no longer sent: too many gateways rejected it")
     all_hold_it = all(gateway["holds"] for gateway in reply["gateways"])
-    sys.exit(0 if all_hold_it else EXIT_NO)
+    sys.exit(0 if all_hold_it else EXIT_NEGATIVE_RESULT)
 
 
 def _print_holders(reply: Reply) -> None:
@@ -160,7 +164,7 @@
                 gateway["gateway"],
                 gateway["zone"],
                 "yes" if gateway["holds"] else "no",
-                gateway["root"][:SHORT_ROOT] if held_version is None else held_version,
+                gateway["root"][:SHORT_ROOT_CHARS] if held_version is None else held_version,
                 gateway["pending"],
                 "-" if gateway["since_s"] is None else f"{gateway['since_s']} s",
                 "itself" if gateway["verified"] else "by acknowledgement",
@@ -173,14 +177,14 @@
 @versions.command()
 @settings_file
 @click.argument("version")
-@click.option("--dry-run", is_flag=True, help="Say what would be done.")
-@click.option("--stages", help="Zones one after another, such as north,south; the others follow.")
+@click.option("--dry-run", is_flag=True, help="Only print what would be done.")
+@click.option("--stages", help="Zones to roll back one after another, such as north,south; all other zones follow.")
 @click.option("--hold", help="Time between stages, such as 5 s.")
-@click.option("--levels", is_flag=True, help="Set admission levels and retry modes back as well.")
+@click.option("--levels", is_flag=True, help="Roll back admission levels and retry modes as well.")
 @span
 @expect
 @as_json
-def rollback(  # noqa: PLR0913, PLR0917 (click hands each option over as an argument)
+def rollback(  # noqa: PLR0913, PLR0917 (click passes each option as an argument)
     file: Path,
     version: str,
     dry_run: bool,
@@ -191,11 +195,12 @@
     expect: int | None,
     as_json: bool,
 ) -> None:
-    """Set the tables as VERSION had them, as far as is safe, and pin them.
+    """Roll the tables back to VERSION, as far as is safe, and pin them.
 
-    What had to differ is listed: unroutable endpoints are not restored, warming ones get no more than they have, and a
-    slice that would be left without a server keeps what it has. Withdrawals go on; levels go on unless --levels sets
-    them back: then they may fall until the pin ends, and not rise.
+    The output lists the entries that had to differ: unroutable endpoints are not restored, warming endpoints get no
+    more weight than they have, and a slice that would have no server left keeps its entries. Withdrawals continue.
+    Admission levels continue to change, unless --levels rolls them back: then they may fall but not rise until the pin
+    ends.
     """
     zones = _parse_zones(stages)
     if zones and hold is None:
@@ -224,8 +229,8 @@
 
 def _print_rollback(reply: Reply) -> None:
     outcome = f"now version {reply['now']}" if reply["done"] else "would be done"
-    same = ", the same as then" if reply.get("same") else ""
-    click.echo(f"back to {reply['version']}: {reply['lines']} lines of {reply['slices']} slices, {outcome}{same}")
+    same = ", identical to that version" if reply.get("same") else ""
+    click.echo(f"rollback to {reply['version']}: {reply['lines']} lines of {reply['slices']} slices, {outcome}{same}")
     for kept in reply["kept"]:
         click.echo(f"slice {kept['slice']} {kept['endpoint']}: {kept['why']}")
 
@@ -236,7 +241,7 @@
 @expect
 @as_json
 def pin(file: Path, span: str | None, expect: int | None, as_json: bool) -> None:
-    """Hold the tables as they are; withdrawals, levels and what the rules need still flow."""
+    """Pin the tables as they are; withdrawals, admission levels and changes that the rules require still apply."""
     reply = _ask_versions(file, "pin", pin_ns=_duration_option(span), expected=expect)
     if not print_json(reply, as_json):
         _print_state(reply)
@@ -247,7 +252,7 @@
 @expect
 @as_json
 def release(file: Path, expect: int | None, as_json: bool) -> None:
-    """Let the pilot move tables again, from where they are."""
+    """Release the pin, so that the pilot changes the tables again, starting from their present state."""
     reply = _ask_versions(file, "release", expected=expect)
     if not print_json(reply, as_json):
         _print_state(reply)
