--- a/damsonpick/cli/pilot.py
+++ b/damsonpick/cli/pilot.py
@@ -170,7 +170,7 @@
 @click.argument("slices", nargs=-1, type=int)
 @as_json
 def tables(file: Path, slices: tuple[int, ...], as_json: bool) -> None:
-    """Show the published tables of all SLICES or of those given; `*` marks a withdrawn server."""
+    """Show the published tables of the given SLICES, or of all slices; `*` marks a withdrawn server."""
     reply = ask_pilot(file, {"ask": "tables", "slices": list(slices) or None})
     if print_json(reply, as_json):
         return
