--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The names of the commands: former ones go on working with the same options, and `--help` shows the present ones."""
+"""Command names: former names still work with the same options, and `--help` lists only the present names."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from damsonpick.cli.main import FORMER_NAMES, main
 
-SHOWN = {
+LISTED_COMMANDS = {
     "check",
     "explain",
     "learned",
@@ -33,7 +33,7 @@
 
 def test_help_lists_present_names_only():
     listed = run("--help").output.partition("Commands:")[2]
-    assert {line.split()[0] for line in listed.splitlines() if line.strip()} == SHOWN
+    assert {line.split()[0] for line in listed.splitlines() if line.strip()} == LISTED_COMMANDS
     assert set(FORMER_NAMES) == {former for former, _ in RENAMED}
 
 
--- a/tests/test_versions_protocol.py
+++ b/tests/test_versions_protocol.py
@@ -1,4 +1,4 @@
-"""The version protocol, explored; and proof that the exploration would find a broken one."""
+"""Explores the states of the version protocol, and shows that the exploration detects a broken implementation."""
 
 from __future__ import annotations
 
--- a/tests/test_xds_hard_cases.py
+++ b/tests/test_xds_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases of the xDS path, through real sockets, with a client that shares nothing with the stand-ins."""
+"""Hard cases of the xDS protocol over real sockets. The test client shares no code with the fakes of the package."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
 
 
 def served(client):
+    """Return a predicate that is true once the client has a table of every slice."""
     return lambda: all(client.tables.get(s) for s in SLICES)
 
 
@@ -28,7 +29,7 @@
 
 
 def drained(pilot, client, n):
-    """Whether server n is out of reach: withdrawn, or in no table."""
+    """Return whether no request can reach server n: it is withdrawn, or no table contains it."""
     return name(n) in client.tables.get("fleet", set()) or all(name(n) not in client.tables[s] for s in SLICES)
 
 
@@ -37,35 +38,37 @@
     client = clients(pilot, delta=delta)
     client.until(served(client))
     client.settle()
-    victim = next(s for s in SLICES if name(1) in client.tables[s])
-    good = client.tables[victim]
+    rejected_slice = next(s for s in SLICES if name(1) in client.tables[s])
+    last_good = client.tables[rejected_slice]
     pilot.list(s1="terminating", s2="in_service", s3="in_service")
-    refused, alone = [], 0
+    rejected_contents, alone_count = [], 0
     end = time.monotonic() + 4
     while time.monotonic() < end:
         try:
-            got = client.next(0.3)
+            response = client.next(0.3)
         except queue.Empty:
             continue
-        names = {key: body for key, _, body in client.read(got)}
-        if victim in names:
-            refused.append((len(names), names[victim]))
-            alone += len(names) == 1
-            client.answer(got, bad=f"{victim} will not do")
+        names = {key: body for key, _, body in client.read(response)}
+        if rejected_slice in names:
+            rejected_contents.append((len(names), names[rejected_slice]))
+            alone_count += len(names) == 1
+            client.answer(response, bad=f"{rejected_slice} will not do")
         else:
-            client.answer(got)
-    assert refused and good
-    texts = [body for count, body in refused if count == 1]
-    assert alone >= 1 and len(texts) == len(set(texts)), "a text that was refused alone must not come again"
-    assert name(1) in client.tables["fleet"], "the withdrawal binds although a table was refused"
-    shown = until(lambda: gateway(pilot)["rejected"])
-    assert shown == {victim: f"{victim} will not do"}
-    assert pilot.log("resource_rejected")[0]["reason"] == f"{victim} will not do"
-    # the next different text is sent, and is taken
-    lines = next(t["lines"] for t in pilot.ask("tables")["tables"] if f"slice/{t['slice']}" == victim)
+            client.answer(response)
+    assert rejected_contents and last_good
+    contents_alone = [body for count, body in rejected_contents if count == 1]
+    assert alone_count >= 1 and len(contents_alone) == len(set(contents_alone)), (
+        "content that was rejected alone in a response must not be sent again"
+    )
+    assert name(1) in client.tables["fleet"], "the withdrawal is applied although a table was rejected"
+    reported = until(lambda: gateway(pilot)["rejected"])
+    assert reported == {rejected_slice: f"{rejected_slice} will not do"}
+    assert pilot.log("resource_rejected")[0]["reason"] == f"{rejected_slice} will not do"
+    # the next version with other content is sent, and the client accepts it
+    lines = next(t["lines"] for t in pilot.ask("tables")["tables"] if f"slice/{t['slice']}" == rejected_slice)
     states = {s: "terminating" if name(int(s[1])) in lines else "in_service" for s in ("s2", "s3")}
     pilot.list(s1="terminated", **states)
-    client.until(lambda: not set(lines) & client.tables[victim])
+    client.until(lambda: not set(lines) & client.tables[rejected_slice])
     client.settle()
     assert until(lambda: not gateway(pilot)["rejected"])
 
@@ -76,18 +79,20 @@
     client.until(served(client))
     client.settle()
     pilot.list(s1="terminating", s2="in_service", s3="in_service")
-    held = [client.next()]
+    unacknowledged = [client.next()]
     until(lambda: pilot.log("endpoint_withdrawn"))
     pilot.list(s1="terminating", s2="terminating", s3="in_service")
     end = time.monotonic() + 3
     while time.monotonic() < end and not drained(pilot, client, 2):
         try:
-            held.append(client.next(0.2))
+            unacknowledged.append(client.next(0.2))
         except queue.Empty:
             continue
-    assert len(held) >= 2 and drained(pilot, client, 2), "a second order does not wait for the first one's ACK"
-    for got in reversed(held):
-        client.answer(got)
+    assert len(unacknowledged) >= 2 and drained(pilot, client, 2), (
+        "a second order does not wait for the ACK of the first order"
+    )
+    for response in reversed(unacknowledged):
+        client.answer(response)
     client.until(lambda: gateway(pilot)["acknowledged"] == gateway(pilot)["published"])
 
 
@@ -111,14 +116,14 @@
     client = clients(pilot)
     client.until(served(client))
     client.settle()
-    held = dict(client.versions[EDS])
+    acknowledged = dict(client.versions[EDS])
     client.close()
-    again = clients(pilot, names=False)
-    again.subscribe(EDS, list(held), held | {"slice/3": "0123456789abcdef", "slice/99": "gone"})
-    first = again.next()
+    rejoined = clients(pilot, names=False)
+    rejoined.subscribe(EDS, list(acknowledged), acknowledged | {"slice/3": "0123456789abcdef", "slice/99": "gone"})
+    first = rejoined.next()
     assert [r.name for r in first.resources] == ["slice/3"]
-    again.answer(first)
-    assert not [r.name for g in again.settle() for r in g.resources if r.name != "slice/3"]
+    rejoined.answer(first)
+    assert not [r.name for g in rejoined.settle() for r in g.resources if r.name != "slice/3"]
     assert [j["fresh"] for j in pilot.log("gateway_joined")] == [True, False]
 
 
@@ -127,16 +132,16 @@
     client.until(served(client))
     client.settle()
     before = {t["slice"]: t["lines"] for t in pilot.ask("tables")["tables"]}
-    held = dict(client.versions[EDS])
+    acknowledged = dict(client.versions[EDS])
     client.close()
     pilot.stop(signal.SIGKILL)
     pilot.start()
-    again = clients(pilot, names=False)
-    again.subscribe(EDS, list(held), held)
-    sent = [r.name for g in again.settle() for r in g.resources]
+    rejoined = clients(pilot, names=False)
+    rejoined.subscribe(EDS, list(acknowledged), acknowledged)
+    sent = [r.name for g in rejoined.settle() for r in g.resources]
     after = {t["slice"]: t["lines"] for t in pilot.ask("tables")["tables"]}
     changed = {f"slice/{n}" for n in after if after[n] != before[n]}
-    assert set(sent) <= changed, "what the store brought back is not sent again"
+    assert set(sent) <= changed, "tables restored from the store are not sent again"
     assert all(after.values()) and len(changed) < 6
 
 
@@ -146,9 +151,9 @@
     client.settle()
     version = client.version[EDS]
     client.close()
-    again = clients(pilot, delta=False, names=False)
-    again.subscribe(EDS, SLICES, version=version)
-    assert len(again.next().resources) == 6
+    rejoined = clients(pilot, delta=False, names=False)
+    rejoined.subscribe(EDS, SLICES, version=version)
+    assert len(rejoined.next().resources) == 6
     assert pilot.log("gateway_joined")[-1]["fresh"] is False
 
 
@@ -159,47 +164,48 @@
     client = clients(pilot, "good", delta)
     client.until(served(client))
     states = {"s1": "in_service", "s2": "in_service", "s3": "in_service"}
-    for k in range(12):
-        states["s1"] = "terminating" if k % 2 == 0 else "in_service"
+    for round_number in range(12):
+        states["s1"] = "terminating" if round_number % 2 == 0 else "in_service"
         pilot.list(**states)
         client.until(
-            lambda k=k: (
-                (name(1) in client.tables["fleet"]) == (k % 2 == 0) or (k % 2 == 0 and drained(pilot, client, 1))
+            lambda round_number=round_number: (
+                (name(1) in client.tables["fleet"]) == (round_number % 2 == 0)
+                or (round_number % 2 == 0 and drained(pilot, client, 1))
             )
         )
     stuck = gateway(pilot, "silent")
     assert stuck["unanswered"] <= 4 and stuck["waiting_lines"] < 60
 
 
-class Trickle(threading.Thread):
-    """A relay that lets one byte a second through to its client."""
+class SlowRelay(threading.Thread):
+    """A relay that forwards one byte per second to its client."""
 
     def __init__(self, port: int):
         super().__init__(daemon=True)
         self.port, self.listener = port, socket.create_server(("127.0.0.1", 0))
-        self.mine = self.listener.getsockname()[1]
+        self.relay_port = self.listener.getsockname()[1]
 
     def run(self) -> None:
-        near, _ = self.listener.accept()
-        far = socket.create_connection(("127.0.0.1", self.port))
-        threading.Thread(target=self.back, args=(far, near), daemon=True).start()
-        while data := near.recv(4096):
-            far.sendall(data)
-
-    def back(self, far, near) -> None:
-        free = 600  # the handshake and a little more, so that a stream comes up at all
-        with contextlib.suppress(OSError):  # the client has gone
-            while data := far.recv(free if free > 0 else 1):
-                free -= len(data)
-                near.sendall(data)
-                if free <= 0:
+        client_socket, _ = self.listener.accept()
+        pilot_socket = socket.create_connection(("127.0.0.1", self.port))
+        threading.Thread(target=self.forward_slowly, args=(pilot_socket, client_socket), daemon=True).start()
+        while data := client_socket.recv(4096):
+            pilot_socket.sendall(data)
+
+    def forward_slowly(self, pilot_socket, client_socket) -> None:
+        unthrottled_bytes = 600  # enough for the handshake and a little more, so that the stream can be established
+        with contextlib.suppress(OSError):  # the client has closed its connection
+            while data := pilot_socket.recv(unthrottled_bytes if unthrottled_bytes > 0 else 1):
+                unthrottled_bytes -= len(data)
+                client_socket.sendall(data)
+                if unthrottled_bytes <= 0:
                     time.sleep(1.0)
 
 
 def test_one_that_reads_a_byte_a_second_holds_up_nobody(pilot, clients):
-    relay = Trickle(pilot.port)
+    relay = SlowRelay(pilot.port)
     relay.start()
-    slow = Client(relay.mine, "slow")
+    slow = Client(relay.relay_port, "slow")
     slow.subscribe(EDS, ["fleet", *SLICES])
     until(lambda: [j for j in pilot.log("gateway_joined") if j["gateway"] == "slow"])
     client = clients(pilot, "good")
@@ -276,10 +282,10 @@
     pilot.start()
     after = pilot.ask("tables")["tables"]
     assert {t["slice"]: t["lines"] for t in after} == before
-    again = clients(pilot, names=False)
-    again.subscribe(EDS, SLICES)
-    again.until(served(again))
-    assert len(pilot.ask("status")["endpoints"]) == 3, "the kept list stands in for the missing one"
+    rejoined = clients(pilot, names=False)
+    rejoined.subscribe(EDS, SLICES)
+    rejoined.until(served(rejoined))
+    assert len(pilot.ask("status")["endpoints"]) == 3, "the stored endpoint list replaces the missing list file"
 
 
 @pytest.mark.parametrize(
@@ -313,18 +319,20 @@
     client.until(lambda: all(client.tables[s] - client.tables["fleet"] == {name(1)} for s in SLICES))
 
 
-# -- conformance, clause by clause (see docs/design/xds.md)
+# -- conformance to the clauses of the specification (see docs/design/xds.md)
 
 
 def test_delta_subscribes_unsubscribes_and_subscribes_again(pilot, clients):
     client = clients(pilot, names=False)
     client.subscribe(EDS, ["slice/0", "slice/nowhere"])
-    got = client.next()
-    assert {r.name for r in got.resources} <= {"slice/0"} and "slice/nowhere" in got.removed_resources
-    client.answer(got)
+    response = client.next()
+    assert {r.name for r in response.resources} <= {"slice/0"} and "slice/nowhere" in response.removed_resources
+    client.answer(response)
     client.settle()
     client.out.put(discovery_pb2.DeltaDiscoveryRequest(type_url=EDS, resource_names_subscribe=["slice/0"]))
-    assert [r.name for r in client.next().resources] == ["slice/0"], "asked again, sent again"
+    assert [r.name for r in client.next().resources] == ["slice/0"], (
+        "a repeated subscription is answered with the resource again"
+    )
     client.out.put(discovery_pb2.DeltaDiscoveryRequest(type_url=EDS, resource_names_unsubscribe=["slice/0"]))
     client.out.put(discovery_pb2.DeltaDiscoveryRequest(type_url=EDS, resource_names_subscribe=["slice/1"]))
     client.settle()
@@ -337,10 +345,10 @@
 def test_wildcard_brings_every_cluster_in_one_response(pilot, clients, delta):
     client = clients(pilot, delta=delta, names=False)
     client.subscribe(CDS, [])
-    got = client.next()
-    assert len(got.resources) == 7  # six slices and the fleet
+    response = client.next()
+    assert len(response.resources) == 7  # six slices and the fleet resource
     if delta:
-        client.answer(got)
+        client.answer(response)
         client.out.put(discovery_pb2.DeltaDiscoveryRequest(type_url=EDS, resource_names_subscribe=["*"]))
         client.until(served(client))
 
@@ -353,7 +361,8 @@
     seen = []
     client.until(lambda: {CDS, EDS, RDS} <= set(client.versions))
     seen = list(client.versions)
-    assert seen.index(CDS) < seen.index(EDS) or seen[0] == RDS  # requests may be read one by one
+    # The pilot may read the requests one by one, so the routes may be sent first.
+    assert seen.index(CDS) < seen.index(EDS) or seen[0] == RDS
     nonces = [g.nonce for g in client.settle()]
     assert len(nonces) == len(set(nonces))
 
@@ -368,7 +377,7 @@
     last = (client.settle() or [last])[-1]
     client.names[EDS] = ["slice/1"]
     client.answer(last)
-    client.settle(1.0)  # what was under way before the pilot read that
+    client.settle(1.0)  # receives the responses sent before the pilot read the request
     pilot.list(s1="terminated", s2="terminated", s3="in_service")
     got = client.until(lambda: client.tables["slice/1"] == {name(3)})
     assert {key for g in got for key, _, _ in client.read(g)} <= {"slice/1"}
