--- a/damsonpick/testing/rules/__init__.py
+++ b/damsonpick/testing/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Checks the five rules of the running program against what passed on the sockets."""
+"""Checks the program's five rules against the traffic that gateways, servers and the list server recorded."""
 
 from damsonpick.testing.rules.checker import Checker
 from damsonpick.testing.rules.limits import EffectRule, Limits
--- a/damsonpick/testing/rules/checker.py
+++ b/damsonpick/testing/rules/checker.py
@@ -1,6 +1,6 @@
-"""Reads the records of a scenario in order of time and hands each to the rules that it concerns.
+"""Reads the records of a scenario in time order and passes each record to the rules that need it.
 
-The records come from gateways, servers and the list server; the checker knows nothing of the pilot's state.
+Gateways, servers and the list server write the records. The checker has no access to the pilot's state.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class Checker:
-    """Checks all rules; feed it records in order of time, then ask for `results`."""
+    """Checks all rules: call `feed` with the records in time order, then `results`."""
 
     def __init__(self, limits: Limits) -> None:
-        """Check against `limits`."""
+        """Create one checker per rule; all of them use `limits`."""
         self.fleet = ObservedFleet()
         self.listed = ListedServers(limits.warm_up_ns)
         self.empty_tables = EmptyTablesRule(limits, self.fleet, self.listed)
@@ -43,7 +43,7 @@
         }
 
     def feed(self, events: Iterable[dict[str, Any]]) -> Checker:
-        """Read all records and finish the rules; events of other kinds only move the time."""
+        """Process all records and finish the rules. Records without a handler only advance the current time."""
         now = 0
         for event in events:
             now = event["t"]
@@ -57,7 +57,7 @@
         return self
 
     def results(self) -> list[RuleResult]:
-        """The result of each rule."""
+        """Return the result of each rule."""
         rules = (self.empty_tables, self.duplicate_effects, self.drains, self.cold_servers, self.send_queue)
         return [rule.result for rule in rules]
 
--- a/damsonpick/testing/rules/cold_servers.py
+++ b/damsonpick/testing/rules/cold_servers.py
@@ -1,4 +1,4 @@
-"""Rule: no cold server is offered more work than makes it fall over, by gateways that can know that it is cold."""
+"""Rule: gateways that can know that a server is cold do not send it so much work that it crashes."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from damsonpick.testing.rules.result import Breach, RuleResult
 from damsonpick.time_units import NS_PER_MS, NS_PER_SECOND
 
-CHANCE_WORK_MS = 1500.0  # work that may come above the limit by chance: a few requests at once
+BURST_ALLOWANCE_MS = 1500.0  # work allowed above the limit, because a few requests can arrive at once by chance
 
 
 class ColdServersRule:
-    """Sums the work that cold servers receive."""
+    """Sums the work that each cold server receives in the overload window."""
 
     def __init__(self, limits: Limits, fleet: ObservedFleet, listed: ListedServers) -> None:
-        """Check the servers of `fleet`; `listed` tells when a start became known."""
+        """Check the servers of `fleet`; `listed` gives the time at which the pilot learned of each server start."""
         self.limits, self.fleet, self.listed = limits, fleet, listed
         self.result = RuleResult("no cold server pushed over", 1.0, "of the limit")
-        self._sender: dict[str, str] = {}  # request: gateway that sent it last
+        self._last_sender: dict[str, str] = {}  # by request ID: the gateway that sent the request last
 
     def on_request_sent(self, record: RequestSent) -> None:
-        """Remember which gateway sent a request."""
-        self._sender[record.request_id] = record.gateway
+        """Store which gateway sent the request."""
+        self._last_sender[record.request_id] = record.gateway
 
     def on_request_received(self, record: RequestReceived) -> None:
-        """Check the work of the last overload window, if most of it came from informed gateways."""
+        """Check the work of the last overload window if informed gateways sent at least two thirds of it."""
         server = self.fleet.servers.get(record.server)
         if server is None or server.warm_share(record.time_ns) >= 1:
             return
@@ -39,24 +39,27 @@
         self.result.observe(work_ms / limit_ms)
         if work_ms > limit_ms:
             window_s = self.limits.overload_window_ns / NS_PER_SECOND
-            text = f"{work_ms:.0f} ms of work within {window_s:g} s, it stands {limit_ms:.0f}"
+            text = f"{work_ms:.0f} ms of work within {window_s:g} s, the limit is {limit_ms:.0f} ms"
             breach = Breach(record.time_ns, text, slice_number=record.slice_number, server=record.server)
             self.result.breaches.append(breach)
 
     def _add_work(self, record: RequestReceived, server: ObservedServer) -> None:
-        server.recent_work.append(ReceivedWork(record.time_ns, record.work_ms, self._informed(record, server)))
+        server.recent_work.append(ReceivedWork(record.time_ns, record.work_ms, self._sender_informed(record, server)))
         while server.recent_work[0].time_ns < record.time_ns - self.limits.overload_window_ns:
             server.recent_work.popleft()
 
     def _limit_ms(self, server: ObservedServer, now: int) -> float:
-        """Work within the overload window that a server stands, ms."""
+        """Return the work in ms that a server can receive within the overload window without crashing."""
         rate = self.limits.overload_multiple * server.start.capacity * server.warm_share(now)
-        return rate * self.limits.overload_window_ns / NS_PER_MS + CHANCE_WORK_MS
+        return rate * self.limits.overload_window_ns / NS_PER_MS + BURST_ALLOWANCE_MS
 
-    def _informed(self, record: RequestReceived, server: ObservedServer) -> bool:
-        """Whether the sender acted on a response sent with knowledge of the start, or the grace had passed."""
+    def _sender_informed(self, record: RequestReceived, server: ObservedServer) -> bool:
+        """Return whether the sender could know of the server's start.
+
+        It could if it has read a response since the pilot learned of the start, or if the drain grace has passed since.
+        """
         known_since = self.listed.start_known_since.get((record.server, server.start.started_ns))
-        sender = self._sender.get(record.request_id)
+        sender = self._last_sender.get(record.request_id)
         if known_since is None or sender is None:
             return False
         if self.fleet.gateway(sender).last_response_ns >= known_since:
--- a/damsonpick/testing/rules/duplicate_effects.py
+++ b/damsonpick/testing/rules/duplicate_effects.py
@@ -1,7 +1,7 @@
 """Rule: no request takes effect more than once.
 
-A request that is not idempotent runs at most once. One with an idempotency key may run again where and as long as the
-key is known. Requests without effect may run any number of times.
+A request that is not idempotent runs at most once. A request with an idempotency key may run again within the key's
+scope and window. A request without side effects may run any number of times.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 
 
 class Run(NamedTuple):
-    """When and where a request ran."""
+    """The time and the server of one execution of a request."""
 
     time_ns: int
     server: str
 
 
 class DuplicateEffectsRule:
-    """Counts the runs of each request."""
+    """Counts the executions of each request."""
 
     def __init__(self, limits: Limits, fleet: ObservedFleet) -> None:
-        """Check against `limits`; `fleet` gives the servers' zones."""
+        """Check against `limits`; `fleet` provides the servers' zones."""
         self.limits, self.fleet = limits, fleet
         self.result = RuleResult("no effect twice", 1, "runs")
         self._runs: dict[str, list[Run]] = {}
 
     def on_request_sent(self, record: RequestSent) -> None:
-        """A request that is not idempotent must not be sent after it has run."""
+        """Check that a request that is not idempotent is not sent after it has run."""
         effect_rule = self.limits.effect_rule(record.request_class)
         if effect_rule.effect == "non_idempotent" and record.request_id in self._runs:
-            self._report(record, f"{record.request_id} was sent again after it had run", record.gateway)
+            self._add_breach(record, f"{record.request_id} was sent again after it had run", record.gateway)
 
     def on_request_ran(self, record: RequestRan) -> None:
-        """Count a run."""
+        """Count an execution, and check it against the rule of the request class."""
         effect_rule = self.limits.effect_rule(record.request_class)
         runs = self._runs.setdefault(record.request_id, [])
         runs.append(Run(record.time_ns, record.server))
@@ -45,16 +45,16 @@
             return
         self.result.observe(len(runs))
         if len(runs) > 1 and not self._key_covers(effect_rule, runs[0], record):
-            self._report(record, f"{record.request_id} ran {len(runs)} times")
+            self._add_breach(record, f"{record.request_id} ran {len(runs)} times")
 
     def _key_covers(self, effect_rule: EffectRule, first: Run, record: RequestRan) -> bool:
-        """Whether the server of a further run knows the idempotency key of the first."""
+        """Return whether a further execution is within the scope and window of the first one's idempotency key."""
         if effect_rule.effect == "non_idempotent":
             return False
         if record.time_ns - first.time_ns > effect_rule.key_window_ns:
             return False
         return effect_rule.key_scope == "all" or self.fleet.zone(first.server) == self.fleet.zone(record.server)
 
-    def _report(self, record: RequestSent | RequestRan, text: str, gateway: str = "-") -> None:
+    def _add_breach(self, record: RequestSent | RequestRan, text: str, gateway: str = "-") -> None:
         breach = Breach(record.time_ns, text, gateway, record.slice_number, record.server)
         self.result.breaches.append(breach)
--- a/damsonpick/testing/rules/empty_tables.py
+++ b/damsonpick/testing/rules/empty_tables.py
@@ -1,6 +1,6 @@
 """Rule: no connected gateway has a slice without a usable server for longer than the limit.
 
-Time during which no warm server is listed does not count.
+Periods in which the endpoint list has no warm server do not count.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 
 
 class EmptyTablesRule:
-    """Measures how long slices are without a server."""
+    """Measures how long slices have no usable server."""
 
     def __init__(self, limits: Limits, fleet: ObservedFleet, listed: ListedServers) -> None:
-        """Check `fleet`; `listed` tells whether a warm server exists."""
+        """Check the gateways of `fleet`; `listed` states whether the list has a warm server."""
         self.limits, self.fleet, self.listed = limits, fleet, listed
         self.result = RuleResult("nobody left without a server", limits.empty_table_ns / NS_PER_SECOND, "s")
 
     def on_stream(self, record: StreamChanged) -> None:
-        """From its stream's opening on, a gateway is owed a server for each slice."""
+        """Start checking all slices of a gateway when its stream opens."""
         if record.is_open:
             self._check_slices(record.time_ns, record.gateway, range(self.limits.slice_count))
 
     def on_response(self, record: ResponseRead) -> None:
-        """Check the slices that a response touched."""
+        """Check the slices that a response may have changed."""
         if not record.is_endpoints or not self.fleet.gateway(record.gateway).connected_ns:
             return
         if record.withdrawn is not None:
-            touched: Iterable[int] = range(self.limits.slice_count)
+            changed_slices: Iterable[int] = range(self.limits.slice_count)
         else:
-            touched = [*record.tables, *record.removed_slices]
-        self._check_slices(record.time_ns, record.gateway, touched)
+            changed_slices = [*record.tables, *record.removed_slices]
+        self._check_slices(record.time_ns, record.gateway, changed_slices)
 
     def on_warm_server(self, now: int) -> None:
-        """A warm server is listed again: time starts anew for each empty slice."""
+        """Restart the time measurement of each empty slice, because the list has a warm server again."""
         for gateway in self.fleet.gateways.values():
             gateway.empty_since = dict.fromkeys(gateway.empty_since, now)
 
     def finish(self, now: int) -> None:
-        """Count what is still empty at the end of the records."""
+        """Check the slices that are still empty at the end of the records."""
         for name, gateway in self.fleet.gateways.items():
             for slice_number in list(gateway.empty_since):
                 self._check_duration(now, name, gateway, slice_number)
@@ -65,5 +65,5 @@
         empty_s = empty_ns / NS_PER_SECOND
         self.result.observe(empty_s)
         if empty_ns > self.limits.empty_table_ns:
-            text = f"slice {slice_number} had no line for {empty_s:.2f} s"
+            text = f"slice {slice_number} had no usable server for {empty_s:.2f} s"
             self.result.breaches.append(Breach(now, text, gateway=name, slice_number=slice_number))
--- a/damsonpick/testing/rules/limits.py
+++ b/damsonpick/testing/rules/limits.py
@@ -1,4 +1,4 @@
-"""The bounds that the rules check against."""
+"""Bounds that the rule checks use."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
     """Whether a request of a class may run more than once.
 
     Attributes:
-        effect: what a second run does.
-        key_scope: where an idempotency key is known.
-        key_window_ns: how long an idempotency key is remembered.
+        effect: Whether a second run repeats the effect: `read_like` requests have none, an idempotency key prevents it
+            within the key's scope and window, and `non_idempotent` requests repeat it.
+        key_scope: Set of servers that share an idempotency key: all, or those of one zone or cell.
+        key_window_ns: Time for which the servers store an idempotency key.
     """
 
     effect: Effect
@@ -28,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of the rules; times in ns of the scenario's clock.
+    """Bounds of the rules. Times are in ns of the scenario's clock.
 
     Attributes:
-        slice_count: slices that each gateway needs a table for.
-        empty_table_ns: longest time that a slice may have no usable entry.
-        drain_grace_ns: time after which no request may go to a draining or departed server.
-        warm_up_ns: time that a started server is cold.
-        overload_multiple: offered work over present capacity at which a cold server falls over.
-        overload_window_ns: period over which that work is summed.
-        queued_entries: most table entries that may wait to be sent.
-        message_overhead_entries: what a message costs beside its entries, in entries.
-        messages_per_window: most messages to one gateway in a window; 0: no bound.
-        message_window_ns: length of that window.
-        effect_rules: by request class.
+        slice_count: Number of slices; each gateway needs a table for each of them.
+        empty_table_ns: Longest time for which a slice may have no usable entry.
+        drain_grace_ns: Time after which gateways must send no more requests to a draining or departed server.
+        warm_up_ns: Time for which a server is cold after its start.
+        overload_multiple: Ratio of received work to current capacity at which a cold server crashes.
+        overload_window_ns: Period over which the received work is summed.
+        queued_entries: Most table entries that the send queue may hold.
+        message_overhead_entries: Fixed cost of a message in addition to its entries, expressed in entries.
+        messages_per_window: Most messages that the pilot may send to one gateway in a window; 0 if there is no bound.
+        message_window_ns: Length of the message window.
+        effect_rules: Rule on repeated runs of each request class, by class name.
     """
 
     slice_count: int
@@ -57,5 +58,5 @@
     effect_rules: dict[str, EffectRule]
 
     def effect_rule(self, request_class: str) -> EffectRule:
-        """The rule of a request class; unknown classes may run any number of times."""
+        """Return the rule of a request class; requests of an unknown class may run any number of times."""
         return self.effect_rules.get(request_class, UNKNOWN_CLASS)
--- a/damsonpick/testing/rules/listed_servers.py
+++ b/damsonpick/testing/rules/listed_servers.py
@@ -1,12 +1,12 @@
-"""The endpoint list as the pilot may read it: who serves, who leaves, and whether a warm server is listed."""
+"""The endpoint list as the pilot may interpret it: which servers serve or leave, and whether one of them is warm."""
 
 from __future__ import annotations
 
 from damsonpick.testing.rules.records import ListedServer, ListSent
 from damsonpick.time_units import NS_PER_SECOND
 
-# A large part of the servers that vanishes in one list counts as gone only after the list has said so for a while; see
-# docs/design/knowledge.md.
+# If a list omits a large part of the serving servers, these count as gone only after the lists have omitted them for
+# VANISH_CONFIRMED_NS; see docs/design/knowledge.md.
 VANISH_SHARE = 0.4
 VANISH_MIN_SERVERS = 3
 VANISH_CONFIRMED_NS = 30 * NS_PER_SECOND
@@ -17,19 +17,19 @@
 
 
 class ListedServers:
-    """Follows the endpoint list.
+    """Tracks the state of the endpoint list.
 
     Attributes:
-        leaving_since: server: since when the pilot knows it as draining or gone, ns.
-        start_known_since: (server, start of its process): since when the pilot knows of it, ns.
-        has_warm_server: whether a server in service is listed that is no longer cold.
+        leaving_since: Time in ns at which the pilot learned that a server is draining or gone, by server.
+        start_known_since: Time in ns at which the pilot learned of a server process, by server and process start.
+        has_warm_server: Whether the list has a server in service that has finished its warm-up.
     """
 
     def __init__(self, warm_up_ns: int) -> None:
         """Start with an empty list.
 
         Args:
-            warm_up_ns: how long a started server is cold.
+            warm_up_ns: Time for which a server is cold after its start.
         """
         self.warm_up_ns = warm_up_ns
         self.servers: dict[str, ListedServer] = {}
@@ -40,14 +40,14 @@
         self._next_warm_ns = 0
 
     def apply(self, record: ListSent) -> list[str]:
-        """Apply a list; an empty one is a failed source and changes nothing.
+        """Apply a list. An empty list indicates a failed list source and changes nothing.
 
         Returns:
-            Servers that have just become known as draining or gone.
+            Servers that the pilot learns from this list to be draining or gone.
         """
         if not record.servers:
             return []
-        servers = self._confirmed(record)
+        servers = self._with_unconfirmed_removals(record)
         newly_leaving = []
         for name in {*self.servers, *servers}:
             state = servers[name].state if name in servers else TERMINATED
@@ -60,8 +60,8 @@
         self.servers = dict(servers)
         return newly_leaving
 
-    def _confirmed(self, record: ListSent) -> dict[str, ListedServer]:
-        """The list's servers, and those whose absence is not yet believed."""
+    def _with_unconfirmed_removals(self, record: ListSent) -> dict[str, ListedServer]:
+        """Return the listed servers, and the servers that the list omits but that do not count as gone yet."""
         serving = [name for name, server in self.servers.items() if server.state == IN_SERVICE]
         missing = [name for name in serving if name not in record.servers]
         if len(missing) < VANISH_MIN_SERVERS or len(missing) <= VANISH_SHARE * len(serving):
@@ -73,16 +73,16 @@
         return record.servers | {name: self.servers[name] for name in missing}
 
     def warm_server_due(self, now: int) -> bool:
-        """Whether a listed server has finished its warm-up since the last look."""
+        """Return whether a listed server has finished its warm-up since the last `update_warmth`."""
         return not self.has_warm_server and bool(self._next_warm_ns) and now >= self._next_warm_ns
 
     def update_warmth(self, now: int) -> bool:
-        """Look for a warm server in service; returns whether one is there after a time without."""
-        warm_at = [self._warm_at(server) for server in self.servers.values() if server.state == IN_SERVICE]
+        """Update `has_warm_server`, and return whether it changed from False to True."""
+        warm_times = [self._warm_time(server) for server in self.servers.values() if server.state == IN_SERVICE]
         had_warm_server = self.has_warm_server
-        self.has_warm_server = any(at <= now for at in warm_at)
-        self._next_warm_ns = min(warm_at, default=0)
+        self.has_warm_server = any(at <= now for at in warm_times)
+        self._next_warm_ns = min(warm_times, default=0)
         return self.has_warm_server and not had_warm_server
 
-    def _warm_at(self, server: ListedServer) -> int:
+    def _warm_time(self, server: ListedServer) -> int:
         return server.started_ns + self.warm_up_ns if server.started_ns else 0
--- a/damsonpick/testing/rules/observed.py
+++ b/damsonpick/testing/rules/observed.py
@@ -1,4 +1,4 @@
-"""What the records show of gateways and servers; the rules share it."""
+"""State of gateways and servers as the records show it. All rules share it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class ObservedGateway:
-    """A gateway as its stream shows it; times in ns, 0: never.
+    """State of a gateway as its stream shows it. Times are in ns; 0 means never.
 
     Attributes:
-        connected_ns: since when its stream is open.
-        last_response_ns: when it last read a response.
-        tables: servers by slice.
-        withdrawn: servers that no slice may use.
-        empty_since: slices without a usable server, and since when.
+        connected_ns: Time at which the open stream was opened; 0 if no stream is open.
+        last_response_ns: Time at which the gateway last read a response.
+        tables: Servers of each table, by slice.
+        withdrawn: Servers that no slice may use.
+        empty_since: Time since which a slice has had no usable server, by slice.
     """
 
     connected_ns: int = 0
@@ -28,11 +28,11 @@
     empty_since: dict[int, int] = field(default_factory=dict)
 
     def has_no_server(self, slice_number: int) -> bool:
-        """Whether a slice has no usable server."""
+        """Return whether a slice has no usable server."""
         return not self.tables.get(slice_number, set()) - self.withdrawn
 
     def apply_stream(self, record: StreamChanged) -> None:
-        """Apply an opened or closed stream."""
+        """Update the state after the stream opened or closed."""
         if not record.is_open:
             self.connected_ns = 0
             self.empty_since.clear()
@@ -42,7 +42,7 @@
             self.tables, self.withdrawn = {}, set()
 
     def apply_response(self, record: ResponseRead) -> None:
-        """Apply the tables of a response."""
+        """Update the tables and the withdrawn servers from a response."""
         self.last_response_ns = max(self.last_response_ns, record.time_ns)
         if record.withdrawn is not None:
             self.withdrawn = record.withdrawn
@@ -52,7 +52,13 @@
 
 
 class ReceivedWork(NamedTuple):
-    """Work that reached a cold server; `informed`: its sender could know that the server is cold."""
+    """Work that a cold server received.
+
+    Attributes:
+        time_ns: Time at which the request arrived.
+        work_ms: Work of the request.
+        informed: Whether the sender could know that the server is cold.
+    """
 
     time_ns: int
     work_ms: float
@@ -61,13 +67,13 @@
 
 @dataclass(slots=True)
 class ObservedServer:
-    """A server's process as its own records show it."""
+    """State of a server's process as the server's own records show it."""
 
     start: ServerStarted
     recent_work: deque[ReceivedWork] = field(default_factory=deque)
 
     def warm_share(self, now: int) -> float:
-        """Present share of the warm capacity."""
+        """Return the server's current capacity as a share of its warm capacity."""
         age = now - self.start.started_ns
         if not self.start.started_ns or age >= self.start.warm_up_ns:
             return 1.0
@@ -75,21 +81,21 @@
 
 
 class ObservedFleet:
-    """All gateways and servers by name, in the order in which they were first seen."""
+    """All gateways and servers by name, in the order of their first records."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create an empty fleet; the records add gateways and servers."""
         self.gateways: dict[str, ObservedGateway] = {}
         self.servers: dict[str, ObservedServer] = {}
 
     def gateway(self, name: str) -> ObservedGateway:
-        """The gateway of this name, added if it is new."""
+        """Return the gateway with this name; add it if it is new."""
         return self.gateways.setdefault(name, ObservedGateway())
 
     def connected_gateways(self) -> int:
-        """How many gateways have an open stream."""
+        """Return the number of gateways with an open stream."""
         return sum(bool(gateway.connected_ns) for gateway in self.gateways.values())
 
     def zone(self, server: str) -> str:
-        """A server's zone; empty if the server is unknown."""
+        """Return a server's zone, or an empty string if the server is unknown."""
         return self.servers[server].start.zone if server in self.servers else ""
--- a/damsonpick/testing/rules/records.py
+++ b/damsonpick/testing/rules/records.py
@@ -1,7 +1,7 @@
-"""The records that the rules read, one type a kind of event.
+"""The records that the rules read, with one type per kind of event.
 
-The fakes write them as JSON objects (see `damsonpick.testing.fakes.record`); the keys on file stand only here. Times
-are ns of the scenario's clock.
+The fakes write the records as JSON objects (see `damsonpick.testing.fakes.record`); for these kinds, only this module
+reads the JSON keys. Times are in ns of the scenario's clock.
 """
 
 from __future__ import annotations
@@ -16,7 +16,12 @@
 
 
 class ListedServer(NamedTuple):
-    """A server in the endpoint list: its state and when its process started (0: before the scenario)."""
+    """A server in the endpoint list.
+
+    Attributes:
+        state: State of the server in the list.
+        started_ns: Start time of the server's process; 0 if it started before the scenario.
+    """
 
     state: str
     started_ns: int
@@ -24,21 +29,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ListSent:
-    """The list server sent the whole endpoint list to the pilot."""
+    """The list server sent the complete endpoint list to the pilot."""
 
     time_ns: int
     servers: dict[str, ListedServer]
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> ListSent:
-        """Read a `list` record."""
+        """Create the record from a `list` JSON object."""
         servers = {name: ListedServer(entry[0], entry[1]) for name, entry in record["entries"].items()}
         return cls(record["t"], servers)
 
 
 @dataclass(frozen=True, slots=True)
 class StreamChanged:
-    """A gateway's stream to the pilot opened or closed; `fresh`: the gateway starts without tables."""
+    """A gateway's stream to the pilot opened or closed.
+
+    Attributes:
+        time_ns: Time of the event.
+        gateway: Name of the gateway.
+        is_open: Whether the stream opened; False if it closed.
+        fresh: Whether the gateway has no tables when the stream opens.
+    """
 
     time_ns: int
     gateway: str
@@ -47,12 +59,18 @@
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> StreamChanged:
-        """Read a `stream` record."""
+        """Create the record from a `stream` JSON object."""
         return cls(record["t"], record["gw"], bool(record["up"]), bool(record.get("fresh")))
 
 
 class SendInfo(NamedTuple):
-    """How the pilot counted a response in its send queue: when queued, when sent, and its table entries."""
+    """How the pilot accounted for a response in its send queue.
+
+    Attributes:
+        queued_ns: Time at which the pilot queued the response.
+        sent_ns: Time at which the pilot sent it.
+        entries: Number of table entries that it counted for.
+    """
 
     queued_ns: int
     sent_ns: int
@@ -64,12 +82,12 @@
     """A gateway read a response.
 
     Attributes:
-        send_info: from the nonce `count.queued.sent.entries`; None for the first tables of a stream, which are sent as
-            read from a store and counted as no entries.
-        is_endpoints: whether the response holds tables, and the gateway accepted it.
-        tables: servers by slice.
-        withdrawn: servers that no slice may use, if the response says so.
-        removed_slices: slices whose table was removed.
+        send_info: Parsed from the nonce `count.queued.sent.entries`. None for the first tables of a stream, which the
+            pilot sends as read from a store and counts as no entries.
+        is_endpoints: Whether the response contains tables and the gateway accepted it.
+        tables: Servers of each table in the response, by slice.
+        withdrawn: Servers that no slice may use; None if the response does not contain this set.
+        removed_slices: Slices whose table the response removes.
     """
 
     time_ns: int
@@ -82,7 +100,7 @@
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> ResponseRead:
-        """Read a `got` record."""
+        """Create the record from a `got` JSON object."""
         send_info = _send_info(record["nonce"])
         if record["nack"] or record["type"] != ENDPOINT_TYPE:
             return cls(record["t"], record["gw"], send_info, False, {}, None, [])
@@ -117,7 +135,7 @@
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> RequestSent:
-        """Read a `try` record."""
+        """Create the record from a `try` JSON object."""
         return cls(record["t"], record["gw"], record["id"], record["kind"], record["slice"], record["server"])
 
 
@@ -126,10 +144,10 @@
     """A server's process started.
 
     Attributes:
-        started_ns: 0 if it is warm from the beginning.
-        capacity: ms of work each ms when warm.
-        cold_share: share of the capacity right after the start.
-        warm_up_ns: time until the whole capacity is there.
+        started_ns: Start time of the process; 0 if the server is warm from the beginning.
+        capacity: Work that the warm server completes, in ms of work per ms.
+        cold_share: Share of the capacity that the server has right after its start.
+        warm_up_ns: Time from the start until the server has its full capacity.
     """
 
     time_ns: int
@@ -142,7 +160,7 @@
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> ServerStarted:
-        """Read an `up` record."""
+        """Create the record from an `up` JSON object."""
         return cls(
             time_ns=record["t"],
             server=record["server"],
@@ -156,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request reached a server, with its work in ms."""
+    """A server received a request; `work_ms` is the request's work in ms."""
 
     time_ns: int
     server: str
@@ -166,13 +184,13 @@
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> RequestReceived:
-        """Read an `in` record."""
+        """Create the record from an `in` JSON object."""
         return cls(record["t"], record["server"], record["id"], record["slice"], record["work"])
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRan:
-    """A server began to run a request."""
+    """A server started to run a request."""
 
     time_ns: int
     server: str
@@ -182,7 +200,7 @@
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> RequestRan:
-        """Read a `ran` record."""
+        """Create the record from a `ran` JSON object."""
         return cls(record["t"], record["server"], record["id"], record["kind"], record["slice"])
 
 
--- a/damsonpick/testing/rules/result.py
+++ b/damsonpick/testing/rules/result.py
@@ -1,11 +1,11 @@
-"""What a rule's check showed."""
+"""Result of checking a rule."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
-UNKNOWN = "-"
+NOT_APPLICABLE = "-"
 NO_SLICE = -1
 
 
@@ -14,21 +14,21 @@
     """One breach of a rule.
 
     Attributes:
-        time_ns: when, on the scenario's clock.
-        gateway: where, or `-` if no single gateway is concerned.
-        slice_number: which slice, or -1.
-        server: which server, or `-`.
-        text: what was seen.
+        time_ns: Time of the breach, in ns of the scenario's clock.
+        text: Description of the breach for the report.
+        gateway: Name of the gateway, or `-` if the breach does not concern a single gateway.
+        slice_number: Number of the slice, or -1 if the breach does not concern a single slice.
+        server: Address of the server, or `-` if the breach does not concern a single server.
     """
 
     time_ns: int
     text: str
-    gateway: str = UNKNOWN
+    gateway: str = NOT_APPLICABLE
     slice_number: int = NO_SLICE
-    server: str = UNKNOWN
+    server: str = NOT_APPLICABLE
 
     def as_dict(self) -> dict[str, Any]:
-        """The breach in the command's JSON output."""
+        """Return the breach as an object of the command's JSON output."""
         return {
             "t": self.time_ns,
             "gateway": self.gateway,
@@ -40,12 +40,15 @@
 
 @dataclass(slots=True)
 class RuleResult:
-    """How often a rule was tested, the worst figure against its limit, and every breach.
+    """Number of tests of a rule, its worst figure, its limit, and every breach.
 
     Attributes:
-        name: the rule, as in the command's output.
-        limit: bound of the figure.
-        unit: of figure and limit.
+        name: Name of the rule in the command's output.
+        limit: Bound that the rule's figure must not exceed.
+        unit: Unit of the figure and of the limit.
+        tested: Number of times that the rule was tested.
+        worst: Largest figure observed.
+        breaches: Every breach, in the order of detection.
     """
 
     name: str
@@ -56,12 +59,12 @@
     breaches: list[Breach] = field(default_factory=list)
 
     def observe(self, figure: float) -> None:
-        """Count one test of the rule and its figure."""
+        """Count one test of the rule, and keep its figure if it is the largest so far."""
         self.tested += 1
         self.worst = max(self.worst, figure)
 
     def as_dict(self) -> dict[str, Any]:
-        """The result in the command's JSON output."""
+        """Return the result as an object of the command's JSON output."""
         return {
             "rule": self.name,
             "tested": self.tested,
--- a/damsonpick/testing/rules/send_queue.py
+++ b/damsonpick/testing/rules/send_queue.py
@@ -1,4 +1,4 @@
-"""Rule: few table entries wait to be sent at one time, and few messages go to a gateway in a window."""
+"""Rule: the pilot's send queue stays within its limit, and so does the number of messages to a gateway in a window."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 class SendQueueRule:
-    """Reconstructs the pilot's send queue from the responses' nonces."""
+    """Reconstructs the length of the pilot's send queue from the nonces of the responses."""
 
     def __init__(self, limits: Limits) -> None:
         """Check against `limits`."""
         self.limits = limits
         self.result = RuleResult("a short queue", limits.queued_entries, "lines")
-        self._messages: list[SendInfo] = []
-        self._recently_sent: dict[str, deque[int]] = {}  # gateway: times, ns
+        self._sent_messages: list[SendInfo] = []
+        self._recently_sent: dict[str, deque[int]] = {}  # by gateway: send times, ns
 
     def on_stream(self, record: StreamChanged) -> None:
-        """A new stream begins with a whole window."""
+        """Discard the send times of the previous stream, as each new stream has its own message window."""
         if record.is_open:
             self._recently_sent.pop(record.gateway, None)
 
     def on_response(self, record: ResponseRead) -> None:
-        """Note a message, and count those of the gateway's last window."""
+        """Store a message, and check the number of messages in the gateway's last window."""
         if record.send_info is None:
             return
         queued_ns, sent_ns, entries = record.send_info
-        self._messages.append(SendInfo(queued_ns, sent_ns, entries + self.limits.message_overhead_entries))
+        self._sent_messages.append(SendInfo(queued_ns, sent_ns, entries + self.limits.message_overhead_entries))
         if not self.limits.messages_per_window:
             return
         recent = self._recently_sent.setdefault(record.gateway, deque())
@@ -41,9 +41,12 @@
             self.result.breaches.append(Breach(record.time_ns, text, gateway=record.gateway))
 
     def finish(self) -> None:
-        """Sum the entries that waited at each time, from when each was queued until it was sent."""
-        queued = [(message.queued_ns, message.entries) for message in self._messages]
-        sent = [(message.sent_ns, -message.entries) for message in self._messages]
+        """Check the number of queued entries each time a message is queued.
+
+        A message counts with its entries from the time it was queued until it was sent.
+        """
+        queued = [(message.queued_ns, message.entries) for message in self._sent_messages]
+        sent = [(message.sent_ns, -message.entries) for message in self._sent_messages]
         waiting = 0.0
         for time_ns, entries in sorted(queued + sent):
             waiting += entries
@@ -51,4 +54,4 @@
                 continue
             self.result.observe(waiting)
             if waiting > self.limits.queued_entries:
-                self.result.breaches.append(Breach(time_ns, f"{waiting:.0f} lines wait"))
+                self.result.breaches.append(Breach(time_ns, f"{waiting:.0f} table entries in the send queue"))
