--- a/damsonpick/testing/scenarios/__init__.py
+++ b/damsonpick/testing/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted scenarios: the running pilot against fake gateways and servers with faults, judged by the rule checker."""
+"""Scripted scenarios: a running pilot with fake gateways, fake servers and faults, checked by the rule checker."""
--- a/damsonpick/testing/scenarios/environment.py
+++ b/damsonpick/testing/scenarios/environment.py
@@ -1,4 +1,7 @@
-"""A scenario's environment: pilot and gateways in processes of their own, servers and endpoint list in this one."""
+"""A scenario's environment.
+
+The pilot and the gateways run in separate processes. The servers and the list server run in this process.
+"""
 
 from __future__ import annotations
 
@@ -24,30 +27,30 @@
 
 CAPACITY_FACTORS = (0.8, 1.0, 1.25)
 MEAN_WORK_FACTOR = 1.083  # mean of the random factor that clients apply to a request's work
-GATEWAY_PROCESSES = 3  # what holds up one of them does not hold up all gateways together
-SOTW_GATEWAY_EVERY = 4  # each fourth fake gateway speaks the state-of-the-world variant
+GATEWAY_PROCESSES = 3  # several, so that a delay in one process does not delay all gateways
+SOTW_GATEWAY_EVERY = 4  # each fourth fake gateway uses the state-of-the-world variant of xDS
 
 
 class Environment:
-    """Everything that a fault may touch.
+    """Runs the processes and fakes of a scenario, and provides the operations that faults use.
 
     Attributes:
-        script, seed: the scenario and its random seed.
-        servers, endpoint_list: the fakes of this process.
-        pilot, gateways: the other processes.
-        clock: the scenario's clock.
-        random: draws servers and faults.
+        script, seed: The scenario and its random seed.
+        servers, endpoint_list: The fake servers and the fake list server, which run in this process.
+        pilot, gateways: The pilot's process and the processes of the gateways.
+        clock: The scenario's clock.
+        random: Random generator for the servers' properties and the targets of faults.
     """
 
     def __init__(self, script: Script, seed: int, folder: Path, pilot: list[str], proxies: bool = False) -> None:
-        """Prepare an environment.
+        """Create an environment without starting it.
 
         Args:
-            script: the scenario.
-            seed: draws servers, traffic and faults.
-            folder: where settings, records and logs go; must be empty.
-            pilot: the command that runs a pilot, without its arguments.
-            proxies: the project's own proxy is the data plane, in place of the fake gateways' forwarding.
+            script: The scenario.
+            seed: Seed of the random draws for servers, traffic and faults.
+            folder: Folder for settings, records and logs; it must be empty.
+            pilot: Command that runs a pilot, without its arguments.
+            proxies: Whether the project's own proxy forwards the requests, instead of the fake gateways.
         """
         self.script, self.seed, self.folder, self.proxies = script, seed, folder, proxies
         self.random = random.Random(seed)
@@ -64,7 +67,7 @@
     # Start and stop
 
     async def start(self, group: TaskGroup) -> None:
-        """Start servers and list first, then the pilot, then the gateways."""
+        """Start the servers and the list server first, then the pilot, then the gateways."""
         self._group = group
         group.start_soon(self._loop_lag.run)
         rules = Rules.model_validate(self.script.pilot["rules"])
@@ -113,11 +116,11 @@
             await self.gateways.start(setup)
 
     def _gateways_setup(self, part: int, processes: int) -> dict[str, Any]:
-        """What a process of gateways is told at its start, but for its gateways."""
+        """Return the setup of one gateway process, except for its gateways and balancers."""
         day = self.script.day
         return {
             "clock_rate": day.clock_rate,
-            "clock_origin": self.clock.origin,  # records of all processes are put in order of time
+            "clock_origin": self.clock.origin,  # shared, so that the records of all processes can be sorted by time
             "seed": self.seed,
             "part": part,
             "proxies": self.proxies,
@@ -131,7 +134,7 @@
         }
 
     def _request_rate(self) -> float:
-        """Requests per second of the scenario that offer the script's load."""
+        """Return the requests per second, in time of the scenario, that result in the script's load."""
         capacity = sum(server.config.cores * server.config.capacity_factor for server in self.servers)
         classes = self.script.classes.values()
         total_share = sum(c.share for c in classes)
@@ -153,7 +156,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stop what was started, gateways first."""
+        """Stop the gateways first, then the pilot, the servers and the list server."""
         with anyio.CancelScope(shield=True):
             await self.gateways.stop()
             await self.pilot.stop()
@@ -164,10 +167,10 @@
             self.record.put("process", name="servers", **self._loop_lag.load()._asdict())
             self.record.close()
 
-    # What faults do
+    # Operations for faults
 
     async def sleep(self, duration_ns: float) -> None:
-        """Wait for a time of the scenario's clock."""
+        """Wait for a duration on the scenario's clock."""
         await anyio.sleep(self.clock.seconds(int(duration_ns)))
 
     def update_list(self, server: FakeResultsServer, state: str) -> None:
@@ -175,7 +178,7 @@
         self.endpoint_list.put(self._list_entry(server, state))
 
     def update_list_after_notice(self, server: FakeResultsServer, state: str) -> None:
-        """Set a server's state in the list after the script's notice, unless it has restarted or stopped meanwhile."""
+        """Set a server's state in the list after the script's notice, unless it started or stopped in the meantime."""
         started, is_up = server.started, server.is_up
 
         async def update() -> None:
@@ -186,13 +189,13 @@
         self._group.start_soon(update)
 
     async def restart_server(self, server: FakeResultsServer) -> None:
-        """Start a new, cold process at the old address, unless the server fell over."""
+        """Start a new, cold process at the same address, unless the server has crashed from overload."""
         if not server.fell_over:
             await server.start(self._group, cold=True)
             self.update_list_after_notice(server, "in_service")
 
     def draw_servers(self, share: float) -> list[FakeResultsServer]:
-        """A random share of the servers that are up: at least one, never all."""
+        """Return a random share of the servers that are up: at least one, never all. Empty if fewer than two are up."""
         up = [server for server in self.servers if server.is_up and not server.fell_over]
         if len(up) <= 1:
             return []
@@ -200,7 +203,7 @@
         return self.random.sample(up, max(1, count))
 
     def draw_gateways(self, share: float) -> list[str]:
-        """Names of a random share of the gateways, at least one."""
+        """Return the names of a random share of the gateways, at least one."""
         names = [f"gw-{number}" for number in range(self.script.day.gateways)]
         return self.random.sample(names, max(1, round(share * len(names))))
 
--- a/damsonpick/testing/scenarios/errors.py
+++ b/damsonpick/testing/scenarios/errors.py
@@ -1,4 +1,4 @@
-"""Errors of playing a scenario."""
+"""Errors that end a scenario early."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class ScenarioError(RuntimeError):
-    """A scenario could not be played to its end."""
+    """Base class of the errors that end a scenario early."""
 
 
 class ProcessError(ScenarioError):
-    """A process of the scenario did not start, or ended early.
+    """Raised if a process of the scenario did not start or ended early.
 
     Attributes:
-        problem: what happened.
-        log_tail: the end of the process's log.
+        problem: Description of the failure.
+        log_tail: Last characters of the process's log.
     """
 
     def __init__(self, problem: str, log: Path) -> None:
-        """Read the end of `log` into the message."""
+        """Create the error; the message contains the end of `log`."""
         self.problem = problem
         self.log_tail = log.read_text()[-LOG_TAIL_CHARACTERS:]
         super().__init__(f"{problem}; the end of its log: {self.log_tail}")
--- a/damsonpick/testing/scenarios/faults.py
+++ b/damsonpick/testing/scenarios/faults.py
@@ -1,6 +1,7 @@
-"""What each kind of fault does to the environment. The figures are the script's; who is affected is random.
+"""Injects each kind of fault into the environment. The script sets the figures; the targets are drawn at random.
 
-A fault's `size` and `extra` mean what the docstring of its kind says; `extra` in seconds unless stated otherwise.
+The docstring of each kind states the meaning of the fault's `size` and `extra`. `extra` is in seconds unless stated
+otherwise.
 """
 
 from __future__ import annotations
@@ -13,24 +14,24 @@
 from damsonpick.testing.scenarios.script import Fault
 from damsonpick.time_units import NS_PER_SECOND
 
-RESTART_NS = NS_PER_SECOND // 2  # that a process takes to start anew
+RESTART_NS = NS_PER_SECOND // 2  # time that a process takes to restart
 MAX_HOT_SLICES = 3
 MAX_HOT_SHARE = 0.9
-SLOW_READ_UNIT_NS = NS_PER_SECOND // 10
+SLOW_READ_UNIT_NS = NS_PER_SECOND // 10  # delay per unit of `size`
 MIN_STALL_INTERVAL_S = 0.1
 
 Inject = Callable[[Environment, Fault], Awaitable[None]]
 
 
 async def crash(environment: Environment, fault: Fault) -> None:
-    """Servers die; they come back cold after the duration."""
+    """Servers crash; they restart cold after the duration."""
     await _crash_servers(environment, environment.draw_servers(fault.affected_share), "crash", fault.duration)
 
 
 async def _crash_servers(
     environment: Environment, servers: list[FakeResultsServer], reason: str, down_ns: float
 ) -> None:
-    """Stop servers at once; the list learns of it after its notice, and they start cold after `down_ns`."""
+    """Stop servers at once, and start them cold after `down_ns`. The list removes them after the script's notice."""
     for server in servers:
         server.stop(reason)
         environment.update_list_after_notice(server, "terminated")
@@ -40,7 +41,7 @@
 
 
 async def deploy(environment: Environment, fault: Fault) -> None:
-    """Servers are replaced in batches of `size` of the fleet; each drains for `extra`."""
+    """Servers are replaced in batches. Each batch is the share `size` of the fleet and drains for `extra`."""
     servers = environment.draw_servers(fault.affected_share)
     batch_size = max(1, round(fault.size * len(environment.servers)))
     batches = [servers[at : at + batch_size] for at in range(0, len(servers), batch_size)]
@@ -54,7 +55,7 @@
 
 
 async def shrink(environment: Environment, fault: Fault) -> None:
-    """The fleet shrinks to 1/`size` over the duration; who leaves drains for `extra`."""
+    """The fleet shrinks to 1/`size` over the duration. The removed servers drain, and stop `extra` after its end."""
     servers = environment.draw_servers(1 - 1 / fault.size)
     for server in servers:
         environment.update_list(server, "terminating")
@@ -66,7 +67,7 @@
 
 
 async def preempt(environment: Environment, fault: Fault) -> None:
-    """Machines are taken away at a notice of `extra` and come back cold after the duration."""
+    """Machines are preempted with a notice of `extra`, and their servers restart cold after the duration."""
     servers = environment.draw_servers(fault.affected_share)
     for server in servers:
         environment.update_list(server, "terminating")
@@ -80,7 +81,7 @@
 
 
 async def flapping(environment: Environment, fault: Fault) -> None:
-    """Servers die and come back cold again and again, down and up for `extra` each."""
+    """Servers crash and restart cold repeatedly; they are down for `extra` and up for `extra`."""
     servers = environment.draw_servers(fault.affected_share)
     end = environment.clock.now() + fault.duration
     while environment.clock.now() < end:
@@ -89,11 +90,11 @@
 
 
 def _server_fault(faulty: Callable[[Fault], dict[str, Any]], normal: dict[str, Any]) -> Inject:
-    """A fault that sets attributes of `ServerFaults` for its duration.
+    """Return the function for a fault that sets attributes of `ServerFaults` for its duration.
 
     Args:
-        faulty: the attributes while the fault lasts.
-        normal: their values afterwards.
+        faulty: Returns the attributes and their values during the fault.
+        normal: Values of these attributes after the fault.
     """
 
     async def inject(environment: Environment, fault: Fault) -> None:
@@ -113,7 +114,7 @@
 
 
 async def half_building(environment: Environment, fault: Fault) -> None:
-    """A zone loses half of its servers at once; they come back cold after the duration."""
+    """Half of the servers of a zone crash at once; they restart cold after the duration."""
     zone = environment.random.choice(environment.script.day.zones)
     inside = [server for server in environment.servers if server.config.zone == zone and server.is_up]
     lost = environment.random.sample(inside, len(inside) // 2)
@@ -121,7 +122,7 @@
 
 
 async def class_fail(environment: Environment, fault: Fault) -> None:
-    """One request class fails on a share of the servers."""
+    """Requests of one class fail on a share of the servers."""
     request_class = environment.random.choice(sorted(environment.script.classes))
     servers = environment.draw_servers(fault.affected_share)
     for server in servers:
@@ -132,7 +133,7 @@
 
 
 async def hot_key(environment: Environment, fault: Fault) -> None:
-    """`extra` slices (1 to 3) draw the share `size` of all traffic."""
+    """`extra` slices (1 to 3, not seconds) receive the share `size` of all traffic, at most 0.9."""
     count = max(1, min(MAX_HOT_SLICES, int(fault.extra)))
     hot = environment.random.sample(range(environment.script.day.slices), count)
     await environment.gateways.send_command("hot", slices=hot, share=min(fault.size, MAX_HOT_SHARE))
@@ -141,14 +142,14 @@
 
 
 async def rush(environment: Environment, fault: Fault) -> None:
-    """Traffic is `size` times the usual."""
+    """The request rate is `size` times the normal rate."""
     await environment.gateways.send_command("demand", factor=fault.size)
     await environment.sleep(fault.duration)
     await environment.gateways.send_command("demand", factor=1.0)
 
 
 async def zone_cut(environment: Environment, fault: Fault) -> None:
-    """One zone is cut off from the others; `size` under 1: the pilot's own."""
+    """One zone is disconnected from the others: the pilot's own if `size` is below 1 or there is only one zone."""
     zones = environment.script.day.zones
     cuts_pilot_zone = fault.size < 1 or len(zones) == 1
     zone = zones[0] if cuts_pilot_zone else environment.random.choice(zones[1:])
@@ -158,7 +159,11 @@
 
 
 async def counter_down(environment: Environment, fault: Fault) -> None:
-    """A share of the gateways reaches no pilot; `size` over 1: the list answers nothing; over 2: it is empty."""
+    """A share of the gateways cannot reach the pilot.
+
+    If `size` is above 1 and at most 2, the list server is also down. If it is above 2, the list server sends an empty
+    list instead.
+    """
     names = environment.draw_gateways(fault.affected_share)
     await environment.gateways.send_command("away", gateways=names, on=True)
     environment.endpoint_list.set_failure(is_down=1 < fault.size <= 2, is_empty=fault.size > 2)
@@ -168,7 +173,7 @@
 
 
 async def report_late(environment: Environment, fault: Fault) -> None:
-    """Load reports come `extra` later."""
+    """Gateways send their load reports `extra` later."""
     await environment.gateways.send_command("late", ns=int(fault.extra * NS_PER_SECOND))
     await environment.sleep(fault.duration)
     await environment.gateways.send_command("late", ns=0)
@@ -182,7 +187,7 @@
 
 
 async def balancer_stall(environment: Environment, fault: Fault) -> None:
-    """A share of the gateways stands still for `size` s, every `extra`."""
+    """A share of the gateways stalls for `size` s, repeatedly at an interval of `extra`, at least 0.1 s."""
     names = environment.draw_gateways(fault.affected_share)
     end = environment.clock.now() + fault.duration
     while environment.clock.now() < end:
@@ -191,7 +196,7 @@
 
 
 async def pilot_restart(environment: Environment, fault: Fault) -> None:
-    """The pilot is killed and started again `extra` later."""
+    """The pilot is killed, and restarted `extra` later."""
     await environment.pilot.kill()
     await environment.sleep(fault.extra * NS_PER_SECOND)
     await environment.pilot.start()
--- a/damsonpick/testing/scenarios/outcome.py
+++ b/damsonpick/testing/scenarios/outcome.py
@@ -1,4 +1,4 @@
-"""What a played scenario showed: the rules, and how well requests were served."""
+"""Outcome of a scenario: the results of the rules, and the share of requests that were served in time."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from damsonpick.time_units import MS_PER_SECOND
 
 PILOT_LOG = "pilot.log"
-LEAD_NS = 2_000_000_000  # of the scenario, before the first request counts
+LEAD_NS = 2_000_000_000  # requests that begin in this time of the scenario after the first one are not counted
 
 
 @dataclass(frozen=True, slots=True)
 class CompletedRequest:
-    """A client's request and how it ended.
+    """A client's request and its result.
 
     Attributes:
-        begun_ns: when it began, on the scenario's clock.
-        gateway: which served it.
-        answered: whether the client got an answer.
-        ending: how it ended.
-        latency_ms, objective_ms: how long it took, and how long it should take at most.
-        priority_weight: of its class.
+        begun_ns: Time at which the request began, in ns of the scenario's clock.
+        gateway: Name of the gateway or balancer that served the request.
+        answered: Whether the client received a response.
+        ending: How the request ended.
+        latency_ms, objective_ms: Duration of the request, and its latency objective.
+        priority_weight: Priority weight of the request's class.
     """
 
     begun_ns: int
@@ -40,7 +40,7 @@
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> CompletedRequest:
-        """Read a `done` record."""
+        """Create the request from a `done` JSON object."""
         return cls(
             begun_ns=record["begun"],
             gateway=record["gw"],
@@ -53,23 +53,25 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether it was answered within its objective."""
+        """Return whether the client received a response within the latency objective."""
         return self.answered and self.latency_ms <= self.objective_ms
 
     @property
     def is_sasp(self) -> bool:
-        """Whether a balancer, advised by SASP, served it."""
+        """Return whether a balancer that uses SASP advice served the request."""
         return self.gateway.startswith("lb-")
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLoad:
-    """How starved a process of the scenario was; true seconds.
+    """Event loop lag and CPU use of a process of the scenario, which show whether it was starved of CPU.
+
+    Times are in seconds of the wall clock, not of the scenario's clock.
 
     Attributes:
-        name: of the process.
-        longest_lag_s: the longest time by which its event loop was late.
-        cpu_s, wall_s: its CPU time, and the time it ran; 0: it was killed before it could tell.
+        name: Name of the process.
+        longest_lag_s: Longest delay of the process's event loop.
+        cpu_s, wall_s: CPU time and running time of the process; 0 if it was killed before it could record them.
     """
 
     name: str
@@ -80,15 +82,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a scenario showed.
+    """Outcome of a scenario.
 
     Attributes:
-        rules: the result of each rule.
-        service: priority weight answered in time over that asked for.
-        requests: how many counted.
-        endings: how many requests ended in each way.
-        service_by_protocol: where gateways of both protocols ran; else empty.
-        processes: how starved each process was; no verdict depends on it.
+        rules: Result of each rule.
+        service: Priority weight of the requests answered in time, as a share of that of all counted requests.
+        requests: Number of counted requests.
+        endings: Number of counted requests by how they ended.
+        service_by_protocol: Service of the xDS gateways and of the SASP balancers, by protocol; empty if no request
+            went through a balancer.
+        processes: Load of each process. No verdict depends on it.
     """
 
     rules: list[RuleResult]
@@ -100,11 +103,11 @@
 
     @property
     def kept(self) -> bool:
-        """Whether no rule was broken."""
+        """Return whether no rule was broken."""
         return not any(rule.breaches for rule in self.rules)
 
     def as_dict(self) -> dict[str, Any]:
-        """The outcome in the command's JSON output."""
+        """Return the outcome as an object of the command's JSON output."""
         found: dict[str, Any] = {
             "kept": self.kept,
             "service": round(self.service, 4),
@@ -127,7 +130,7 @@
 
 
 def limits_of(settings: PilotSettings) -> Limits:
-    """The rules' bounds from a pilot's settings."""
+    """Return the bounds of the rules that a pilot's settings define."""
     rules, channel = settings.rules, settings.channel
     return Limits(
         slice_count=settings.table_count(),
@@ -148,7 +151,7 @@
 
 
 def read_records(folder: Path) -> list[dict[str, Any]]:
-    """All records of a scenario in order of time; a line cut short by a kill is left out."""
+    """Return all records of a scenario in time order, without lines that a kill of the process truncated."""
     found = []
     for path in sorted(folder.glob("*.jsonl")):
         for line in path.read_text().splitlines():
@@ -160,12 +163,12 @@
 
 
 def completed_requests(records: Iterable[dict[str, Any]]) -> list[CompletedRequest]:
-    """The clients' requests among the records."""
+    """Return the clients' completed requests among the records."""
     return [CompletedRequest.from_json(record) for record in records if record["e"] == "done"]
 
 
 def evaluate(folder: Path, limits: Limits) -> Outcome:
-    """Check the rules on a scenario's records and measure its service."""
+    """Check the rules on a scenario's records, and compute the service of its requests."""
     records = read_records(folder)
     checker = Checker(limits).feed(records)
     requests = completed_requests(records)
@@ -190,7 +193,7 @@
 
 
 def _pilot_load(folder: Path) -> list[ProcessLoad]:
-    """The pilot's load by its own log, over all its incarnations; empty if the log tells nothing."""
+    """Return the pilot's load from its log, over all its incarnations; empty if the log contains no event loop lag."""
     entries = _log_entries(folder / PILOT_LOG)
     lags_ms = [entry["longest_lag_ms"] for entry in entries if "longest_lag_ms" in entry]
     endings = [entry for entry in entries if entry.get("event") == "pilot_ended" and "wall_s" in entry]
@@ -229,7 +232,7 @@
 
 
 def service_of(requests: Sequence[CompletedRequest]) -> float:
-    """Priority weight answered in time over that asked for; 0 without requests."""
+    """Return the share of the requests' priority weight that was answered in time; 0 if there are no requests."""
     asked = sum(request.priority_weight for request in requests)
     if not asked:
         return 0.0
--- a/damsonpick/testing/scenarios/pilot_settings.py
+++ b/damsonpick/testing/scenarios/pilot_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a scenario's pilot."""
+"""Writes the settings file of a scenario's pilot."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def pilot_settings(script: Script, seed: int, list_address: str) -> str:
-    """The pilot's settings file as text.
+    """Return the text of the pilot's settings file.
 
     Args:
-        script: the scenario.
-        seed: of the pilot's own random draws.
-        list_address: host and port of the list server.
+        script: The scenario.
+        seed: Seed of the pilot's own random draws.
+        list_address: Host and port of the list server.
     """
     sections = _fixed_sections(script, seed, list_address)
     for name, request_class in script.classes.items():
--- a/damsonpick/testing/scenarios/player.py
+++ b/damsonpick/testing/scenarios/player.py
@@ -1,4 +1,4 @@
-"""Plays a scenario against a running pilot and evaluates what passed on the sockets."""
+"""Plays a scenario against a running pilot and evaluates the recorded traffic."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     """Play one scenario in `folder` and evaluate it.
 
     Args:
-        script: the scenario.
-        seed: draws servers, traffic and faults.
-        folder: where settings, records and logs go; must be empty.
-        pilot: the command that runs a pilot; None: this program's own.
-        proxies: real proxies are the data plane.
+        script: The scenario.
+        seed: Seed of the random draws for servers, traffic and faults.
+        folder: Folder for settings, records and logs; it must be empty.
+        pilot: Command that runs a pilot; None for this program's own pilot.
+        proxies: Whether real proxies forward the requests, instead of the fake gateways.
 
     Raises:
-        ScenarioError: a process did not start, or ended early.
+        ScenarioError: A process did not start or ended early.
     """
     environment = Environment(script, seed, folder, pilot or PILOT_COMMAND, proxies)
     async with anyio.create_task_group() as group:
@@ -48,7 +48,7 @@
 
 
 async def inject(environment: Environment, fault: Fault) -> None:
-    """Inject a fault when it is due."""
+    """Wait until the fault's start time, then inject it."""
     await environment.sleep(fault.start)
     await FAULTS[fault.kind](environment, fault)
 
--- a/damsonpick/testing/scenarios/processes.py
+++ b/damsonpick/testing/scenarios/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scenario beside its own: the pilot, and the gateways with their clients."""
+"""Child processes of a scenario: the pilot, and the gateways with their clients."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 
 
 class PilotProcess:
-    """A pilot that can be killed and started again.
+    """A pilot process that can be killed and restarted.
 
     Attributes:
-        settings_file: what it is started with.
-        port_file: where it writes its xDS port; its SASP port stands beside it.
+        settings_file: Settings file of the pilot.
+        port_file: File to which the pilot writes its xDS port. The file of the SASP port has the same name with the
+            suffix `.sasp`.
     """
 
     def __init__(self, folder: Path, command: list[str]) -> None:
-        """Prepare a pilot that is not yet started.
+        """Set the paths and the command; `start` starts the process.
 
         Args:
-            folder: for settings, port files and log.
-            command: the program, without its arguments.
+            folder: Folder for settings, port files and log.
+            command: Command that runs the pilot, without its arguments.
         """
         self.command = command
         self.settings_file = folder / "pilot.ini"
@@ -44,7 +45,7 @@
         """Start the pilot and wait until its port is open.
 
         Raises:
-            ProcessError: it ended, or opened no port in time.
+            ProcessError: The pilot ended or did not open its port in time.
         """
         self._remove_port_files()
         with self.log_file.open("a") as log:
@@ -61,13 +62,13 @@
             raise ProcessError(f"the pilot did not start within {PILOT_START_TIMEOUT_S} s", self.log_file)
 
     async def kill(self) -> None:
-        """End the pilot without warning."""
+        """Kill the pilot without a graceful shutdown."""
         self._process.kill()
         await self._process.wait()
         self._remove_port_files()
 
     async def stop(self) -> None:
-        """End the pilot in order, if it runs."""
+        """Shut the pilot down gracefully if it is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.terminate()
             await _wait_or_kill(self._process)
@@ -78,15 +79,15 @@
 
 
 class GatewayProcesses:
-    """Processes full of gateways; each takes its setup and commands as JSON on standard input."""
+    """The gateway processes. Each runs several gateways, and reads its setup and commands as JSON on standard input."""
 
     def __init__(self, folder: Path) -> None:
-        """Log into `folder`."""
+        """Set the log file in `folder`; `start` starts the processes."""
         self.log_file = folder / "fleet.log"
         self._processes: list[Process] = []
 
     async def start(self, setup: dict[str, Any]) -> None:
-        """Start one process with this setup."""
+        """Start one process and send it its setup."""
         with self.log_file.open("a") as log:
             process = await anyio.open_process(GATEWAYS_COMMAND, stdout=subprocess.DEVNULL, stderr=log)
         await process.stdin.send(json.dumps(setup).encode() + b"\n")
@@ -96,20 +97,21 @@
         """Send a command to all processes.
 
         Raises:
-            ProcessError: one has ended.
+            ProcessError: A gateway process has ended.
         """
         line = json.dumps({"do": name, **details}).encode() + b"\n"
         try:
             for process in self._processes:
                 await process.stdin.send(line)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            raise ProcessError("the gateways' process has ended", self.log_file) from None
+            raise ProcessError("a gateway process has ended", self.log_file) from None
 
     async def watch(self) -> None:
         """Wait until a process ends.
 
         Raises:
-            ProcessError: always: one that ends early makes a failed scenario, not a quiet one.
+            ProcessError: Always raised when a process ends, so that an early end fails the scenario instead of staying
+                unnoticed.
         """
         exit_codes: list[int | None] = []
 
@@ -120,10 +122,10 @@
         async with anyio.create_task_group() as group:
             for process in self._processes:
                 group.start_soon(wait_for, process)
-        raise ProcessError(f"a gateways' process ended with code {exit_codes}", self.log_file)
+        raise ProcessError(f"a gateway process ended with exit code {exit_codes}", self.log_file)
 
     async def stop(self) -> None:
-        """End all processes by closing their input."""
+        """End all processes by closing their standard input."""
         for process in self._processes:
             await process.stdin.aclose()
         for process in self._processes:
--- a/damsonpick/testing/scenarios/report.py
+++ b/damsonpick/testing/scenarios/report.py
@@ -1,4 +1,4 @@
-"""Plays the scenarios that an operator names and prints what the rules showed."""
+"""Plays the scenarios that an operator selects and prints the results of the rules."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from damsonpick.testing.scenarios.player import play
 from damsonpick.testing.scenarios.script import Script, load
 
-SHOWN_BREACHES = 5  # for each rule
+SHOWN_BREACHES = 5  # printed per rule
 EXIT_KEPT, EXIT_BROKEN, EXIT_UNREADABLE = 0, 1, 2
 
 
@@ -31,16 +31,16 @@
     """Play scenarios and print their outcome.
 
     Args:
-        paths: the scripts.
-        seed: of the first play; None: the script's own.
-        times: plays of each scenario, each with the next seed.
-        keep: folder for settings, records and logs; None: they are removed.
-        pilot: the command that runs a pilot; None: this program's own.
-        as_json: print an object a play in place of a table.
-        proxies: real proxies are the data plane.
+        paths: Paths of the scripts.
+        seed: Seed of the first play; None for the script's own seed.
+        times: Number of plays of each scenario; each play uses the next seed.
+        keep: Folder for settings, records and logs; None to remove them after each play.
+        pilot: Command that runs a pilot; None for this program's own pilot.
+        as_json: Whether to print one JSON object per play instead of a table.
+        proxies: Whether real proxies forward the requests, instead of the fake gateways.
 
     Returns:
-        The exit code: 0 all rules kept, 1 one broken, 2 a script cannot be read.
+        The exit code: 0 if all rules were kept, 1 if a rule was broken, 2 if a script cannot be read.
     """
     try:
         scripts = [(path, load(path)) for path in paths]
@@ -86,7 +86,7 @@
 
 def _cpu_text(process: ProcessLoad) -> str:
     if not process.wall_s:
-        return "CPU not known: it was killed"
+        return "CPU time unknown, because the process was killed"
     return f"{process.cpu_s:.1f} s of CPU in {process.wall_s:.1f} s"
 
 
--- a/damsonpick/testing/scenarios/script.py
+++ b/damsonpick/testing/scenarios/script.py
@@ -1,6 +1,6 @@
-"""The script of a scenario: an INI file, checked whole.
+"""The script of a scenario: an INI file, of which all problems are reported at once.
 
-Fields are named in the terms of the code; an alias is the key in the file, where it differs. Durations are integer ns.
+Fields have the names that the code uses; an alias gives the key in the file if it differs. Durations are integer ns.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from damsonpick.settings.units import Duration, Names
 
 Share = Annotated[float, Field(gt=0, le=1)]
-PILOT_SECTIONS = ("rules", "channel", "reports", "solver", "knowledge")  # handed to the pilot as they stand
+PILOT_SECTIONS = ("rules", "channel", "reports", "solver", "knowledge")  # copied unchanged into the pilot's settings
 
 
 class Section(BaseModel):
-    """One section of the file; unknown keys are refused."""
+    """One section of the file; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -28,20 +28,20 @@
     """[day]: the fleet and the traffic."""
 
     length: Duration
-    clock_rate: float = Field(1.0, gt=0, le=10, alias="rate")  # seconds of the scenario to one of the wall clock
+    clock_rate: float = Field(1.0, gt=0, le=10, alias="rate")  # seconds of the scenario per second of the wall clock
     seed: int = 1
     gateways: int = Field(20, ge=1, le=200)
-    balancers: int = Field(0, ge=0, le=100)  # SASP clients, beside the gateways
+    balancers: int = Field(0, ge=0, le=100)  # SASP clients, in addition to the gateways
     servers: int = Field(16, ge=1, le=100)
     zones: Names = ("north", "south", "west", "east")
-    slices: int = Field(96, ge=0, le=5000)  # 0: a table for each zone and class
-    load: Share = 0.5  # of the fleet's capacity, at the start
+    slices: int = Field(96, ge=0, le=5000)  # 0 for a table per zone and class instead of slices
+    load: Share = 0.5  # offered load as a share of the fleet's capacity at the start
     cores: int = Field(4, ge=1, le=64)
-    notice: Duration = 1_000_000_000  # until the list knows of a change
+    notice: Duration = 1_000_000_000  # delay until the endpoint list shows a change of a server
 
 
 class RequestClassSettings(Section):
-    """[class NAME]: as in the pilot's settings, with its share of the traffic and its mean work."""
+    """[class NAME]: a request class as in the pilot's settings, with its share of the traffic and its mean work."""
 
     latency_objective: Duration = Field(alias="aim")
     deadline: Duration
@@ -54,9 +54,9 @@
 
 
 class Fault(Section):
-    """[trouble NAME]: what goes wrong, when, for how long, and how much.
+    """[trouble NAME]: kind, start, duration and extent of a fault.
 
-    What `size` and `extra` mean depends on the kind; see docs/operators/badday.md.
+    The meaning of `size` and `extra` depends on the kind; see docs/operators/badday.md.
     """
 
     kind: Literal[
@@ -89,13 +89,13 @@
 
 
 class Script(Section):
-    """A whole scenario.
+    """A complete scenario.
 
     Attributes:
-        day: the fleet and the traffic.
-        classes: request classes by name.
-        faults: by name.
-        pilot: sections of the pilot's settings, as they stand.
+        day: Settings of the fleet and the traffic.
+        classes: Request classes by name.
+        faults: Faults by name.
+        pilot: Sections of the pilot's settings, copied unchanged.
     """
 
     day: FleetSettings
@@ -108,7 +108,7 @@
     """Read a scenario's script.
 
     Raises:
-        SettingsError: with every problem found, each with section, key, value and remedy.
+        SettingsError: The script has problems. The error lists each of them with section, key, value and remedy.
     """
     script, problems = sections.read(
         path, Script, ("day", *PILOT_SECTIONS), {"class": "classes", "trouble": "faults"}, whole="pilot"
@@ -120,10 +120,10 @@
 
 
 def _late_faults(script: Script) -> list[Problem]:
-    """Faults that would start after the scenario's end."""
+    """Return a problem for each fault that would not start before the scenario's end."""
     found = []
     for name, fault in script.faults.items():
         if fault.start >= script.day.length:
             start_s = f"{fault.start / 1e9:g} s"
-            found.append(Problem(f"trouble {name}", "at", start_s, "is after the day's end; start it earlier"))
+            found.append(Problem(f"trouble {name}", "at", start_s, "is after the scenario's end; start it earlier"))
     return found
