--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 
 @pytest.fixture
 def pilot(tmp_path):
-    """A pilot with six slices and three servers, running."""
+    """A running pilot with six slices and three servers."""
     made = Pilot(tmp_path)
     made.list(s1="in_service", s2="in_service", s3="in_service")
     yield made.start()
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def clients():
-    """Makes clients and closes them."""
+    """A function that creates xDS clients, which are closed after the test."""
     made = []
 
     def make(pilot, node="gw", delta=True, names=True):
@@ -34,5 +34,5 @@
 
 @pytest.fixture
 def pilot_settings(tmp_path):
-    """The settings file of a pilot that does not run and has no state yet."""
+    """The settings file of a pilot that is not running and has no state yet."""
     return Pilot(tmp_path).file
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -1,4 +1,4 @@
-"""Gateways that follow a pilot's process and remember what they were sent, and an operator's commands to it."""
+"""Gateways that subscribe to a pilot's process and store what they receive, and an operator's commands to the pilot."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from damsonpick.runtime.clock import Clock
 from tests.pilots import Pilot
 
-BOUND = 15.0  # s
-BARE_LIMIT = 2.8  # s, as the pilots' settings have it
+WAIT_TIMEOUT_S = 15.0  # s; longest wait for a condition
+EMPTY_TABLE_LIMIT_S = 2.8  # s; the same as `bare_limit` in the pilots' settings
 
 
 class Gate:
-    """A gateway that follows the pilot and remembers what it was sent."""
+    """A gateway that subscribes to the pilot and stores what it receives."""
 
     def __init__(self, folder, name, zone="a", delta=True):
         self.name, self.zone, self.received_state, self.got = name, zone, ReceivedState(), []
@@ -31,11 +31,11 @@
                 return ["127.0.0.1:" + (folder / "port").read_text().strip()]
             return []
 
-        callbacks = WatchCallbacks(pilots, lambda *a: None, lambda: {}, self._said)
+        callbacks = WatchCallbacks(pilots, lambda *a: None, lambda: {}, self._store_received)
         backoff = Backoff(random.Random(name), 0.02, 0.2)
         self.watch_client = WatchClient(name, zone, self.received_state, callbacks, Clock(), backoff, log, delta)
 
-    def _said(self, event, **details):
+    def _store_received(self, event, **details):
         if event == "got":
             self.got.append((anyio.current_time(), details))
 
@@ -45,33 +45,33 @@
     pilot = Pilot(folder, **more)
     pilot.list(**{f"s{k}": "in_service" for k in range(1, servers + 1)})
     await anyio.to_thread.run_sync(pilot.start)
-    made = [Gate(folder, f"g{k}", "ab"[k % 2], delta) for k in range(gates)]
+    gateways = [Gate(folder, f"g{k}", "ab"[k % 2], delta) for k in range(gates)]
     try:
         async with anyio.create_task_group() as group:
-            for gate in made:
+            for gate in gateways:
                 group.start_soon(gate.watch_client.run)
-            yield pilot, made
+            yield pilot, gateways
             group.cancel_scope.cancel()
     finally:
         pilot.stop()
 
 
 async def say(pilot, *words, code=0):
-    """One command of an operator."""
+    """Run one `damsonpick versions` command of an operator, check its exit code, and return its output."""
     done = await anyio.to_thread.run_sync(lambda: pilot.versions(*words))
     assert done.returncode == code, (done.returncode, done.stdout, done.stderr)
     return json.loads(done.stdout) if done.stdout else done.stderr
 
 
-async def soon(what):
-    with anyio.fail_after(BOUND):
-        while not (found := await what()):
+async def soon(condition):
+    with anyio.fail_after(WAIT_TIMEOUT_S):
+        while not (found := await condition()):
             await anyio.sleep(0.05)
     return found
 
 
-async def all_hold(pilot):
-    """Every gateway holds the newest version, by its own check."""
+async def current_versions(pilot):
+    """Return the pilot's `versions who` reply if every gateway has verified the newest version, else None."""
     done = await anyio.to_thread.run_sync(lambda: pilot.versions("who"))
     if done.returncode not in (0, 1):
         return None
@@ -82,7 +82,7 @@
 
 async def settled(pilot, gates):
     async def look():
-        reply = await all_hold(pilot)
+        reply = await current_versions(pilot)
         return reply if reply and len(reply["gateways"]) == len(gates) else None
 
     return await soon(look)
@@ -97,8 +97,11 @@
 
 
 async def not_bare(look):
-    """No slice lacks a line for longer than the settings allow: a withdrawal comes just before the new tables."""
-    with anyio.fail_after(BARE_LIMIT):
+    """Wait until `look` holds, at most for the time for which the settings allow a slice to have no usable entry.
+
+    Slices may have no usable entry for a short time, because a withdrawal arrives just before the new tables.
+    """
+    with anyio.fail_after(EMPTY_TABLE_LIMIT_S):
         while not look():
             await anyio.sleep(0.02)
     return True
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders for small worlds seen through `Planner.handle`."""
+"""Builders for planner tests that use a small simulated fleet and `Planner.handle`."""
 
 from __future__ import annotations
 
@@ -47,23 +47,24 @@
 
 
 def table_entries(orders: list[api.Action]) -> list[api.SetEntry]:
-    """The orders that change a table."""
+    """Return the orders that set or remove a table entry."""
     return [order for order in orders if isinstance(order, api.SetEntry)]
 
 
 class World:
-    """A planner, the tables its orders produce, and proxies that acknowledge at once.
+    """A planner, the tables that result from its orders, and proxies that acknowledge each message at once.
 
     Attributes:
-        planner: the planner under test.
-        now: present time, ns.
-        tables: weight by slice and endpoint, as proxies hold them.
-        levels: admission level by table (None: all) and class index.
-        withdrawn: whether an endpoint is withdrawn, by name.
-        names: endpoints that are reported.
-        proxies: proxies that acknowledge.
-        acks: acknowledge each message at once.
-        log: all actions so far.
+        settings: The planner's settings.
+        planner: The planner under test.
+        now: Current time, ns.
+        tables: Weights that the proxies have, by slice and endpoint.
+        levels: Admission levels, by table (None for all tables) and class index.
+        withdrawn: Whether an endpoint is withdrawn, by name.
+        names: Names of the endpoints that the load reports cover.
+        proxies: Numbers of the proxies that acknowledge.
+        acks: Whether the proxies acknowledge each message at once.
+        log: All actions so far.
     """
 
     def __init__(self, names: str = "pqrs", slices: int = 12, seed: int = 1, proxies: int = 2, **changes):
@@ -89,7 +90,7 @@
         self.handle(*events)
 
     def handle(self, *events: api.Event) -> list[api.Action]:
-        """Hand over events at the present time and apply the orders."""
+        """Pass events to the planner at the current time, and apply its orders."""
         orders = self.planner.handle(self.now, list(events))
         self.log += orders
         acks = []
@@ -120,13 +121,13 @@
         rate: int = 20,
         tries: int = 20,
     ) -> list[api.Event]:
-        """One period's reports, of every endpoint and slice.
+        """Return the load reports of one period for every endpoint and slice.
 
         Args:
-            latency: ms by endpoint.
-            failing: failed share by endpoint.
-            rate: requests for each slice, over both classes.
-            tries: requests to each endpoint.
+            latency: Latency in ms by endpoint; 200 by default.
+            failing: Share of failed requests by endpoint; 0 by default.
+            rate: Requests for each slice, summed over both classes.
+            tries: Requests to each endpoint.
         """
         events: list[api.Event] = []
         for name in self.names:
@@ -139,7 +140,7 @@
         return events
 
     def run(self, seconds: float, **reports: object) -> list[api.Action]:
-        """Let time pass in ticks with a round of reports each second."""
+        """Advance the time in steps of a quarter of a second, with load reports each second."""
         orders: list[api.Action] = []
         for step in range(int(seconds * 4)):
             self.now += SECOND // 4
@@ -148,17 +149,17 @@
         return orders
 
     def routable(self, number: int) -> set[str]:
-        """Endpoints a proxy may pick for a slice: in its table and not withdrawn."""
+        """Return the endpoints that a proxy may pick for a slice: those in its table that are not withdrawn."""
         return {name for name in self.tables[number] if not self.withdrawn.get(name)}
 
     def count(self, name: str) -> int:
-        """Number of slices for which proxies may pick an endpoint."""
+        """Return the number of slices for which proxies may pick an endpoint."""
         return sum(name in self.routable(number) for number in self.tables)
 
     def slice_share(self, name: str) -> float:
-        """Number of slices that an endpoint serves, where proxies spread evenly over a table's entries."""
+        """Return the number of slices that an endpoint serves if proxies spread requests evenly over each table."""
         return sum(1 / len(self.routable(n)) for n in self.tables if name in self.routable(n))
 
     def has_slice_without_endpoint(self) -> bool:
-        """Whether proxies can reach no endpoint for some slice."""
+        """Return whether there is a slice for which proxies may pick no endpoint."""
         return not all(self.routable(number) for number in self.tables)
--- a/tests/pilots.py
+++ b/tests/pilots.py
@@ -1,4 +1,4 @@
-"""A real pilot in a process of its own, and a minimal xDS client straight from the generated stubs."""
+"""A real pilot in a separate process, and a minimal xDS client that uses the generated stubs directly."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 CDS = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 RDS = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
-PATIENCE = 10.0  # s: a bound, not a wait
+PATIENCE = 10.0  # s; upper bound of a wait for a condition, not a fixed delay
 
 SETTINGS = """
 [pilot]
@@ -55,11 +55,11 @@
 """
 
 
-def until(what, patience: float = PATIENCE):
-    """The first true answer of `what`; fails after a bound."""
+def until(condition, patience: float = PATIENCE):
+    """Call `condition` until it returns a true value, and return that value; fail after `patience` seconds."""
     end = time.monotonic() + patience
     while time.monotonic() < end:
-        if found := what():
+        if found := condition():
             return found
         time.sleep(0.01)
     raise AssertionError(f"not within {patience} s")
@@ -91,7 +91,7 @@
         return self.process.wait(PATIENCE)
 
     def list(self, **states: str) -> None:
-        """Servers s1, s2 ... with their states; port 9000 + n."""
+        """Write the server list: servers s1, s2 ... with their states; server n has port 9000 + n."""
         text = "".join(
             f"[server 127.0.0.1:{9000 + int(n[1:])}]\nzone = {'ab'[int(n[1:]) % 2]}\nstate = {s}\n"
             for n, s in states.items()
@@ -118,7 +118,7 @@
         return json.loads(done.stdout)
 
     def versions(self, *words: str) -> subprocess.CompletedProcess:
-        """`damsonpick versions` with `--json`, as an operator gives it."""
+        """Run `damsonpick versions` with `--json`, as an operator does."""
         return subprocess.run(
             [sys.executable, "-m", "damsonpick", "versions", words[0], str(self.file), *words[1:], "--json"],
             capture_output=True,
@@ -132,12 +132,15 @@
 
 
 class Client:
-    """One ADS stream. `delta` chooses the variant; nothing is acknowledged unless asked for."""
+    """A client with one ADS stream. `delta` selects the variant of xDS.
+
+    The client acknowledges a response only if the test calls `answer`, `settle` or `until`.
+    """
 
     def __init__(self, port: int, node: str = "gw", delta: bool = True):
         self.delta, self.node = delta, node
         self.out: queue.Queue = queue.Queue()
-        self.came: queue.Queue = queue.Queue()
+        self.received: queue.Queue = queue.Queue()
         self.channel = grpc.insecure_channel(f"127.0.0.1:{port}", [("grpc.use_local_subchannel_pool", 1)])
         stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(self.channel)
         method = stub.DeltaAggregatedResources if delta else stub.StreamAggregatedResources
@@ -151,9 +154,9 @@
     def _read(self) -> None:
         try:
             for response in self.call:
-                self.came.put(response)
+                self.received.put(response)
         except grpc.RpcError as error:
-            self.came.put(error)
+            self.received.put(error)
 
     def subscribe(self, kind: str, names: list[str], held: dict[str, str] | None = None, version: str = "") -> None:
         node = base_pb2.Node(id=self.node, locality=base_pb2.Locality(zone="a"))
@@ -170,8 +173,8 @@
             )
 
     def next(self, patience: float = PATIENCE):
-        """The next response, or the error that ended the stream."""
-        got = self.came.get(timeout=patience)
+        """Return the next response, or the error that ended the stream."""
+        got = self.received.get(timeout=patience)
         if not isinstance(got, Exception):
             for key, version, body in self.read(got):
                 self.versions.setdefault(got.type_url, {})[key] = version
@@ -211,7 +214,7 @@
         self.out.put(request)
 
     def settle(self, quiet: float = 0.4) -> list:
-        """Acknowledge all that comes until nothing does for a while."""
+        """Acknowledge all responses until none arrives for `quiet` seconds, and return them."""
         got = []
         while True:
             try:
@@ -220,10 +223,10 @@
                 return got
             self.answer(got[-1])
 
-    def until(self, what, patience: float = PATIENCE) -> list:
-        """Acknowledge what comes until `what` holds."""
+    def until(self, condition, patience: float = PATIENCE) -> list:
+        """Acknowledge responses until `condition` holds, and return them; fail after `patience` seconds."""
         got, end = [], time.monotonic() + patience
-        while not what():
+        while not condition():
             assert time.monotonic() < end, f"not within {patience} s; got {len(got)} responses"
             try:
                 got.append(self.next(0.2))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rule checker can fail: for each rule a wire record that keeps it and one that breaks it."""
+"""Tests the rule checker with records that keep each rule and records that break it."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 TABLE = {"slice/0": {"v": "1", "lines": {"x": 1000, "y": 1000}, "levels": {}}}
 
 
-def got(t, res, nonce="1.0.0.0", nack="", removed=(), gw="g"):
+def got(time_s, res, nonce="1.0.0.0", nack="", removed=(), gw="g"):
     return {
-        "t": t * SECOND,
+        "t": time_s * SECOND,
         "e": "got",
         "gw": gw,
         "type": "ClusterLoadAssignment",
@@ -41,11 +41,11 @@
     }
 
 
-def event(t, e, **more):
-    return {"t": int(t * SECOND), "e": e, **more}
+def event(time_s, event_kind, **more):
+    return {"t": int(time_s * SECOND), "e": event_kind, **more}
 
 
-def start():
+def initial_records():
     return [event(1, "list", entries=LIST), event(1, "stream", gw="g", up=True, zone="a", fresh=True), got(2, TABLE)]
 
 
@@ -54,15 +54,15 @@
         event(0.5, "up", server=s, zone=z, capacity=4, started=0, cold_share=0.2, cold_time=10 * SECOND)
         for s, z in (("x", "a"), ("y", "b"))
     ]
-    return {r.name: r for r in Checker(LIMITS).feed([*first, *start(), *events]).results()}
+    return {r.name: r for r in Checker(LIMITS).feed([*first, *initial_records(), *events]).results()}
 
 
-def try_(t, rid="r1", server="x", kind="safe", gw="g"):
-    return event(t, "try", gw=gw, id=rid, kind=kind, slice=0, server=server)
+def try_(time_s, request_id="r1", server="x", kind="safe", gw="g"):
+    return event(time_s, "try", gw=gw, id=request_id, kind=kind, slice=0, server=server)
 
 
-def ran(t, rid="r1", server="x", kind="safe"):
-    return event(t, "ran", id=rid, kind=kind, slice=0, server=server)
+def ran(time_s, request_id="r1", server="x", kind="safe"):
+    return event(time_s, "ran", id=request_id, kind=kind, slice=0, server=server)
 
 
 FLEET = {"fleet": {"v": "1", "lines": {"x": 1000, "y": 1000}, "levels": {}}}
@@ -71,8 +71,11 @@
 COLD = {"x": ["in_service", 4 * SECOND, "a"], "y": ["in_service", 0, "b"]}
 
 
-def cold(times, work):
-    """A new process of x at 4 s, known at 4.5 s, and requests to it from a gateway that knows."""
+def cold_server_requests(times, work):
+    """Return records of server x restarting cold, and of requests that an informed gateway sends to it.
+
+    The process starts at 4 s, the list shows it at 4.5 s, and the gateway reads a response at 5 s.
+    """
     events = [
         event(4, "up", server="x", zone="a", capacity=4, started=4 * SECOND, cold_share=0.2, cold_time=10 * SECOND),
         event(4.5, "list", entries=COLD),
@@ -109,7 +112,7 @@
         [event(5, "list", entries=DRAIN), event(5.5, "stream", gw="g", up=False), try_(9)],
     ),
     "an empty list is no news": ("drains kept", [event(5, "list", entries={}), try_(12)]),
-    "little to a cold one": ("no cold server pushed over", cold(3, 400)),
+    "little to a cold one": ("no cold server pushed over", cold_server_requests(3, 400)),
     "short queue": ("a short queue", [got(5, TABLE, "2.4000000000.5000000000.40")]),
 }
 BREAKS = {
@@ -135,7 +138,7 @@
             try_(11.5),
         ],
     ),
-    "pushed over": ("no cold server pushed over", cold(12, 400)),
+    "pushed over": ("no cold server pushed over", cold_server_requests(12, 400)),
     "long queue": (
         "a short queue",
         [got(5, TABLE, "2.4000000000.5000000000.60"), got(5, TABLE, "3.4100000000.5000000000.60", gw="h")],
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios through the real command line: rules kept by the pilot, and each rule broken by a broken one."""
+"""Scenarios played by the real command: the pilot keeps all rules, and pilots with a defect break one rule each."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-DAY = """
+SCRIPT = """
 [day]
 length = {length} s
 rate = 3
@@ -42,19 +42,20 @@
 share = 0.4
 work = 200 ms
 """
-# the server stays away until long after the pilot is back, on a busy machine too, so that it must be withdrawn
-KILLED = (
+# The server stays down until well after the pilot has restarted, even on a busy machine, so the pilot must withdraw it.
+PILOT_KILLED = (
     "[trouble kill]\nkind = pilot_restart\nat = 6 s\nextra = 1\n[trouble crash]\nkind = crash\nat = 7 s\nlen = 9 s\n"
 )
-KILLED_LENGTH_S = 22  # the server comes back at 16 s, and the rest of the day sees it warming up
-DEPLOY = "[trouble release]\nkind = deploy\nat = 5 s\nlen = 8 s\npart = 0.7\nsize = 0.34\nextra = 3\n"
-LOST = "[trouble lost]\nkind = answers_lost\nat = 4 s\nlen = 9 s\npart = 0.7\nsize = 0.5\n"
+PILOT_KILLED_LENGTH_S = 22  # the server restarts at 16 s and warms up during the rest of the scenario
+DEPLOYMENT = "[trouble release]\nkind = deploy\nat = 5 s\nlen = 8 s\npart = 0.7\nsize = 0.34\nextra = 3\n"
+ANSWERS_LOST = "[trouble lost]\nkind = answers_lost\nat = 4 s\nlen = 9 s\npart = 0.7\nsize = 0.5\n"
 
 
 def play(tmp_path, troubles, pilot=None, length=14, load=0.4, multiple=4, cold_share=0.2, cold_time=12):
     path = tmp_path / "day.ini"
     path.write_text(
-        DAY.format(length=length, load=load, multiple=multiple, cold_share=cold_share, cold_time=cold_time) + troubles
+        SCRIPT.format(length=length, load=load, multiple=multiple, cold_share=cold_share, cold_time=cold_time)
+        + troubles
     )
     command = [sys.executable, "-m", "damsonpick", "scenario", str(path), "--json", "--keep", str(tmp_path / "kept")]
     if pilot:
@@ -64,34 +65,34 @@
     return done.returncode, json.loads(done.stdout)
 
 
-def broken(outcome):
+def broken_rules(outcome):
     return {r["rule"] for r in outcome["rules"] if r["breaches"]}
 
 
 def test_a_day_with_the_pilot_killed_keeps_all_rules(tmp_path):
-    code, outcome = play(tmp_path, KILLED, length=KILLED_LENGTH_S)
+    code, outcome = play(tmp_path, PILOT_KILLED, length=PILOT_KILLED_LENGTH_S)
     assert code == 0 and outcome["kept"], outcome
     tested = {r["rule"]: r["tested"] for r in outcome["rules"]}
     assert all(tested.values()), tested
     assert outcome["requests"] > 100 and outcome["service"] > 0.5
     log = (tmp_path / "kept" / "day-1" / "pilot.log").read_text()
-    assert log.count("pilot_started") == 2, "it was killed and came back"
+    assert log.count("pilot_started") == 2, "the pilot was killed and restarted"
 
 
 @pytest.mark.parametrize(
     ("pilot", "troubles", "rule"),
     [
-        ("deaf_to_drains", DEPLOY, "drains kept"),
-        ("bare", DEPLOY, "nobody left without a server"),
-        ("retrying", LOST, "no effect twice"),
-        ("reckless", DEPLOY, "no cold server pushed over"),
+        ("deaf_to_drains", DEPLOYMENT, "drains kept"),
+        ("bare", DEPLOYMENT, "nobody left without a server"),
+        ("retrying", ANSWERS_LOST, "no effect twice"),
+        ("reckless", DEPLOYMENT, "no cold server pushed over"),
     ],
 )
 def test_a_broken_pilot_fails_the_day_and_the_rule_is_named(tmp_path, pilot, troubles, rule):
-    # a cold server stands so little that a push shows on a busy machine as well
-    delicate = dict(load=0.9, multiple=1.2, cold_share=0.05, cold_time=30)
-    code, outcome = play(tmp_path, troubles, pilot, **(delicate if pilot == "reckless" else {"load": 0.6}))
-    assert code == 1 and rule in broken(outcome), outcome
+    # With these settings, so little work crashes a cold server that the overload also occurs on a busy machine.
+    fragile_servers = dict(load=0.9, multiple=1.2, cold_share=0.05, cold_time=30)
+    code, outcome = play(tmp_path, troubles, pilot, **(fragile_servers if pilot == "reckless" else {"load": 0.6}))
+    assert code == 1 and rule in broken_rules(outcome), outcome
 
 
 @pytest.mark.parametrize("command", ["scenario", "badday"])
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -1,4 +1,4 @@
-"""The script that writes other customers' sites, on a site of a few lines."""
+"""Tests the script that writes the site files of other customers, with a short site file as input."""
 
 from __future__ import annotations
 
