--- a/damsonpick/testing/rules/limits.py
+++ b/damsonpick/testing/rules/limits.py
@@ -10,7 +10,7 @@
 
 
 class EffectRule(NamedTuple):
-    """Whether a request of a class may run more than once.
+    """Conditions under which a request of a class may run more than once.
 
     Attributes:
         effect: Whether a second run repeats the effect: `read_like` requests have none, an idempotency key prevents it
--- a/damsonpick/testing/rules/records.py
+++ b/damsonpick/testing/rules/records.py
@@ -64,7 +64,7 @@
 
 
 class SendInfo(NamedTuple):
-    """How the pilot accounted for a response in its send queue.
+    """The pilot's accounting of a response in its send queue.
 
     Attributes:
         queued_ns: Time at which the pilot queued the response.
--- a/damsonpick/testing/scenarios/faults.py
+++ b/damsonpick/testing/scenarios/faults.py
@@ -14,7 +14,7 @@
 from damsonpick.testing.scenarios.script import Fault
 from damsonpick.time_units import NS_PER_SECOND
 
-RESTART_NS = NS_PER_SECOND // 2  # time that a process takes to restart
+RESTART_NS = NS_PER_SECOND // 2  # time that a process needs to restart
 MAX_HOT_SLICES = 3
 MAX_HOT_SHARE = 0.9
 SLOW_READ_UNIT_NS = NS_PER_SECOND // 10  # delay per unit of `size`
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios played by the real command: the pilot keeps all rules, and pilots with a defect break one rule each."""
+"""Scenarios played by the real command: the pilot keeps all rules, and defective pilots break one rule each."""
 
 from __future__ import annotations
 
