--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -1,7 +1,7 @@
-"""Writes two other customers' sites from the operators' own: `python deploy/sites/variants.py SITE.toml`.
+"""Write the sites of two other customers, derived from the operators' own: `python deploy/sites/variants.py SITE.toml`.
 
-Nothing of the operators' pages is kept in the repository: the output beside this script is git-ignored. What is
-changed stands in the tables below; a word that the site does not hold, or holds otherwise, is an error.
+The repository contains nothing of the operators' pages: the output next to this script is git-ignored. The tables below
+list the changes. It is an error if the site lacks a table or a key that they change, or has the key more than once.
 """
 
 from __future__ import annotations
@@ -12,9 +12,10 @@
 from pathlib import Path
 
 HERE = Path(__file__).parent
-BESIDE = "real.json", "wire.json", "design.json", "unlock.txt"
+# Files next to the site that each variant gets a copy of.
+COPIED_FILES = "real.json", "wire.json", "design.json", "unlock.txt"
 
-# Names that are replaced wherever they stand.
+# Names that are replaced wherever they occur as a quoted string.
 NAMES = {
     "prva": {
         "parking-varazdin": "prva-kuca",
@@ -36,7 +37,7 @@
     },
 }
 
-# (table, nth of its name, key) and what it becomes.
+# Keys that change: (table, index among the tables of this name, key), and the new value.
 VALUES = {
     "prva": [
         (("goal", 0, "whole"), "0.55"),
@@ -74,11 +75,11 @@
     ],
 }
 
-# Tables left out: (name, nth).
-LEFT_OUT = {"prva": [], "druga": [("class", 1)]}
+# Tables that are omitted: (table, index among the tables of this name).
+OMITTED_TABLES = {"prva": [], "druga": [("class", 1)]}
 
-# Tables added at the end: one more class.
-ADDED = {
+# Tables that are added at the end: `prva` has one more class.
+ADDED_TABLES = {
     "prva": """
 [[class]]
 name = "izvješće #3"
@@ -96,15 +97,15 @@
     "druga": "",
 }
 
-HEAD = re.compile(r"^\[\[?([\w.]+)\]\]?\s*$")
+TABLE_HEADER = re.compile(r"^\[\[?([\w.]+)\]\]?\s*$")
 
 
 def sections(text: str) -> list[tuple[str, int, list[str]]]:
-    """The site's tables in order: name, which of that name, lines."""
+    """Return the site's tables in order, each with its name, its index among the tables of this name, and its lines."""
     found: list[tuple[str, int, list[str]]] = [("", 0, [])]
     seen: dict[str, int] = {}
     for line in text.splitlines():
-        if head := HEAD.match(line):
+        if head := TABLE_HEADER.match(line):
             name = head.group(1)
             found.append((name, seen.get(name, 0), []))
             seen[name] = seen.get(name, 0) + 1
@@ -113,7 +114,7 @@
 
 
 def changed(variant: str, text: str) -> str:
-    """A variant's text."""
+    """Return the text of a variant of the site `text`."""
     tables = sections(text)
     for (name, nth, key), value in VALUES[variant]:
         lines = next(lines for n, k, lines in tables if (n, k) == (name, nth))
@@ -121,10 +122,10 @@
         if len(at) != 1:
             raise SystemExit(f"{variant}: [{name}] {nth}: {key} stands {len(at)} times")
         lines[at[0]] = f"{key} = {value}"
-    made = "\n".join(line for n, k, lines in tables if (n, k) not in LEFT_OUT[variant] for line in lines)
+    output = "\n".join(line for n, k, lines in tables if (n, k) not in OMITTED_TABLES[variant] for line in lines)
     for old, new in NAMES[variant].items():
-        made = made.replace(f'"{old}"', f'"{new}"')
-    return made + "\n" + ADDED[variant]
+        output = output.replace(f'"{old}"', f'"{new}"')
+    return output + "\n" + ADDED_TABLES[variant]
 
 
 def main(site: Path) -> None:
@@ -132,7 +133,7 @@
         folder = HERE / variant
         folder.mkdir(exist_ok=True)
         (folder / f"{variant}.toml").write_text(changed(variant, site.read_text()))
-        for name in BESIDE:
+        for name in COPIED_FILES:
             if (site.parent / name).exists():
                 (folder / name).unlink(missing_ok=True)
                 shutil.copyfile(site.parent / name, folder / name)
--- a/fuzz/__init__.py
+++ b/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Coverage-guided fuzzing of what reads bytes from outside; the corpora are replayed by the tests."""
+"""Coverage-guided fuzz targets for the code that reads bytes from outside. The tests replay their corpora."""
--- a/fuzz/edge_messages.py
+++ b/fuzz/edge_messages.py
@@ -1,10 +1,11 @@
-"""Fuzz what the platform's pilot reads: its address, the registry's watch and responses, discovery's watch.
+"""Fuzz what the platform's pilot reads: accepted connections, the registry's watch and responses, discovery's watch.
 
     python -m fuzz.edge_messages -max_total_time=600 fuzz/corpus/edge
 
-Needs `pip install -e '.[fuzz]'` (atheris, on libFuzzer). The first byte names the reader, the second where to cut the
-stream. Wherever it is cut, the same must come of it; only documented errors are raised; what is kept is bounded by the
-bytes received; the planner can handle every event.
+Requires `pip install -e '.[fuzz]'` (atheris, on libFuzzer). The first byte of an input selects the reader, and the
+second byte the position at which the rest, the stream, is cut in two. The target checks that the cut does not change
+the result, that the readers raise only documented errors, that they buffer no more than the bytes received, and that
+the planner can handle every event.
 """
 
 from __future__ import annotations
@@ -61,7 +62,7 @@
 
 
 def read_connection(pieces: list[bytes]) -> list[object]:
-    """Read what a collector sends."""
+    """Return the events that a collector's connection reads from a stream."""
     connection, events = CollectorConnection(messages.ReportMapper(SETTINGS, ("a",))), []
     try:
         for piece in pieces:
@@ -74,7 +75,7 @@
 
 
 def read_lines(pieces: list[bytes]) -> list[bytes]:
-    """Read the lines of a watch."""
+    """Return the lines that a watch sends in an HTTP response."""
     reader, lines = ResponseReader(), []
     try:
         for piece in pieces:
@@ -86,7 +87,7 @@
 
 
 def read_registry_watch(pieces: list[bytes]) -> list[object]:
-    """Read the registry's watch."""
+    """Return the events that the registry's watch produces."""
     registry, events = Registry(PendingOrders(("look",)), 4, 4), []
     snapshot = WatchSnapshot()
     for line in read_lines(pieces):
@@ -106,7 +107,7 @@
 
 
 def read_discovery_watch(pieces: list[bytes]) -> list[object]:
-    """Read discovery's watch."""
+    """Return the events that discovery's watch produces."""
     endpoint_list, events = EndpointList(EMPTY_LIST), []
     for line in read_lines(pieces):
         try:
@@ -120,7 +121,7 @@
 
 
 def check(data: bytes) -> None:
-    """Check one stream. Raises: whatever is a finding."""
+    """Check one input. Every exception that this raises is a finding."""
     if len(data) < 2:
         return
     reader, body = READERS[data[0] % len(READERS)], data[2:]
@@ -128,7 +129,7 @@
     whole, cut_in_two = reader([body]), reader([body[:cut], body[cut:]])
     if reader is read_connection:
         assert whole == cut_in_two
-    else:  # bytes behind invalid ones may or may not have been read before them
+    else:  # The cut decides how much is read next to invalid bytes, so one result is a prefix of the other.
         assert whole[: len(cut_in_two)] == cut_in_two[: len(whole)]
     Planner(SETTINGS, 1).handle(NOW, [event for event in whole if event != REJECTED])
     decode_response(body, 3)
--- a/fuzz/http_messages.py
+++ b/fuzz/http_messages.py
@@ -1,10 +1,10 @@
-"""Fuzz the proxy's HTTP reader: never a crash, never a request that the next reader sees in another way.
+"""Fuzz the proxy's HTTP reader: it must never crash or accept a request that the next parser reads differently.
 
     python -m fuzz.http_messages -max_total_time=600 fuzz/corpus/http
 
-Needs `pip install -e '.[fuzz]'` (atheris, on libFuzzer). Every request that is taken is written out as the proxy writes
-it to a server and read by another parser (h11): number, method, target and body must agree. Where the bytes are cut
-must not matter either.
+Requires `pip install -e '.[fuzz]'` (atheris, on libFuzzer). The target encodes every accepted request as the proxy
+forwards it to a server, and parses these bytes with another parser (h11): number of requests, method, target and body
+must agree. The result must also not depend on where the bytes are cut.
 """
 
 from __future__ import annotations
@@ -15,49 +15,57 @@
 
 from damsonpick.proxy import messages as http
 
-MOST = 8  # requests of one input
+MAX_CHECKED_REQUESTS = 8  # requests of one input that h11 parses
 
 
 def read(pieces: list[bytes], requests: bool) -> tuple[list[tuple[http.Head, bytes, list]], int]:
-    """Whole messages, in order, and the status with which the rest was refused (0: it was not).
+    """Read messages with the proxy's reader.
+
+    Args:
+        pieces: The bytes, cut into pieces that are fed one by one.
+        requests: Whether the bytes are requests; otherwise they are responses.
+
+    Returns:
+        The complete messages in order, and the status with which the reader rejected the rest, or 0 if it rejected
+        nothing.
 
     Raises:
-        anything but HttpProtocolError is a finding.
+        Exception: Every exception that this function does not catch (HttpProtocolError) is a finding.
     """
     reader = http.Reader(requests, 4096)
-    found: list[tuple[http.Head, bytes, list]] = []
+    parsed: list[tuple[http.Head, bytes, list]] = []
     head, body = None, b""
     for piece in pieces:
         try:
             events = reader.feed(piece)
         except http.HttpProtocolError as error:
-            events, refused = reader.take_events(), error.status
+            events, rejection_status = reader.take_events(), error.status
         else:
-            refused = 0
+            rejection_status = 0
         for event in events:
             if isinstance(event, http.Head):
                 head, body = event, b""
             elif isinstance(event, http.Body):
                 body += event.data
             elif head is not None:
-                found.append((head, body, event.trailers))
+                parsed.append((head, body, event.trailers))
                 head = None
-        if refused:
-            return found, refused
-    return found, 0
+        if rejection_status:
+            return parsed, rejection_status
+    return parsed, 0
 
 
-def forwarded(head: http.Head, body: bytes, trailers: list[tuple[bytes, bytes]]) -> bytes:
-    """A request as the proxy sends it on."""
+def encode_forwarded_request(head: http.Head, body: bytes, trailers: list[tuple[bytes, bytes]]) -> bytes:
+    """Return the bytes with which the proxy forwards a request."""
     start = http.upstream_head_bytes(head)
     if head.length is not None:
         return start + body
     return start + (http.chunk(body) if body else b"") + http.last_chunk(trailers)
 
 
-def seen(data: bytes) -> list[tuple[bytes, bytes, bytes]]:
-    """What h11 reads from bytes on one connection."""
-    found, server = [], h11.Connection(h11.SERVER)
+def parse_with_h11(data: bytes) -> list[tuple[bytes, bytes, bytes]]:
+    """Return method, target and body of each request that h11 reads from the bytes of one connection."""
+    parsed, server = [], h11.Connection(h11.SERVER)
     server.receive_data(data)
     head, body = None, b""
     while True:
@@ -67,34 +75,36 @@
         elif isinstance(event, h11.Data):
             body += bytes(event.data)
         elif isinstance(event, h11.EndOfMessage):
-            found.append((bytes(head.method), bytes(head.target), body))
+            parsed.append((bytes(head.method), bytes(head.target), body))
             server.send(h11.Response(status_code=200, headers=[("content-length", "0")]))
             server.send(h11.EndOfMessage())
             if server.our_state is not h11.DONE or server.their_state is not h11.DONE:
-                return found
+                return parsed
             server.start_next_cycle()
         else:
-            return found
+            return parsed
 
 
 def check(data: bytes) -> None:
-    """One input.
+    """Check one input.
 
     Raises:
-        AssertionError: a finding.
+        AssertionError: The reader, the proxy's encoder and h11 disagree, which is a finding.
     """
-    whole, refused = read([data], True)
-    bytewise, refused_too = read([data[k : k + 1] for k in range(len(data))], True)
-    assert _plain(whole) == _plain(bytewise) and bool(refused) == bool(refused_too), "cuts matter"
-    for head, body, trailers in whole[:MOST]:
-        again = seen(forwarded(head, body, trailers))
+    whole, rejection_status = read([data], True)
+    bytewise, bytewise_rejection_status = read([data[k : k + 1] for k in range(len(data))], True)
+    assert _comparable(whole) == _comparable(bytewise) and bool(rejection_status) == bool(bytewise_rejection_status), (
+        "the result depends on where the bytes are cut"
+    )
+    for head, body, trailers in whole[:MAX_CHECKED_REQUESTS]:
+        reparsed = parse_with_h11(encode_forwarded_request(head, body, trailers))
         method, target = head.start  # type: ignore[misc]
-        assert again == [(method, target, body)], f"read in another way: {again}"
+        assert reparsed == [(method, target, body)], f"h11 reads the forwarded request differently: {reparsed}"
     read([data], False)
 
 
-def _plain(found: list) -> list:
-    return [(head.start, head.headers, body, trailers) for head, body, trailers in found]
+def _comparable(parsed: list) -> list:
+    return [(head.start, head.headers, body, trailers) for head, body, trailers in parsed]
 
 
 def main() -> None:
--- a/fuzz/sasp_messages.py
+++ b/fuzz/sasp_messages.py
@@ -1,10 +1,11 @@
-"""Fuzz the SASP front: a whole session against raw bytes. Never a crash, a hang, or memory beyond what came in.
+"""Fuzz the SASP server: raw bytes must never cause a crash, a hang, or memory use beyond the size of the input.
 
     python -m fuzz.sasp_messages -max_total_time=600 fuzz/corpus/sasp
 
-Needs `pip install -e '.[fuzz]'` (atheris, on libFuzzer). The input is a byte stream to one session, cut in two at a
-place that its first byte gives. Every whole frame must be answered by one whole frame with the number of its request;
-what is read must be written again as it was, unless spare bits were set; a push may follow any of it.
+Requires `pip install -e '.[fuzz]'` (atheris, on libFuzzer). The input is a byte stream to one complete session. Its
+first byte gives the position at which the stream is cut in two. The session must reply to every complete frame with
+one complete frame that carries the number of its request. A message that was decoded must be encoded as it was,
+unless spare bits were set. A push may follow any frame.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 from damsonpick.state.published_tables import PublishedTables
 
 NOW = 10**18
-LARGEST = 4096  # bytes of a frame here
+MAX_FRAME_BYTES = 4096
 
 
-def session() -> SaspSession:
+def make_session() -> SaspSession:
     published = PublishedTables(("page",), 2)
     published.restore(0, {"10.0.0.1:80": 1.0})
     published.restore(1, {"10.0.0.2:80": 2.0})
@@ -42,38 +43,40 @@
 
 
 def check(data: bytes) -> None:
-    """One stream. Raises: whatever is a finding."""
+    """Check one stream. Every exception that this raises is a finding."""
     if not data:
         return
     cut = data[0] % (len(data) or 1)
-    made, splitter = session(), codec.Splitter(LARGEST)
+    sasp_session, splitter = make_session(), codec.Splitter(MAX_FRAME_BYTES)
     try:
         for piece in (data[1 : 1 + cut], data[1 + cut :]):
             for frame in splitter.feed(piece):
-                _one(made, frame)
+                _check_frame(sasp_session, frame)
         assert len(splitter.buffer) <= len(data)
     except codec.FrameError:
         return
 
 
-def _one(made: SaspSession, frame: bytes) -> None:
-    reply = made.receive(NOW, frame)
+def _check_frame(sasp_session: SaspSession, frame: bytes) -> None:
+    reply = sasp_session.receive(NOW, frame)
     frames = list(codec.Splitter().feed(reply))
     assert len(frames) == 1
-    assert frames[0][9:13] == frame[9:13], "a reply has the number of its request"
+    assert frames[0][9:13] == frame[9:13], "the reply does not carry the number of its request"
     codec.decode(frames[0])
     try:
         message = codec.decode(frame)
     except codec.MessageError:
         return
-    again = codec.encode(message)
-    assert len(again) == len(frame) and codec.decode(again) == message
-    kept = sum(len(g.members) for b in made.advisor.registry.balancers.values() for g in b.groups.values())
-    assert kept <= 20 * 50 * len(made.advisor.registry.balancers)
-    made.enqueue(["slice/0"], CoveredChanges(3, NOW, 1))
-    if (push := made.compose(NOW)) is not None:
+    reencoded = codec.encode(message)
+    assert len(reencoded) == len(frame) and codec.decode(reencoded) == message
+    member_count = sum(
+        len(g.members) for b in sasp_session.advisor.registry.balancers.values() for g in b.groups.values()
+    )
+    assert member_count <= 20 * 50 * len(sasp_session.advisor.registry.balancers)
+    sasp_session.enqueue(["slice/0"], CoveredChanges(3, NOW, 1))
+    if (push := sasp_session.compose(NOW)) is not None:
         codec.decode(push)
-        made.push_written()
+        sasp_session.push_written()
 
 
 def main() -> None:
