--- a/benchmarks/fanout.py
+++ b/benchmarks/fanout.py
@@ -2,10 +2,10 @@
 
     python benchmarks/fanout.py --out benchmarks/fanout.json
 
-Each number of gateways is measured with each variant, on a pilot as users run it (60 servers, 400 slices, no limit on
-the channel), simple clients that acknowledge at once, and a fake list server. One change drains a server, the next
-change returns it to service, and so on. Each change is timed from the write to the list to the acknowledgement of the
-last client. For comparison, the result contains the project's baseline: the same tables sent whole, as on a join.
+Each number of gateways is measured with each variant, on a pilot as users run it (60 servers, 400 slices, no rate
+limit on the channel), simple clients that acknowledge at once, and a fake list server. One change drains a server, the
+next change returns it to service, and so on. Each change is timed from the write to the list to the acknowledgement of
+the last client. For comparison, the result contains the project's baseline: the same tables sent whole, as on a join.
 """
 
 from __future__ import annotations
--- a/benchmarks/knowledge_cost.py
+++ b/benchmarks/knowledge_cost.py
@@ -69,7 +69,7 @@
     encode_ms, data = time_ms(lambda: codec.encode(snapshot))
     save_ms, _ = time_ms(lambda: generations.save(OsDisk(), folder, data, (folder / generations.CURRENT).exists()))
     cpu = (time.process_time() - cpu) * 1e3
-    read, loaded_snapshot = time_ms(lambda: generations.load(OsDisk(), folder).snapshot)
+    read_ms, loaded_snapshot = time_ms(lambda: generations.load(OsDisk(), folder).snapshot)
     listed = {n: entry(n) for n in planner.endpoints}
     restore_ms, (events, _) = time_ms(
         lambda: restore.restored_events(ageing.decay(loaded_snapshot, SECOND), listed, range(len(planner.slices)))
@@ -91,7 +91,7 @@
         "in_one_go_ms": in_one_go_ms,
         "stall_to_one_go": max(steps) / in_one_go_ms,
         "thread_ms": encode_ms + save_ms,
-        "read_ms": read,
+        "read_ms": read_ms,
         "told_ms": restore_ms + handle_ms,
     }
 
--- a/benchmarks/knowledge_kills.py
+++ b/benchmarks/knowledge_kills.py
@@ -86,7 +86,7 @@
 async def campaign(folder: Path, kills: int, seed: int) -> dict[str, Any]:
     rng = random.Random(seed)
     environment = Environment(script(), seed, folder, player.PILOT_COMMAND)
-    kept = folder / "state" / "knowledge"
+    learned_folder = folder / "state" / "knowledge"
     pilot_runs: list[tuple[int, int]] = []  # start of each process; the second value is always 0
     torn_files, lost_generations, refused, newest, damaged = 0, 0, 0, 0, b""
     async with anyio.create_task_group() as group:
@@ -96,22 +96,24 @@
             for k in range(kills):
                 await environment.sleep(int(rng.uniform(0.3, 1.6) * SECOND))
                 await environment.pilot.kill()
-                files = read(kept)
+                files = read(learned_folder)
                 complete_sequences = [v for v in files.values() if isinstance(v, int)]
                 # A file that was damaged here stays until the pilot writes again. It does not count as torn.
-                torn_files += any(isinstance(v, str) and (kept / w).read_bytes() != damaged for w, v in files.items())
+                torn_files += any(
+                    isinstance(v, str) and (learned_folder / w).read_bytes() != damaged for w, v in files.items()
+                )
                 lost_generations += not complete_sequences or max(complete_sequences) < newest
                 newest = max(complete_sequences, default=0)
                 if k % 10 == 9:
                     # After a kill between the two renames only `previous` exists.
                     which = max((w for w in files if isinstance(files[w], int)), key=files.__getitem__)
-                    path = kept / which
+                    path = learned_folder / which
                     data = bytearray(path.read_bytes())
                     bit = rng.randrange(len(data) * 8)
                     data[bit // 8] ^= 1 << bit % 8
                     damaged = bytes(data)
                     path.write_bytes(damaged)
-                    refused += isinstance(read(kept)[which], str)
+                    refused += isinstance(read(learned_folder)[which], str)
                     newest = min(complete_sequences) if len(complete_sequences) > 1 else 0
                 start = environment.clock.now()
                 await environment.pilot.start()
--- a/benchmarks/knowledge_restart.py
+++ b/benchmarks/knowledge_restart.py
@@ -119,7 +119,7 @@
 async def play(scenario: str, arm: str, seed: int, folder: Path) -> dict[str, Any]:
     scenario_script = script(scenario)
     environment = Environment(scenario_script, seed, folder, player.PILOT_COMMAND)
-    at = 0
+    kill_time = 0
 
     async with anyio.create_task_group() as group:
         try:
@@ -127,12 +127,12 @@
             for fault in scenario_script.faults.values():
                 group.start_soon(player.inject, environment, fault)
             await environment.sleep(KILL * SECOND)
-            at = environment.clock.now()
+            kill_time = environment.clock.now()
             if arm != "none":
                 await environment.pilot.kill()
                 tamper(folder, arm, seed)
                 await environment.pilot.start()
-            await environment.sleep(at + (END - KILL) * SECOND - environment.clock.now())
+            await environment.sleep(kill_time + (END - KILL) * SECOND - environment.clock.now())
         finally:
             await environment.stop()
         group.cancel_scope.cancel()
@@ -140,7 +140,7 @@
 
     outcome = outcomes.evaluate(folder, outcomes.limits_of(load(environment.pilot.settings_file)))
     requests = outcomes.completed_requests(outcomes.read_records(folder))
-    done = [request for request in requests if at <= request.begun_ns < at + WINDOW * SECOND]
+    done = [request for request in requests if kill_time <= request.begun_ns < kill_time + WINDOW * SECOND]
     return {
         "scenario": scenario,
         "arm": arm,
--- a/benchmarks/sasp.py
+++ b/benchmarks/sasp.py
@@ -201,10 +201,10 @@
         address = f"127.0.0.1:{pilot.log('sasp_opened')[0]['port']}"
         pilot_process = psutil.Process(pilot.process.pid)
         await anyio.sleep(1)
-        empty, idle = pilot_process.memory_info().rss, cpu_share(pilot_process)
+        rss_without, cpu_without = pilot_process.memory_info().rss, cpu_share(pilot_process)
         with balancer_process(address, False):  # Runs first, before earlier balancers leave free memory.
             await anyio.sleep(1)
-            full, busy = pilot_process.memory_info().rss, cpu_share(pilot_process)
+            rss_with, cpu_with = pilot_process.memory_info().rss, cpu_share(pilot_process)
         await anyio.sleep(1)
         quiet = await measure_drains(pilot, address, repeats)
         with balancer_process(address, True) as process:
@@ -226,10 +226,10 @@
                 },
             },
             "sessions": {
-                "pilot_mib": round(empty / 2**20, 1),
-                "kib_a_session": round((full - empty) / 1024 / BALANCERS, 1),
-                "cpu_without": idle,
-                "cpu_with_500_idle": busy,
+                "pilot_mib": round(rss_without / 2**20, 1),
+                "kib_a_session": round((rss_with - rss_without) / 1024 / BALANCERS, 1),
+                "cpu_without": cpu_without,
+                "cpu_with_500_idle": cpu_with,
             },
         }
     finally:
--- a/benchmarks/solver_scenarios.py
+++ b/benchmarks/solver_scenarios.py
@@ -1,11 +1,11 @@
-"""The solver against a hand-made weighting and against the pilot with slices, on paired scenarios.
+"""Compare the solver with hand-made weights and with a pilot that uses slices, on paired scenarios.
 
     python benchmarks/solver_scenarios.py --out benchmarks/solver_scenarios.json
 
-Stand-in servers and gateways on loopback. Each scenario (six kinds, seeds) is played three times with the same
-fleet, traffic and troubles: `solver` (tables by zone and class, solved), `hand` (benchmarks/hand_pilot.py) and
-`slices` (the module alone on 96 slices). Service is the worth answered in time over the worth asked for. Beside them
-stands what the same model would serve if it were told the true capacities each second.
+Fake servers and gateways on loopback. Each scenario (six kinds, several seeds) is played three times with the same
+fleet, traffic and faults: `solver` (tables by zone and class, solved), `hand` (benchmarks/hand_pilot.py) and `slices`
+(the planner alone on 96 slices). Service is the priority weight answered in time over the priority weight requested.
+For comparison, the result contains what the same model would serve if it received the true capacities each second.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SECOND = 1_000_000_000
-TROUBLES = {
+FAULTS = {
     "calm": {},
     "rush": {"rush": {"kind": "rush", "at": "7 s", "len": "13 s", "size": "1.6"}},
     "half_building": {"half": {"kind": "half_building", "at": "8 s", "len": "9 s"}},
@@ -38,8 +38,8 @@
     "deploy": {"release": {"kind": "deploy", "at": "5 s", "len": "18 s", "part": "0.7", "size": "0.13", "extra": "3"}},
 }
 ARMS = ("solver", "hand", "slices")
-# Two-sided 95% points of Student's t by degrees of freedom.
-STUDENT = {1: 12.706, 2: 4.303, 3: 3.182, 4: 2.776, 5: 2.571, 6: 2.447, 7: 2.365, 8: 2.306, 9: 2.262, 29: 2.045}
+# Two-sided 95% points of Student's t distribution, by degrees of freedom.
+STUDENT_T_95 = {1: 12.706, 2: 4.303, 3: 3.182, 4: 2.776, 5: 2.571, 6: 2.447, 7: 2.365, 8: 2.306, 9: 2.262, 29: 2.045}
 
 
 def script(kind: str, arm: str) -> Script:
@@ -56,7 +56,7 @@
                 "slices": 96 if arm == "slices" else 0,
             },
             "classes": {"page": {**shared, "share": 0.6}, "tally": {**shared, "share": 0.4, "worth": 2}},
-            "faults": TROUBLES[kind],
+            "faults": FAULTS[kind],
             "pilot": {
                 "rules": {
                     "drain_grace": "2.5 s",
@@ -77,7 +77,7 @@
     pilot = [sys.executable, str(ROOT / "benchmarks" / "hand_pilot.py")] if arm == "hand" else None
     with tempfile.TemporaryDirectory() as scratch:
         outcome = await player.play(script(kind, arm), seed, Path(scratch), pilot)
-        ideal = knowing(Path(scratch)) if arm == "solver" else None
+        ideal_service = service_with_true_capacities(Path(scratch)) if arm == "solver" else None
     return {
         "kind": kind,
         "arm": arm,
@@ -87,12 +87,12 @@
         "kept": outcome.kept,
         "broken": [r.name for r in outcome.rules if r.breaches],
         "ends": outcome.endings,
-        "knowing": ideal,
+        "knowing": ideal_service,
     }
 
 
-def knowing(folder: Path) -> float:
-    """What the model would have served with true capacities and demand, second by second."""
+def service_with_true_capacities(folder: Path) -> float:
+    """Return the service that the model would have achieved with true capacities and demand, second by second."""
     events = outcomes.read_records(folder)
     kinds = {"page": RequestClass("page", 1.0, 0.0, 0.325, 1.5), "tally": RequestClass("tally", 2.0, 0.0, 0.325, 1.5)}
     zones, alive, slow = {}, {}, {}
@@ -104,83 +104,85 @@
             zones[e["gw"]] = e["zone"]
     changes = [e for e in events if e["e"] in ("up", "down", "speed")]
     asked = served = 0.0
-    program, t, at = Program(), first, 0
+    program, t, change_index = Program(), first, 0
     while t < last:
-        while at < len(changes) and changes[at]["t"] <= t:
-            e = changes[at]
-            at += 1
+        while change_index < len(changes) and changes[change_index]["t"] <= t:
+            e = changes[change_index]
+            change_index += 1
             if e["e"] == "up":
                 alive[e["server"]], slow[e["server"]] = e, 1.0
             elif e["e"] == "down":
                 alive.pop(e["server"], None)
             else:
                 slow[e["server"]] = e["slow"]
-        came: dict[tuple[str, str], float] = {}
+        request_rates: dict[tuple[str, str], float] = {}
         for e in done:
             if abs(e["begun"] - t - SECOND / 2) < 1.5 * SECOND:
                 key = (zones[e["gw"]], e["kind"])
-                came[key] = came.get(key, 0.0) + 1 / 3
+                request_rates[key] = request_rates.get(key, 0.0) + 1 / 3
         servers = []
         for name, e in sorted(alive.items()):
             age = (t - e["started"]) / e["cold_time"] if e["started"] else 1.0
             ramp = min(1.0, e["cold_share"] + (1 - e["cold_share"]) * age)
             servers.append(Server(name, e["zone"], e["capacity"] * ramp / slow[name], 2))
-        worth = sum(kinds[k].priority_weight * r for (_, k), r in came.items())
+        worth = sum(kinds[k].priority_weight * r for (_, k), r in request_rates.items())
         if servers and worth:
-            free = Costs(cross_zone=0.0, move=0.0, min_share=0.0, headroom=0.0, demand_spread=0.0)
-            made = plan(
+            no_costs = Costs(cross_zone=0.0, move=0.0, min_share=0.0, headroom=0.0, demand_spread=0.0)
+            solution = plan(
                 program,
                 Problem(
                     tuple(kinds.values()),
                     tuple(servers),
-                    tuple(Demand(z, k, r) for (z, k), r in sorted(came.items())),
-                    free,
+                    tuple(Demand(z, k, r) for (z, k), r in sorted(request_rates.items())),
+                    no_costs,
                 ),
             )
             asked += worth
-            served += min(worth, max(0.0, made.objective))
+            served += min(worth, max(0.0, solution.objective))
         t += SECOND
     return served / asked if asked else 0.0
 
 
 def interval(values: list[float]) -> list[float]:
-    """Mean and half width of its 95% interval."""
+    """Return the mean of the values and the half width of its 95% interval."""
     mean = statistics.mean(values)
     if len(values) < 2:
         return [round(mean, 4), 0.0]
-    t = STUDENT.get(len(values) - 1, 2.0)
+    t = STUDENT_T_95.get(len(values) - 1, 2.0)
     return [round(mean, 4), round(t * statistics.stdev(values) / len(values) ** 0.5, 4)]
 
 
 def summary(rows: list[dict]) -> dict[str, object]:
-    found = {}
-    for kind in TROUBLES:
-        by = {(r["arm"], r["seed"]): r for r in rows if r["kind"] == kind}
-        seeds = sorted({s for _, s in by})
+    result = {}
+    for kind in FAULTS:
+        row_by_run = {(r["arm"], r["seed"]): r for r in rows if r["kind"] == kind}
+        seeds = sorted({s for _, s in row_by_run})
         if not seeds:
             continue
-        service = {a: [by[a, s]["service"] for s in seeds] for a in ARMS}
-        found[kind] = {
+        service = {a: [row_by_run[a, s]["service"] for s in seeds] for a in ARMS}
+        result[kind] = {
             "service": {a: round(statistics.mean(v), 4) for a, v in service.items()},
             "solver_less_hand": interval([a - b for a, b in zip(service["solver"], service["hand"], strict=True)]),
             "solver_less_slices": interval([a - b for a, b in zip(service["solver"], service["slices"], strict=True)]),
-            "gap_to_all_knowing": interval([by["solver", s]["knowing"] - by["solver", s]["service"] for s in seeds]),
-            "rules_kept": all(r["kept"] for r in by.values()),
+            "gap_to_all_knowing": interval(
+                [row_by_run["solver", s]["knowing"] - row_by_run["solver", s]["service"] for s in seeds]
+            ),
+            "rules_kept": all(r["kept"] for r in row_by_run.values()),
         }
-    return found
+    return result
 
 
 async def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--kinds", nargs="*", default=list(TROUBLES))
+    parser.add_argument("--kinds", nargs="*", default=list(FAULTS))
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
-    gate, rows = asyncio.Semaphore(args.jobs), []
+    slots, rows = asyncio.Semaphore(args.jobs), []
 
-    async def one(kind: str, arm: str, seed: int) -> None:
-        async with gate:
+    async def play_in_process(kind: str, arm: str, seed: int) -> None:
+        async with slots:
             code = (
                 "import asyncio, json, sys; sys.path.insert(0, 'benchmarks'); import solver_scenarios as s; "
                 f"print(json.dumps(asyncio.run(s.play({kind!r}, {arm!r}, {seed}))))"
@@ -191,7 +193,9 @@
             out, _ = await process.communicate()
             rows.append(json.loads(out.splitlines()[-1]))
 
-    await asyncio.gather(*(one(k, a, s) for k in args.kinds for s in range(1, args.seeds + 1) for a in ARMS))
+    await asyncio.gather(
+        *(play_in_process(k, a, s) for k in args.kinds for s in range(1, args.seeds + 1) for a in ARMS)
+    )
     result = summary(rows)
     print(json.dumps(result, indent=1))
     if args.out:
--- a/benchmarks/solver_time.py
+++ b/benchmarks/solver_time.py
@@ -1,7 +1,10 @@
-"""How long a plan takes and what it needs: `python benchmarks/solver_time.py --out benchmarks/solver_time.json`.
+"""Measure how long a plan takes and how much memory it needs.
 
-Random fleets; `cold` is a first solve, `warm` one from the last basis after all capacities moved a little, through
-HiGHS directly (highspy), beside the same program through scipy.optimize.linprog, which keeps no basis.
+    python benchmarks/solver_time.py --out benchmarks/solver_time.json
+
+Random fleets. `cold` is the first solve. `warm` is a solve from the last basis after all capacities have moved a
+little. Both call HiGHS directly (highspy). For comparison, the same program is solved through scipy.optimize.linprog,
+which keeps no basis.
 """
 
 from __future__ import annotations
@@ -32,20 +35,20 @@
 
 def fleet(servers: int, zones: int, rng: random.Random) -> Problem:
     names = [f"z{k}" for k in range(zones)]
-    made = tuple(
+    generated_servers = tuple(
         Server(f"s{k}", names[k % zones], rng.choice((3, 6)) * rng.uniform(0.6, 1.6), rng.choice((3, 6)))
         for k in range(servers)
     )
-    capacity = sum(s.capacity for s in made)
+    capacity = sum(s.capacity for s in generated_servers)
     demand = tuple(
         Demand(z, k.name, 0.6 * capacity / zones / 2 / k.mean_work_s * rng.uniform(0.5, 1.5))
         for z in names
         for k in KINDS
     )
-    return Problem(KINDS, made, demand, Costs())
+    return Problem(KINDS, generated_servers, demand, Costs())
 
 
-def shaken(problem: Problem, shares: dict[str, float], rng: random.Random) -> Problem:
+def perturb(problem: Problem, shares: dict[str, float], rng: random.Random) -> Problem:
     return problem._replace(
         servers=tuple(
             s._replace(capacity=s.capacity * rng.uniform(0.97, 1.03), work_share=shares[s.name])
@@ -55,8 +58,8 @@
     )
 
 
-def by_scipy(problem: Problem) -> float:
-    """Seconds of the same program through scipy."""
+def time_scipy(problem: Problem) -> float:
+    """Build and solve the same program through scipy. Return the time in seconds."""
     start = time.perf_counter()
     lp = ProgramBuilder(problem).build().to_highs()
     a = csr_matrix((lp.a_matrix_.value_, lp.a_matrix_.index_, lp.a_matrix_.start_), (lp.num_row_, lp.num_col_))
@@ -80,24 +83,24 @@
     rng, program = random.Random(seed), Program(60.0)
     problem = fleet(servers, zones, rng)
     start = time.perf_counter()
-    made = plan(program, problem)
-    cold, warm, dull = time.perf_counter() - start, [], []
+    solution = plan(program, problem)
+    cold, warm, scipy_s = time.perf_counter() - start, [], []
     for k in range(repeat):
-        problem = shaken(problem, {r.name: r.share for r in made.servers}, rng)
+        problem = perturb(problem, {r.name: r.share for r in solution.servers}, rng)
         start = time.perf_counter()
-        made = plan(program, problem)
+        solution = plan(program, problem)
         warm.append(time.perf_counter() - start)
         if k < 3:
-            dull.append(by_scipy(problem))
+            scipy_s.append(time_scipy(problem))
     return {
         "servers": servers,
         "zones": zones,
         "seed": seed,
         "cold_ms": cold * 1e3,
         "warm_ms": warm,
-        "scipy_ms": dull,
+        "scipy_ms": scipy_s,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-        "status": made.status,
+        "status": solution.status,
     }
 
 
@@ -125,15 +128,15 @@
             for seed in range(1, args.seeds + 1)
         ]
         warm = [x * 1e3 for r in runs for x in r["warm_ms"]]
-        dull = [x * 1e3 for r in runs for x in r["scipy_ms"]]
+        scipy_ms = [x * 1e3 for r in runs for x in r["scipy_ms"]]
         rows.append(
             {
                 "servers": servers,
                 "zones": zones,
                 "cold_ms": [round(f(r["cold_ms"] for r in runs), 1) for f in (min, statistics.median, max)],
                 "warm_ms": [round(f(warm), 1) for f in (min, statistics.median, max)],
-                "scipy_ms": [round(f(dull), 1) for f in (min, statistics.median, max)],
-                "scipy_to_warm": round(statistics.median(dull) / statistics.median(warm), 2),
+                "scipy_ms": [round(f(scipy_ms), 1) for f in (min, statistics.median, max)],
+                "scipy_to_warm": round(statistics.median(scipy_ms) / statistics.median(warm), 2),
                 "memory_mb": round(max(r["memory_mb"] for r in runs)),
             }
         )
--- a/benchmarks/versions_kills.py
+++ b/benchmarks/versions_kills.py
@@ -1,12 +1,12 @@
-"""The pilot killed at random points of roll-outs and rollbacks: what gateways hold afterwards, and how soon.
+"""Kill the pilot at random points of rollouts and rollbacks, and measure what gateways hold afterwards, and how soon.
 
     python -m benchmarks.versions_kills --kills 200 --out benchmarks/versions_kills.json
 
-Each kill: a change of the list or a rollback through the command line is under way, SIGKILL strikes at a drawn moment,
-the pilot starts again on the same folder. Eight gateways (two of them in the state-of-the-world variant) follow all
-the time. Checked: all come to hold one version, verified by their own roots; no slice is bare; a server that drained
-is in no gateway's reach within the grace after the pilot was told. The baseline in the same run: the same changes
-without a kill.
+At each kill, a change of the list or a rollback by the command line is in progress. The pilot receives SIGKILL at a
+random moment and starts again on the same folder. Eight gateways (two of them in the state-of-the-world variant) stay
+subscribed all the time. Checked: all gateways reach one version, verified by their own roots; no slice is bare, that
+is, without an available entry; no gateway can reach a drained server later than the grace after the pilot was notified.
+The baseline in the same run makes the same changes without a kill.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 from tests.gates import Gate, say, settled
 from tests.pilots import Pilot
 
-SERVERS, GATES, GRACE = 6, 8, 2.2
+SERVERS, GATEWAYS, GRACE_S = 6, 8, 2.2
 
 
-def listed(pilot: Pilot, draining: set[int]) -> None:
+def write_list(pilot: Pilot, draining: set[int]) -> None:
     pilot.list(**{f"s{k}": "terminating" if k in draining else "in_service" for k in range(1, SERVERS + 1)})
 
 
@@ -43,60 +43,61 @@
 
 
 def bare(gates: list[Gate]) -> int:
+    """Return the number of slices without an available entry, over all gateways."""
     return sum(
         not g.received_state.available_entries(n) for g in gates for n in g.received_state.tables if n != "fleet"
     )
 
 
-async def turn(pilot: Pilot, gates: list[Gate], rng: random.Random, kill: bool) -> dict[str, Any]:
-    """One change, one kill, and how all came to rest."""
-    first = (await say(pilot, "list"))["newest"]
+async def run_turn(pilot: Pilot, gates: list[Gate], rng: random.Random, kill: bool) -> dict[str, Any]:
+    """Make one change, kill the pilot if `kill` is true, and return how all gateways settled."""
+    first_version = (await say(pilot, "list"))["newest"]
     draining = set(rng.sample(range(1, SERVERS + 1), rng.choice((1, 2))))
-    back = rng.random() < 0.5
-    listed(pilot, draining)
+    rolls_back = rng.random() < 0.5
+    write_list(pilot, draining)
     told = time.monotonic()
-    work = None
-    if back:
+    rollback_process = None
+    if rolls_back:
         await anyio.sleep(rng.uniform(0, 0.2))
-        words = [sys.executable, "-m", "damsonpick", "versions", "rollback", str(pilot.file), str(first)]
-        work = subprocess.Popen(words, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+        command_line = [sys.executable, "-m", "damsonpick", "versions", "rollback", str(pilot.file), str(first_version)]
+        rollback_process = subprocess.Popen(command_line, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     if kill:
         await anyio.sleep(rng.uniform(0, 0.5))
         pilot.stop(signal.SIGKILL)
-        if work is not None:
-            await anyio.to_thread.run_sync(work.wait)
-        start = told = time.monotonic()  # only a pilot that runs can be told
+        if rollback_process is not None:
+            await anyio.to_thread.run_sync(rollback_process.wait)
+        start = told = time.monotonic()  # A pilot can be notified only while it runs.
         await anyio.to_thread.run_sync(pilot.start)
     else:
         start = time.monotonic()
     held = await settled(pilot, gates)
-    rest = time.monotonic() - start
-    left = None
-    while time.monotonic() - told < GRACE + 5:
+    settle_s = time.monotonic() - start
+    drain_s = None
+    while time.monotonic() - told < GRACE_S + 5:
         if not any(reachable(gates, k) for k in draining):
-            left = time.monotonic() - told
+            drain_s = time.monotonic() - told
             break
         await anyio.sleep(0.02)
-    if work is not None:
-        await anyio.to_thread.run_sync(work.wait)
+    if rollback_process is not None:
+        await anyio.to_thread.run_sync(rollback_process.wait)
         await say(pilot, "release")
-    found = {
-        "back": back,
-        "rest_s": rest,
+    result = {
+        "back": rolls_back,
+        "rest_s": settle_s,
         "roots": len({g["root"] for g in held["gateways"]}),
         "bare": bare(gates),
-        "drain_s": left,
+        "drain_s": drain_s,
     }
-    listed(pilot, set())
-    return found
+    write_list(pilot, set())
+    return result
 
 
 async def campaign(folder: Path, kills: int, seed: int, kill: bool) -> dict[str, Any]:
     rng = random.Random(seed)
     pilot = Pilot(folder, slices=24)
-    listed(pilot, set())
+    write_list(pilot, set())
     await anyio.to_thread.run_sync(pilot.start)
-    gates = [Gate(folder, f"g{k}", "ab"[k % 2], k % 4 != 3) for k in range(GATES)]
+    gates = [Gate(folder, f"g{k}", "ab"[k % 2], k % 4 != 3) for k in range(GATEWAYS)]
     turns = []
     try:
         async with anyio.create_task_group() as group:
@@ -104,14 +105,14 @@
                 group.start_soon(gate.watch_client.run)
             await settled(pilot, gates)
             for k in range(kills):
-                turns.append(await turn(pilot, gates, rng, kill))
+                turns.append(await run_turn(pilot, gates, rng, kill))
                 if k % 20 == 19:
                     print(k + 1, turns[-1], flush=True)
             group.cancel_scope.cancel()
     finally:
         pilot.stop()
-    rests = sorted(t["rest_s"] for t in turns)
-    late = [t for t in turns if t["drain_s"] is None or t["drain_s"] > GRACE]
+    settle_times = sorted(t["rest_s"] for t in turns)
+    late = [t for t in turns if t["drain_s"] is None or t["drain_s"] > GRACE_S]
     return {
         "turns": kills,
         "killed": kill,
@@ -121,9 +122,9 @@
         "drains_over_the_grace": len(late),
         "longest_drain_s": round(max((t["drain_s"] or 99.0) for t in turns), 3),
         "rest_s": {
-            "median": round(statistics.median(rests), 3),
-            "p95": round(rests[int(0.95 * len(rests))], 3),
-            "most": round(rests[-1], 3),
+            "median": round(statistics.median(settle_times), 3),
+            "p95": round(settle_times[int(0.95 * len(settle_times))], 3),
+            "most": round(settle_times[-1], 3),
         },
     }
 
@@ -143,12 +144,12 @@
         with tempfile.TemporaryDirectory() as scratch:
             result[name] = anyio.run(campaign, Path(scratch), count, args.seed, kill)
         print(name, json.dumps(result[name]), flush=True)
-    whole = result["killed"]
-    result["rest_to_not_killed"] = round(whole["rest_s"]["median"] / result["not killed"]["rest_s"]["median"], 2)
+    killed = result["killed"]
+    result["rest_to_not_killed"] = round(killed["rest_s"]["median"] / result["not killed"]["rest_s"]["median"], 2)
     if args.out:
         args.out.write_text(json.dumps(result, indent=1) + "\n")
-    kept = whole["ended_with_one_verified_version"] == args.kills and not whole["bare_slices"]
-    sys.exit(0 if kept and not whole["drains_over_the_grace"] else 1)
+    kept = killed["ended_with_one_verified_version"] == args.kills and not killed["bare_slices"]
+    sys.exit(0 if kept and not killed["drains_over_the_grace"] else 1)
 
 
 if __name__ == "__main__":
