--- a/damsonpick/decisions/admission.py
+++ b/damsonpick/decisions/admission.py
@@ -18,19 +18,19 @@
 
 OVERLOAD_LATENCY_SHARE = 0.4  # the limit falls while median latency / objective is above this
 LOW_LATENCY_SHARE = 0.3  # the limit grows while median latency / objective is below this
-LIMIT_HOLD_NS = 3 * NS_PER_SECOND  # time until the effect of a lower limit is visible in the reports
-DECREASE_PER_LATENCY = 0.3  # share by which the limit falls if the median latency equals the objective
-MIN_DECREASE_FACTOR = 0.7  # smallest factor by which one step lowers the limit
+LIMIT_HOLD_NS = 3 * NS_PER_SECOND  # minimum time between decreases, since reports show the effect of one only then
+DECREASE_PER_LATENCY = 0.3  # a decrease sets limit / known throughput to 1 - this * median latency / objective
+MIN_DECREASE_FACTOR = 0.7  # lower bound on limit / known throughput after a decrease
 KNOWN_THROUGHPUT_SHARE = 0.85  # share of the best throughput that the fleet can certainly sustain
 BEST_THROUGHPUT_DECAY_FACTOR = 0.98  # factor on the best throughput per report period
-BEST_RATIO_DECAY_FACTOR = 0.99  # factor on the best throughput per unit of capacity per report period
-MAX_RESTORED_RATIO = 1.5  # bound on a restored best throughput / current throughput once the fleet is overloaded
-FAST_GROWTH_FACTOR = 1.15  # growth of the limit per report period while the fleet can certainly sustain it
-PROBE_GROWTH_FACTOR = 1.04  # growth of the limit per report period otherwise
-UNQUEUED_LATENCY_RATIO = 1.2  # no requests queue while latency / base latency is below this
+BEST_RATIO_DECAY_FACTOR = 0.99  # factor on `FleetState.throughput_per_capacity` per report period
+MAX_RESTORED_RATIO = 1.5  # the first decrease caps a restored best throughput at this * current throughput
+FAST_GROWTH_FACTOR = 1.15  # factor on a limit per report period if the fleet can certainly sustain it or nothing queues
+PROBE_GROWTH_FACTOR = 1.04  # factor on the limit per report period in all other cases of growth
+UNQUEUED_LATENCY_RATIO = 1.2  # requests are assumed not to queue while latency / base latency is below this
 BASE_LATENCY_DECAY_FACTOR = 0.995  # the base latency is divided by it per report period, so that an old minimum expires
 UNLIMITED_DEMAND_RATIO = 2  # a limit of at least this multiple of the demand is removed
-WARMING_THROUGHPUT_RATIO = 1.5  # bound on admitted rate / best throughput while most of the fleet is warming up
+WARMING_THROUGHPUT_RATIO = 1.5  # bound on limit / expected throughput while most of the capacity is warming up
 MIN_COVERAGE = 0.1  # smallest share of the fleet that the reports are assumed to cover
 EPSILON = 1e-6  # keeps ratios defined if demand or capacity is 0
 
@@ -61,13 +61,14 @@
 
 
 def median_latency(fleet: FleetState, endpoints: list[EndpointState]) -> float:
-    """Compute the median latency over all zones and endpoints, weighted by recent successful responses.
+    """Compute the median latency over zones and the given endpoints, weighted by recent successful responses.
 
-    Slow links or slow endpoints change it little while they are a minority. The weight of a view without new reports
-    decays. Otherwise a past congestion would still dominate where few requests are sent now.
+    Slow links or slow endpoints change it little while they are a minority. If a zone sends no reports about an
+    endpoint, the weight of its earlier reports decays. Otherwise, past congestion would still dominate the median in
+    zones that send few requests now.
 
     Returns:
-        Median latency in ns; 0 if there are no responses.
+        Median latency in ns; 0 if there are no successful responses.
     """
     samples: list[tuple[float, float]] = []
     for endpoint in endpoints:
@@ -94,12 +95,12 @@
             of capacity, and reads the rest.
         latency_objective: Strictest latency objective of all classes, ns.
         admitted_rate_limit: Requests/s to admit; infinite while no load is shed.
-        best_throughput: Highest observed responses/s. It decays slowly.
-        advised_capacity: Requests/s that the fleet can answer in time, calculated outside the decisions; 0 if unknown
-            or if the fleet can answer all demand.
-        base_latency: Lowest observed median latency as a share of the objective. It rises slowly, so that an old
-            minimum expires.
-        last_decrease_at: Time at which the limit last fell or was held, ns.
+        best_throughput: Highest observed throughput in successful responses/s. It decays slowly.
+        advised_capacity: Requests/s that the fleet can answer in time, as calculated by the solver; 0 if unknown or if
+            the fleet can answer all demand.
+        base_latency: Lowest observed median latency as a share of the objective; infinite if there was none yet. It
+            rises slowly, so that an old minimum expires.
+        last_decrease_at: Time at which the limit was last lowered, or at which `hold_limit` was last called, ns.
         levels_restored: Whether the levels are those of an earlier incarnation and no reports have been evaluated yet.
         best_throughput_restored: Whether the best throughput is that of an earlier incarnation and no overload has
             tested it yet.
@@ -120,7 +121,7 @@
         self.latency_objective = min(c.latency_objective for c in self.fleet.settings.classes)
 
     def apply_advised_capacity(self, event: api.CapacityAdvised) -> None:
-        """Store the fleet's capacity as calculated outside the decisions."""
+        """Store the fleet's capacity as calculated by the solver."""
         self.advised_capacity = event.rate
 
     def hold_limit(self) -> None:
@@ -133,7 +134,7 @@
         self.best_throughput = self.best_throughput * count / count_before
 
     def update(self) -> None:
-        """Adjust the limit to the reports and set the desired levels. The planner calls it once per report period."""
+        """Adjust the limit to the reports and set the desired levels, once per report period while reports arrive."""
         fleet = self.fleet
         capacities = capacity.usable_capacities(fleet)
         rates = [sum(s.rates[k] for s in fleet.slices.values()) for k in range(len(fleet.published_levels))]
@@ -169,7 +170,10 @@
         return max(reported, min(success_ratio * admitted, extrapolated))
 
     def _coverage(self, capacities: dict[str, float]) -> float:
-        """Return the share of the capacity used by owned slices, and of the zones using it, that has recent reports."""
+        """Return the share of the capacity of all assigned endpoints that is covered by recent reports.
+
+        The capacity of an endpoint with a recent report is covered to the share of the proxies' zones that report it.
+        """
         fleet = self.fleet
         zones = fleet.proxy_zone_count() or 1
         assigned = {n: True for s in fleet.slices.values() for n in s.assigned if n in capacities}
@@ -182,7 +186,7 @@
         return covered / (sum(capacities[n] for n in assigned) or 1.0)
 
     def _apply_restored_levels(self, admitted: float) -> None:
-        """Use the rate that the levels of an earlier incarnation admit as the initial limit."""
+        """Set the initial limit to the rate that the restored levels admit, if any of these levels is below 1."""
         if not self.levels_restored:
             return
         self.levels_restored = False
@@ -191,7 +195,9 @@
             self.admitted_rate_limit = admitted
 
     def _adjust_limit(self, latency_share: float, throughput: float, demand: float) -> None:
-        """Lower the limit if responses are late, raise it if they are fast, and bound it by the advice in between.
+        """Lower the limit if responses are late, and raise it if they are fast.
+
+        In between, if demand exceeds the advised capacity, this capacity or a higher throughput bounds the limit.
 
         Args:
             latency_share: Median latency as a share of the objective.
@@ -224,9 +230,10 @@
         self.admitted_rate_limit = limit if limit < UNLIMITED_DEMAND_RATIO * demand else math.inf
 
     def _bound_limit_while_warming(self, capacities: dict[str, float], throughput: float) -> None:
-        """While most of the capacity is warming up, bound the limit by its expected throughput.
+        """Update the throughput per unit of capacity, and bound the limit while most of the capacity is warming up.
 
-        The bound applies before any response is late.
+        The bound is `WARMING_THROUGHPUT_RATIO` times the throughput expected from the current capacity. It applies even
+        before any response is late.
         """
         fleet = self.fleet
         total = sum(capacities.values()) + EPSILON
--- a/damsonpick/decisions/advised_tables.py
+++ b/damsonpick/decisions/advised_tables.py
@@ -1,4 +1,4 @@
-"""Tables and weights calculated outside the decisions, for deployments without slices or with uneven entries.
+"""Tables and weights calculated by the solver, for deployments without slices or with different weights in a table.
 
 The endpoint list, slow start, flow control and admission levels apply to them in the same way as to the results of the
 search.
--- a/damsonpick/decisions/balancing_round.py
+++ b/damsonpick/decisions/balancing_round.py
@@ -12,9 +12,9 @@
 from damsonpick.decisions.search import Search
 from damsonpick.decisions.time_units import NS_PER_SECOND
 
-ROUND_PERIOD_NS = 2 * NS_PER_SECOND
+ROUND_PERIOD_NS = 2 * NS_PER_SECOND  # minimum time between the starts of two rounds
 SEARCH_PART_INTERVAL_NS = NS_PER_SECOND // 200  # pause between parts, for handling list changes and reports
-ACKNOWLEDGEMENT_TIMEOUT_NS = 2 * NS_PER_SECOND  # longest wait of a round for acknowledgements, excluding transit times
+ACKNOWLEDGEMENT_TIMEOUT_NS = 2 * NS_PER_SECOND  # longest wait for acknowledgements, in addition to transit times
 
 
 @dataclass(slots=True, eq=False)
@@ -36,7 +36,7 @@
     next_part_at: int = 0
 
     def start_if_due(self) -> None:
-        """Start a round if it is due, reports have been received, and earlier moves are settled."""
+        """Start a round if it is due, any report has been received, and earlier moves are acknowledged or overdue."""
         if not self._is_due() or not self._earlier_moves_are_settled():
             return
         self.next_round_at = self.fleet.now + ROUND_PERIOD_NS
@@ -62,7 +62,11 @@
         return bool(self.fleet.now >= self.next_round_at and self.fleet.last_report_at and self.search is None)
 
     def _earlier_moves_are_settled(self) -> bool:
-        """Return whether all earlier moves have been sent, and have been acknowledged or have timed out."""
+        """Return whether all earlier moves have been sent, and have been acknowledged or are overdue.
+
+        Moves count as acknowledged once half of the recipients have acknowledged their message or a later one. They are
+        overdue when the timeout has passed since the newest message of any kind.
+        """
         if not self.publisher.moves_published:
             return False
         flow_control = self.publisher.flow_control
--- a/damsonpick/decisions/capacity.py
+++ b/damsonpick/decisions/capacity.py
@@ -1,7 +1,7 @@
 """Capacity of endpoints: the listed weight, corrected for slow start and for the reported outcomes.
 
 The listed weight does not show how fast a machine is. The learned capacity factor follows an endpoint's latency and
-success ratio relative to the fleet's. It therefore covers slow, overloaded, ageing, hung and failing endpoints,
+success ratio relative to the fleet's. It therefore detects slow, overloaded, ageing, hung and failing endpoints,
 whatever load they report themselves. The planner ejects no outliers, since the load of an ejected endpoint would
 overload the next one. Each proxy may eject outliers for itself. An endpoint that serves costly requests appears slower
 than it is.
@@ -15,12 +15,12 @@
 
 LAST_RESORT_CONFIDENCE = 0.05  # an endpoint with lower confidence is used only if no other endpoint is left
 
-MIN_ATTEMPTS = 4.0  # recent attempts required to assess an endpoint
+MIN_ATTEMPTS = 4.0  # least `EndpointState.attempts`, a decaying sum, from which a factor is learned
 MIN_CAPACITY_FACTOR = 0.1
 MAX_CAPACITY_FACTOR = 2.0
-DECREASE_GAIN = 0.25  # share of the logarithmic distance to a lower factor covered per report period
-INCREASE_GAIN = 0.12  # share of the logarithmic distance to a higher factor covered per report period
-RESTORED_GAIN = 0.6  # least share of that distance covered by the first correction of a restored factor
+DECREASE_GAIN = 0.25  # share of the logarithmic distance to a lower observed factor covered per report period
+INCREASE_GAIN = 0.12  # share of the logarithmic distance to a higher observed factor covered per report period
+RESTORED_GAIN = 0.6  # least share for the first correction of a restored factor; halved with each further one
 SUCCESS_EXPONENT = 0.5  # exponent of the relative success ratio in the observed factor
 EPSILON = 1e-9  # keeps a ratio defined if there are no successes
 
@@ -59,7 +59,8 @@
     """Move the capacity factor of each warm endpoint with recent reports towards the observed factor.
 
     The observed factor is (fleet's median latency / endpoint's latency) * (endpoint's success ratio / fleet's mean
-    success ratio) ** `SUCCESS_EXPONENT`. The planner calls this function once per report period.
+    success ratio) ** `SUCCESS_EXPONENT`, where the ratio of success ratios is at most 1. The planner calls this
+    function once per report period while any reports are received.
     """
     assessed = [e for e in fleet.endpoints.values() if _can_be_assessed(fleet, e)]
     latencies = sorted(e.latency for e in assessed if e.latency > 0) or [1.0]
@@ -91,7 +92,7 @@
 
 
 def _update_capacity_factor(endpoint: EndpointState, observed: float) -> None:
-    """Move a factor towards the observed factor, faster while it is restored from a snapshot and not yet confirmed."""
+    """Move a factor towards the observed factor, faster while part of it is restored from a snapshot."""
     gain = DECREASE_GAIN if observed < endpoint.capacity_factor else INCREASE_GAIN
     gain = max(gain, RESTORED_GAIN * endpoint.restored_share)
     endpoint.restored_share /= 2
--- a/damsonpick/decisions/cluster_copy.py
+++ b/damsonpick/decisions/cluster_copy.py
@@ -1,4 +1,4 @@
-"""The copy of the assignments on which the search tries moves: the virtual cluster of HBase's balancer.
+"""The copy of the assignments on which the search tries moves, like the virtual cluster of HBase's balancer.
 
 A replica is the assignment of a slice to one of its endpoints. Endpoints and replicas are numbered from 0 and described
 by parallel lists, since the search reads them millions of times per minute.
@@ -12,7 +12,7 @@
 from damsonpick.decisions.fleet_state import FleetState
 from damsonpick.decisions.slice_state import SliceState
 
-MIN_CAPACITY = 1e-6
+MIN_CAPACITY = 1e-6  # keeps load ratios defined if a capacity is 0
 
 
 class Replica(NamedTuple):
@@ -149,7 +149,7 @@
             self._add_load(endpoint, self.replica_loads[replica])
 
     def _add_slice(self, slice_state: SliceState, numbers: dict[str, int]) -> None:
-        """Add a slice's load, and its replicas unless its table was calculated outside the decisions."""
+        """Add a slice's load, and its replicas unless its whole table was calculated by the solver."""
         for position, name in enumerate(slice_state.assigned):
             endpoint = numbers.get(name)
             if endpoint is None:
--- a/damsonpick/decisions/endpoint_state.py
+++ b/damsonpick/decisions/endpoint_state.py
@@ -11,9 +11,9 @@
 
 EndpointListing = api.EndpointStatus | Literal["unlisted"]
 
-OUTCOME_TAU_S = 2.5  # time constant of the outcomes from which one endpoint is assessed
-RECENT_TAU_S = 1.0  # time constant of the fleet-wide latency; shorter, since it is computed from many responses
-ZONE_VIEW_TTL_NS = 2 * OUTCOME_TAU_S * NS_PER_SECOND  # age from which a zone's view is ignored
+OUTCOME_TAU_S = 2.5  # time constant with which the reported outcomes of one endpoint decay
+RECENT_TAU_S = 1.0  # time constant for the fleet's median latency; shorter, since that is computed from many responses
+ZONE_VIEW_TTL_NS = 2 * OUTCOME_TAU_S * NS_PER_SECOND  # age of its newest report from which a zone's view is ignored
 
 
 @dataclass(slots=True, eq=False)
@@ -56,16 +56,17 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """One endpoint that the endpoint list or a table names.
+    """One endpoint that the endpoint list, a stored table entry or a restored withdrawal names.
 
     Attributes:
         name: Address that identifies the endpoint.
-        state: State in the endpoint list; `unlisted` while only a table or a report names the endpoint.
+        state: State in the endpoint list; `unlisted` while only a stored table entry names the endpoint.
         weight: Listed weight, relative to other endpoints.
         started: Start time of the process, ns; 0 if it was long ago.
         capacity_factor: Learned correction of the weight, 1 for the fleet's median. It is kept when the process
-            restarts, since it is a property of the machine.
-        restored_share: Share of `capacity_factor` that is restored from a snapshot and not yet confirmed, 0 to 1.
+            restarts, since it is a property of the machine. A factor restored from a snapshot is then reset to 1.
+        restored_share: Share of `capacity_factor` that is restored from a snapshot and not yet confirmed by reports,
+            0 to 1.
         list_confidence: Confidence in what the list states about the endpoint, 0 to 1.
         attempts: Decaying number of attempts over all zones.
         failures: Decaying number of failed attempts over all zones.
@@ -73,7 +74,7 @@
         answer_rate: Successful responses per second over all zones.
         success_ratio: Share of successful attempts in the zone where this share is highest. A lower share in another
             zone may be caused by the network link of that zone.
-        reporting_zones: Number of zones with a recent report.
+        reporting_zones: Number of zones whose newest report is younger than `ZONE_VIEW_TTL_NS`.
         last_report_at: Time of the newest report, ns; 0 if there is none.
         zone_views: Outcomes by zone of the reporting proxies.
     """
--- a/damsonpick/decisions/fleet_state.py
+++ b/damsonpick/decisions/fleet_state.py
@@ -26,12 +26,13 @@
         withdrawn: Whether an endpoint is withdrawn now, by name. It contains each endpoint whose withdrawal state may
             have to be sent to a proxy.
         unpublished: Slices whose published table is out of sync, by number.
-        assignments_stale: Whether the list, its confidence, ownership, advice or a withdrawal has changed and the
-            assignments must be checked against it.
+        assignments_stale: Whether the assignments must be checked again because the list, its confidence, ownership,
+            advice or a withdrawal has changed.
         published_levels: Published admission level by request class, 0 to 1.
         desired_levels: Admission level to be published by request class, 0 to 1.
         admitted_share: Share of demand that the levels should admit.
-        throughput_per_capacity: Highest observed responses/s per unit of capacity; 0 if there was none yet.
+        throughput_per_capacity: Highest observed successful responses/s per unit of capacity, which decays slowly; 0 if
+            there was none yet.
         mean_rates: Demand of an average slice by request class, requests/s.
         report_span: Mean time that one report covers, ns. It exceeds the report period if there are many reports.
         last_report_at: Time of the newest report, ns; 0 if there is none.
@@ -71,16 +72,17 @@
         """Return whether the endpoint list forbids proxies to send to an endpoint.
 
         Until a list newer than the restored list is received, endpoints that only a stored table names are routable.
+        Unknown endpoints are unroutable.
         """
         state = self.endpoints[name].state if name in self.endpoints else "terminated"
         return state in ("terminating", "terminated") or (state == "unlisted" and self.list_received)
 
     def reports_are_recent(self) -> bool:
-        """Return whether any report has been received within the last two report spans."""
+        """Return whether the newest report of any kind, or time 0 if there is none, is at most two report spans old."""
         return self.now - self.last_report_at <= 2 * self.report_span
 
     def has_recent_report(self, endpoint: EndpointState) -> bool:
-        """Return whether a report of this endpoint has been received within the last two report spans."""
+        """Return whether the newest report of this endpoint, or time 0 if none, is at most two report spans old."""
         return self.now - endpoint.last_report_at <= 2 * self.report_span
 
     def proxy_zone_count(self) -> int:
--- a/damsonpick/decisions/flow_control.py
+++ b/damsonpick/decisions/flow_control.py
@@ -14,16 +14,16 @@
 SYNC_TOKEN_MODULUS = 65536
 SYNC_ENTRIES = 2  # size of the sync request at the end of each message, in table entries
 MIN_CRITICAL_ENTRIES = 2  # critical entries allowed in an empty channel even if its limit is below one message
-UNSPACED_DIVISOR = 4  # critical messages need no spacing until 1/4 of the messages allowed in the window is used
+UNSPACED_DIVISOR = 4  # critical messages need no spacing until more than 1/4 of a window's messages are used
 
 
 class Urgency(IntEnum):
     """Urgency of an order. A lower value is more urgent."""
 
     CRITICAL = 0  # withdrawals, and changes of tables without a routable entry
-    CONTROL = 1  # admission levels, and withdrawal states sent again to a proxy that rejoined
-    REBALANCE = 2  # changes of tables that gain or lose an endpoint in service
-    CLEANUP = 3  # removal of the entries of withdrawn endpoints
+    CONTROL = 1  # admission levels, and withdrawal states sent again because a proxy has rejoined
+    REBALANCE = 2  # moves: changes of tables that are neither critical nor cleanup
+    CLEANUP = 3  # removal of the entries of withdrawn endpoints from tables that need no other change
 
 
 # Share of the channel's limit that orders of each urgency may use. It is below half, because a message whose outcome is
@@ -78,7 +78,7 @@
     Attributes:
         settings: Settings with the limits of the channel.
         proxies: Zone by joined proxy.
-        in_flight: Messages sent after the newest message that half of its recipients have acknowledged, in send order.
+        in_flight: Messages sent after the newest message that half of its recipients have acknowledged, oldest first.
         sent_at: Send times of the messages in the current window, ns.
         last_sent_at: Send time of the newest message, ns.
         last_token: Sync token of the newest message.
@@ -120,7 +120,11 @@
         return int((share - outstanding) / proxies - self.message_overhead)
 
     def moves_acknowledged(self) -> bool:
-        """Return whether no moves are in flight. Cleanup may be in flight, since it need not delay a round."""
+        """Return whether no message with moves is in flight.
+
+        A message is in flight until half of its recipients have acknowledged it, or half of those of a later message.
+        Cleanup may be in flight, since it need not delay a round.
+        """
         return all(message.token != self.last_move_token for message in self.in_flight)
 
     def send(self, now: int, entries: int, moves: bool) -> api.RequestSync:
@@ -147,8 +151,8 @@
     def acknowledge(self, proxy: int, token: int | None) -> None:
         """Record that a proxy has applied the message with a token, or that it has left if the token is None.
 
-        Proxies apply messages in order. A message that half of its recipients have acknowledged therefore counts as an
-        acknowledgement of all earlier messages.
+        Proxies apply messages in order. Once half of the recipients of a message have acknowledged it, this message and
+        all earlier ones are therefore no longer in flight.
         """
         acknowledged_count = 0
         for position, message in enumerate(self.in_flight, start=1):
--- a/damsonpick/decisions/hot_slices.py
+++ b/damsonpick/decisions/hot_slices.py
@@ -16,9 +16,9 @@
 from damsonpick.decisions.slice_state import SliceState
 
 HOT_LOAD_SHARE = 0.1  # a slice is replicated if its load / fair load of the largest endpoint is above this
-BASE_REPLICA_LIMIT = 3  # replicas that any hot slice may have; more only if load / `of_largest_in_all` exceeds this
+BASE_REPLICA_LIMIT = 3  # maximum number of replicas, unless load / `FairLoad.of_largest_in_all` is higher
 MESSAGES_PER_ROUND = 2.0  # number of messages that a round may fill with additional entries
-MIN_ENTRIES_PER_ROUND = 4
+MIN_ENTRIES_PER_ROUND = 4  # additional entries that a round may assign even if fewer fit in its messages
 EPSILON = 1e-9  # keeps a ratio defined if load or capacity is 0
 
 
@@ -27,9 +27,9 @@
     """Load of endpoints if all load were spread evenly.
 
     Attributes:
-        per_capacity: Requests/s per unit of capacity from the owned slices.
-        of_largest: Requests/s of the endpoint with the largest capacity from the owned slices.
-        of_largest_in_all: Like `of_largest`, scaled up to the slices of all instances by the number of slices.
+        per_capacity: Requests/s from the owned slices per unit of capacity.
+        of_largest: Requests/s from the owned slices at the endpoint with the largest capacity.
+        of_largest_in_all: Like `of_largest`, scaled up by the number of slices to the slices of all instances.
     """
 
     per_capacity: float
@@ -38,9 +38,10 @@
 
 
 def replicate_hot_slices(fleet: FleetState, flow_control: FlowControl) -> None:
-    """Assign an additional endpoint to hot slices, hottest first, as many as the channel can publish in a round.
+    """Assign one additional endpoint to each hot slice, hottest first.
 
-    Nothing is assigned if each table has a sole owner.
+    A round assigns no more endpoints than the channel can publish in `MESSAGES_PER_ROUND` messages, but at least
+    `MIN_ENTRIES_PER_ROUND`. Nothing is assigned if each slice has only one endpoint (`sole_owner`).
     """
     if fleet.settings.sole_owner:
         return
@@ -69,7 +70,10 @@
 
 
 def _needs_replica(placement: Placement, fair: FairLoad, slice_state: SliceState) -> bool:
-    """Return whether a slice has too few replicas for its load and one of them is on an endpoint above the mean."""
+    """Return whether a slice has too few replicas for its load, and one of its endpoints has more than its fair load.
+
+    Slices without an endpoint, and slices whose whole table was calculated by the solver, need no replica.
+    """
     replicas = len(slice_state.assigned)
     if slice_state.externally_assigned or replicas == 0 or replicas >= _replicas_for(slice_state.load, fair):
         return False
@@ -83,7 +87,7 @@
 
 
 def _add_replica(placement: Placement, fair: FairLoad, slice_state: SliceState) -> bool:
-    """Assign one more endpoint whose load is below the mean. Return whether there was such an endpoint."""
+    """Assign one more endpoint that has less than its fair load. Return whether there was such an endpoint."""
     replicas, loads = len(slice_state.assigned), placement.loads
     new_share = slice_state.load / (replicas + 1)
     candidates = placement.candidates(slice_state)
--- a/damsonpick/decisions/load_reports.py
+++ b/damsonpick/decisions/load_reports.py
@@ -5,7 +5,7 @@
 from damsonpick import interface as api
 from damsonpick.decisions.fleet_state import FleetState
 
-REPORT_SPAN_GAIN = 0.02  # share of its distance to a report's period by which the mean report span changes
+REPORT_SPAN_GAIN = 0.02  # weight of each report's period in the moving average of the report span
 
 
 def apply_endpoint_report(fleet: FleetState, event: api.EndpointReport) -> None:
--- a/damsonpick/decisions/placement.py
+++ b/damsonpick/decisions/placement.py
@@ -1,7 +1,7 @@
-"""Placement outside the rounds: invalid assignments are repaired at once, on the endpoints with the lowest load ratio.
+"""Placement outside the balancing rounds: invalid assignments are repaired at once.
 
-Slices leave endpoints that must not serve them, and warming endpoints with more load than their share. Slices without
-an endpoint are assigned one.
+Slices are removed from endpoints that must not serve them, and from warming endpoints whose load exceeds their limit. A
+slice without an endpoint is assigned the endpoint with the lowest load ratio (load per unit of capacity).
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     warming_limit: float
 
     def candidates(self, slice_state: SliceState) -> dict[str, float]:
-        """Return the capacity by endpoint of the endpoints to which a slice may be assigned.
+        """Return the endpoints to which a slice may be assigned, with their capacities.
 
         A slice whose demand is not known yet may be hot. It is not assigned to a warming endpoint unless all endpoints
         are warming up.
@@ -42,7 +42,7 @@
         return warm or self.capacities
 
     def least_loaded(self, candidates: dict[str, float], added_load: float) -> str:
-        """Return the endpoint with the lowest load ratio after load is added.
+        """Return the candidate that would have the lowest load ratio if it received the added load.
 
         A warming endpoint that would exceed its limit is returned only if all candidates are such endpoints.
 
@@ -56,16 +56,16 @@
     def least_loaded_within_limit(
         self, candidates: dict[str, float], added_load: float, excluded: Collection[str]
     ) -> str | None:
-        """Do the same as `least_loaded` without the excluded endpoints.
+        """Select an endpoint as `least_loaded` does, but neither an excluded one nor one that would exceed its limit.
 
         Returns:
-            None if only warming endpoints that would exceed their limit remain.
+            Name of the endpoint; None if no candidate remains.
         """
         ratios = self._ratios(candidates, added_load, excluded)
         return min(self._within_limit(ratios), key=ratios.__getitem__, default=None)
 
     def _ratios(self, candidates: dict[str, float], added_load: float, excluded: Collection[str]) -> dict[str, float]:
-        """Return the load ratio (load per unit of capacity) by endpoint after load is added."""
+        """Return the load ratio that each candidate would have if it received the added load, by endpoint."""
         return {n: (self.loads[n] + added_load) / c for n, c in candidates.items() if n not in excluded}
 
     def _within_limit(self, ratios: dict[str, float]) -> list[str]:
@@ -79,8 +79,9 @@
 def repair_assignments(fleet: FleetState) -> None:
     """Make all assignments valid at once, without the imbalance threshold and the move cap of the rounds.
 
-    Slices leave endpoints that are not usable, and warming endpoints with more load than their share. Slices without an
-    endpoint are assigned one. Slices whose published table is now out of sync are added to `fleet.unpublished`.
+    Slices are removed from endpoints that are not usable, and from warming endpoints whose load exceeds their limit.
+    Slices without an endpoint are assigned one. Slices whose published table is now out of sync are added to
+    `fleet.unpublished`.
     """
     capacities = capacity.usable_capacities(fleet)
     loads = fleet.endpoint_loads(capacities)
@@ -95,7 +96,7 @@
 
 
 def _relieve_warming_endpoints(placement: Placement, slice_state: SliceState) -> None:
-    """Remove a slice from warming endpoints with more load than their share if other endpoints can take its load."""
+    """Remove a slice from warming endpoints whose load exceeds their limit, if other endpoints can serve its load."""
     for name in list(slice_state.assigned):
         if not slow_start.is_warming_up(placement.fleet, name):
             continue
--- a/damsonpick/decisions/planner.py
+++ b/damsonpick/decisions/planner.py
@@ -114,8 +114,9 @@
     def _process_reports(self) -> None:
         """Update the learned state from the reports, once per report period.
 
-        While all reports are late, demand and admission levels stay unchanged. No endpoint or withdrawal is removed
-        from the state either, since a disconnected proxy may still have an entry of an endpoint that no longer exists.
+        While no report has been received for two report spans, demand, capacity factors and admission levels stay
+        unchanged. No endpoint or withdrawal is removed from the state either, since a disconnected proxy may still have
+        an entry of an endpoint that no longer exists.
         """
         if self.fleet.reports_are_recent():
             slice_demand.refresh_demand(self.fleet)
--- a/damsonpick/decisions/planner_view.py
+++ b/damsonpick/decisions/planner_view.py
@@ -78,12 +78,12 @@
 
     @property
     def best_throughput(self) -> float:
-        """Highest recent responses/s."""
+        """Highest observed throughput in successful responses/s; it decays slowly."""
         return self.admission.best_throughput
 
     @property
     def throughput_per_capacity(self) -> float:
-        """Highest recent responses/s per unit of capacity."""
+        """Highest observed successful responses/s per unit of capacity; it decays slowly."""
         return self.fleet.throughput_per_capacity
 
     @property
@@ -131,7 +131,7 @@
         return self.fleet.is_unroutable(name)
 
     def has_recent_report(self, endpoint: EndpointState) -> bool:
-        """Return whether a report of this endpoint has been received within the last two report spans."""
+        """Return whether this endpoint has a report that is at most two report spans old."""
         return bool(endpoint.last_report_at) and self.fleet.has_recent_report(endpoint)
 
     def is_warming_up(self, name: str) -> bool:
--- a/damsonpick/decisions/publisher.py
+++ b/damsonpick/decisions/publisher.py
@@ -1,7 +1,8 @@
 """Publishing: changes of the published state are sent as one message to all proxies, the most urgent changes first.
 
-The order is: withdrawals and admission levels, tables without a routable entry, moves (hottest slices first), and the
-removal of entries of withdrawn endpoints. Changes that exceed the capacity of the channel wait for the next call.
+The order is: withdrawals, admission levels and readmissions, then tables without a routable entry, then moves (hottest
+slices first), and last the removal of entries of withdrawn endpoints. Changes that exceed the capacity of the channel
+wait for a later call.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 MIN_LEVEL_ENTRIES = 2  # admission levels are sent only if more than this number of table entries remains available
 
-# Retry mode of all classes: one retry at another endpoint, on proof that the request was not executed. It is safe for
+# Retry mode of all classes: one retry at another endpoint if the request was provably not executed. It is safe for
 # requests that are not idempotent, and no work is done twice.
 RETRY_ON_PROOF = 1
 
@@ -46,9 +47,10 @@
     Attributes:
         fleet: State that is published.
         flow_control: Flow control, which tracks the available capacity of the channel.
-        resync_due: Whether a proxy has joined and must be sent the admission levels.
+        resync_due: Whether the admission levels must be sent again, since a proxy has joined.
         resync_withdrawals: Endpoints whose withdrawal state must be sent again, since a proxy may have missed it.
-        moves_published: Whether the last message contained all pending table changes except cleanup.
+        moves_published: Whether the last message contained all pending table changes except cleanup. An advised table
+            that is sent in parts does not count as pending.
         limit_warning_logged: Whether the warning that the channel's limit is too low has been logged.
     """
 
@@ -60,10 +62,11 @@
     limit_warning_logged: bool = False
 
     def apply_proxy_joined(self, event: api.ProxyJoined) -> None:
-        """Schedule the orders that a joined proxy needs. A proxy that is not fresh has withdrawals of earlier sessions.
+        """Schedule the orders that a joined proxy needs.
 
-        It may also have unknown withdrawals of earlier incarnations of this instance. If the proxy joins this
-        incarnation for the first time, the withdrawal state of every endpoint is therefore sent.
+        A proxy that is not fresh may still apply withdrawals of earlier sessions, so the withdrawal states are sent
+        again. If the proxy joins this incarnation for the first time, it may also apply withdrawals of earlier
+        incarnations that this one does not know. The withdrawal state of every known endpoint is therefore sent then.
         """
         fleet = self.fleet
         self.flow_control.proxies[event.proxy] = event.zone
@@ -132,7 +135,8 @@
         """Withdraw the replaced endpoints that are unroutable, and return them as keys.
 
         One order withdraws an endpoint from all tables. Changing the tables instead would take up to two entries for
-        each slice and exceed the drain grace in a large fleet. The entries are removed when nothing else is pending.
+        each slice and exceed the drain grace in a large fleet. The entries of a withdrawn endpoint are removed later,
+        as cleanup.
         """
         fleet = self.fleet
         due = [n for n in replaced if fleet.is_unroutable(n) and not fleet.withdrawn.get(n)]
@@ -145,7 +149,10 @@
         return withdrawn_now
 
     def _add_resync(self, message: list[api.Action], room: list[int], withdrawn_now: dict[str, bool]) -> None:
-        """Send withdrawal states again, in half of the available entries if table changes wait for the other half."""
+        """Send scheduled withdrawal states again.
+
+        If table changes are pending, these orders fill the message only up to half of the available entries.
+        """
         withdrawn = self.fleet.withdrawn
         limit = room[Urgency.CONTROL] / (2 if self.fleet.unpublished else 1)
         while self.resync_withdrawals and len(message) < limit:
@@ -167,7 +174,7 @@
     def _add_readmissions(self, message: list[api.Action], room: list[int], to_readmit: list[str]) -> None:
         """Readmit endpoints that are routable again and that no outdated entry of a published table names.
 
-        Readmissions alone do not use a message that is reserved for critical orders.
+        Readmissions alone are not sent if the channel has capacity only for orders more urgent than moves.
         """
         if not message and room[Urgency.REBALANCE] <= 0:
             return
@@ -186,8 +193,8 @@
     def _table_change(self, slice_state: SliceState) -> TableChange:
         """Determine the change that a table needs, and its urgency.
 
-        A table without a routable entry only has its new entries added. The entries of endpoints that are withdrawn and
-        unroutable are removed when nothing else is pending.
+        If all entries of a table are unroutable or withdrawn, the change only adds its new entries. The entries of
+        endpoints that are both withdrawn and unroutable are removed when the table needs no other change.
         """
         fleet, published = self.fleet, slice_state.published
         added = [n for n in slice_state.assigned if published.get(n) != slice_state.desired_weight(n)]
@@ -202,14 +209,14 @@
         return TableChange(Urgency.CLEANUP, added, removed, slice_state)
 
     def _add_table_changes(self, message: list[api.Action], room: list[int], changes: list[TableChange]) -> bool:
-        """Add the changes that fit and record them as published. Return whether one of them was more than cleanup."""
+        """Add the changes that fit and record them as published. Return whether any of them is more than cleanup."""
         has_moves = False
         self.moves_published = True
         for change in changes:
             slice_state, removed = change.slice_state, change.removed
             space = room[change.urgency] - len(message) - len(removed)
             added = change.added
-            if slice_state.externally_assigned:  # the table may exceed one message; the next message has the rest
+            if slice_state.externally_assigned:  # the table may exceed one message; later messages add the rest
                 added = added[: max(0, space)]
             if len(message) + len(added) + len(removed) <= room[change.urgency]:
                 has_moves = has_moves or change.urgency != Urgency.CLEANUP
@@ -234,7 +241,7 @@
             del self.fleet.unpublished[slice_state.number]
 
     def _warn_if_limit_too_low(self, actions: list[api.Action]) -> None:
-        """Log once that a single message to all proxies exceeds the channel's limit."""
+        """Log a warning, once, if the message just sent to all proxies exceeds the channel's limit on its own."""
         limit = self.flow_control.settings.channel_limit
         if not self.limit_warning_logged and self.flow_control.in_flight[-1].cost > limit > 0:
             self.limit_warning_logged = True
--- a/damsonpick/decisions/retention.py
+++ b/damsonpick/decisions/retention.py
@@ -6,7 +6,7 @@
 from damsonpick.decisions.time_units import NS_PER_SECOND
 
 MAX_PROXY_ABSENCE_NS = 300 * NS_PER_SECOND  # longest time after which a disconnected proxy may return with old tables
-MAX_WITHDRAWALS = 2000
+MAX_WITHDRAWALS = 2000  # upper bound on the withdrawal states kept, including those of readmitted endpoints
 
 
 def remove_terminated_endpoints(fleet: FleetState) -> None:
@@ -22,7 +22,7 @@
 
 
 def remove_oldest_withdrawals(fleet: FleetState) -> None:
-    """Remove all but the newest `MAX_WITHDRAWALS` withdrawals."""
+    """Remove the oldest withdrawal states until at most `MAX_WITHDRAWALS` remain."""
     while len(fleet.withdrawn) > MAX_WITHDRAWALS:
         oldest = next(iter(fleet.withdrawn))
         del fleet.withdrawn[oldest]
--- a/damsonpick/decisions/search.py
+++ b/damsonpick/decisions/search.py
@@ -15,12 +15,12 @@
 from damsonpick.decisions.cluster_copy import ClusterCopy, CostTerms, Move
 from damsonpick.decisions.fleet_state import FleetState
 
-SLOP = 0.3  # share by which load or number of replicas may deviate from the mean without a search
-STEPS_PER_REPLICA_AND_ENDPOINT = 1.0
-MAX_STEPS = 20_000
+SLOP = 0.3  # share of the mean by which load or replicas per unit of capacity may deviate without a search
+STEPS_PER_REPLICA_AND_ENDPOINT = 1.0  # steps of a search / (replicas * endpoints)
+MAX_STEPS = 20_000  # upper bound on the steps of a search
 STEPS_PER_PART = 1000  # steps after which the search pauses so that other events can be handled
 MOVE_CAP_SHARE = 0.02  # share of the owned slices that a round may move
-MIN_GAIN = 0.032  # minimum gain of a step times the number of endpoints, since a step changes only two endpoints
+MIN_GAIN = 0.032  # minimum cost decrease of a step * number of endpoints, since a step changes only two endpoints
 
 COUNT_COST_WEIGHT = 0.025
 LOAD_COST_WEIGHT = 1.0  # load, not the number of replicas, causes queues
@@ -30,7 +30,7 @@
 
 
 def is_skewed(copy: ClusterCopy) -> bool:
-    """Return whether an endpoint's load or replica count per capacity deviates from the mean by more than `SLOP`."""
+    """Return whether any endpoint's load or replica count per capacity deviates by more than `SLOP` from the mean."""
     if len(copy.names) < 2 or not copy.replicas:
         return False
     counts = [len(replicas) for replicas in copy.replicas_on]
@@ -169,7 +169,11 @@
         return target == copy.start_of[replica] or copy.names[target] not in slice_state.assigned
 
     def _apply_moves(self) -> None:
-        """Assign slices as in the copy, except where usable endpoints, assignments or ownership have changed since."""
+        """Apply the moves to the assignments.
+
+        A move is skipped if the slice is no longer owned, its assignment has changed since the copy was made, or the
+        target is no longer usable.
+        """
         copy, fleet = self.copy, self.fleet
         usable = capacity.usable_capacities(fleet)
         for number, (slice_state, position) in enumerate(copy.replicas):
--- a/damsonpick/decisions/slice_demand.py
+++ b/damsonpick/decisions/slice_demand.py
@@ -14,17 +14,17 @@
 from damsonpick.decisions.time_units import NS_PER_SECOND
 
 RATE_TAU_S = 9.0  # time constant of the averaged request rates
-SURGE_RATIO = 3.0  # a rate above this multiple of the averaged rate + 1 request/s is a surge
-SURGE_GAIN = 0.7  # share of its distance to the reported rate by which the average changes at a surge or first report
+SURGE_RATIO = 3.0  # a rate above this * (averaged rate + 1 request/s) is a surge
+SURGE_GAIN = 0.7  # share of a surge or first report in the new average; the old average has the rest
 
 WARMTH_TAU_S = 15.0  # time constant with which an endpoint's cache warms up for a slice and cools down
 MIN_WARMTH = 0.01  # warmth that is not above this is discarded
 
 
 def is_newly_owned(fleet: FleetState, slice_state: SliceState) -> bool:
-    """Return whether reports can cover at most part of the time since the slice was gained.
+    """Return whether a slice was gained so recently that reports may not cover its full demand yet.
 
-    The demand of such a slice is not known yet.
+    The demand of such a slice counts as unknown.
     """
     return fleet.now - slice_state.owned_since <= fleet.settings.report_period + 2 * fleet.report_span
 
@@ -41,7 +41,7 @@
     span_s = event.period / NS_PER_SECOND
     rate = event.requests / span_s
     old_rate = slice_state.rates[class_index]
-    if is_newly_owned(fleet, slice_state):  # the report counts only requests received since the slice was gained
+    if is_newly_owned(fleet, slice_state):  # the report may count only requests since the slice was gained
         rate = max(rate, old_rate)
     first = not slice_state.last_reports_at[class_index]
     surged = first or rate > SURGE_RATIO * (old_rate + 1)
@@ -74,7 +74,10 @@
 
 
 def _refresh_rates(fleet: FleetState, slice_state: SliceState, kept: float) -> None:
-    """Decay the rates of classes without a recent report. Set assumed rates without any report to the mean rates."""
+    """Decay the rates of classes without a recent report, unless the slice is newly owned.
+
+    Rates that are assumed because there was no report at all are set to the mean rates.
+    """
     report_timeout = fleet.settings.report_period + 2 * fleet.report_span
     for index, reported_at in enumerate(slice_state.last_reports_at):
         if fleet.now - reported_at > report_timeout and not is_newly_owned(fleet, slice_state):
--- a/damsonpick/decisions/slice_ownership.py
+++ b/damsonpick/decisions/slice_ownership.py
@@ -13,7 +13,7 @@
     """Create a new slice state when a slice is gained, and remove it when the slice is lost.
 
     The admission limit applies to the owned slices and is scaled with their number. At first, reports cover only part
-    of the time since a slice was gained. They must not lower the limit, which is therefore held for a while.
+    of the time since a slice was gained. They must not lower the limit, which is therefore held for `LIMIT_HOLD_NS`.
     """
     count_before = len(fleet.slices)
     fleet.slices.pop(event.slice, None)
@@ -27,7 +27,7 @@
 
 
 def apply_stored_entry(fleet: FleetState, event: api.StoredEntry) -> None:
-    """Apply a stored table entry of an owned slice. The entry is already published, and its endpoint is warm."""
+    """Apply a stored table entry of an owned slice. The entry counts as published, and its endpoint as warm."""
     slice_state = fleet.slices.get(event.slice)
     if slice_state is None or event.weight <= 0:
         return
--- a/damsonpick/decisions/slice_state.py
+++ b/damsonpick/decisions/slice_state.py
@@ -18,10 +18,10 @@
         assigned: Endpoints that should have an entry in the table.
         published: Published entries of the table, weight by endpoint.
         last_reports_at: Time of the newest demand report by request class, ns; 0 if there is none.
-        rates_assumed: Whether the rates of classes without a report are set to the mean rates of the fleet.
+        rates_assumed: Whether classes without a report are assumed to have the mean rates of the owned slices.
         warmth: Degree to which each endpoint's cache contains the slice, 0 to 1, by endpoint.
-        advised_weights: Entry weights calculated outside the decisions; an endpoint without one has weight 1.
-        externally_assigned: Whether the whole table was calculated outside the decisions. Rounds do not change it.
+        advised_weights: Entry weights calculated by the solver; an endpoint without one has weight 1.
+        externally_assigned: Whether the whole table was calculated by the solver. Balancing rounds do not change it.
     """
 
     number: int
--- a/damsonpick/decisions/slow_start.py
+++ b/damsonpick/decisions/slow_start.py
@@ -35,7 +35,7 @@
     """Return the maximum load of a warming endpoint per unit of its current capacity.
 
     Rejected requests are retried, so raw demand overstates the load that endpoints have to serve. The limit is
-    therefore based on the admitted share of the demand, and on at most the observed throughput of the fleet.
+    therefore computed from the admitted demand or, if that is less, from the observed throughput per unit of capacity.
 
     Args:
         fleet: State of the fleet.
--- a/damsonpick/decisions/warm_restart.py
+++ b/damsonpick/decisions/warm_restart.py
@@ -14,7 +14,7 @@
 
 
 def restore_endpoint(fleet: FleetState, event: api.EndpointRestored) -> None:
-    """Restore the capacity factor of an endpoint that has no reports and whose process has not been restarted since."""
+    """Restore the capacity factor of an endpoint without reports, if the snapshot describes its current process."""
     endpoint = fleet.endpoints.get(event.endpoint)
     if endpoint is None or endpoint.started != event.started or endpoint.last_report_at:
         return
@@ -36,10 +36,10 @@
 
 
 def restore_fleet(fleet: FleetState, admission: AdmissionController, event: api.FleetRestored) -> None:
-    """Restore the levels and withdrawals that proxies still apply, and the throughput on which they are based.
+    """Restore the levels and withdrawals that proxies still apply, and the throughput from which levels are computed.
 
-    The levels stay in effect until reports are received. Without them, an overloaded fleet would admit all demand at
-    once. A withdrawn endpoint that no list contains stays withdrawn.
+    The restored levels stay in effect until reports are received. If all levels started at 1, an overloaded fleet would
+    admit all demand at once. A withdrawn endpoint that no list contains stays withdrawn.
     """
     fleet.published_levels = fleet.desired_levels = event.levels
     fleet.withdrawn.update(dict.fromkeys(event.withdrawn, True))
--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -4,9 +4,10 @@
 and has one table. A *table* holds entries, each of which is an endpoint with its weight. A *sync token* identifies a
 request to the proxies to acknowledge all orders sent before it.
 
-The interface covers the simulator's protocol in full. The planner neither reads nor emits `ProbeResult`,
-`PeerMessage`, `ProxyDemand`, `BindTable`, `FetchEndpointList`, `Probe` and `SendToPeer`. It does not read the settings
-`instance`, `instances`, `zone`, `load_fields`, `balancing_policy` and the settings about writes.
+The interface covers the simulator's protocol in full. The planner ignores the events `ProbeResult`, `PeerMessage` and
+`ProxyDemand`, and never emits the actions `BindTable`, `FetchEndpointList`, `Probe` and `SendToPeer`. It does not read
+the settings `instance`, `instances`, `zone`, `proxies`, `channel_rate`, `drain_grace`, `load_fields`,
+`balancing_policy`, `write_linger` and `write_lease`.
 """
 
 from __future__ import annotations
@@ -176,7 +177,7 @@
 
 
 class TableAdvised(NamedTuple):
-    """Weights for a table's entries, computed outside the decision package.
+    """Weights for a table's entries, computed by the solver.
 
     If `complete` is true, the table must contain these entries and no others.
     """
@@ -187,7 +188,10 @@
 
 
 class CapacityAdvised(NamedTuple):
-    """Requests per second that the fleet can answer in time, computed outside the decision package; 0 if unknown."""
+    """Requests per second that the fleet can answer in time, computed by the solver.
+
+    The rate is 0 if it is unknown or if the fleet can answer all demand.
+    """
 
     rate: float
 
@@ -311,7 +315,7 @@
     table: int | None
     classes: tuple[int, ...]
     level: float
-    retry: int  # 0: never, 1: on proof that the request was not executed, 2: once after any failure, 3: twice
+    retry: int  # 0: never, 1: once if the request was provably not executed, 2: once after any failure, 3: twice
 
 
 class RequestSync(NamedTuple):
