--- a/damsonpick/decisions/publisher.py
+++ b/damsonpick/decisions/publisher.py
@@ -23,7 +23,7 @@
 
 
 class TableChange(NamedTuple):
-    """The difference between a slice's published table and its desired table.
+    """Changes that bring a slice's published table closer to its desired table.
 
     Attributes:
         urgency: Urgency of the change.
@@ -121,7 +121,7 @@
         )
 
     def _replaced_endpoints(self) -> dict[str, bool]:
-        """Return the endpoints that a published table contains but that its slice is no longer assigned to, as keys."""
+        """Return, as keys, the endpoints that are published in a table but no longer assigned to its slice."""
         replaced = {}
         for slice_state in self.fleet.unpublished.values():
             for name in slice_state.published:
@@ -132,7 +132,7 @@
     def _add_withdrawals(
         self, message: list[api.Action], room: list[int], replaced: dict[str, bool]
     ) -> dict[str, bool]:
-        """Withdraw the replaced endpoints that are unroutable, and return them as keys.
+        """Withdraw as many of the unroutable replaced endpoints as fit, and return them as keys.
 
         One order withdraws an endpoint from all tables. Changing the tables instead would take up to two entries for
         each slice and exceed the drain grace in a large fleet. The entries of a withdrawn endpoint are removed later,
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -1,9 +1,9 @@
 """Selects the active list source from several, ordered by preference, and merges their lists. Sans I/O.
 
-The active source determines which endpoints exist. If any reachable source reports an endpoint as terminating or
-terminated, the merged list uses that state because it is the safer one. An endpoint that only another source lists is
-ignored. An unreachable source stays active for `UNREACHABLE_TIMEOUT_NS`, so that a short outage changes nothing. A
-preferred source that becomes reachable again takes over after it has been reachable for `STABLE_TIME_NS`.
+The active source determines which endpoints exist. If another reachable source reports the same process of an endpoint
+as terminating or terminated, the merged list uses that state because it is the safer one. An endpoint that only another
+source lists is ignored. An unreachable source stays active for `UNREACHABLE_TIMEOUT_NS`, so that a short outage changes
+nothing. A preferred source that becomes reachable again takes over after it has been reachable for `STABLE_TIME_NS`.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from damsonpick.state.endpoint_list.validation import STATES_BY_SAFETY
 from damsonpick.time_units import NS_PER_SECOND
 
-FIRST_LIST_TIMEOUT_NS = NS_PER_SECOND  # time after the start in which a preferred source may send its first list
+FIRST_LIST_TIMEOUT_NS = NS_PER_SECOND  # longest wait after the start for the first list of a preferred source
 UNREACHABLE_TIMEOUT_NS = 5 * NS_PER_SECOND  # time that the active source may be unreachable before another takes over
 STABLE_TIME_NS = 3 * NS_PER_SECOND  # time that a preferred source must be reachable before it takes over
-MAX_CALLS = 20  # calls to one source within `CALL_WINDOW_NS`
+MAX_CALLS = 20  # maximum number of calls to one source within `CALL_WINDOW_NS`
 CALL_WINDOW_NS = 60 * NS_PER_SECOND
 
 
@@ -30,25 +30,25 @@
     """Reachability and last list of one source."""
 
     def __init__(self) -> None:
-        """Create the state of a source that has not responded yet."""
+        """Create the state of a source that has not sent a usable list yet."""
         self.entries: list[api.EndpointEntry] | None = None  # the last list; None if the source has sent none
         self.up = False  # whether the last call to the source returned a usable list
-        self.since = 0  # time when `up` last changed, ns; 0 if the source has never responded
+        self.since = 0  # time when `up` last changed, ns; 0 if the source has never sent a usable list
         self.why = "has not responded yet"  # reason why the source is not up; empty if it is up
 
     def set_reachable(self, now: int, up: bool) -> None:
-        """Set whether the source is reachable, and the time if that changed."""
+        """Set `up`, and set `since` to the present time if `up` changes."""
         if up != self.up:
             self.up = up
             self.since = now
 
     def has_responded(self) -> bool:
-        """Return whether the source has responded at least once."""
+        """Return whether the source has sent a usable list at least once."""
         return self.since != 0
 
 
 class MergedList(NamedTuple):
-    """The effective endpoint list, merged from all sources.
+    """The endpoint list merged from the sources, before its validation.
 
     Attributes:
         entries: Entries of the list. None if the active source has sent no list, or no source is active.
@@ -110,7 +110,11 @@
         return names[: names.index(name)]
 
     def _first_choice(self, now: int) -> str:
-        """Return the preferred reachable source, or an empty string while a more preferred one may still respond."""
+        """Return the most preferred reachable source.
+
+        An empty string is returned if no source is reachable, or while a more preferred one may still send its first
+        list.
+        """
         best = self._best_reachable()
         if not best or now - self.started >= FIRST_LIST_TIMEOUT_NS:
             return best
@@ -118,7 +122,10 @@
         return "" if may_respond else best
 
     def _better_source(self, now: int) -> str:
-        """Return a stable source that is preferred to the active one, or an empty string if there is none."""
+        """Return the most preferred reachable source if it is to replace the active one, or an empty string.
+
+        It must be preferred to the active source and have been reachable for `STABLE_TIME_NS`.
+        """
         best = self._best_reachable()
         if best in self._preferred_to(self.active) and now - self.all[best].since >= STABLE_TIME_NS:
             return best
@@ -179,7 +186,7 @@
 
 
 class CallBudget:
-    """Limits the call rate to one source, so that a source which accepts and closes at once is not called in a loop.
+    """Limits the rate of calls to one source. Otherwise, a source that closes connections at once is called in a loop.
 
     Args:
         calls: Most calls within any window.
@@ -193,7 +200,7 @@
         self.recent: list[int] = []  # times of the calls within the last window, ns
 
     def wait(self, now: int) -> int:
-        """Return the time until the next call is allowed, ns."""
+        """Return the time until the next call is allowed, ns; 0 if a call is allowed now."""
         self.recent = [at for at in self.recent if at > now - self.window]
         if len(self.recent) < self.calls:
             return 0
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -2,12 +2,13 @@
 
 A list may be wrong, so it is made consistent first. An endpoint that is listed twice gets the safer of its states. A
 start time in the future is replaced by the time when the endpoint was first seen. An empty list after one with entries
-is treated as a failure of the source, because a real fleet does not disappear within one response: the effective list
-does not change.
+is treated as a failure of the source, because a real fleet does not disappear within one response. It does not change
+the effective list, which is the list that the planner uses.
 
-Entries that are missing from a list are held if they are a large part of the endpoints in service. They are held until
-the list has omitted them for `CONFIRM_NS`, an operator accepts the list, or nothing indicates any more that they exist
-(all requests of clients to them fail). The states terminating and terminated apply at once, for any number of entries.
+If the entries missing from a list are a large part of the endpoints in service, they are held: they stay in the
+effective list. They are held until the list has omitted them for `CONFIRM_NS`, an operator accepts the list, or nothing
+indicates any more that they exist (for example, all requests of clients to them fail). The states terminating and
+terminated apply at once, for any number of entries.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from damsonpick import interface as api
 from damsonpick.time_units import NS_PER_SECOND
 
-MAX_MISSING_SHARE = 0.4  # share of the endpoints in service that may be missing from a list without being held
-MIN_MISSING = 3  # endpoints; if fewer are missing, none is held
+MAX_MISSING_SHARE = 0.4  # if at most this share of the endpoints in service is missing from a list, none is held
+MIN_MISSING = 3  # if fewer endpoints are missing from a list, none is held
 CONFIRM_NS = 30 * NS_PER_SECOND  # time for which a list must omit held endpoints before they are removed
-MAX_WEIGHT = 1e6  # exclusive upper bound
-DEFAULT_WEIGHT = 1.0
+MAX_WEIGHT = 1e6  # exclusive upper bound on a listed weight
+DEFAULT_WEIGHT = 1.0  # replaces an invalid weight
 STATES_BY_SAFETY: tuple[api.EndpointStatus, ...] = ("in_service", "terminating", "terminated")  # safest last
 
 IsLost = Callable[[str], bool]  # whether nothing indicates any more that an endpoint exists
@@ -56,11 +57,11 @@
         """Create an empty list that no source has confirmed."""
         self.zones = zones
         self.entries: dict[str, api.EndpointEntry] = {}
-        self.confirmed = False  # whether a source has sent a list since the start
+        self.confirmed = False  # whether the list of a source has been applied since the start
         self.received_entries: list[api.EndpointEntry] = []  # the last list of a source, before validation
-        self.held: dict[str, api.EndpointEntry] = {}  # entries that are missing from that list but still effective
+        self.held: dict[str, api.EndpointEntry] = {}  # entries missing from `received_entries` that stay effective
         self.held_since = 0  # time since which entries are held, ns; valid only while `held` is not empty
-        self.accepted = False  # whether an operator has accepted the missing entries
+        self.accepted = False  # whether an operator has accepted that entries are missing; reset when a list is applied
         self.known_zones: dict[str, str] = {}  # zone by endpoint, also of endpoints that are no longer listed
 
     def restore(self, entries: Iterable[api.EndpointEntry]) -> api.EndpointListChanged:
@@ -106,7 +107,7 @@
         return self.apply(now, self.received_entries, is_lost) if self.held else None
 
     def accept(self, now: int, is_lost: IsLost) -> ListValidation | None:
-        """Remove the held entries, as an operator has accepted the list; return None if no entry is held."""
+        """Remove the held entries, because an operator has accepted the list; return None if no entry is held."""
         self.accepted = True
         return self.recheck(now, is_lost)
 
--- a/damsonpick/state/history/database.py
+++ b/damsonpick/state/history/database.py
@@ -1,7 +1,8 @@
 """Stores the history in a database of its own, so that a full history never blocks writes to the store of the tables.
 
 Each version is one row, and each write is one transaction. A difference is stored as compressed JSON. A checksum (XXH3)
-covers each row. If a row's checksum does not match, this row and all older ones are ignored.
+covers each row. If a row's checksum does not match, or a row is not the parent of the next newer version, this row and
+all older ones are ignored.
 """
 
 from __future__ import annotations
@@ -86,7 +87,7 @@
             raise HistoryDatabaseError(path, error) from None
 
     def load(self) -> LoadedVersions:
-        """Return the longest sequence of valid versions without a gap that ends at the newest."""
+        """Return the longest sequence of valid versions that ends at the newest and has no gap."""
         newest_first: list[Version] = []
         problem = ""
         try:
--- a/damsonpick/state/history/history.py
+++ b/damsonpick/state/history/history.py
@@ -28,7 +28,7 @@
 
 
 class Retention(NamedTuple):
-    """Most versions that are kept, and their maximum age in ns. The newest version is always kept."""
+    """Maximum number of versions kept, and their maximum age in ns. The newest version is always kept."""
 
     max_versions: int
     max_age_ns: int
@@ -53,12 +53,15 @@
             self.roots[version.root] = version.number
 
     def begin(self, published: PublishedTables, origin: VersionOrigin) -> Version:
-        """Add a version for the state at a start. Its difference is what changed unrecorded since the last version."""
+        """Add a version for the state at a start. Its difference has the changes that no version has recorded yet."""
         self.resume(published)
         return self._append(origin, state_difference(self._last_recorded_state(), self.state))
 
     def resume(self, published: PublishedTables) -> None:
-        """Set the newest state to the published one, if nothing has changed since the newest version."""
+        """Set the newest state to the published one, without a new version.
+
+        `begin` must be called instead if the published state has changed since the newest version.
+        """
         self.state = {unit: unit_content(published, unit) for unit in published.units()}
 
     def add(self, published: PublishedTables, units: Iterable[str], origin: VersionOrigin) -> Version | None:
@@ -95,7 +98,7 @@
         return state
 
     def prune(self, now: int) -> int:
-        """Remove the versions that exceed the retention; return the lowest number that is kept."""
+        """Remove the versions that exceed the retention; return the lowest number that is kept, 0 if there is none."""
         while len(self.versions) > 1:
             number, version = next(iter(self.versions.items()))
             is_within_count = len(self.versions) <= self.retention.max_versions
--- a/damsonpick/state/history/pin.py
+++ b/damsonpick/state/history/pin.py
@@ -1,8 +1,9 @@
 """Pin: keeps the published tables at a version until a given time, and filters the planner's actions. Sans I/O.
 
-While the tables are pinned, the planner's moves of weight are held back. The actions that safety requires pass:
-withdrawals, admission levels, the removal of entries of unroutable endpoints, and an entry for a slice that has no
-routable one.
+While the tables are pinned, the planner's changes of tables are held back, except those that safety requires. These are
+the removal of an unroutable endpoint's entry if the slice has another routable entry, and an entry for a slice that has
+no routable one. Withdrawals and admission levels pass. If levels were rolled back too, actions that only raise levels
+are held back.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class FilteredActions(NamedTuple):
-    """Actions that pass while pinned, in their order, and the number of actions held back."""
+    """Actions that pass while the tables are pinned, in their order, and the number of actions held back."""
 
     passed: list[api.Action]
     held_back_count: int
@@ -28,7 +29,7 @@
         version: Number of the pinned version; 0 if not pinned.
         until: Clock time when the pin ends, ns; 0 if not pinned.
         generation: Incremented by each pin and release. If two operators act at the same time, the second is rejected.
-        caps_levels: Whether admission levels were rolled back too; until the pin ends they may fall but not rise.
+        caps_levels: Whether admission levels were rolled back too. Actions that only raise them are then held back.
     """
 
     def __init__(self) -> None:
@@ -76,7 +77,7 @@
         admitted_share: Callable[[int | None, int], float],
         class_count: int = 0,
     ) -> FilteredActions:
-        """Separate the actions that pass while pinned from those that are held back.
+        """Separate the actions that pass while the tables are pinned from those that are held back.
 
         Args:
             actions: Actions of the planner, in order. Each is checked against the tables after the preceding ones.
@@ -107,7 +108,7 @@
     ) -> bool:
         """Return whether an action other than `SetEntry` is held back.
 
-        These are actions that clear a table, and actions that only raise capped admission levels.
+        An action is held back if it clears a table, or if it raises capped admission levels and lowers none.
         """
         if isinstance(action, api.ClearTable):
             return True
@@ -124,8 +125,8 @@
 ) -> bool:
     """Return whether safety requires a change of one entry.
 
-    The entry of an unroutable endpoint must be removed if the slice has another routable entry. An entry for a routable
-    endpoint must be added if the slice has no other routable entry.
+    The entry of an unroutable endpoint must be removed if the slice has a routable entry. An entry for a routable
+    endpoint must be added if the slice has no routable entry.
     """
     has_other_routable = any(name != action.endpoint and not is_unroutable(name) for name in entries)
     if action.weight > 0:
--- a/damsonpick/state/history/recorder.py
+++ b/damsonpick/state/history/recorder.py
@@ -1,7 +1,7 @@
 """Records the history of one pilot: the digest of the published state, the versions, the pin, and their database.
 
-If the history cannot be written, this is logged once, and a bounded number of versions is kept in memory. The pilot
-continues to serve.
+If the history cannot be written, the first failure is logged, and a bounded number of versions waits in memory until a
+write succeeds. The pilot continues to serve.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from damsonpick.state.history.version import Cause, Version, VersionOrigin
 from damsonpick.state.published_tables import PublishedTables
 
-RETRY_INTERVAL_NS = 1_000_000_000
-MAX_PENDING_VERSIONS = 1000  # versions kept in memory while the database cannot be written
+RETRY_INTERVAL_NS = 1_000_000_000  # time after which a failed write is repeated
+MAX_PENDING_VERSIONS = 1000  # maximum number of versions that wait in memory while the database cannot be written
 
 
 class HistoryRecorder:
@@ -104,7 +104,7 @@
         self.flush(now)
 
     def flush(self, now: int) -> None:
-        """Write the pending versions. If that fails, it must be called again at `retry_at`."""
+        """Write the pending versions. If the write fails, the caller must call `flush` again at `retry_at`."""
         lowest = self.history.prune(now)
         error = self._write_pending(lowest)
         if error is None:
@@ -125,7 +125,7 @@
         del self.pending[:-MAX_PENDING_VERSIONS]
 
     def _write_pending(self, lowest: int) -> Exception | None:
-        """Write the pending versions; return any error instead of raising it: the history must not stop the pilot."""
+        """Write the pending versions. An error is returned, not raised, since the history must not stop the pilot."""
         try:
             self.database.append(self.pending, lowest)
         except Exception as error:
@@ -138,13 +138,13 @@
         Args:
             version: Number of the version.
             until: Clock time when the pin ends, ns.
-            caps_levels: Whether admission levels may only fall until the pin ends.
+            caps_levels: Whether actions that only raise admission levels are held back until the pin ends.
         """
         self.pin.set(version, until, caps_levels)
         self._save_pin()
 
     def release_pin(self) -> None:
-        """End the pin, so that all actions pass again, and save that."""
+        """End the pin, so that all actions pass again, and save this change."""
         self.pin.release()
         self._save_pin()
 
--- a/damsonpick/state/history/root_statement.py
+++ b/damsonpick/state/history/root_statement.py
@@ -10,7 +10,7 @@
 import re
 from typing import NamedTuple
 
-CLIENT_FEATURE = "damsonpick.roots"  # in Node.client_features
+CLIENT_FEATURE = "damsonpick.roots"  # in `Node.client_features` of a gateway that supports root statements
 MISMATCH_PREFIX = "roots differ"  # beginning of the error text of a NACK for a wrong root
 STATEMENT_PATTERN = re.compile(r"from=([0-9a-f]{32}) to=([0-9a-f]{32})(?: replaces=([0-9,]+))?\Z")
 RANGE_SUMS_PATTERN = re.compile(r" ranges=([0-9a-f]+)\Z")
@@ -50,7 +50,7 @@
 
 
 def mismatch_range_sums(error_text: str) -> str | None:
-    """Return the range sums in a NACK for a wrong root, empty if it has none; None if the NACK has another reason."""
+    """Return the range sums in a NACK for a wrong root, empty if missing; None if the NACK has another reason."""
     if not error_text.startswith(MISMATCH_PREFIX):
         return None
     match = RANGE_SUMS_PATTERN.search(error_text)
--- a/damsonpick/state/history/state_keys.py
+++ b/damsonpick/state/history/state_keys.py
@@ -10,7 +10,7 @@
 
 ENTRY_PREFIX = "line "
 WITHDRAWN_PREFIX = "out "
-FLEET_TABLE = "-"
+FLEET_TABLE = "-"  # replaces the table number in the key of a retry mode of the fleet
 SLICE_KIND = "slice"
 
 
@@ -20,7 +20,7 @@
 
 
 def entry_endpoint(key: str) -> str | None:
-    """Return the endpoint of a table entry's key, or None if the key is not of a table entry."""
+    """Return the endpoint in the key of a table entry, or None if the key is of another kind."""
     return key.removeprefix(ENTRY_PREFIX) if key.startswith(ENTRY_PREFIX) else None
 
 
@@ -46,5 +46,5 @@
 
 
 def has_levels(unit: str) -> bool:
-    """Return whether a unit has admission levels: the unit of the fleet and of each slice has."""
+    """Return whether a unit has admission levels. The units of the fleet and of the slices have them."""
     return unit == FLEET or slice_number(unit) is not None
--- a/damsonpick/state/history/version.py
+++ b/damsonpick/state/history/version.py
@@ -54,7 +54,7 @@
     """One published state. All fields except the difference are stored unchanged and in this order.
 
     Attributes:
-        number: Version number; each version has the next higher one.
+        number: Version number; 1 for the first version, and one more for each later version.
         root: Root of the digest over all resources.
         parent: Number of the preceding version; 0 for the first version.
         published_at: Clock time of the publication, ns; never before that of the parent.
--- a/damsonpick/state/learned/ageing.py
+++ b/damsonpick/state/learned/ageing.py
@@ -1,7 +1,7 @@
 """Computes the age of a snapshot, and decays its values with age. Sans I/O.
 
-Each value decays toward the assumption of a planner without learned state, with its own half-life: a slow disk stays
-slow for minutes, whereas the request rate has changed after one minute.
+Each value decays toward the value that a planner without learned state assumes. Half-lives differ, because a slow disk
+stays slow for minutes, whereas the request rate has changed after one minute.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 LEVELS_MAX_AGE_NS = 60 * NS_PER_SECOND  # older admission levels were set for a load that no longer exists
 UNKNOWN_AGE_NS = 1800 * NS_PER_SECOND  # age assumed if it cannot be determined
 CLOCK_TOLERANCE_NS = 5 * NS_PER_SECOND  # largest difference between two clocks of one host that is not reported
-NEGLIGIBLE_SHARE = 0.02  # remaining share below which a value is dropped
-# Throughput per capacity is dropped below this remaining share: a smaller value would throttle a healthy fleet.
+NEGLIGIBLE_SHARE = 0.02  # rates and throughput with at most this remaining share are dropped, and so is warmth up to it
+# Throughput per capacity is dropped at this remaining share, because a lower value would throttle a healthy fleet.
 MIN_THROUGHPUT_PER_CAPACITY_SHARE = 0.5
 
 
 class Age(NamedTuple):
-    """Age of a snapshot in ns, and a fault of the clocks; empty if there is none."""
+    """Age of a snapshot in ns, and a warning about the clocks, which is empty if they are consistent."""
 
     ns: int
     clock_warning: str
@@ -36,15 +36,16 @@
 def age_of(taken_at: HostTime, now: HostTime) -> Age:
     """Return the age of a snapshot.
 
-    Within one boot the age is the difference of the host's uptime, so that setting the wall clock does not change it.
-    Otherwise it is the difference of the wall clock; the age of a snapshot from the future is unknown.
+    Within one boot, the age is the difference of the host's uptime, so that setting the wall clock does not change it.
+    Otherwise, it is the difference of the wall clock. If the snapshot is from the future by more than
+    `CLOCK_TOLERANCE_NS`, its age is unknown.
 
     Args:
         taken_at: Time when the snapshot was taken.
         now: Present time of the same host.
 
     Returns:
-        The age, never negative; `UNKNOWN_AGE_NS` for a snapshot from the future.
+        The age, never negative; `UNKNOWN_AGE_NS` if it is unknown.
     """
     wall_age_ns = now.wall_ns - taken_at.wall_ns
     same_boot = bool(taken_at.boot_id) and taken_at.boot_id == now.boot_id
@@ -76,7 +77,7 @@
 
 
 def _decayed_endpoints(snapshot: Snapshot, age_ns: int) -> tuple[LearnedEndpoint, ...]:
-    """Decay capacity factors toward 1, in proportion: 0.5 and 2 stay reciprocal at any age."""
+    """Decay capacity factors toward 1. Their logarithms are scaled, so that 0.5 and 2 stay reciprocal at any age."""
     share = remaining_share(age_ns, CAPACITY_FACTOR_HALF_LIFE_NS)
     return tuple(
         LearnedEndpoint(learned.endpoint, learned.started, learned.capacity_factor**share, learned.last_success_at)
--- a/damsonpick/state/learned/capture.py
+++ b/damsonpick/state/learned/capture.py
@@ -20,7 +20,7 @@
 SLICES_PER_STEP = 200
 STORED_MIN_CAPACITY_FACTOR = 0.01
 STORED_MAX_CAPACITY_FACTOR = 100.0
-MIN_WARMTH = 0.02  # share; a warmth up to this is not stored
+MIN_WARMTH = 0.02  # a warmth of at most this share is not stored
 
 SnapshotType = TypeVar("SnapshotType", Snapshot, PreEncodedSnapshot)
 
@@ -70,7 +70,7 @@
         self._read_endpoints()
         yield
         for index, state in enumerate(list(self.planner.slices.values())):
-            # This is inlined rather than a call for each slice: there are thousands, and the control loop waits.
+            # This is inlined because calls for thousands of slices would delay the control loop.
             warmth = tuple((name, min(1.0, share)) for name, share in state.warmth.items() if share > MIN_WARMTH)
             learned = LearnedSlice(state.number, tuple(max(0.0, rate) for rate in state.rates), warmth)
             if pre_encode:
@@ -81,7 +81,7 @@
                 yield
 
     def _read_endpoints(self) -> None:
-        """Read the endpoints, without those of which nothing was learned: a new planner assumes the same of them."""
+        """Read the endpoints of which anything was learned. A new planner assumes the same values for all others."""
         for name, state in list(self.planner.endpoints.items()):
             last_success_at = self.last_success_at.get(name, 0)
             if state.last_report_at or state.restored_share or last_success_at:
--- a/damsonpick/state/learned/codec.py
+++ b/damsonpick/state/learned/codec.py
@@ -23,13 +23,13 @@
 MAGIC = b"DAMSONKN"
 HEADER = struct.Struct(">8sHHI")
 CHECKSUM_BYTES = 16
-MAX_BODY_BYTES = 64_000_000
+MAX_BODY_BYTES = 64_000_000  # a file with a longer body is rejected as corrupt
 
 RawSnapshot = dict[str, Any]  # decoded body before its types are checked, by stored key
 
 
 def _migrate_1_to_2(raw: RawSnapshot) -> RawSnapshot:
-    """Add the fields that format 1 lacks: the clock, the last confirmation of the list, and the last successes."""
+    """Add 0 (unknown) for the times that format 1 lacks: clock, last confirmation of the list, and last successes."""
     return raw | {"clock": 0, "vouched": 0, "servers": [[*row, 0] for row in raw["servers"]]}
 
 
@@ -48,8 +48,8 @@
     """Return the snapshot in the bytes of a file.
 
     Raises:
-        SnapshotCorruptError: A bit differs, the data are truncated, or a value is out of its bounds.
-        SnapshotFormatError: The file is undamaged, but this program does not know its format.
+        SnapshotCorruptError: A bit differs, the data are truncated, the format never existed, or a value is invalid.
+        SnapshotFormatError: The file is undamaged, but its format is newer than those that this program can read.
     """
     found_format, body = _checked_body(data)
     if found_format > FORMAT:
--- a/damsonpick/state/learned/generations.py
+++ b/damsonpick/state/learned/generations.py
@@ -1,13 +1,13 @@
 """Two generations of a snapshot on disk, so that a power cut at any point leaves the previous or the new one.
 
-All file operations go through a `Disk`. A new generation is written in these steps:
+Generations are read and written through a `Disk`. A new generation is written in these steps:
 
     write `current.part` and sync it; link `current`, if it is undamaged, as `previous.part`; rename `current.part` to
     `current`; rename `previous.part` to `previous`; sync the folder
 
-A rename is atomic, and the new content is on disk before any rename. At every moment `current` and `previous` are two
-different generations, whichever of the renames survive a power cut, so that damage to one leaves the other. A reader
-uses the newest undamaged one.
+A rename is atomic, and the new content is on disk before any rename. At every moment, and whichever of the renames
+survive a power cut, `current` and `previous` are two different generations. If one is damaged, the other remains. A
+reader uses the newest undamaged generation.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Disk(Protocol):
-    """File operations used to write a generation. Tests replace them by a disk that fails at any operation."""
+    """File operations used to read and write generations. Tests use a disk that can fail at any operation."""
 
     def read(self, path: Path) -> bytes:
         """Return the content of a file."""
@@ -77,7 +77,8 @@
             `previous`, which is the only usable generation until the new one is on disk.
 
     Raises:
-        OSError: The write failed; the existing generations are unchanged.
+        OSError: An operation failed. Up to the first rename, the existing generations are unchanged. After the first
+            rename, `current` is the new generation.
     """
     part = folder / CURRENT_PART
     disk.write(part, data)
--- a/damsonpick/state/learned/list_confidence.py
+++ b/damsonpick/state/learned/list_confidence.py
@@ -6,9 +6,9 @@
 
     up to FRESH_AGE_NS       as listed
     up to MAX_AGE_NS         a reduced share, until a successful response
-    older                    last resort: used only if a slice would have no entry otherwise, and on trial one at a time
-    ejected, only failures   last resort, and on trial again up to MAX_RETRIALS times; then no more trials until a
-                             source confirms it
+    older                    last resort: used only if no other endpoint is left, and put on trial one at a time
+    ejected, only failures   last resort, and put on trial again up to MAX_RETRIALS times; then not until a source
+                             confirms the entry
 
 A successful response in this incarnation restores full confidence. After a source has sent a list, all its entries have
 full confidence.
@@ -24,17 +24,17 @@
 from damsonpick import interface as api
 from damsonpick.time_units import NS_PER_SECOND
 
-SOURCE_GRACE_NS = NS_PER_SECOND  # time before confidence is lowered, in which most sources respond
+SOURCE_GRACE_NS = NS_PER_SECOND  # time after the start before confidence is lowered; most sources respond within it
 FRESH_AGE_NS = 120 * NS_PER_SECOND
 MAX_AGE_NS = 86_400 * NS_PER_SECOND
 MIN_FAILED_ATTEMPTS = 4  # failed attempts without a success after which an endpoint is ejected
-TRIAL_INTERVAL_NS = 5 * NS_PER_SECOND  # time between trials; one endpoint at a time is on trial
+TRIAL_INTERVAL_NS = 5 * NS_PER_SECOND  # minimum time between the starts of trials; only one runs at a time
 TRIAL_BACKOFF_NS = 20 * NS_PER_SECOND  # time until an ejected endpoint is on trial again; doubles with each ejection
-MAX_RETRIALS = 2
+MAX_RETRIALS = 2  # maximum number of trials of an endpoint after its first ejection
 
 
 class EntryConfidence(Enum):
-    """Confidence in an entry. The value is the share of load that the endpoint may receive, 0 to 1."""
+    """Confidence in an entry. The value, 0 to 1, is sent to the planner, which scales the endpoint's capacity by it."""
 
     AS_LISTED = 1.0
     REDUCED = 0.5
@@ -70,7 +70,7 @@
     on_trial: bool = False
 
     def age_ns(self, now: int) -> int:
-        """Return the time since a source confirmed it or it responded, by the times before this incarnation."""
+        """Return the time since a source last confirmed the entry or it last responded, according to `times`, ns."""
         return max(0, now - max(self.times))
 
 
@@ -82,7 +82,7 @@
         self.is_confirmed = False  # whether a source has sent a list in this incarnation
         self.started_at = 0
         self.entries: dict[str, EntryState] = {}
-        self.last_success_at: dict[str, int] = {}  # clock time by endpoint, ns
+        self.last_success_at: dict[str, int] = {}  # clock time of the last successful response by endpoint, ns
         self.published: dict[str, float] = {}  # confidence by endpoint as last sent to the planner
         self.next_trial_at = 0
 
@@ -95,7 +95,7 @@
         }
 
     def confirm(self, now: int, endpoints: Iterable[str]) -> None:
-        """Set that a source has sent a list; from now on its entries have full confidence."""
+        """Record that a source has sent a list. From now on, all entries have full confidence."""
         self.is_confirmed = True
         for name in endpoints:
             self.entries.setdefault(name, EntryState(EntryTimes(now, 0)))
@@ -121,8 +121,8 @@
     def is_lost(self, now: int, name: str) -> bool:
         """Return whether there is no reason to hold an entry that the newest list omits.
 
-        This is so if the endpoint was ejected and has not succeeded since, or if no source has responded and the entry
-        is older than `FRESH_AGE_NS`.
+        This is so if the endpoint was ejected and has not succeeded since. It is also so if no source has sent a list,
+        the entry is older than `FRESH_AGE_NS`, and the endpoint has not succeeded in this incarnation.
         """
         entry = self.entries.get(name)
         if entry is None or entry.has_succeeded:
@@ -139,7 +139,7 @@
     # -- confidence
 
     def is_settled(self, now: int) -> bool:
-        """Return whether a source has responded, or the time that it has to respond is over."""
+        """Return whether a source has sent a list, or `SOURCE_GRACE_NS` has passed since the start."""
         return self.is_confirmed or now - self.started_at >= SOURCE_GRACE_NS
 
     def confidences(self, now: int) -> dict[str, float]:
@@ -179,7 +179,7 @@
         return events
 
     def published_events(self) -> list[api.EndpointConfidenceChanged]:
-        """Return events with all published confidences below the full one, for a planner that was restarted."""
+        """Return events with all published confidences below 1, for a planner that was restarted."""
         return [
             api.EndpointConfidenceChanged(name, confidence)
             for name, confidence in self.published.items()
--- a/damsonpick/state/learned/restore.py
+++ b/damsonpick/state/learned/restore.py
@@ -1,7 +1,7 @@
 """Restores learned state: converts an aged snapshot to events for a new planner. Sans I/O.
 
-State of an endpoint is restored only if the endpoint list confirms the process that it was learned of. If that process
-was restarted, nothing of the endpoint is restored.
+State of an endpoint is restored only if the endpoint list contains the process from which it was learned. If that
+process was restarted, no state of the endpoint is restored.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
         snapshot: The snapshot, already decayed by its age.
         entries: Effective endpoint list, by endpoint.
         owned_slices: Slices of this pilot; slices of other pilots are not restored.
-        include_slices: Whether slices and classes are still the same. Capacity factors are restored in any case,
-            because they depend on endpoints and not on settings.
+        include_slices: Whether to restore slices; false if the settings now have other slices or classes. Capacity
+            factors are restored in any case, because they depend on endpoints and not on settings.
     """
     events: list[api.Event] = []
     restarted: list[str] = []
@@ -73,11 +73,11 @@
     entries: Mapping[str, api.EndpointEntry],
     listed_at: Mapping[str, ListedAt],
 ) -> dict[str, EntryTimes]:
-    """Return when each entry of a cached endpoint list was last confirmed and last responded, by the present clock.
+    """Return when each entry of a cached endpoint list was last confirmed and last responded, by the pilot's clock.
 
-    The store contains the time when each entry was listed. The snapshot may be newer: it contains the time when a
-    source last confirmed the whole list. That time applies to the entries of the newest list, but not to older entries
-    that are only held.
+    The store contains the time when each entry was listed. The snapshot may contain a later time, when a source last
+    confirmed the whole list. This time applies to the entries of the newest list, but not to older entries that are
+    only held.
 
     Args:
         snapshot: Snapshot of the previous incarnation, or None if there is none.
@@ -110,7 +110,7 @@
 def _last_successes(
     snapshot: Snapshot, entries: Mapping[str, api.EndpointEntry], clock_shift_ns: int
 ) -> dict[str, int]:
-    """Return the last successful responses of the listed processes that are also in the snapshot."""
+    """Return the times of the last successful responses in the snapshot, for processes that are still listed."""
     times: dict[str, int] = {}
     for learned in snapshot.endpoints:
         entry = entries.get(learned.endpoint)
--- a/damsonpick/state/learned/snapshot.py
+++ b/damsonpick/state/learned/snapshot.py
@@ -52,8 +52,8 @@
 
     Attributes:
         endpoint: Name of the endpoint.
-        started: Clock time when the process that this was learned of was started, ns; 0 if long ago.
-        capacity_factor: Ratio of its capacity to the one that the endpoint list states.
+        started: Clock time when the process that the state describes was started, ns; 0 if long ago.
+        capacity_factor: Ratio of the learned capacity to the capacity that the endpoint list states.
         last_success_at: Clock time of its last successful response, ns; 0 if unknown.
     """
 
--- a/damsonpick/state/load_reports.py
+++ b/damsonpick/state/load_reports.py
@@ -1,9 +1,9 @@
 """Aggregates the load reports of clients into reports for the planner. Sans I/O: times are passed in nanoseconds.
 
-Each report is validated before it is counted. LRS does not number its reports. A repeated report is therefore detected
-only because the client's reports would cover more time than has passed, and it is dropped. A late report is counted
-with the period that it covers. Contradictory counts are reduced to possible values, with the smaller number of
-successes.
+Each report is validated before it is counted. The Load Reporting Service (LRS) does not number its reports. A repeated
+report is therefore detected only because the client's reports would cover more time than has passed, and it is dropped.
+A late report is counted with the period that it covers. Contradictory counts are reduced to possible values; failures
+take precedence over successes.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     attempts: int
     failures: int
     timed_successes: int  # successes whose latency was measured
-    total_latency: int  # ns, over the timed successes
+    total_latency: int  # sum of the latencies of the timed successes, ns
 
 
 class SliceStats(NamedTuple):
@@ -49,7 +49,7 @@
     """Totals of one endpoint; attempts are kept by client."""
 
     def __init__(self) -> None:
-        self.attempts: dict[int, int] = {}  # by client
+        self.attempts: dict[int, int] = {}  # number of attempts by client
         self.failures = 0
         self.timed_successes = 0
         self.total_latency = 0  # ns
@@ -65,7 +65,7 @@
     """Totals of one class in one slice; requests are kept by client."""
 
     def __init__(self) -> None:
-        self.requests: dict[int, int] = {}  # by client
+        self.requests: dict[int, int] = {}  # number of requests by client
         self.failures = 0
 
     def add(self, client: int, requests: int, failures: int) -> None:
@@ -90,17 +90,20 @@
         self.report_period = report_period
         self.max_period = max_period
         self.known_endpoints: set[str] = set()  # endpoints that were listed at any time
-        self.reported_until: dict[int, int] = {}  # by client: time up to which its reports cover time, ns
+        self.reported_until: dict[int, int] = {}  # end of the time that the reports cover, ns, by client
         self.dropped = 0  # number of dropped reports
         self._clear()
 
     def _clear(self) -> None:
-        self._endpoints: dict[tuple[str, str], _EndpointTotals] = {}  # by zone of the clients and endpoint
-        self._slices: dict[tuple[int, str], _SliceTotals] = {}  # by slice and class
-        self._covered: dict[int, int] = {}  # by client: sum of the periods of its reports, ns
+        self._endpoints: dict[tuple[str, str], _EndpointTotals] = {}  # totals by zone of the clients and endpoint
+        self._slices: dict[tuple[int, str], _SliceTotals] = {}  # totals by slice and class
+        self._covered: dict[int, int] = {}  # sum of the periods of the reports, ns, by client
 
     def join(self, now: int, client: int) -> None:
-        """Register a client, which may report from now on; one that was disconnected may send reports on that time."""
+        """Register a client. The first report of a new client may cover the last report period.
+
+        A client that has reported before may also report on the time during which it was disconnected.
+        """
         self.reported_until.setdefault(client, now - self.report_period)
 
     def add(self, now: int, report: ClientReport) -> list[str]:
@@ -128,7 +131,7 @@
         return problems
 
     def _reported_until(self, now: int, client: int) -> int:
-        """Return the start of the time that the next report of a client may cover, ns: at most `max_period` ago."""
+        """Return the earliest time that the next report of a client may cover, ns; at most `max_period` ago."""
         earliest = now - self.max_period
         return max(self.reported_until.get(client, earliest), earliest)
 
@@ -172,7 +175,10 @@
         totals.add(report.client, stats.requests, min(stats.failures, stats.requests))
 
     def flush(self) -> list[api.Event]:
-        """Return the planner's reports of the period that ends now, in sorted order, without totals of no request."""
+        """Return the totals since the last flush as sorted reports for the planner, and clear them.
+
+        Endpoints without attempts and slices without requests are omitted.
+        """
         events = [*self._endpoint_events(), *self._slice_events()]
         self._clear()
         return events
@@ -199,10 +205,10 @@
         return events
 
     def _joint_period(self, counts: dict[int, int]) -> int:
-        """Return the period over which the sum of the counts has the sum of the clients' rates, ns.
+        """Return the period, in ns, for which the sum of the counts / period is the sum of the clients' rates.
 
         Args:
-            counts: Counts by client. Rates are added over clients, periods within one client.
+            counts: Counts by client. The rate of a client is its count / the sum of the periods of its reports.
         """
         rate = sum(count / self._covered[client] for client, count in counts.items() if self._covered[client])
         return round(sum(counts.values()) / rate) if rate > 0 else 0
--- a/damsonpick/state/persistent_actions.py
+++ b/damsonpick/state/persistent_actions.py
@@ -66,7 +66,7 @@
 
 
 def decode(stored: Mapping[str, float]) -> Iterator[StoredAction]:
-    """Yield the actions of stored keys, in the order of the keys.
+    """Yield the actions of stored keys, in the order of the keys; ignore keys of unknown kinds.
 
     Raises:
         ValueError: A table or class in a key is not a number.
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -2,7 +2,8 @@
 
 A *unit* is the smallest part of the state that is sent to a client: the table of one slice, the withdrawals and levels
 of the whole fleet, or the retry routes. An *entry* is what the send queue counts: one endpoint in one table, one
-withdrawal, or one level. Every change has a sequence number, which increases within one run of the controller.
+withdrawal, one level, or one retry mode. Every change has a sequence number, which increases within one run of the
+controller.
 """
 
 from __future__ import annotations
@@ -63,9 +64,9 @@
         self.classes = classes
         self.slices = slices
         self.tables: dict[int, dict[str, float]] = {number: {} for number in range(slices)}
-        self.withdrawn: dict[str, int] = {}  # sequence number of the withdrawal by endpoint; 0 if before this run
-        self.levels: dict[tuple[int | None, int], float] = {}  # by table (None for all) and class
-        self.retries: dict[tuple[int | None, int], int] = {}  # by table (None for all) and class
+        self.withdrawn: dict[str, int] = {}  # sequence number of the withdrawal by endpoint; 0 if of an earlier run
+        self.levels: dict[tuple[int | None, int], float] = {}  # admitted share by table (None for all) and class
+        self.retries: dict[tuple[int | None, int], int] = {}  # retry mode by table (None for all) and class
         self.seq = 0  # sequence number of the newest change
         self.changed: dict[str, int] = dict.fromkeys(self.units(), 0)  # sequence number of the last change by unit
 
@@ -111,7 +112,7 @@
     # -- queries
 
     def level(self, table: int | None, class_index: int) -> float:
-        """Return the admitted share of a class: the fleet's level or, for a slice, the lower of that and its own."""
+        """Return the admitted share of a class. For a slice, it is the lower of the fleet's level and its own."""
         fleet_level = self.levels.get((None, class_index), FULL_LEVEL)
         if table is None:
             return fleet_level
--- a/damsonpick/state/store/connection.py
+++ b/damsonpick/state/store/connection.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-LOCK_TIMEOUT_S = 2.0
+LOCK_TIMEOUT_S = 2.0  # longest wait of a statement for a lock of another connection
 
 
 def connect(path: Path, check_same_thread: bool = True) -> sqlite3.Connection:
--- a/damsonpick/state/store/leases.py
+++ b/damsonpick/state/store/leases.py
@@ -23,10 +23,10 @@
     """Grants leases of slices to owners by name; a slice with an unexpired lease of another owner is not granted."""
 
     def claim(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
-        """Claim all slices that are free or whose lease has expired, and renew the owner's; return all its leases."""
+        """Claim all slices without an unexpired lease, and renew the owner's leases; return all leases of the owner."""
 
     def renew(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
-        """Extend the owner's leases to `now` + `duration_ns`; return the leases that it still has."""
+        """Extend the owner's leases to `now` + `duration_ns`; return the leases that no other owner has claimed."""
 
     def release(self, owner: str) -> None:
         """Release all slices of an owner, at a graceful shutdown."""
--- a/damsonpick/state/store/sqlite.py
+++ b/damsonpick/state/store/sqlite.py
@@ -96,7 +96,7 @@
             self.db.executemany("INSERT OR IGNORE INTO slices (slice) VALUES (?)", numbers)
 
     def transaction(self) -> AbstractContextManager[None]:
-        """Return a context that runs its block in a write transaction: commit at its end, roll back if it raises."""
+        """Return a context manager that runs its block in a write transaction, and rolls back if the block raises."""
         return transaction(self.db)
 
     def next_epoch(self) -> int:
@@ -117,7 +117,7 @@
         return tables
 
     def load_persistent_actions(self) -> dict[str, float]:
-        """Return withdrawals, admission levels and retry modes by key (see `PublishedTables`)."""
+        """Return withdrawals, admission levels and retry modes by key (see `persistent_actions`)."""
         return dict(self.db.execute("SELECT key, value FROM standing"))
 
     def save_tables(
@@ -140,7 +140,7 @@
     # -- leases (see leases.LeaseStore)
 
     def claim(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
-        """Claim all slices that are free or whose lease has expired, and renew the owner's; return all its leases."""
+        """Claim all slices without an unexpired lease, and renew the owner's leases; return all leases of the owner."""
         lease_end = now + duration_ns
         with self.transaction():
             self.db.execute(
@@ -152,7 +152,7 @@
         return self._leases(owner)
 
     def renew(self, owner: str, now: int, duration_ns: int) -> list[SliceLease]:
-        """Extend the owner's leases to `now` + `duration_ns`; return the leases that it still has."""
+        """Extend the owner's leases to `now` + `duration_ns`; return the leases that no other owner has claimed."""
         with self.transaction():
             self.db.execute("UPDATE slices SET until = ? WHERE owner = ?", (now + duration_ns, owner))
         return self._leases(owner)
@@ -199,7 +199,7 @@
         Args:
             entries: Entries of the effective list.
             listed: Time and source of the list.
-            held: Endpoints that this source no longer lists; they keep their previous time and source.
+            held: Endpoints that stay effective although the list omits them; they keep their previous time and source.
 
         Raises:
             sqlite3.Error: The write failed; the store is unchanged.
