--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -251,7 +251,7 @@
         return self.endpoint_list.known_zones.get(endpoint, "")
 
     def _list_changed(self) -> None:
-        """Update SASP advice and solver-assigned tables immediately after a change of the endpoint list."""
+        """Refresh the statuses in SASP advice and send advice that needs no solve, after a change of the list."""
         if self.sasp is not None:
             self.sasp.update_statuses()
         if self.settings.solved:
--- a/damsonpick/controller/control_requests.py
+++ b/damsonpick/controller/control_requests.py
@@ -1,4 +1,4 @@
-"""Typed requests of the control socket, decoded once on arrival. Their keys are the interface of the command line.
+"""Typed requests of the control socket, decoded once on arrival. Their fields are the keys that the command line sends.
 
 Decoding checks types and ranges. The handler of a request checks whether a slice, a version or a zone exists.
 """
@@ -18,7 +18,7 @@
 MAX_DURATION_NS = 10 * 365 * 86_400 * NS_PER_SECOND  # ten years
 MAX_SLICE_NUMBER = 1 << 31
 MAX_GENERATION = 1 << 62
-MAX_LOGGED_VALUE = 60  # characters
+MAX_LOGGED_VALUE = 60  # characters of an unknown operation that the error message shows
 
 DurationNs = Annotated[int, Meta(ge=0, le=MAX_DURATION_NS)]
 SliceNumber = Annotated[int, Meta(ge=0, le=MAX_SLICE_NUMBER)]
@@ -117,7 +117,7 @@
     expected: Generation | None = None  # generation of the pin that the operator saw; None skips the check
     dry: bool = False  # whether only to report what the rollback would change
     stages: list[str] | None = None  # zones that receive the change first, in this order
-    hold_ns: DurationNs | None = None  # delay between two zones
+    hold_ns: DurationNs | None = None  # delay between successive zones of `stages`; None selects 0
     levels: bool = False  # whether to restore admission levels and retry modes as well
 
 
--- a/damsonpick/controller/control_socket.py
+++ b/damsonpick/controller/control_socket.py
@@ -74,7 +74,7 @@
 
 
 class RequestError(ValueError):
-    """A request is not a JSON object."""
+    """A request is not a JSON object, or is nested too deeply to be decoded."""
 
     def __init__(self) -> None:
         """Build the message, which does not depend on the request."""
@@ -82,7 +82,7 @@
 
 
 async def listen(path: Path) -> SocketListener:
-    """Open the control socket. Replaces a socket file that a killed pilot left behind.
+    """Open the control socket, and replace a socket file that a killed pilot left behind.
 
     Raises:
         ControlListenError: The socket cannot be opened at this path.
@@ -103,7 +103,8 @@
         listener: Listener that `listen` returned.
         path: Path of the socket.
         answer: Returns the reply to one request. A ValueError or KeyError becomes an `error` reply.
-        log: Logger for an unexpected exception, which ends only the connection of the client that triggered it.
+        log: Logger for failed accepts and unexpected exceptions. An exception ends only the connection of the client
+            that triggered it.
     """
 
     async def serve_client(stream: SocketStream) -> None:
@@ -148,6 +149,7 @@
         NoPilotError: No process listens on the socket.
         NotPermittedError: This user has no permission to use the socket.
         NoReplyError: No reply arrived within `timeout_s` seconds, or the connection ended before the reply.
+        anyio.DelimiterNotFound: The reply exceeds `MAX_REPLY_BYTES`.
     """
     try:
         with anyio.fail_after(timeout_s):
@@ -155,7 +157,8 @@
                 await stream.send(json.dumps(request).encode() + b"\n")
                 text = await BufferedByteReceiveStream(stream).receive_until(b"\n", MAX_REPLY_BYTES)
     except (TimeoutError, anyio.EndOfStream, anyio.IncompleteRead, anyio.BrokenResourceError):
-        # This clause must precede `except OSError`: TimeoutError is an OSError, but a pilot that hangs is running.
+        # TimeoutError is an OSError, so this clause must precede `except OSError`, which reports that no pilot runs.
+        # A pilot that hangs is running.
         raise NoReplyError(path, timeout_s) from None
     except PermissionError:
         raise NotPermittedError(path) from None
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -110,14 +110,18 @@
             self.log.info("pilot_ended", name=self.settings.pilot.name, **self.loop_lag.load().log_fields())
 
     def _restore(self) -> None:
-        """Start the engine from the stored and learned state of the previous incarnation."""
+        """Start the engine and the list updater from the stored and learned state of the previous incarnation."""
         components = self.components
         learned = components.snapshot_task.read() if self.settings.learned_state.enabled else NOTHING_LEARNED
         components.engine.start(components.clock.now(), learned.snapshot, learned.away)
         components.list_updater.start(learned.snapshot, learned.away)
 
     def _start_tasks(self, group: TaskGroup) -> None:
-        """Start the tasks of the daemon. An exception in a task is logged and restarts only that task."""
+        """Start the tasks of the daemon.
+
+        If a task raises an exception, `keep_running` logs it and restarts only that task. The SASP server is started
+        directly, because it supervises its own tasks.
+        """
         components = self.components
         tasks: dict[str, Callable[[], Awaitable[None]]] = {
             "list watch": components.list_watch.run,
--- a/damsonpick/controller/decision_log.py
+++ b/damsonpick/controller/decision_log.py
@@ -17,7 +17,7 @@
 
 
 def change_cause(events: list[api.Event]) -> Cause:
-    """Return which kind of event triggered a step of the planner."""
+    """Return the cause of a planner step. If several apply, the first of solver, list, gateways and module counts."""
     if any(isinstance(event, api.TableAdvised | api.CapacityAdvised) for event in events):
         return "solver"
     if any(isinstance(event, api.EndpointListChanged) for event in events):
@@ -79,7 +79,7 @@
         if planner.admitted_share >= 1:
             why = "all requests are admitted"
         else:
-            why = f"responses are late: {planner.admitted_rate_limit:.0f} responses/s are admitted"
+            why = f"responses are late: {planner.admitted_rate_limit:.0f} requests/s are admitted"
         admitted = dict(zip(self.published.classes, self.levels, strict=True))
         self.log.info("admission_changed", admitted_share=admitted, why=why)
 
--- a/damsonpick/controller/drive_loop.py
+++ b/damsonpick/controller/drive_loop.py
@@ -14,12 +14,14 @@
 from damsonpick.protocols.shared.session_manager import SessionManager
 from damsonpick.runtime.clock import Clock
 
-BATCH_WINDOW_S = 0.001  # wall time; the engine handles all events of this window in one step, such as a thousand joins
-MIN_WAIT_S = 0.001  # wall time
+# Pause after each step, in wall time. The next step handles all events that arrive meanwhile, such as a thousand joins.
+BATCH_WINDOW_S = 0.001
+# Shortest timeout of the wait for a notification, in wall time. It applies if a step or send is due sooner or overdue.
+MIN_WAIT_S = 0.001
 
 
 class Wakeup:
-    """A flag that any task can set and one loop waits for. Setting it twice before the loop checks it wakes it once."""
+    """A flag that any task can set and one loop waits for. If it is set several times, the loop wakes once."""
 
     def __init__(self) -> None:
         """Start with the flag cleared."""
@@ -34,7 +36,7 @@
         self._event = anyio.Event()
 
     async def wait(self) -> None:
-        """Wait until `notify` has been called after the last `clear`."""
+        """Wait until `notify` is called. Return at once if it was called since the last `clear`."""
         await self._event.wait()
 
 
@@ -47,10 +49,10 @@
 
 @dataclass(slots=True, eq=False)
 class DriveLoop:
-    """Steps the engine after every event and when a timer is due.
+    """Steps the engine after a notification, when its next step is due, and when waiting changes may be sent.
 
     Args:
-        engine: Makes the decisions and returns when it must run again.
+        engine: Makes the decisions. Its method `due` returns when it must run again.
         session_manager: Sends pending changes to sessions within the channel's budget.
         servers: Protocol servers, which are notified of the sessions that have data to write.
         clock: Clock of the pilot.
@@ -81,7 +83,7 @@
         """Run one step of the engine and send pending changes.
 
         Returns:
-            Time in ns until the channel's budget allows more sends, or None if no change is waiting.
+            Time in ns until more changes may be sent, or None if no change can be sent before an event occurs.
         """
         acknowledging_sessions = self.engine.step(now)
         dispatch = self.session_manager.dispatch(now)
@@ -93,7 +95,11 @@
         return dispatch.next_due
 
     def _max_wait_s(self, now: int, send_pause: int | None) -> float | None:
-        """Return wall seconds until the engine or the channel must run, or None to wait for a notification only."""
+        """Return the wall seconds until the next engine step or send is due, at least `MIN_WAIT_S`.
+
+        Returns:
+            The time, or None if only a notification may end the wait.
+        """
         waits_ns = []
         if send_pause is not None:
             waits_ns.append(send_pause)
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -32,7 +32,7 @@
 from damsonpick.state.published_tables import Change, PublishedTables
 from damsonpick.state.store.sqlite import Store
 
-MAX_PLANNERS_PER_SEED = 1000  # planners that get distinct random seeds from one seed of the settings
+MAX_PLANNERS_PER_SEED = 1000  # planner seeds for each seed in the settings: one for each number of failures in a row
 
 
 class Engine(DecisionLoop):
@@ -96,7 +96,7 @@
 
         Args:
             now: Current time in ns.
-            learned: Learned state of an earlier process, with its aging applied.
+            learned: Learned state of an earlier process, with its aging applied, or None if there is none.
             away: Time in ns since that process was last seen, or None if unknown.
         """
         now = self.clock.advance_to(now)
@@ -119,8 +119,8 @@
         """Start a planner and queue the current state as its first events.
 
         Args:
-            learned: Learned state of an earlier planner, with its aging applied.
-            replaces_planner: Whether a planner of this process is running. Always treated as true after a failure.
+            learned: Learned state of an earlier planner, with its aging applied, or None if there is none.
+            replaces_planner: Whether the new planner replaces a planner of this process. It does after any failure.
         """
         replaces_planner = replaces_planner or bool(self.failures)
         seed = self.settings.pilot.seed * MAX_PLANNERS_PER_SEED + self.failures
@@ -129,10 +129,11 @@
         self.begin_with(self.make_planner(self.settings.planner(), seed), events)
 
     def _drop_stale_events(self, replaces_planner: bool) -> None:
-        """Drop client events that are older than the new planner.
+        """Drop the queued client events that do not apply to the new planner.
 
-        Sync tokens of an earlier planner are meaningless to the new planner. If it replaces a planner of this process,
-        its first events already include the clients that joined earlier.
+        If the new planner replaces a planner of this process, its first events include the connected clients, so all
+        queued client events are dropped. Otherwise only acknowledgements are dropped, because the new planner did not
+        issue their sync tokens.
         """
         manager = self.session_manager
         if replaces_planner:
@@ -141,7 +142,7 @@
             manager.events = [event for event in manager.events if not isinstance(event, api.SyncAcknowledged)]
 
     def set_confidence_source(self, events: Callable[[], list[api.Event]]) -> None:
-        """Set the function whose events report the current confidence in endpoint list entries to a new planner."""
+        """Set the function that returns the confidence in endpoint list entries, as events for a new planner."""
         self.planner_start.confidence_events = events
 
     def learned_state(self) -> Snapshot | None:
@@ -153,7 +154,7 @@
     def capture_learned_state(self) -> None:
         """Capture the learned state of a planner that failed, if it can be read.
 
-        The learned state may have caused the failure, so a new planner receives it only after the first failure.
+        The learned state may have caused the failure, so it is captured only after the first of consecutive failures.
         """
         self.captured_state = None
         try:
@@ -169,7 +170,7 @@
         self.list_changed |= any(isinstance(event, api.EndpointListChanged) for event in events)
 
     def relocate(self, now: int, endpoints: Iterable[str]) -> list[Session]:
-        """Publish again the tables that contain endpoints whose zone has changed.
+        """Publish again the tables that contain endpoints whose zone is new or has changed.
 
         Returns:
             Sessions that may acknowledge sync tokens now.
@@ -179,7 +180,7 @@
         return self._publish(now, change, "list", "endpoints that moved") if change.entries else []
 
     def renew(self, now: int) -> None:
-        """Renew the leases and notify the planner of slices that were lost to or taken over from another controller."""
+        """Renew the leases and notify the planner of slices that this controller has lost or acquired."""
         claimed = self.ownership.claim(self.clock.advance_to(now))
         for number in sorted(self.owned - claimed):
             self.enqueue(api.SliceOwnershipChanged(number, False))
@@ -273,13 +274,13 @@
     # -- pin and rollback
 
     def roll_back(self, now: int, request: RollbackRequest) -> dict[str, Any]:
-        """Restore the tables of a kept version as far as is safe, and pin them.
+        """Restore the tables of a version in the history, as far as is safe, and pin them.
 
         Returns:
             The changes made, or planned in a dry run, in the reply format of `damsonpick versions rollback`.
 
         Raises:
-            ValueError: The version is not kept, or another operator changed the pin in the meantime.
+            ValueError: The history does not contain the version, or the pin was changed in the meantime.
         """
         now = self.clock.advance_to(now)
         plan = self.pin.plan_rollback(request, self.owned, self.is_unroutable, self.is_warming_up)
--- a/damsonpick/controller/explain.py
+++ b/damsonpick/controller/explain.py
@@ -38,7 +38,7 @@
     endpoint = planner.endpoints[name]
     if planner.is_unroutable(name):
         yield f"unroutable: the endpoint list says {endpoint.state}"
-    elif name in published.withdrawn:  # the change number is 0 if the withdrawal precedes this start
+    elif name in published.withdrawn:  # the value may be 0: the change number of a withdrawal before this start
         yield "withdrawn: not all tables have dropped it yet"
     warm_up_share = planner.warm_up_share(endpoint)
     if warm_up_share < 1:
@@ -56,4 +56,4 @@
         return "not in the endpoint list"
     if planner.is_unroutable(name):
         return f"the endpoint list says {endpoint.state}"
-    return "listed as in service, and no table holds an entry from before"
+    return "listed as in service, and no published table has an outdated entry for it"
--- a/damsonpick/controller/lease_task.py
+++ b/damsonpick/controller/lease_task.py
@@ -21,7 +21,7 @@
     Args:
         engine: Owns the leases.
         clock: Clock of the pilot.
-        notify: Wakes the drive loop after a renewal, because slices may have been gained or lost.
+        notify: Wakes the drive loop after each attempt, because slices may have been gained or lost.
         log: Logger for failed renewals.
     """
 
@@ -31,7 +31,10 @@
     log: FilteringBoundLogger
 
     async def run(self) -> None:
-        """Renew until cancelled. A failed renewal is logged and retried: a lease lasts for several renewal periods."""
+        """Renew until cancelled.
+
+        A failed renewal is logged and repeated in the next period, because a lease lasts for several periods.
+        """
         while True:
             await anyio.sleep(self.clock.seconds(RENEWAL_PERIOD_NS))
             try:
--- a/damsonpick/controller/list_queries.py
+++ b/damsonpick/controller/list_queries.py
@@ -1,4 +1,7 @@
-"""Answers `damsonpick list`: the active source, the confidence in each endpoint, and the endpoints held in the list."""
+"""Answers `damsonpick list`: the list sources, the confidence in each endpoint, and the held endpoints.
+
+An endpoint is held while it stays in use although the newest list omits it.
+"""
 
 from __future__ import annotations
 
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -18,7 +18,7 @@
 from damsonpick.state.load_reports import LoadReports
 from damsonpick.state.store.sqlite import ListedAt, Store
 
-MAX_LOGGED_ENDPOINTS = 20  # per log entry about changes of confidence
+MAX_LOGGED_ENDPOINTS = 20  # endpoints that one log entry about changes of confidence names
 
 
 @dataclass(slots=True, eq=False)
@@ -30,8 +30,8 @@
         endpoint_list: The list as the engine has received it.
         confidence: Confidence in each entry.
         engine: Receives list events.
-        load_reports: Accepts load reports on every endpoint that was ever listed.
-        store: Keeps the list across restarts.
+        load_reports: Accepts load reports on the endpoints of the stored list and of every list since the start.
+        store: Stores the list, so that it survives a restart.
         on_change: Called after a change has been queued for the engine.
         notify: Wakes the drive loop.
         log: Logger for invalid lists and changes of the list.
@@ -72,7 +72,7 @@
         self.engine.enqueue(self.endpoint_list.failed())
 
     def accept(self) -> list[str]:
-        """Apply an operator's confirmation that missing endpoints are gone. Returns the endpoints held until now."""
+        """Apply an operator's confirmation that the held endpoints, which the list omits, are gone. Return them."""
         held = sorted(self.endpoint_list.held)
         validation = self.endpoint_list.accept(self.clock.now(), lambda name: False)
         if validation is not None:
@@ -81,7 +81,7 @@
         return held
 
     def recheck(self) -> None:
-        """Apply changes due to elapsed time: the end of holds on missing endpoints and changes of confidence."""
+        """Apply changes that need no new list: remove endpoints that need not be held any more, update confidences."""
         now = self.clock.now()
         validation = self.endpoint_list.recheck(now, lambda name: self.confidence.is_lost(now, name))
         if validation is not None:
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -18,7 +18,7 @@
 from damsonpick.settings.model import ListSource, PilotSettings
 from damsonpick.state.endpoint_list.sources import ListError, Sources
 
-RECHECK_PERIOD_NS = 250_000_000  # between checks for changes that depend only on elapsed time
+RECHECK_PERIOD_NS = 250_000_000  # time between checks for changes that need no new list
 FIRST_SOURCE = "list"  # source that the settings section [list] configures
 SASP_SOURCE = "sasp members"  # lowest-ranked source: members that trusted members and balancers report over SASP
 
@@ -109,7 +109,7 @@
         now = self.clock.now()
         if not isinstance(result, ListError) and not result and self.updater.endpoint_list.entries:
             result = ListError(
-                f"{name}: the list is empty; the source counts as failed and the kept list stays in force"
+                f"{name}: the list is empty; the source counts as failed and the previous list stays in use"
             )
             self.log.warning("list_validation_failed", reason=str(result))
         if isinstance(result, ListError):
@@ -129,7 +129,7 @@
             self.updater.list_unavailable()
 
     def _merge(self, now: int) -> None:
-        """Merge the lists of the sources and apply the result if it differs from the list that was applied last."""
+        """Merge the lists of the sources. Apply the result unless it and the active source are unchanged."""
         merged = self.sources.merged(now)
         for disagreement in merged.disputes:
             if disagreement not in self.disagreements:
--- a/damsonpick/controller/load_report_task.py
+++ b/damsonpick/controller/load_report_task.py
@@ -13,19 +13,19 @@
 from damsonpick.state.learned.list_confidence import ListConfidence
 from damsonpick.state.load_reports import ClientReport, LoadReports
 
-MAX_LOGGED_PROBLEMS = 3  # per load report
+MAX_LOGGED_PROBLEMS = 3  # problems of one load report that are logged
 
 
 @dataclass(slots=True, eq=False)
 class LoadReportTask:
-    """Collects load reports and flushes them periodically.
+    """Sums load reports and passes the sums to the engine periodically.
 
     Args:
         load_reports: Validates and sums the load reports of gateways.
         confidence: Uses the same sums to determine which listed endpoints respond.
         engine: Receives the sums as events.
         clock: Clock of the pilot.
-        period: Time between two flushes in ns.
+        period: Report period in ns, the time after which the sums are passed on.
         notify: Wakes the drive loop.
         log: Logger for invalid load reports, with the gateway and the reason.
     """
@@ -47,7 +47,7 @@
             self.log.info("load_report_invalid", gateway=report.client, reason=problem)
 
     async def run(self) -> None:
-        """Flush once per period until cancelled."""
+        """Pass the sums to the engine once per period until cancelled."""
         while True:
             await anyio.sleep(self.clock.seconds(self.period))
             self._flush()
--- a/damsonpick/controller/planner_start.py
+++ b/damsonpick/controller/planner_start.py
@@ -1,8 +1,9 @@
 """Builds the first events of a new planner from the state at its start. Performs no I/O.
 
-A planner starts empty: after a restart of the process, after an exception, when a pin begins or ends, and when an
-operator discards the learned state. In each case it first receives the endpoint list, the tables of the owned slices
-and the learned state of an earlier planner, if there is any.
+A new planner starts without state. It is created when the process starts, after an exception, when a pin begins or
+ends, and when an operator discards the learned state. Its first events contain the endpoint list, the tables of the
+owned slices, the persistent orders, the confidence in list entries and, if there is any, the learned state of an
+earlier planner. If it replaces a planner of this process, they also contain the connected clients.
 """
 
 from __future__ import annotations
@@ -43,21 +44,21 @@
         removed_entries: Mapping[int, Mapping[str, float]],
         log: FilteringBoundLogger,
     ) -> None:
-        """Store the components. They are read only when a planner starts."""
+        """Store the components. `events` reads them when a planner starts."""
         self.endpoint_list = endpoint_list
         self.published = published
         self.session_manager = session_manager
         self.ownership = ownership
         self.removed_entries = removed_entries
         self.log = log
-        self.confidence_events: Callable[[], list[api.Event]] = list  # returns the latest confidence in list entries
+        self.confidence_events: Callable[[], list[api.Event]] = list  # confidence in list entries
 
     def events(self, learned: Snapshot | None, replaces_planner: bool) -> list[api.Event]:
         """Return the events in the order in which the planner must receive them.
 
         Args:
             learned: Learned state of an earlier planner, with its aging applied, or None if there is none.
-            replaces_planner: Whether an earlier planner of this process was running, so that clients have joined.
+            replaces_planner: Whether the planner replaces a planner of this process, so that clients may have joined.
         """
         events = [
             *self._list_events(),
@@ -65,7 +66,7 @@
             *self._learned_events(learned),
             *self.confidence_events(),
         ]
-        if replaces_planner:  # clients may have withdrawals of the replaced planner
+        if replaces_planner:  # clients may have received withdrawals of the replaced planner
             events += self._client_events()
         return events
 
@@ -79,7 +80,8 @@
     def _table_events(self) -> list[api.Event]:
         """Return the owned slices and their entries.
 
-        Entries that a rollback removed are included: if their endpoint drains now, it must be withdrawn.
+        Entries that a rollback removed are included, because clients may still have them: if their endpoint drains now,
+        it must be withdrawn.
         """
         events: list[api.Event] = []
         for number in sorted(self.ownership.owned):
@@ -89,7 +91,7 @@
         return events
 
     def _learned_events(self, learned: Snapshot | None) -> list[api.Event]:
-        """Return the learned state of an earlier planner and those of its orders that still apply."""
+        """Return the learned state of an earlier planner, if any, and the published withdrawals and fleet levels."""
         events = self._snapshot_events(learned) if learned is not None else []
         classes = range(len(self.published.classes))
         levels = tuple(self.published.level(None, class_index) for class_index in classes)
--- a/damsonpick/controller/queries.py
+++ b/damsonpick/controller/queries.py
@@ -27,7 +27,7 @@
 from damsonpick.state.published_tables import PublishedTables
 
 QueryHandler = Callable[[ControlRequest], Reply]
-MAX_SHOWN_KIND = 60  # characters
+MAX_SHOWN_KIND = 60  # characters of an unknown query that the error reply shows
 
 
 class UnknownSliceError(InvalidRequestError):
--- a/damsonpick/controller/snapshot_task.py
+++ b/damsonpick/controller/snapshot_task.py
@@ -33,12 +33,12 @@
 
 
 class WriteReport(NamedTuple):
-    """Result of the last snapshot write."""
+    """Result of the last successful snapshot write, and the error of a write that failed after it."""
 
     sequence: int
     bytes: int
     stall_ms: float  # longest time for which the capture blocked the event loop
-    error: str  # empty if the write succeeded
+    error: str  # empty if the last write succeeded
 
 
 NOTHING_WRITTEN = WriteReport(0, 0, 0.0, "")
@@ -52,7 +52,7 @@
         settings: Settings of the pilot.
         clock: Clock of the pilot.
         engine: Runs the planner whose state is captured.
-        list_confirmed_at: Returns the clock time when a source last confirmed the endpoint list, or 0 if none does.
+        list_confirmed_at: Returns the current clock time while the active source confirms the endpoint list, or 0.
         last_success_at: Returns the clock time of the last successful response of each endpoint.
         log: Logger for rejected files and failed writes.
     """
@@ -64,7 +64,8 @@
     last_success_at: Callable[[], Mapping[str, int]]
     log: FilteringBoundLogger
     disk: generations.Disk = field(default_factory=OsDisk, init=False)
-    loaded: generations.LoadedSnapshot = field(default=generations.NOTHING_LOADED, init=False)  # files in the folder
+    # Snapshot files in the folder, as of the last load, write or removal.
+    loaded: generations.LoadedSnapshot = field(default=generations.NOTHING_LOADED, init=False)
     sequence: int = field(default=0, init=False)  # sequence number of the newest snapshot
     failing: bool = field(default=False, init=False)  # whether the last write failed
     last_write: WriteReport = field(default=NOTHING_WRITTEN, init=False)
@@ -75,7 +76,7 @@
         return self.settings.learned_path()
 
     def read(self) -> LearnedState:
-        """Return the newest snapshot with the decay for its age applied."""
+        """Return the newest snapshot with the decay for its age applied, or `NOTHING_LEARNED` if none is usable."""
         self.loaded = generations.load(self.disk, self.folder)
         for problem in self.loaded.problems:
             self.log.error(
@@ -116,7 +117,10 @@
         self.log.error("snapshot_failed", error=repr(error), remedy="send this to the maintainers")
 
     async def write(self) -> None:
-        """Write one snapshot. Of consecutive failed writes only the first is logged; each call tries again."""
+        """Write one snapshot, unless no planner runs or the folder contains a file of a newer program version.
+
+        Each call tries to write. Of consecutive failed writes only the first is logged.
+        """
         planner = self.engine.planner
         if planner is None or self.loaded.newer_format:
             return
@@ -160,7 +164,8 @@
             self.log.error(
                 "snapshot_not_written",
                 error=str(error),
-                remedy="check free space and permissions of the state folder; the pilot runs on without snapshots",
+                remedy="check free space and permissions of the state folder; "
+                "the last snapshot stays, and the write is repeated each period",
             )
         self.failing = True
         self.last_write = self.last_write._replace(error=str(error))
--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -39,7 +39,8 @@
         clock: Clock of the pilot.
         notify: Wakes the drive loop.
         log: Logger for the results and failures of solves.
-        solve: Function that computes complete tables in the worker. Tests pass slow or failing functions.
+        solve: Function that computes the tables of a deployment without slices. It runs in the worker process. Tests
+            pass slow or failing functions.
     """
 
     advisor: Advisor
@@ -48,13 +49,14 @@
     notify: Callable[[], None]
     log: FilteringBoundLogger
     solve: Callable
-    planner: Planner | None = field(default=None, init=False)  # the planner that has received all advice
+    planner: Planner | None = field(default=None, init=False)  # the planner to which all previous advice was sent
     worker: SolverWorker = field(default_factory=SolverWorker, init=False)
 
     def send_immediate_advice(self) -> None:
         """Send advice that needs no solve.
 
-        This covers tables before the first plan, repaired tables, and all previous advice for a restarted planner.
+        This covers tables before the first plan, tables after servers were added or removed, and all previous advice
+        for a planner that has not received it.
         """
         planner = self.engine.planner
         if planner is None:
@@ -65,7 +67,7 @@
         self._send(self.advisor.initial_tables(planner) or self.advisor.repaired_tables(planner))
 
     async def run(self) -> None:
-        """Solve whenever a solve is due, until cancelled."""
+        """Send advice that needs no solve, and solve when a solve is due. Repeat periodically until cancelled."""
         try:
             while True:
                 await anyio.sleep(self.clock.seconds(DUE_CHECK_PERIOD_NS))
--- a/damsonpick/controller/solver_worker.py
+++ b/damsonpick/controller/solver_worker.py
@@ -1,4 +1,4 @@
-"""A worker process for solves. The event loop never blocks on a solve, and a solve that takes too long is killed.
+"""A worker process for solves. The event loop never blocks on a solve. If a solve takes too long, the worker is killed.
 
 `python -m damsonpick.controller.solver_worker` reads requests from standard input and writes replies to standard
 output, each as a length and a pickle. Output of the solver library is redirected to standard error, so that the pipe
@@ -37,16 +37,20 @@
 
 
 class SolverWorker:
-    """Manages one worker process, which starts at the first call and restarts at the next call after a failed call."""
+    """Manages one worker process, which starts at the first call.
+
+    A call that ends without a reply stops the process, and the next call starts a new one. An exception of the task is
+    a reply, after which the process continues.
+    """
 
     def __init__(self) -> None:
-        """Start no process; the first call does."""
+        """Create the manager. The first call starts the process."""
         self.process: anyio.abc.Process | None = None
         self.replies: BufferedByteReceiveStream | None = None
 
     @property
     def is_running(self) -> bool:
-        """Return whether the worker process has been started."""
+        """Return whether the worker process was started and has not been stopped since."""
         return self.process is not None
 
     async def call(self, task: Callable, *arguments: Any, timeout_s: float) -> Any:
--- a/damsonpick/controller/table_persistence.py
+++ b/damsonpick/controller/table_persistence.py
@@ -1,4 +1,7 @@
-"""Writes published tables and persistent actions to the store before they are sent to clients."""
+"""Writes published tables and persistent actions to the store before they are sent to clients.
+
+The persistent actions are the withdrawals, admission levels and retry modes.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +47,7 @@
         self.published = published
         self.log = log
         self.unsaved: set[int] = set()  # slices whose current tables are not in the store yet
-        # Whether the last write failed, so that tables, or only withdrawals and levels, remain to be written.
+        # Whether the last write failed, so that tables or persistent actions, or both, remain to be written.
         self.failing = False
         self.retry_at = 0  # time of the next attempt in ns; valid only while `failing`
         self.stored_actions: dict[str, float] = {}  # persistent actions in the store
--- a/damsonpick/controller/table_pin.py
+++ b/damsonpick/controller/table_pin.py
@@ -78,9 +78,10 @@
         """Assume that no pin is applied."""
         self.recorder = recorder
         self.published = published
-        self.applied = False  # whether the running planner was started while the tables were pinned
-        self.withheld_orders = 0  # number of orders in the last step that the pin withheld
-        self.removed_entries: dict[int, dict[str, float]] = {}  # by slice; clients may still have them
+        self.applied = False  # whether `filter` withholds orders; the engine updates it when a pin begins or ends
+        self.withheld_orders = 0  # number of orders that the pin withheld when it last filtered orders
+        # Weights of the entries that rollbacks removed, by slice and endpoint. Clients may still have these entries.
+        self.removed_entries: dict[int, dict[str, float]] = {}
 
     def holds(self, now: int) -> bool:
         """Return whether the tables are pinned at this time."""
@@ -108,10 +109,10 @@
         is_unroutable: Callable[[str], bool],
         is_warming_up: Callable[[str], bool],
     ) -> VersionRollback:
-        """Compute the orders that restore the owned tables to a kept version, as far as is safe.
+        """Compute the orders that restore the owned tables to a version in the history, as far as is safe.
 
         Raises:
-            ValueError: The version is not kept, or another operator changed the pin in the meantime.
+            ValueError: The history does not contain the version, or the pin was changed in the meantime.
         """
         recorder = self.recorder
         recorder.pin.check_generation(request.expected_generation)
--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -147,11 +147,14 @@
         return self._state(now)
 
     def _pin_end(self, now: int, duration_ns: int | None) -> int:
-        """Return the end of a requested pin in ns. `duration_ns` None selects the duration in the settings."""
+        """Return the end of a requested pin in ns. If `duration_ns` is None, the duration in the settings applies."""
         return now + (self.settings.versions.pin_time if duration_ns is None else duration_ns)
 
     def _delay_by_zone(self, first_zones: Sequence[str], hold_ns: int) -> dict[str, int]:
-        """Return the delay in ns for the clients of each zone: `first_zones` in their order, then all other zones.
+        """Return the delay in ns for the clients of each zone, or an empty dict if `first_zones` is empty.
+
+        The delays are successive multiples of `hold_ns`, from 0, for `first_zones` in their order and then for the
+        other zones in the order of the settings.
 
         Raises:
             UnknownZoneError: A zone in `first_zones` does not exist.
