--- a/damsonpick/proxy/admission.py
+++ b/damsonpick/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Decides which requests of a class are admitted when its admission level is below 1. Sans I/O.
+"""Decides which requests of a class are admitted at its admission level. Sans I/O.
 
 The decision is a hash of client and class, not a random draw. A rejected client that repeats its request at once is
 rejected again. Repeating a request therefore gains nothing, and the admitted requests belong to clients that can finish
@@ -11,7 +11,7 @@
 
 from damsonpick.time_units import NS_PER_SECOND
 
-DECISION_PERIOD_NS = 10_000_000_000  # how long the decision for a client stays the same
+DECISION_PERIOD_NS = 10_000_000_000  # time for which a client gets the same decision while the level is unchanged
 HASH_RANGE = 1 << 64
 
 
--- a/damsonpick/proxy/ads_client.py
+++ b/damsonpick/proxy/ads_client.py
@@ -41,7 +41,7 @@
 
 
 class AdsClient:
-    """Builds the requests for the start of a stream and for the acknowledgement of each response.
+    """Builds the subscriptions and acknowledgements that the client sends on one stream, and parses the responses.
 
     Attributes:
         node: Identifies the client to the control service.
@@ -133,7 +133,10 @@
 
 
 def _sotw_resource(type_url: str, body: bytes) -> ReceivedResource:
-    """Build a resource of the state-of-the-world variant, which sends neither its name nor its version."""
+    """Build a resource of the state-of-the-world variant, which does not send names and versions of resources.
+
+    The name is read from the body, and the hash of the body serves as the version.
+    """
     if type_url == CDS:
         name = cluster_pb2.Cluster.FromString(body).name
     elif type_url == RDS:
--- a/damsonpick/proxy/client.py
+++ b/damsonpick/proxy/client.py
@@ -14,7 +14,7 @@
 
 
 class ClientTimeouts(NamedTuple):
-    """Timeouts in seconds of the machine's own clock.
+    """Timeouts in wall seconds.
 
     Attributes:
         head: Time to receive the rest of a partly received request head.
@@ -43,20 +43,20 @@
         self.timeouts = timeouts
         self.reader = http.Reader(True, limits.head)
         self.address = stream.peer()
-        self.request_complete = True  # the current request was read to its end
-        self.response_started = False  # a part of the response was sent
-        self.size = 0  # bytes of the body that were read
-        self._events: list[http.Head | http.Body | http.End] = []  # parsed, not yet consumed
+        self.request_complete = True  # whether the current request was read to its end
+        self.response_started = False  # whether a part of the response was sent
+        self.size = 0  # number of body bytes that were read
+        self._events: list[http.Head | http.Body | http.End] = []  # parsed events that are not consumed yet
         self._replay_parts: list[http.Body | http.End] = []  # parts of the body that are stored for a retry
         self._replay_position = 0  # index of the next stored part to read
-        self._replay_complete = True  # no part of the body so far was discarded
+        self._replay_complete = True  # whether every part of the body that was read is stored
 
     def pending(self) -> bool:
         """Return whether data of another request was received."""
         return bool(self._events or self.reader.partial_head or self.stream.data)
 
     def disconnected(self) -> bool:
-        """Return whether the client closed the connection and all its data was read."""
+        """Return whether the client closed the connection or it was lost, and all received data was read."""
         return (self.stream.eof or self.stream.lost) and not self.stream.data
 
     async def _read_events(self, timeout_s: float) -> bool:
@@ -73,10 +73,13 @@
         return True
 
     async def head(self) -> http.Head | None:
-        """Return the head of the next request, or None if the client closed the connection in order.
+        """Return the head of the next request, or None if the client closed the connection before a complete head.
+
+        The unread rest of the previous request is read and discarded first.
 
         Raises:
-            HttpProtocolError: The received data is not a valid request.
+            HttpProtocolError: The received data is not a valid request, or the rest of the previous body is malformed,
+                too large or stalled.
             ClientDisconnectedError: The connection is lost.
             TimeoutError: No request was received, or its head was not complete in time.
         """
@@ -100,7 +103,7 @@
 
         Raises:
             HttpProtocolError: The body is malformed, too large or stalled.
-            ClientDisconnectedError: The connection is lost.
+            ClientDisconnectedError: The connection is lost, or the client closed it before the end of the body.
         """
         if self._replay_position < len(self._replay_parts):
             self._replay_position += 1
--- a/damsonpick/proxy/load_balancer.py
+++ b/damsonpick/proxy/load_balancer.py
@@ -2,8 +2,8 @@
 
 There are three policies: power of two choices (M. Mitzenmacher, "The power of two choices in randomized load
 balancing", 2001), weighted random, and smooth weighted round robin. A server that fails several requests of this proxy
-in a row is ejected for a random time of 2 to 6 s, or until a request to it succeeds. If all remaining candidates are
-ejected, the policy picks among them nevertheless.
+in a row is ejected for a random time of 2 to 6 s, or until a request succeeds that was sent to it after the ejection.
+If all remaining candidates are ejected, the policy picks among them nevertheless.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 
 from damsonpick.time_units import NS_PER_SECOND
 
-MIN_EJECTION_S, MAX_EJECTION_S = 2.0, 6.0  # random, so that proxies do not use a server again all at the same time
-CONSECUTIVE_FAILURES = 5  # failures that eject a server, unless the control service publishes another number
+# Bounds of the random duration of an ejection. It is random so that proxies do not all use the server again at once.
+MIN_EJECTION_S, MAX_EJECTION_S = 2.0, 6.0
+CONSECUTIVE_FAILURES = 5  # failures in a row that eject a server, until the control service publishes a number
 DRAWS_BEFORE_EXACT = 4  # draws from the complete table before the weights of the candidates are summed up
 
 
@@ -87,8 +88,8 @@
         self.rng = rng
         self.policy = policy
         self.ejection_failures = ejection_failures
-        self.active_requests: dict[str, int] = {}  # requests of this proxy by server
-        self.consecutive_failures: dict[str, int] = {}  # failures in a row by server
+        self.active_requests: dict[str, int] = {}  # number of this proxy's active requests, by server
+        self.consecutive_failures: dict[str, int] = {}  # number of failures in a row, by server
         self.ejected_until: dict[str, int] = {}  # end of the ejection in ns, by server
         self._ejected_at: dict[str, int] = {}  # time of the last ejection in ns, by server
 
@@ -159,10 +160,10 @@
         Args:
             now: Time in ns.
             server: Server that the request was sent to.
-            succeeded: False if the request failed through the server's fault.
-            started: Time in ns at which the request was sent. None means just now. If the request was sent before the
-                server was ejected, its success says nothing about the server's present state, and the server stays
-                ejected.
+            succeeded: False if the request failed and the server is at fault, otherwise True.
+            started: Time in ns at which the request was sent, or None if it was sent just now. If the request was sent
+                before the server was ejected, its success says nothing about the server's present state, and the server
+                stays ejected.
         """
         remaining = self.active_requests.get(server, 1) - 1
         if remaining > 0:
--- a/damsonpick/proxy/messages.py
+++ b/damsonpick/proxy/messages.py
@@ -32,7 +32,7 @@
 HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 WELL_FORMED_HEAD = re.compile(rb"[^\r\n\0]+\r\n(?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[^\r\n\0]*\r\n)*\r\n")
 BARE_LINE_END_TEXT = "a bare CR or LF stands in the head; end lines with CR LF"
-MAX_LENGTH_DIGITS = 18  # digits of a content-length value
+MAX_LENGTH_DIGITS = 18  # most digits that are accepted in a content-length value
 METHODS_WITHOUT_BODY = (b"GET", b"HEAD", b"OPTIONS")
 REASON_PHRASES = {
     200: b"OK",
@@ -83,7 +83,7 @@
     by_name: dict[bytes, bytes]
 
     def get(self, name: bytes, default: bytes = b"") -> bytes:
-        """Return the last value of a header."""
+        """Return the last value of the header with a lower-case name, or `default` if there is none."""
         return self.by_name.get(name, default)
 
 
@@ -103,7 +103,7 @@
     """Turns bytes into Head, Body and End events. Each direction of a connection has its own reader."""
 
     def __init__(self, requests: bool, max_head_bytes: int = 16_384) -> None:
-        """Create a reader that expects_continue the start of a message.
+        """Create a reader that expects the start of a message.
 
         Args:
             requests: Whether to read requests. Otherwise the reader reads responses.
@@ -113,11 +113,11 @@
         self.parser = httptools.HttpRequestParser(self) if requests else httptools.HttpResponseParser(self)
         self.events: list[Head | Body | End] = []
         self.partial_head = bytearray()  # received bytes of an incomplete head
-        self.in_body = False  # the head of the current message is parsed, its end is not reached
-        self.body_left: int | None = None  # unread bytes of a body with a content-length
+        self.in_body = False  # whether the head of the current message is complete and its end is not parsed yet
+        self.body_left: int | None = None  # unparsed bytes of a body with a known length; None for any other body
         self.chunked = False
-        self.chunk_tail = b""  # last bytes of the chunked body received so far
-        self.bodiless = False  # set for the response to a HEAD request
+        self.chunk_tail = b""  # up to three last received bytes of a chunked body
+        self.bodiless = False  # whether the next response answers a HEAD request and therefore has no body
         self._reset_fields()
 
     def _reset_fields(self) -> None:
@@ -172,11 +172,11 @@
         """Parse body bytes up to the end of the message and return the bytes after it.
 
         The parser may not read past the end of the message, because the next head must be checked first. A chunked
-        message ends with an empty line, so its bytes are passed to the parser in pieces that end with an empty line.
+        message ends with an empty line, so its bytes are split after each empty line and parsed in pieces.
         """
         if self.body_left is not None:
             if not self.body_left and self.bodiless:
-                return b""  # the connection is not used again
+                return b""  # the data is dropped, because the connection is not used again
             if not self.body_left:  # the parser expects a body that the protocol does not allow here
                 raise HttpProtocolError("a body where there can be none")
             part, rest = data[: self.body_left], data[self.body_left :]
@@ -222,7 +222,11 @@
         return rest
 
     def _parse_head(self, head: bytes) -> None:
-        """Parse a complete head. If a regular expression does not recognize it as well formed, check each line."""
+        """Parse a complete head.
+
+        Its lines are checked first if `WELL_FORMED_HEAD` does not match it, if there may be several content-length
+        headers, or if there may be a transfer-encoding header.
+        """
         lower_head = head.lower()
         lengths = lower_head.count(b"\ncontent-length")
         if not WELL_FORMED_HEAD.fullmatch(head) or lengths > 1 or b"\ntransfer-encoding" in lower_head:
@@ -296,6 +300,7 @@
     """Return the head of a request as the proxy sends it to a server.
 
     The proxy sends HTTP/1.1, which requires a host header. An HTTP/1.0 request without one gets an empty value.
+    The headers `more` are added, and the first of them replaces the client's headers of the same name.
     """
     headers = forwardable_headers(head, more[0][0] if more else b"")
     headers += more
@@ -363,10 +368,11 @@
 
 
 def _check_framing(lengths: list[bytes], codings: list[bytes]) -> None:
-    """Check that content-length and transfer-encoding headers state the length of a body once.
+    """Check that content-length and transfer-encoding headers state the length of a body at most once.
 
     Raises:
-        HttpProtocolError: The length is stated twice or is not a number, or the transfer coding is not `chunked` alone.
+        HttpProtocolError: The length is stated more than once, a content-length is not a number of at most
+            `MAX_LENGTH_DIGITS` digits, or the transfer coding is not `chunked` alone.
     """
     if len(lengths) > 1 or (lengths and codings):
         raise HttpProtocolError("the length of the body is stated twice; state it once")
--- a/damsonpick/proxy/pool.py
+++ b/damsonpick/proxy/pool.py
@@ -25,19 +25,19 @@
 
 
 class ServerConnections(Generic[Connection, Waiter]):
-    """Connections and queue of one server. `open` counts the connections that are in use or being opened."""
+    """Connections and queue of one server. `open` is the number of connections that are in use or being opened."""
 
     def __init__(self, tokens: float) -> None:
         """Create the record of a server that has no connections.
 
         Args:
-            tokens: Connections that may be opened at once.
+            tokens: Initial balance of the token bucket, in connections.
         """
         self.idle: deque[tuple[int, Connection]] = deque()  # time of release in ns and connection; newest last
         self.open = 0
         self.waiting: deque[Waiter] = deque()
         self.tokens = tokens
-        self.refilled_at = 0  # time in ns, 0 before the first refill
+        self.refilled_at = 0  # time of the last refill in ns, 0 before the first
 
 
 class ConnectionPool(Generic[Connection, Waiter]):
@@ -102,7 +102,10 @@
         server.refilled_at = now
 
     def evict_idle(self, name: str) -> Connection | None:
-        """Remove the oldest idle connection if the limit leaves no room for a new one. The caller closes it."""
+        """Remove and return the oldest idle connection if the limit leaves no room for a new one, otherwise None.
+
+        The caller closes the returned connection.
+        """
         server = self._server(name)
         if server.idle and server.open + len(server.idle) >= self.per_server:
             return server.idle.popleft()[1]
@@ -140,7 +143,7 @@
         return server.waiting.popleft() if server.waiting else None
 
     def pop_expired(self, now: int) -> list[Connection]:
-        """Remove the connections that exceeded the idle time. The caller closes them.
+        """Remove and return the connections that exceeded the idle time. The caller closes them.
 
         Servers without connections and waiters are removed as well.
         """
@@ -153,7 +156,7 @@
         return expired
 
     def pop_idle(self, name: str) -> list[Connection]:
-        """Remove all idle connections of a withdrawn server. The caller closes them. Connections in use stay open."""
+        """Remove and return all idle connections of a server. The caller closes them. Connections in use stay open."""
         server = self._servers.get(name)
         if server is None:
             return []
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -27,9 +27,10 @@
 from damsonpick.runtime.supervision import keep_running
 
 LISTEN_BACKLOG = 1024
-SAVE_DELAY_S = 1.0  # delay after a change; further changes during the delay are saved with it
+SAVE_DELAY_S = 1.0  # time from a change of the tables to saving it; changes during this time are saved with it
 DRAIN_CHECK_PERIOD_S = 0.02
-FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0  # delays between connections to the control service
+# Upper bounds of the first delay and of every delay between connections to the control service.
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0
 
 
 class Proxy:
@@ -163,10 +164,12 @@
         try:
             table_cache.save(path, self.resources)
         except OSError as error:
-            self.log.error("tables_not_kept", error=str(error), remedy="free space or rights on the state folder")
+            self.log.error(
+                "tables_not_kept", error=str(error), remedy="check free space and permissions of the state folder"
+            )
 
     async def drain(self) -> None:
-        """Stop accepting connections and requests. Requests in flight may finish within the drain time."""
+        """Stop accepting connections, and wait up to the drain time for the requests received so far."""
         self.requests.drain()
         with anyio.move_on_after(self.clock.seconds(self.settings.limits.drain_time)):
             while self.requests.clients:
--- a/damsonpick/proxy/received_state.py
+++ b/damsonpick/proxy/received_state.py
@@ -60,7 +60,7 @@
         removed: Sequence[str],
         statement: RootStatement | None = None,
     ) -> list[str]:
-        """Apply a response completely or not at all.
+        """Apply a response. Nothing of a rejected response is applied.
 
         Args:
             type_url: Type of all resources in the response.
@@ -73,6 +73,7 @@
 
         Raises:
             ResponseRejectedError: A resource or the stated root is wrong. Nothing of the response is applied.
+            DecodeError: The body of a resource cannot be parsed. The resources before it are already applied.
         """
         for resource in resources:
             if resource.name in self.rejected_names:
--- a/damsonpick/proxy/request_handler.py
+++ b/damsonpick/proxy/request_handler.py
@@ -1,4 +1,4 @@
-"""Serves clients and their requests. The router makes all decisions. The connection pool enforces all bounds.
+"""Serves clients and their requests. The router makes all decisions. The pool bounds the connections to servers.
 
 One task serves each client connection and runs the attempts of its requests. A client that reads slowly or disconnects
 therefore delays no other client, and a body is forwarded only as fast as the receiver reads it.
@@ -26,7 +26,7 @@
 
 NO_SERVER, DEADLINE_PASSED = "no server", "the deadline passed"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-MAX_DEADLINE_DIGITS = 11  # digits of an x-request-timeout-ms value
+MAX_DEADLINE_DIGITS = 11  # most digits of an x-request-timeout-ms value; a longer value is ignored
 
 
 def record_nothing(event: str, **details: Any) -> None:
@@ -70,7 +70,7 @@
         self.idle_streams: set[Stream] = set()  # streams of clients that have no request in flight
         self.draining = False
         self.recording = record is not record_nothing
-        self.stall: Callable[[], float] | None = None  # seconds by which a test scenario delays each request
+        self.stall: Callable[[], float] | None = None  # returns the seconds by which a test scenario delays a request
 
     # -- tables and reports
 
@@ -102,7 +102,7 @@
     # -- a client's connection
 
     async def serve(self, stream: Stream) -> None:
-        """Serve all requests of one client connection."""
+        """Serve all requests of one client connection. Abort it above the limit and while draining."""
         if self.clients >= self.limits.connections or self.draining:
             stream.abort()
             return
@@ -139,7 +139,7 @@
     async def _next_head(self, client: Client) -> http.Head | None:
         """Return the head of the next request, or None if there is none.
 
-        An invalid or incomplete head is answered with an error response before None is returned.
+        A head that is invalid, or still incomplete at the timeout, is answered with an error response first.
         """
         self.idle_streams.add(client.stream)
         try:
@@ -216,7 +216,7 @@
 
     async def _send_failure(self, client: Client, head: http.Head, failed: AttemptError) -> bool:
         """Send the result of the last failed attempt to the client. Return whether the connection stays open."""
-        if client.response_started:  # a part of a response was sent: only an abort shows that it is incomplete
+        if client.response_started:  # only an abort tells the client that the response is incomplete
             client.request_complete = False
             return False
         if failed.response is not None:
@@ -256,7 +256,10 @@
                 client.rewind()
 
     async def _wait_for_server(self, request: RoutedRequest, attempted: set[str]) -> str | None:
-        """Pick a server. Before its first attempt, a request waits up to the hold time for a table with a server."""
+        """Pick a server. Before its first attempt, a request waits for a table with a server.
+
+        The wait ends after the hold time or at the request's deadline.
+        """
         until = 0
         if not attempted:
             until = min(request.deadline, request.arrived + self.limits.hold)
@@ -294,7 +297,7 @@
             execution = Execution.NOT_SENT if connection is None else Execution.UNKNOWN
             raise AttemptError(execution, reason) from None
         except ClientDisconnectedError:
-            succeeded = True  # the client left, the server is not at fault
+            succeeded = True  # the client disconnected, so the server is not at fault
             raise
         finally:
             now = self.clock.now()
--- a/damsonpick/proxy/retry_policy.py
+++ b/damsonpick/proxy/retry_policy.py
@@ -1,9 +1,9 @@
 """Decides whether a failed attempt may be retried. Sans I/O.
 
 The decision depends on what the attempt proves. A non-idempotent request is retried only if it is proved that the
-attempt was not executed. A server's explicit rejection is such a proof, a missing response or a broken connection is
-not. The control service publishes conditions and number of retries by class. A retry budget limits the retries, so that
-they do not add load to a failing fleet.
+attempt was not executed. The proof is that nothing was sent, or that the server explicitly rejected the request. A
+missing response or a broken connection proves nothing. The control service publishes conditions and number of retries
+by class. A retry budget limits the retries, so that they do not add load to a failing fleet.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 class Execution(Enum):
     """What is known about the execution of an attempt that brought no successful response."""
 
-    NOT_SENT = "not sent"  # no byte of the request was sent, because no connection could be opened or was free
+    NOT_SENT = "not sent"  # no byte of the request was sent, for example because no connection was available
     REJECTED = "rejected"  # the server responded that it did not begin to execute the request
     EXECUTED = "executed"  # the server responded with an error
-    UNKNOWN = "unknown"  # the head was sent and no response arrived: the request may have been executed
+    UNKNOWN = "unknown"  # sending began and no complete, valid response arrived, so the request may have been executed
 
     @property
     def certainly_not_executed(self) -> bool:
@@ -46,7 +46,7 @@
         self.saved = limit
 
     def earn(self) -> None:
-        """Add the retries of one admitted request."""
+        """Credit the budget for one admitted request, up to the largest balance."""
         self.saved = min(self.limit, self.saved + self.per_request)
 
     def spend(self) -> bool:
--- a/damsonpick/proxy/router.py
+++ b/damsonpick/proxy/router.py
@@ -2,7 +2,7 @@
 
 The router owns the received tables, the load balancer, admission and the retry budget. For each request it decides
 whether to admit it, which server receives it and whether to retry. It prepares a changed table once for weighted draws,
-so that the cost of a pick does not grow with the table.
+so that a draw takes logarithmic time.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 
 FLEET_CLUSTER = "fleet"  # cluster whose table entries are the withdrawn servers
 POLICY_BY_XDS_NUMBER = {0: Policy.ROUND_ROBIN, 1: Policy.POWER_OF_TWO, 3: Policy.RANDOM}  # Cluster.LbPolicy
-DEFAULT_XDS_POLICY = 1
-# Timeout of an attempt that a retry may follow, in latency objectives, if the control service publishes no timeout.
+DEFAULT_XDS_POLICY = 1  # policy while no cluster is received
+# Timeout of an attempt that a retry may follow, as a multiple of the latency objective, if no timeout is published.
 ATTEMPT_TIMEOUT_OBJECTIVES = 1.2
 EMPTY_TABLE = WeightedTable({})
 
@@ -141,7 +141,7 @@
         return admitted
 
     def pick(self, now: int, request: RoutedRequest, attempted: Collection[str]) -> str | None:
-        """Pick a server. Return None if the table has no routable server that was not attempted."""
+        """Pick a server. Return None if every server is withdrawn or attempted, or if the admission level is 0."""
         if self.received_state.admission_level(request.cluster, request.request_class) <= 0:
             return None  # a level of 0 also rejects requests that wait for a table
         return self.load_balancer.pick(now, self._table(request.cluster), self.withdrawn, attempted)
@@ -174,7 +174,7 @@
         """Return the timeout of an attempt in ns.
 
         The timeout is the time until the deadline. If a retry may follow, it is at most the published timeout or, if
-        none is published, a multiple of the latency objective.
+        none is published, a multiple of the latency objective of the class, if there is one.
         """
         left_ns = request.deadline - now
         published = self._published_retries(request)
--- a/damsonpick/proxy/server_connector.py
+++ b/damsonpick/proxy/server_connector.py
@@ -1,4 +1,4 @@
-"""Provides a connection to a server for each attempt: an idle one, a new one, or one after a wait in the queue."""
+"""Provides a connection for each attempt: an idle one, a new one, or one that becomes free while the attempt waits."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ServerConnector:
-    """Lends connections to servers and returns them to the pool."""
+    """Provides attempts with connections to servers and returns the connections to the pool."""
 
     def __init__(self, limits: Limits, router: Router, clock: Clock) -> None:
         """Create a connector that has no connections.
@@ -38,10 +38,14 @@
         self.pool: ConnectionPool[UpstreamConnection, asyncio.Event] = ConnectionPool(
             limits.per_server, limits.waiting, limits.churn, limits.pool_time
         )
-        self.reaches: Callable[[str], bool] = lambda zone: True  # test scenarios replace it to cut links between zones
+        # Returns whether the proxy can reach a zone. Test scenarios replace it to cut links between zones.
+        self.reaches: Callable[[str], bool] = lambda zone: True
 
     def take_idle(self, request: RoutedRequest, server: str, now: int) -> UpstreamConnection | None:
-        """Return an idle connection that is still open, or None."""
+        """Return an idle connection that is still open and may be reused for this request, or None.
+
+        A non-idempotent request reuses only a connection that was idle for a short time.
+        """
         non_idempotent = request.effect == NON_IDEMPOTENT
         max_idle_ns = self.limits.write_fresh if non_idempotent else self.limits.pool_time
         while (connection := self.pool.acquire_idle(now, server, max_idle_ns)) is not None:
@@ -85,7 +89,11 @@
                 return connection
 
     async def _wait_in_queue(self, server: str) -> None:
-        """Wait until a connection may be free."""
+        """Wait until a connection may be available.
+
+        Raises:
+            AttemptError: The queue is full.
+        """
         woken = asyncio.Event()
         if not self.pool.enqueue(server, woken):
             raise AttemptError(Execution.NOT_SENT, "too many wait for this server")
@@ -114,7 +122,7 @@
             raise
 
     def release(self, server: str, connection: UpstreamConnection | None, reusable: bool, now: int) -> None:
-        """Return a connection to the pool, or close it. It is None if a reserved connection was never opened."""
+        """Return a connection to the pool, or close it. `connection` is None if it was never opened."""
         keep = reusable and connection is not None and server not in self.router.withdrawn
         _wake(self.pool.release(now, server, connection if keep else None))
         if connection is not None and not keep:
--- a/damsonpick/proxy/settings.py
+++ b/damsonpick/proxy/settings.py
@@ -40,8 +40,8 @@
         listen: Address at which the proxy accepts client connections.
         state: Folder of the table cache. Tables are not cached if it is None.
         pilots: Addresses of the control service, in order of preference.
-        port_file: File that contains the port of the control service. It is read before each connection and replaces
-            `pilots`.
+        port_file: File that contains the port of the control service. It is read before each connection to the control
+            service and replaces `pilots`.
         slices: Number of slices that keys are hashed into. If it is 0, there is a table per zone and class.
         key_header: Header that contains the key of a request.
         class_header: Header that contains the class of a request.
@@ -74,7 +74,7 @@
         per_server: Most connections to one server.
         waiting: Most requests that wait for a connection to one server.
         churn: Most new connections to one server per second.
-        head_time: Timeout for receiving a message head.
+        head_time: Timeout for receiving the rest of a partly received request head.
         idle_time: Time after which an idle client connection is closed.
         pool_time: Time after which an idle connection to a server is closed.
         write_fresh: Longest idle time of a connection that is reused for a non-idempotent request.
--- a/damsonpick/proxy/stream.py
+++ b/damsonpick/proxy/stream.py
@@ -15,7 +15,7 @@
 TIMER_TOLERANCE_S = 0.001  # a timer that fires early by at most this time counts as expired
 READ_AHEAD_BYTES = 262_144  # reading is paused while more received bytes than this are unread
 FLUSH_S = 2.0  # time to send the last bytes of a closed stream before it is aborted
-# Limits on reading and dropping data after a rejection, which keeps a reset from overtaking the response.
+# After a rejection, the client's data is read and dropped within these limits, so that no reset overtakes the response.
 LINGER_S, LINGER_BYTES = 1.0, 4_194_304
 
 
@@ -102,7 +102,7 @@
         self.on_connected = on_connected
         # Called when the peer closes the connection or the connection is lost.
         self.on_peer_closed: Callable[[], None] | None = None
-        self.data = b""  # received and not yet returned by `receive`
+        self.data = b""  # received bytes that `receive` has not returned yet
         self.eof = False
         self.lost = False
         self.reading_paused = False
@@ -182,11 +182,11 @@
         return data
 
     async def send(self, data: bytes, until: float) -> None:
-        """Write data. Return when the peer has read nearly all of it.
+        """Write data, and wait while the write buffer is full.
 
         Raises:
-            ConnectionLostError: The connection is lost.
-            TimeoutError: The peer does not read.
+            ConnectionLostError: The connection is lost or closed.
+            TimeoutError: The write buffer stayed full until `until`, because the peer does not read.
         """
         if self.lost or self.transport.is_closing():
             raise ConnectionLostError
@@ -199,12 +199,12 @@
     def is_idle(self) -> bool:
         """Return whether the connection is open and has received nothing since its last use.
 
-        The socket itself is polled as well, so that no request is lost on a connection that the server has closed.
+        The socket itself is polled as well, so that no request is sent on a connection that the server has closed.
         """
         return not (self.data or self.eof or self.lost or self.transport.is_closing() or self._poll.poll(0))
 
     def close(self) -> None:
-        """Close the connection when all written data is sent, or abort it after a short time."""
+        """Close the connection when all written data is sent, or abort it after `FLUSH_S`."""
         if self.lost:
             return
         self.transport.close()
@@ -216,7 +216,7 @@
         self.transport.abort()
 
     async def linger(self) -> None:
-        """End the sending side, then read and drop the peer's data for a short time."""
+        """End the sending side, then read and drop the peer's data up to `LINGER_S` and `LINGER_BYTES`."""
         remaining = LINGER_BYTES
         until = self.time() + LINGER_S
         with contextlib.suppress(ConnectionLostError, TimeoutError, OSError, RuntimeError):
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -12,20 +12,23 @@
 from damsonpick.proxy.settings import Limits
 from damsonpick.proxy.stream import READ_AHEAD_BYTES, ConnectionLostError, Stream
 
-NOT_RUN = b"x-not-run"  # header of a 503 response: the server did not begin to execute the request
+NOT_RUN = b"x-not-run"  # header of a 503 response, by which the server states that it did not begin to execute
 DEADLINE = b"x-request-timeout-ms"
 CONNECTION_CLOSED, TIMED_OUT = "the server closed the connection", "timed out"
 
 
 class ErrorResponse(NamedTuple):
-    """Response of a server with a 5xx status. The body is incomplete if it was too large to store."""
+    """Response of a server with a 5xx status.
+
+    The body is incomplete if it is over the replay limit, and empty if it ends only with the connection.
+    """
 
     head: http.Head
     body: bytes
 
 
 class AttemptError(Exception):
-    """Raised when an attempt brought no response that can be forwarded."""
+    """Raised when an attempt brought no response, an invalid or incomplete response, or a 5xx response."""
 
     def __init__(self, execution: Execution, reason: str, response: ErrorResponse | None = None) -> None:
         """Create the error.
@@ -93,7 +96,7 @@
         self.head = head
         self.left_ms = left_ms
         self.keep_client_open = head.keep_alive and not closing  # whether the client's connection stays open
-        self._events: list[http.Head | http.Body | http.End] = []  # events of the response, not yet consumed
+        self._events: list[http.Head | http.Body | http.End] = []  # events of the response that are not consumed yet
         self._sent_completely = False
         connection.reader.bodiless = head.start[0] == b"HEAD"
 
@@ -107,7 +110,7 @@
             AttemptError: The server sent no response, an invalid response or a 5xx response.
             TimeoutError: The attempt reached its end.
             ClientDisconnectedError: The client no longer waits for the response.
-            HttpProtocolError: The client's body is malformed.
+            HttpProtocolError: The client's body is malformed, too large or stalled.
         """
         start = http.upstream_head_bytes(self.head, (DEADLINE, b"%d" % self.left_ms))
         if self.client.request_complete and not self.client.size:
@@ -182,7 +185,13 @@
             self.connection.stream.reading.wake(ClientDisconnectedError())
 
     async def _read_events(self, until: float) -> None:
-        """Read until there is an event. The wait ends if the client disconnects."""
+        """Read until there is an event.
+
+        Raises:
+            AttemptError: The server closed the connection or sent invalid HTTP.
+            ClientDisconnectedError: The client disconnected.
+            TimeoutError: No data arrived in time.
+        """
         client_stream = self.client.stream
         while not self._events:
             if self.client.disconnected():
@@ -222,7 +231,8 @@
     async def _raise_error_response(self, response: http.Head, until: float) -> None:
         """Raise an AttemptError for a 5xx response.
 
-        The error stores the response, up to the replay limit, so that it can be forwarded if no retry follows.
+        The error contains the response, so that it can be forwarded if no retry follows. Reading the body stops when it
+        exceeds the replay limit.
         """
         rejected = response.start == 503 and response.get(NOT_RUN)
         execution = Execution.REJECTED if rejected else Execution.EXECUTED
@@ -240,7 +250,7 @@
         """Forward the response to the client. Return whether the connection to the server can be reused.
 
         Raises:
-            AttemptError: The response ended early or stalled.
+            AttemptError: The response is invalid, ended early or stalled.
             ClientDisconnectedError: The client disconnected or does not read.
         """
         framed = response.length is not None or response.chunked
@@ -263,7 +273,7 @@
         """Forward the body as it arrives, no faster than the client reads. The head is sent with the first part.
 
         Args:
-            pending: Bytes to send first: the head.
+            pending: Head of the response, which is sent before the body.
             chunked: Whether the client receives the body in chunks.
             framed: Whether the server's response states where its body ends.
             ended: Whether there is no body.
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -44,7 +44,7 @@
         record: Called with the name and fields of an event, for test scenarios.
         may_connect: Returns whether a connection to the control service is allowed. An open stream ends when it is no
             longer allowed.
-        read_pause: Returns the true seconds to wait before a response is processed.
+        read_pause: Returns the wall seconds to wait before a response is processed.
     """
 
     addresses: Callable[[], list[str]]
@@ -56,7 +56,7 @@
 
 
 class WatchClient:
-    """Watches one instance of the control service at a time, and the next one after a stream ends.
+    """Watches one instance of the control service at a time, and switches to the next instance when the stream ends.
 
     Attributes:
         callbacks: Functions of the owner. Each may be replaced.
@@ -122,7 +122,9 @@
             self._log.error("watch_failed", pilot=address, error=reason, exc_info=group.exceptions[0])
         if self.connected:
             self.connected = False
-            self._log.warning("pilot_disconnected", pilot=address, reason=reason, tables="the last good ones stay")
+            self._log.warning(
+                "pilot_disconnected", pilot=address, reason=reason, tables="the last accepted tables stay in use"
+            )
             self.callbacks.record("stream", up=False)
 
     async def _stream(self, address: str) -> None:
