--- a/damsonpick/cli/endpoint_list.py
+++ b/damsonpick/cli/endpoint_list.py
@@ -81,7 +81,8 @@
 def accept(file: Path) -> None:
     """Accept a list from which many servers disappeared at once.
 
-    The pilot removes the servers that it held. Exit code 1: no server was held.
+    The pilot removes the servers that it held, that is, kept in use although the list omits them. Exit code 1: no
+    server was held.
     """
     removed = ask_pilot(file, {"ask": "list", "do": "accept"})["accepted"]
     for name in removed:
--- a/damsonpick/cli/explain.py
+++ b/damsonpick/cli/explain.py
@@ -25,8 +25,8 @@
     """Show the solver's last plan: the share of each server, the limits that bind it, the value of one more core.
 
     `limits`: capacity (the server is full), cold (the server gets only a part while it warms up), least (the server
-    keeps a least share for its evidence), moves (bound on the change of shares). Prices are priority weight per second
-    for one more unit of work per second. Exit code 3: no pilot answers.
+    keeps a minimum share, so that reports on it continue), moves (bound on the change of shares). Prices are priority
+    weight per second for one more unit of work per second. Exit code 3: no pilot answers.
     """
     reply = ask_pilot(file, {"ask": "weights"})
     if print_json(reply, as_json):
--- a/damsonpick/cli/learned.py
+++ b/damsonpick/cli/learned.py
@@ -51,7 +51,7 @@
 def show(file: Path, as_json: bool) -> None:
     """Show what a pilot that starts now would restore: the figures as written and after ageing.
 
-    Exit code 1: nothing is kept, or it cannot be read.
+    Exit code 1: no valid snapshot is stored.
     """
     from damsonpick.state.learned import ageing
     from damsonpick.state.learned.disk import host_time
@@ -118,7 +118,7 @@
 @learned.command()
 @settings_file
 def verify(file: Path) -> None:
-    """Read every snapshot generation and report which are valid. Exit code 1: one is not valid."""
+    """Read every snapshot generation and report which are valid. Exit code 1: an existing one is invalid."""
     from damsonpick.state.learned import codec, generations
     from damsonpick.state.learned.errors import SnapshotError
 
@@ -142,7 +142,7 @@
 @settings_file
 @click.argument("out", type=click.Path(path_type=Path))
 def export(file: Path, out: Path) -> None:
-    """Write the newest valid snapshot to OUT as JSON, without ageing. Exit code 1: nothing is kept."""
+    """Write the newest valid snapshot to OUT as JSON, without ageing. Exit code 1: no valid snapshot is stored."""
     folder = load_settings(file).learned_path()
     snapshot = _find_newest(folder).snapshot
     if snapshot is None:
--- a/damsonpick/cli/proxy.py
+++ b/damsonpick/cli/proxy.py
@@ -15,7 +15,7 @@
 @click.option("--port-file", type=click.Path(path_type=Path), help="Write the port to this file once it is open.")
 @click.option("--log-format", type=click.Choice(["console", "json"]), default="console", show_default=True)
 def proxy(file: Path, port_file: Path | None, log_format: str) -> None:
-    """Run a proxy that follows the pilots' tables until SIGTERM; requests in progress may then finish.
+    """Run a proxy that follows the pilots' tables until SIGTERM or SIGINT; requests in progress may then finish.
 
     Exit code 0: shut down cleanly; 2: settings or address cannot be used.
     """
--- a/damsonpick/cli/versions.py
+++ b/damsonpick/cli/versions.py
@@ -28,7 +28,7 @@
 SHORT_ROOT_CHARS = 12  # length of a root as printed in a table
 
 expect = click.option(
-    "--expect", type=int, help="Run the command only if `list` still shows this act number (pins and releases so far)."
+    "--expect", type=int, help="Run the command only if `list` still shows this generation (pins and releases so far)."
 )
 span = click.option(
     "--for", "span", help="How long the tables stay pinned, such as 10 min; default: as in the settings."
@@ -65,7 +65,7 @@
     pinned = "not pinned"
     if reply["pinned"] is not None:
         pinned = f"pinned at {reply['pinned']} for {reply['pin_left_s']} s"
-    click.echo(f"version {reply['newest']}, root {reply['root']}; {pinned}; act {reply['generation']}")
+    click.echo(f"version {reply['newest']}, root {reply['root']}; {pinned}; generation {reply['generation']}")
     if reply["waiting_for_disk"]:
         click.echo(f"{reply['waiting_for_disk']} versions are not stored on disk yet; see the log")
 
--- a/damsonpick/load_tool/player.py
+++ b/damsonpick/load_tool/player.py
@@ -53,7 +53,7 @@
         self.idle_connections: list[SocketStream] = []
         self.slots = anyio.CapacityLimiter(experiment.load.connections)
         self.results = {name: ClassResults() for name in experiment.classes}
-        self.max_lateness_ns = 0  # largest delay between the due time and the send of a request, caused by this tool
+        self.max_lateness_ns = 0  # largest delay, caused by this tool, from a due time to the start of the sending task
         self.started_ns = 0
 
     async def run(self) -> dict[str, Any]:
@@ -79,7 +79,7 @@
             await anyio.lowlevel.checkpoint()
 
     async def _send(self, arrival: Arrival) -> None:
-        """Send one request and record its result. The latency counts from the due time."""
+        """Send one request and record its result, except during the warm-up. The latency counts from the due time."""
         spec = self.experiment.classes[arrival.request_class]
         outcome = "timed out"
         with anyio.move_on_after(spec.timeout / NS_PER_SECOND):
--- a/damsonpick/load_tool/results.py
+++ b/damsonpick/load_tool/results.py
@@ -39,7 +39,7 @@
         self.histogram.record_value(min(MAX_LATENCY_US, max(MIN_LATENCY_US, latency_us)))
 
     def view(self, seconds: float) -> dict[str, Any]:
-        """Return the part of the report about this class."""
+        """Return the part of the report about this class. `seconds` is the time whose requests are counted."""
         count = sum(self.outcomes.values())
         return {
             "requests": count,
@@ -56,8 +56,8 @@
     Args:
         experiment: The experiment.
         results: Results by request class.
-        max_lateness_us: Largest delay between the due time and the send of a request. It shows whether the tool itself
-            kept the schedule.
+        max_lateness_us: Largest delay between the due time of a request and the start of the task that sends it. It
+            shows whether the tool itself kept the schedule.
     """
     counted_ns = experiment.load.length - experiment.load.warm_up
     return {
@@ -71,6 +71,8 @@
 def compare(now: dict[str, Any], path: Path) -> list[list[object]]:
     """Compare results with an earlier results file. Return rows of class, figure, earlier value, new value and ratio.
 
+    Classes that the earlier file does not contain are left out.
+
     Raises:
         ValueError: The file is not a results file, or it belongs to another experiment.
     """
