--- a/damsonpick/controller/control_socket.py
+++ b/damsonpick/controller/control_socket.py
@@ -32,7 +32,7 @@
 
 
 class ControlError(Exception):
-    """The pilot cannot be queried. The message gives the reason and a remedy."""
+    """Base class of the errors of the control socket. The message gives the reason and a remedy."""
 
     def __init__(self, path: Path, reason: str) -> None:
         """Build the message from the socket path and the reason."""
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -20,7 +20,7 @@
 
 RECHECK_PERIOD_NS = 250_000_000  # time between checks for changes that need no new list
 FIRST_SOURCE = "list"  # source that the settings section [list] configures
-SASP_SOURCE = "sasp members"  # lowest-ranked source: members that trusted members and balancers report over SASP
+SASP_SOURCE = "sasp members"  # lowest-ranked source: members of the balancers that may set member states over SASP
 
 ListResult = list[api.EndpointEntry] | ListError
 
