--- a/damsonpick/protocols/platform/__main__.py
+++ b/damsonpick/protocols/platform/__main__.py
@@ -17,7 +17,7 @@
 
 
 def main() -> int:
-    """Serve until SIGTERM; return the exit code."""
+    """Run the pilot until SIGTERM; return `EXIT_OK`, or `EXIT_CONFIG_ERROR` if the pilot cannot start."""
     # Signals stay blocked until the pilot has opened their receiver; an unblocked SIGHUP would end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     log = logs.configure("json", "info")
--- a/damsonpick/protocols/platform/config.py
+++ b/damsonpick/protocols/platform/config.py
@@ -35,7 +35,7 @@
         registry: Address of the registry.
         seed: Seed of the pilot's random number generator.
         max_descriptors: Largest number of file descriptors that the process may have open.
-        known: The last endpoint list that this pilot had received.
+        known: The last endpoint list that this pilot received before it started; empty if it has never received one.
         settings: Settings of the planner.
         zones: Names of all zones.
     """
@@ -52,7 +52,7 @@
 
 
 def read_config(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration file whose path is in the environment variable `CONFIG_VARIABLE`.
+    """Read the configuration file whose path is the value of the environment variable named by `CONFIG_VARIABLE`.
 
     Raises:
         ConfigError: The variable is not set, or the file cannot be read or is not a valid configuration.
@@ -79,7 +79,8 @@
         data: JSON text of the configuration file.
 
     Raises:
-        ConfigError: The configuration is invalid. The error text names the field and the expected value.
+        ConfigError: The configuration is invalid. The error text states the reason, and the field unless the data as a
+            whole is invalid.
     """
     if len(data) > MAX_CONFIG_BYTES:
         raise ConfigError("", f"larger than {MAX_CONFIG_BYTES} bytes: not a configuration file")
@@ -152,7 +153,10 @@
 
 
 def _known_list(tree: JsonObject) -> discovery.EndpointListUpdate:
-    """Return the endpoint list in the configuration, or an empty list if this pilot has never received one."""
+    """Return the endpoint list in the configuration.
+
+    The list is empty if `known` is absent or null, because this pilot has never received a list.
+    """
     if tree.get("known") is None:
         return discovery.EMPTY_LIST
     try:
--- a/damsonpick/protocols/platform/config_reloader.py
+++ b/damsonpick/protocols/platform/config_reloader.py
@@ -9,7 +9,7 @@
 from damsonpick.protocols.platform.config import Config, read_config
 from damsonpick.protocols.platform.errors import ConfigError
 
-# Keys of the configuration file by field of `Config`. A changed value of these takes effect only after a restart.
+# Fields of `Config` whose changed values take effect only after a restart, with their keys in the configuration file.
 KEYS_NEEDING_RESTART = {
     "settings": "settings",
     "zones": "settings.zones",
@@ -23,7 +23,7 @@
 
 
 class ConfigReloader:
-    """Applies the changes of a configuration file that need no restart.
+    """Applies those changes of the configuration file that need no restart.
 
     Attributes:
         config: The active configuration.
--- a/damsonpick/protocols/platform/connection.py
+++ b/damsonpick/protocols/platform/connection.py
@@ -1,6 +1,7 @@
 """Protocol state of one accepted connection: turns received bytes into events and heartbeat requests. No I/O.
 
-Only collectors of an existing zone may stay connected. Any other client is rejected at its first message.
+A client may send heartbeat requests at any time. The connection is rejected unless the first message that is not a
+heartbeat request is a `CollectorJoin` for an existing zone.
 """
 
 from __future__ import annotations
@@ -11,7 +12,9 @@
 from damsonpick.protocols.platform import framing, messages
 from damsonpick.protocols.platform.errors import FrameError, InvalidMessageError, MessageError, PlatformError
 
-MAX_FRAME_BYTES_BEFORE_JOIN = 4096  # bounds the memory of many clients that each send part of a first message
+# Largest frame body before the collector has joined a zone. It bounds the memory that many clients can occupy by each
+# sending a part of a first message.
+MAX_FRAME_BYTES_BEFORE_JOIN = 4096
 
 
 @dataclass(slots=True)
@@ -21,7 +24,7 @@
     Attributes:
         events: Events of the received reports, in order of arrival.
         heartbeat_requests: Number of heartbeats that the client has requested.
-        drop_reasons: One text for each invalid message, with the reason why it was dropped.
+        drop_reasons: Reason for each dropped message, in order of arrival.
     """
 
     events: list[api.Event] = field(default_factory=list)
@@ -30,10 +33,10 @@
 
 
 class ConnectionRejectedError(PlatformError):
-    """The connection must be closed. `received` contains the valid input that preceded the error; it is still used."""
+    """The connection must be closed. `received` contains the valid input before the error, which is still processed."""
 
     def __init__(self, field_name: str, reason: str) -> None:
-        """Create an error with the failed field, the reason and no received input."""
+        """Create an error with the invalid field, the reason and no received input."""
         super().__init__(field_name, reason)
         self.received = ReceivedInput()
 
@@ -43,7 +46,7 @@
 
     Attributes:
         zone: Zone of the collector; empty until it has joined.
-        last_received_ns: Time at which bytes were last received; 0 if there were none.
+        last_received_ns: Time at which bytes were last received; 0 if none were received.
     """
 
     def __init__(self, reports: messages.ReportMapper) -> None:
@@ -65,7 +68,7 @@
             data: The received bytes.
 
         Returns:
-            The input of all frames that are complete now.
+            The decoded input of the frames that these bytes complete.
 
         Raises:
             ConnectionRejectedError: The input is malformed or not allowed, and the connection must be closed.
--- a/damsonpick/protocols/platform/connection_handler.py
+++ b/damsonpick/protocols/platform/connection_handler.py
@@ -28,7 +28,9 @@
     Attributes:
         connection: Protocol state of the connection.
         stream: The socket.
-        scope: Cancel scope of the task that serves the connection. Its deadline is the deadline for joining.
+        scope: Cancel scope of the task that serves the connection. Its deadline is the time by which the collector must
+            join a zone. It is infinite once the collector has joined, and while a heartbeat waits for the pilot's
+            readiness.
     """
 
     connection: CollectorConnection
@@ -37,13 +39,13 @@
 
 
 class ConnectionHandler:
-    """Serves connections with one call of `serve` for each connection."""
+    """Serves accepted connections. `serve` is called once for each connection."""
 
     def __init__(self, readiness: Readiness, enqueue: EventSink, dropped_input_log: DroppedInputLog) -> None:
         """Create a handler.
 
         Args:
-            readiness: Heartbeats are answered once it is ready.
+            readiness: Delays the answers to heartbeat requests until the pilot is ready.
             enqueue: Queues events for the planner.
             dropped_input_log: Records dropped messages and rejected connections.
         """
@@ -88,7 +90,10 @@
         await self.respond(opened, received)
 
     async def respond(self, opened: OpenConnection, received: ReceivedInput) -> None:
-        """Queue the events of received reports for the planner, and send one heartbeat for each request."""
+        """Queue the events of received reports, log dropped messages, and send one heartbeat for each request.
+
+        Heartbeats are sent only when the pilot is ready.
+        """
         for reason in received.drop_reasons:
             self._dropped_input_log.record(DroppedInput.REPORT, reason)
         self._report_count += len(received.events)
@@ -100,7 +105,7 @@
         await http_client.send(opened.stream, HEARTBEAT * received.heartbeat_requests, WRITE_TIMEOUT_S)
 
     async def _wait_until_ready(self, scope: anyio.CancelScope) -> None:
-        """Wait until the pilot is ready. The deadline for joining is suspended: the peer does not cause the delay."""
+        """Wait until the pilot is ready. The join deadline is suspended, as the peer does not cause the delay."""
         remaining_s = scope.deadline - anyio.current_time()
         scope.deadline = math.inf
         await self._readiness.wait()
--- a/damsonpick/protocols/platform/connection_limiter.py
+++ b/damsonpick/protocols/platform/connection_limiter.py
@@ -1,4 +1,4 @@
-"""Limits the number of open connections to the available file descriptors of the process. No I/O."""
+"""Limits the number of open connections, so that the process does not run out of file descriptors. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 RESERVED_DESCRIPTORS = 64  # for the registry, discovery, the event loop and logs
 MIN_CONNECTIONS = 8
-MIN_CONNECTIONS_OF_SMALL_PROCESS = 4
+MIN_CONNECTIONS_OF_SMALL_PROCESS = 4  # applies up to 2 * RESERVED_DESCRIPTORS descriptors
 MAX_COLLECTORS_PER_ZONE = 2  # a collector may reconnect before the pilot detects that its previous connection is dead
 
 
--- a/damsonpick/protocols/platform/connection_listener.py
+++ b/damsonpick/protocols/platform/connection_listener.py
@@ -96,10 +96,10 @@
     async def _handle_accept_error(self, error: OSError) -> None:
         self._dropped_input_log.record(DroppedInput.ACCEPT, str(error))
         if error.errno in RESOURCE_EXHAUSTED:
-            # Without the pause the loop would run continuously until a descriptor is free.
+            # Without the pause, the loop would retry continuously until the resource is available again.
             self._close(self._limiter.oldest_unjoined())
             await anyio.sleep(ACCEPT_RETRY_DELAY_S)
-        else:  # the peer reset the connection before it was accepted; no other connection needs to be closed
+        else:  # for example, the peer reset the connection before it was accepted; closing another would not help
             await anyio.sleep(0)
 
     def _open(self, stream: SocketStream, group: TaskGroup) -> None:
--- a/damsonpick/protocols/platform/discovery.py
+++ b/damsonpick/protocols/platform/discovery.py
@@ -19,6 +19,7 @@
     "Terminating": "terminating",
     "Gone": "terminated",
 }
+# Exclusive upper bounds of values in an update.
 MAX_START_MS = 1 << 52  # far later than any real clock shows
 MAX_VERSION = 1 << 62
 MAX_WEIGHT = 1e9
--- a/damsonpick/protocols/platform/endpoint_list.py
+++ b/damsonpick/protocols/platform/endpoint_list.py
@@ -1,7 +1,8 @@
 """The endpoint list that the planner uses, and its version. No I/O.
 
 A partial update changes the entries that it contains. A full update replaces the list and removes all other endpoints.
-Both are applied immediately, because a drain must not be delayed here.
+Both are applied on arrival, because a drain must not be delayed here. Only updates that are older than the known
+version are ignored, for a limited time.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
         """Create the list from the last known list.
 
         Args:
-            known: The last list that this pilot had received.
+            known: The last list that this pilot received before it started.
             rollback_delay_ns: How long updates that are older than the known version are ignored. An outdated copy of
                 the list catches up in this time. If discovery has restarted its version numbers, its updates remain
                 older and are accepted after this delay.
@@ -35,9 +36,10 @@
         self.version = known.version
         self.entries = {entry.endpoint: entry for entry in known.entries}
         self.rollback_delay_ns = rollback_delay_ns
-        self._outdated_since_ns: int | None = None  # start of the period in which all updates were older
-        self._needs_full_list = False  # True if a change may have been missed
-        self._confirmed = False  # True once an update from discovery was applied
+        # Time of the first outdated update since the last applied update; None if there was no outdated update.
+        self._outdated_since_ns: int | None = None
+        self._needs_full_list = False  # whether a change may have been missed
+        self._confirmed = False  # whether an update from discovery has been applied
 
     def initial_events(self) -> list[api.Event]:
         """Return the events that send the current list to a new planner."""
@@ -63,7 +65,8 @@
             an outdated copy would restore drained and terminated endpoints.
 
         Raises:
-            EndpointListError: The update cannot be applied, and the complete list is required.
+            EndpointListError: Only outdated updates were received for `rollback_delay_ns`, and this update is partial.
+                The complete list is required.
         """
         if update.version < self.version and not self._accepts_rollback(update, now_ns):
             return None
@@ -81,13 +84,20 @@
         return api.EndpointListChanged("replace" if update.full else "update", entries)
 
     def _entries_to_keep(self, update: EndpointListUpdate) -> list[api.EndpointEntry]:
-        """Return the known entries of endpoints whose entries in a full list are invalid: they must not be removed."""
+        """Return the known entries of the endpoints that a full list contains only with an invalid entry.
+
+        A full list removes the endpoints that are missing from it; these endpoints are not missing.
+        """
         if not update.full:
             return []
         return [self.entries[endpoint] for endpoint in update.invalid_endpoints if endpoint in self.entries]
 
     def _accepts_rollback(self, update: EndpointListUpdate, now_ns: int) -> bool:
-        """Return whether an update that is older than the known version is applied nevertheless."""
+        """Return whether an update that is older than the known version is applied nevertheless.
+
+        Raises:
+            EndpointListError: The update would be applied, but is partial: the complete list is required.
+        """
         if self._outdated_since_ns is None:
             self._outdated_since_ns = now_ns
         if now_ns - self._outdated_since_ns < self.rollback_delay_ns:
--- a/damsonpick/protocols/platform/endpoint_list_watch.py
+++ b/damsonpick/protocols/platform/endpoint_list_watch.py
@@ -1,4 +1,4 @@
-"""Reads discovery's watch of the endpoint list, starting at the known version."""
+"""Reads discovery's watch of the endpoint list, starting at the known version or with the complete list."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
             endpoint_list: The list to which updates are applied.
             now_ns: Returns the time of the pilot's clock.
             enqueue: Queues events for the planner.
-            readiness: Is notified of received updates.
+            readiness: Is notified when the watch has sent an update.
             dropped_input_log: Records ignored entries and updates.
         """
         self._endpoint_list = endpoint_list
@@ -39,7 +39,7 @@
         self._enqueue = enqueue
         self._readiness = readiness
         self._dropped_input_log = dropped_input_log
-        self._version: int | None = None  # version of the last update of this watch
+        self._version: int | None = None  # version of the last update of this watch; None before the first update
 
     def path(self) -> str:
         """Return the path of the watch, with the version since which changes are requested."""
@@ -52,7 +52,8 @@
             Whether this watch has sent an update. Heartbeats do not count.
 
         Raises:
-            TransportError: A line is not a valid update, and a change may have been missed.
+            TransportError: A line is not a valid update, or the update requires the complete list. A change may have
+                been missed, so the watch must be opened again.
         """
         for line in filter(None, lines):
             try:
--- a/damsonpick/protocols/platform/errors.py
+++ b/damsonpick/protocols/platform/errors.py
@@ -21,7 +21,10 @@
 
 
 class ConfigError(PlatformError):
-    """The configuration is invalid. The error text names the file, the field, the reason and the remedy."""
+    """The configuration is missing, unreadable or invalid, or the listening socket cannot be opened.
+
+    The error text states the reason and, if they are known, the file and the field.
+    """
 
 
 class FrameError(PlatformError):
@@ -33,7 +36,10 @@
 
 
 class InvalidMessageError(MessageError):
-    """A JSON object has a field that is missing, out of range or unknown. Only this message is dropped."""
+    """A JSON object is not a valid message, for example because a field is missing, out of range or unknown.
+
+    Only this message is dropped, unless its sender is a client that has not joined a zone; that client is rejected.
+    """
 
 
 class MalformedMessageError(MessageError):
@@ -55,4 +61,4 @@
 
 
 class TransportError(PlatformError):
-    """A connection to the registry or to discovery has failed. `field` names the operation that failed."""
+    """A connection has failed, or its peer sent invalid data. `field` names the operation or the kind of data."""
--- a/damsonpick/protocols/platform/framing.py
+++ b/damsonpick/protocols/platform/framing.py
@@ -29,13 +29,13 @@
         """Remove and return the body of the next frame, or return None if the frame is incomplete.
 
         Raises:
-            FrameError: The length is out of range. The error is raised before the body is received.
+            FrameError: The length is out of range. It is checked even before the body has been received.
         """
         if len(self.buffer) < LENGTH_BYTES:
             return None
         length = int.from_bytes(self.buffer[:LENGTH_BYTES], "little")
         if not MIN_FRAME_BYTES <= length <= self.max_frame_bytes:
-            reason = f"a body of {length} bytes; {MIN_FRAME_BYTES} to {self.max_frame_bytes} bytes are allowed"
+            reason = f"the body has {length} bytes; {MIN_FRAME_BYTES} to {self.max_frame_bytes} bytes are allowed"
             raise FrameError("length", reason)
         end = LENGTH_BYTES + length
         if len(self.buffer) < end:
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -14,8 +14,9 @@
 from damsonpick.runtime.timeouts import complete_within
 
 READ_BYTES = 65_536
-# Bytes that arrived during a long step of the event loop are still received after the deadline: MAX_LATE_RECEIVES times
-# at most, each time with this timeout.
+# A long step of the event loop may end after a deadline although bytes arrived before the deadline. These bytes are
+# still received: each receive has at least this timeout, and a response may take MAX_LATE_RECEIVES receives after its
+# deadline.
 MIN_RECEIVE_TIMEOUT_S = 0.05
 MAX_LATE_RECEIVES = 2
 STREAM_ERRORS = (  # includes TimeoutError, which is a subclass of OSError
@@ -81,7 +82,7 @@
 
 
 class HttpConnection:
-    """Sends requests over one persistent connection, and replaces the connection before a request if it is stale."""
+    """Sends requests over one persistent connection. `connect` replaces the connection if it is stale."""
 
     def __init__(self, address: Address, max_idle_s: float) -> None:
         """Create a client that is not connected yet.
@@ -138,7 +139,7 @@
                 await self.close()
 
     async def _read_response(self, stream: SocketStream, reader: ResponseReader, timeout_s: float) -> None:
-        """Read the complete response. The timeout covers the whole response, also if it arrives byte by byte."""
+        """Read the complete response. The timeout covers the whole response, even if it arrives byte by byte."""
         deadline_s = anyio.current_time() + timeout_s
         late_receives = 0
         while not reader.complete:
--- a/damsonpick/protocols/platform/json_values.py
+++ b/damsonpick/protocols/platform/json_values.py
@@ -1,4 +1,4 @@
-"""Helpers for decoding JSON with msgspec and for mapping its errors to those of this package. No I/O.
+"""Helpers for decoding JSON with msgspec and for mapping errors of msgspec to errors of this package. No I/O.
 
 Decoded values are untrusted until their type is checked: a list or an object is not hashable and cannot be looked up in
 a dictionary, and the text of a value may be as long as the message.
@@ -16,11 +16,11 @@
 
 
 def invalid_message(kind: str, error: msgspec.ValidationError) -> InvalidMessageError:
-    """Map an error of msgspec, whose text ends with the name of the field.
+    """Return the `InvalidMessageError` for a validation error of msgspec.
 
     Args:
         kind: Kind of the message, as a prefix of the field; empty if unknown.
-        error: Error of the decoder.
+        error: Error of the decoder. Its text ends with the path of the field, if the error concerns a field.
     """
     field = invalid_field(error)
     path = ".".join(part for part in (kind, field.path) if part)
--- a/damsonpick/protocols/platform/messages.py
+++ b/damsonpick/protocols/platform/messages.py
@@ -1,7 +1,8 @@
 """Decodes messages of collectors from JSON to validated types, and maps reports to events of the planner. No I/O.
 
-A field that is missing, out of range, of a wrong type or that names something unknown causes an `InvalidMessageError`;
-only this message is dropped. Input that is not a JSON object causes a `MalformedMessageError`, which ends the stream.
+An `InvalidMessageError` is raised if a field is missing, out of range or of a wrong type, or names something unknown;
+it concerns only this message. A `MalformedMessageError` is raised if the input is not a JSON object; it ends the
+stream.
 """
 
 from __future__ import annotations
@@ -69,7 +70,7 @@
 
     Raises:
         InvalidMessageError: The body is a JSON object, but not a valid message.
-        MalformedMessageError: The body is not a JSON object.
+        MalformedMessageError: The body is not a JSON object, or it is invalid and does not start with `{`.
     """
     try:
         return _decoder.decode(body)
@@ -114,7 +115,7 @@
             )
         if report.request_class not in self.classes:
             raise _unknown_name("range_stats.class", report.request_class)
-        # There may be more failures than requests, as a failed request may have arrived in an earlier period.
+        # There may be more failures than requests, because a failed request may have arrived in an earlier period.
         period_ns = int(report.period_ms * NS_PER_MS)
         return api.SliceDemand(report.slice, report.request_class, report.requests, report.failures, period_ns)
 
@@ -136,7 +137,10 @@
         )
 
     def _load(self, load: dict[str, Any] | None) -> tuple[float, ...]:
-        """Return the load values in the order of the settings, or an empty tuple if any value is missing or invalid."""
+        """Return the values of all configured load fields in the order of the settings.
+
+        The tuple is empty if any value is missing or invalid.
+        """
         if not load or not self.load_fields:
             return ()
         values: list[Any] = [load.get(field) for field in self.load_fields]
--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -22,7 +22,7 @@
 MAX_IDLE_S = 3.0  # the registry closes an idle connection after about 10 s
 FIRST_RETRY_DELAY_S = 0.03
 MAX_RETRY_DELAY_S = 0.4
-MAX_SYNTAX_REJECTIONS = 3  # consecutive SYNTAX rejections of a request with a single order; then the order is dropped
+MAX_SYNTAX_REJECTIONS = 3  # SYNTAX rejections of requests with a single order after which this order is dropped
 MAX_LOGGED_REQUEST_BYTES = 400
 MAX_LOGGED_RESPONSE_BYTES = 80
 ORDER_PATH = "/txn"
@@ -32,12 +32,12 @@
     """Computes how long the order client waits before its next request."""
 
     def __init__(self, rng: random.Random, transmission_time_s: Callable[[int], float]) -> None:
-        """Create the delays in their initial state, without failures.
+        """Create an instance without recorded failures.
 
         Args:
             rng: Draws the jitter of the backoff.
-            transmission_time_s: Returns how long the channel needs to send a request to all proxies, given the number
-                of orders in the request.
+            transmission_time_s: Returns the seconds that the channel needs to send a request to all proxies, given the
+                number of orders in the request.
         """
         self._backoff = Backoff(rng, FIRST_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
         self._transmission_time_s = transmission_time_s
@@ -59,9 +59,9 @@
     def unconfirmed_delay_s(self, order_count: int) -> float:
         """Return the delay, in addition to the backoff, after a request whose outcome is unknown.
 
-        The first such request causes no additional delay: it may contain a drain, and the planner leaves half of the
-        channel free. If the outcome of the repeated request is unknown as well, both requests may wait in the channel;
-        the delay then leaves time for the channel to send one of them.
+        The first such request after an accepted request causes no additional delay: it may contain a drain, and the
+        planner leaves half of the channel free. If the outcome of the repeated request is unknown as well, both
+        requests may wait in the channel. The delay then leaves time for the channel to send one of the two requests.
         """
         self._consecutive_unconfirmed += 1
         if self._consecutive_unconfirmed == 1:
@@ -87,7 +87,7 @@
             registry: Known state of the registry, with the pending orders.
             enqueue: Queues events for the planner.
             delays: Computes the delays between requests.
-            log: Receives the outcome of each request.
+            log: Receives the outcomes of requests.
         """
         self.request_count = 0
         self.unconfirmed_count = 0
@@ -98,21 +98,25 @@
         self._log = log
         self._connection = HttpConnection(address, MAX_IDLE_S)
         self._wakeup = anyio.Event()
-        self._syntax_rejections = 0  # consecutive rejections of a request with a single order
-        # Limit on the orders of a request during the search for an order that the registry cannot parse.
+        # SYNTAX rejections of requests with a single order since the last accepted request or dropped order.
+        self._syntax_rejections = 0
+        # Limit on the orders of a request during the search for an order that the registry cannot parse, else None.
         self._max_orders: int | None = None
-        self._busy = False  # True if the last request was rejected as BUSY
+        self._busy = False  # whether a request was rejected as BUSY since the last accepted request
         self._rejected = RejectedOrders()
 
     def push(self, orders: Iterable[Order]) -> None:
-        """Add the orders of one step of the planner."""
+        """Add the orders of one step of the planner; they replace rejected orders with the same keys."""
         orders = tuple(orders)
         self._rejected.supersede(orders)
         self._pending.push(orders)
         self.wake()
 
     def wake(self) -> None:
-        """Make the client check for pending orders immediately."""
+        """End the wait for pending orders, so that the client checks for them immediately.
+
+        A request in flight and the delay before a retry are not interrupted.
+        """
         self._wakeup.set()
 
     def move_to(self, address: Address) -> None:
@@ -159,7 +163,10 @@
         return await self._handle_response(connection, request, response.body)
 
     async def _handle_unconfirmed(self, request: OrderRequest, reason: str) -> bool:
-        """Keep the orders pending for a resend: a request with unknown outcome was applied once or not at all."""
+        """Keep the orders of a request with unknown outcome pending for a resend, and wait for the additional delay.
+
+        The registry has applied such a request once or not at all. The return value is always False.
+        """
         self.unconfirmed_count += 1
         self._registry.repeat_uncertain(request.orders, request.ownership_epoch)
         self._log.warning("order_request_unconfirmed", reason=reason, pending_orders=self._pending.key_count())
@@ -184,7 +191,7 @@
         acknowledged = self._pending.acknowledge(request.orders, accepted_count)
         self._registry.orders_accepted(acknowledged.accepted, request.ownership_epoch)
         if self._registry.repeat_uncertain(acknowledged.accepted, request.ownership_epoch):
-            self._log.info("orders_repeated", reason="the ownership of a slice changed during the request")
+            self._log.info("orders_repeated", reason="the ownership of a slice possibly changed during the request")
         self._log.info("orders_accepted", **count_by_kind(acknowledged.accepted))
         if acknowledged.rejected is not None:
             self._log.warning(
@@ -200,7 +207,7 @@
         self._busy = False
 
     def _handle_rejected_order(self, order: Order) -> None:
-        """Let the planner decide again on a rejected entry; resend any other rejected order later.
+        """Let the planner decide again on a rejected entry; resend any other rejected order up to `MAX_RESENDS` times.
 
         A withdrawal must not be lost if the registry rejects it because it does not know the endpoint yet.
         """
@@ -209,15 +216,19 @@
             self._log.error("order_abandoned", order=repr(order), attempts=MAX_RESENDS)
 
     def _handle_rejected_request(self, request: OrderRequest, rejection: Rejection | None) -> None:
-        """Keep the orders of a rejected request pending, except a single order that the registry can never parse."""
+        """Handle the rejection of a whole request. Its orders stay pending, except an order that cannot be parsed."""
         if rejection is Rejection.SYNTAX:
             self._handle_syntax_rejection(request)
-        elif not self._busy:  # log only the first of consecutive rejections
+        elif not self._busy:  # log only the first BUSY rejection after an accepted request
             self._busy = True
             self._log.warning("order_request_busy", pending_orders=self._pending.key_count())
 
     def _handle_syntax_rejection(self, request: OrderRequest) -> None:
-        """Find the invalid order by halving the request size, so that it neither blocks other orders nor drops them."""
+        """Halve the request size until a request contains only the invalid order.
+
+        This order is dropped after `MAX_SYNTAX_REJECTIONS` rejections, so that it does not block other orders. No other
+        order is dropped.
+        """
         self._log.error(
             "order_request_rejected",
             orders=len(request.orders),
--- a/damsonpick/protocols/platform/order_codec.py
+++ b/damsonpick/protocols/platform/order_codec.py
@@ -42,8 +42,8 @@
     Attributes:
         body: The encoded request.
         orders: The orders in the body.
-        ownership_epoch: Ownership epoch of the registry's known state when the request was built. If the ownership of
-            a slice has changed since then, it is uncertain in which ownership the registry applied the orders.
+        ownership_epoch: `OwnershipTracker.epoch` when the request was built. If the ownership of a slice has changed
+            since then, it is unknown whether the registry applied the orders before or after the change.
     """
 
     body: bytes
@@ -55,8 +55,9 @@
     """A decoded response of the registry.
 
     Attributes:
-        accepted_count: Number of accepted orders, counted from the first order, or None if the request was rejected.
-        rejection: Reason for the rejection, or None if the request was not rejected.
+        accepted_count: Number of accepted orders, which are the first orders of the request, or None if the request was
+            rejected as a whole.
+        rejection: Reason why the request was rejected as a whole, or None if it was not.
     """
 
     accepted_count: int | None
@@ -71,8 +72,9 @@
 
         Args:
             class_names: Names of the request classes, in the order of the settings.
-            token_offset: Offset that is added to sync tokens on the wire. It ensures that a proxy's acknowledgement of
-                an earlier incarnation's token is not mistaken for one of this incarnation's tokens.
+            token_offset: Offset that is added to sync tokens on the wire. An offset that differs from those of earlier
+                incarnations keeps a proxy's acknowledgement of a token of an earlier incarnation from being mistaken
+                for the acknowledgement of the same token of this incarnation.
         """
         self.class_names = class_names
         self.token_offset = token_offset
--- a/damsonpick/protocols/platform/ownership.py
+++ b/damsonpick/protocols/platform/ownership.py
@@ -10,7 +10,9 @@
 from collections import deque
 from collections.abc import Container, Iterable
 
-MAX_UNREAD_HEARTBEATS = 3  # of one watch; with more, the pilot would have treated the watch as silent
+# Most heartbeats of one watch that the registry can have sent without the pilot having read them. With more unread
+# heartbeats, the pilot would have treated the watch as silent.
+MAX_UNREAD_HEARTBEATS = 3
 
 Endpoints = dict[str, None]  # an ordered set
 
@@ -22,15 +24,18 @@
         """Create a tracker at epoch 0, without changes."""
         self.epoch = 0  # incremented at each recorded change or gap of any slice
         self._last_change: dict[int, int] = {}  # epoch of the last change, by slice
-        self._last_gap: dict[int, int] = {}  # epoch of the last gap, in which a change may have been missed, by slice
+        self._last_gap: dict[int, int] = {}  # epoch of the last gap, by slice
 
     def record_change(self, slice_number: int) -> None:
-        """Record that the ownership of a slice has changed: orders of the previous ownership are invalid."""
+        """Record that the ownership of a slice has changed, which makes orders of the previous ownership invalid."""
         self.epoch += 1
         self._last_change[slice_number] = self.epoch
 
     def record_gap(self, slice_number: int) -> None:
-        """Record a gap that may hide a change of a slice's ownership: its orders stay valid, with unknown outcome."""
+        """Record a gap in the watch, in which a change of a slice's ownership may have been missed.
+
+        Orders for the slice stay valid, but their outcome is unknown.
+        """
         self.epoch += 1
         self._last_gap[slice_number] = self.epoch
 
@@ -46,14 +51,16 @@
 class UncertainEntries:
     """Table entries whose stored weight may differ from what the watch has reported.
 
-    The entries of a finished request are recent until enough heartbeats were received that the registry must have sent
-    one of them after the request. All events from before the request have been read by then. A change of ownership or a
-    snapshot that is read earlier may be older than the request.
+    The entries of a request are recent from the end of the request until `MAX_UNREAD_HEARTBEATS + 1` heartbeats have
+    been received after it. At most `MAX_UNREAD_HEARTBEATS` of these were sent before the end of the request, so at
+    least one was sent after it, and all events from before the end of the request have been read. A change of ownership
+    or a snapshot that is read while the entries are recent may be older than the request.
     """
 
     def __init__(self) -> None:
         """Create a collection without entries."""
-        # One item for each of the last heartbeats, newest first: the endpoints of recent entries, by slice.
+        # Endpoints of the recent entries by slice, in one item for the time since the last heartbeat and one for each
+        # earlier interval between heartbeats, newest first.
         self._recent: deque[dict[int, Endpoints]] = deque([{}], maxlen=MAX_UNREAD_HEARTBEATS + 1)
         self._unconfirmed: dict[int, Endpoints] = {}
 
@@ -73,11 +80,11 @@
         self._unconfirmed.setdefault(slice_number, {}).update(dict.fromkeys(endpoints))
 
     def handle_heartbeat(self, owned: Container[int]) -> dict[int, Endpoints]:
-        """Handle a heartbeat: the watch has reported all entries that were stored when the owned slices were assigned.
+        """Handle a heartbeat, which shows that the watch has reported all entries stored when slices were assigned.
 
         Returns:
-            The endpoints of unconfirmed entries, by owned slice. Entries of other slices are kept until a heartbeat
-            arrives while the pilot owns the slice.
+            The endpoints of the unconfirmed entries of owned slices, by slice. They are removed from the collection.
+            Entries of other slices are kept until a heartbeat arrives while the pilot owns the slice.
         """
         self._recent.appendleft({})
         confirmed = [slice_number for slice_number in self._unconfirmed if slice_number in owned]
--- a/damsonpick/protocols/platform/pending_orders.py
+++ b/damsonpick/protocols/platform/pending_orders.py
@@ -1,15 +1,15 @@
 """Orders of the planner that the registry has not accepted yet. No I/O.
 
 At most one request is in flight; it contains the oldest orders. Pending orders are merged: a newer order replaces an
-older order with the same key, so the number of pending orders is bounded. A request whose outcome is unknown was
-applied once or not at all. No newer order is sent before its outcome is known, so resending its orders, merged with
-newer ones, leads to the desired state in both cases.
-
-The planner adds new entries of a table before it removes old ones (make before break). This sequence is kept wherever
-the orders are split into requests and whether a request is applied or not: the orders for one table are sent together,
-at the position of the oldest of them, additions before removals. A withdrawal keeps the position of an older order for
-its endpoint. Orders that restore an endpoint or set an admission level move to the end, so that they follow the orders
-that the planner gave before them.
+older order for the same object, such as a table entry, so the number of pending orders is bounded. A request whose
+outcome is unknown was applied once or not at all. Its orders stay pending until they are accepted or newer orders
+replace them. The following requests therefore lead to the desired state in both cases.
+
+The planner adds new entries of a table before it removes old entries (make before break). This sequence is kept
+regardless of where the orders are split into requests and of whether a request is applied: the orders for one table are
+consecutive, at the position of the oldest of them, with additions before removals. A withdrawal keeps the position of
+an older order for its endpoint. Orders that restore an endpoint, set an admission level or request a sync move to the
+end, so that they follow the orders that the planner gave before them.
 """
 
 from __future__ import annotations
@@ -54,7 +54,10 @@
 
 
 def order_key(order: Order) -> OrderKey:
-    """Return the key of an order; a newer order with the same key replaces it."""
+    """Return the key of an order.
+
+    A newer order with the same key replaces the order. Orders for one table share a key; `PendingTable` merges them.
+    """
     if isinstance(order, TableChange):
         return TableKey(order.table)
     if isinstance(order, api.SetWithdrawn):
@@ -98,7 +101,10 @@
         return self.clear is None and not self.entries
 
     def __iter__(self) -> Iterator[TableChange]:
-        """Yield the orders in the sequence in which they are sent: additions before removals."""
+        """Yield the orders in the sequence in which they are sent.
+
+        The order that clears the table comes first, then the orders that set a weight, then the removals.
+        """
         if self.clear is not None:
             yield self.clear
         yield from (order for order in self.entries.values() if order.weight > 0)
@@ -154,15 +160,15 @@
                 self._get_or_add_table(order.table).push(order)
                 continue
             key = order_key(order)
-            # A withdrawal is urgent and keeps its position. Other orders move to the end: the last of several
-            # overlapping admission levels is effective, and an endpoint must be restored only after the removal of the
-            # entries for which it was withdrawn.
+            # A withdrawal is urgent and keeps its position. Other orders move to the end: of several overlapping
+            # admission levels the last applies, and an endpoint must be restored only after the removal of the entries
+            # for which it was withdrawn.
             if not (isinstance(order, api.SetWithdrawn) and order.withdrawn):
                 self.by_key.pop(key, None)
             self.by_key[key] = order
 
     def discard_table(self, table: int) -> None:
-        """Remove all pending orders for a table whose ownership has changed."""
+        """Remove all pending orders for a table, because its ownership has changed."""
         self.by_key.pop(TableKey(table), None)
 
     def is_entry_pending(self, table: int, endpoint: str) -> bool:
@@ -174,7 +180,7 @@
         """Build the next request from the oldest orders.
 
         Args:
-            ownership_epoch: Current ownership epoch of the registry's known state.
+            ownership_epoch: Current `OwnershipTracker.epoch`.
             max_orders: Largest number of orders in the request. If None, only the size is limited.
 
         Returns:
@@ -199,8 +205,8 @@
         """Remove the orders that the registry has processed, according to its response.
 
         The registry stops at an order that it rejects. The rejected order is removed, and the orders after it stay
-        pending. This is not called for a request without a response or for one that was rejected as a whole: its orders
-        are still the oldest ones.
+        pending. This method is not called for a request that has no response or was rejected as a whole; the orders of
+        such a request stay pending.
 
         Args:
             orders: Orders of the request.
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -90,7 +90,7 @@
                 self._log_start()
                 await self._handle_signals(signals, group)
                 group.cancel_scope.cancel()
-        for number in SIGNALS:  # without the receiver, the default action of another signal would end the process
+        for number in SIGNALS:  # the receiver is closed; by default, a further SIGTERM or SIGHUP would end the process
             signal.signal(number, signal.SIG_IGN)
         self._log.info(
             "pilot_ended",
@@ -140,7 +140,8 @@
     def _start_planner(self) -> PlannerStart:
         """Create a planner and its first events: the endpoint list and the known state of the registry.
 
-        The registry's state is known only if the planner replaces one that has failed.
+        The known state of the registry is empty when the first planner starts, but not when a planner replaces a failed
+        planner.
         """
         events = [*self.endpoint_list.initial_events(), *self.registry.initial_events()]
         seed = self._rng.getrandbits(PLANNER_SEED_BITS)
@@ -150,7 +151,7 @@
         self._order_client.push(orders)
 
     def _transmission_time_s(self, order_count: int) -> float:
-        """Return how long the channel needs to send a request with `order_count` orders to all joined proxies."""
+        """Return the seconds that the channel needs to send a request with `order_count` orders to all proxies."""
         settings = self._config.settings
         entries = (order_count + settings.message_overhead) * len(self.registry.proxies)
         return entries / max(1.0, settings.channel_rate)
@@ -223,6 +224,6 @@
         if config.settings.admission == "rps":
             self._log.warning(
                 "load_shedding_off",
-                reason="domain.admission is rps, levels in requests per second, which are not supported yet",
+                reason="domain.admission is rps: it sets levels in requests per second, which are not supported yet",
                 remedy="set domain.admission to ratio; until then no load is shed under overload",
             )
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -14,8 +14,8 @@
 from damsonpick.runtime.clock import Clock
 from damsonpick.runtime.decision_loop import DecisionLoop
 
-EVENT_BATCH_S = 0.004  # events that arrive within this time are handled in one step
-MIN_PAUSE_S = 0.001  # shortest wait for the next due step
+EVENT_BATCH_S = 0.004  # pause after each step; the events that arrive during the pause are handled in one step
+MIN_PAUSE_S = 0.001  # shortest wait for events if the next step is due earlier or is overdue
 
 
 class PlannerStart(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 class StepStatistics(NamedTuple):
-    """Statistics of the planner's steps since the previous call of `PlannerDriver.take_statistics`."""
+    """Statistics of the driver's steps, also those without events, since the previous call of `take_statistics`."""
 
     step_count: int
     longest_step_ns: int
@@ -37,8 +37,8 @@
 
     Attributes:
         clock: Clock of the planner.
-        loop: Holds the planner, its events and its timers. It drops a planner that fails, and sets when the next one
-            starts.
+        loop: Runs the planner and keeps its events and timers. It drops a planner that fails, and determines when the
+            next planner starts.
         publish: Receives the planner's orders.
     """
 
@@ -53,7 +53,7 @@
 
         Args:
             clock: Clock of the planner.
-            start_planner: Creates a planner, for the start and to replace a planner that has failed.
+            start_planner: Creates the first planner, and each planner that replaces a failed planner.
             publish: Receives the planner's orders.
             log: Receives failures of the planner.
         """
@@ -72,7 +72,7 @@
             self._wakeup.set()
 
     def start(self) -> None:
-        """Create a planner and pass its first events to it."""
+        """Create a planner and queue its first events."""
         planner, events = self._start_planner()
         self.loop.begin_with(planner, events)
 
@@ -84,16 +84,16 @@
         return statistics
 
     async def run(self) -> None:
-        """Run a step whenever events arrive or a timer fires, until cancelled."""
+        """Run a step whenever events arrive, a timer fires or a planner must be started, until cancelled."""
         while True:
             self._wakeup = anyio.Event()
             now_ns = self.clock.now()
             try:
                 self._step(now_ns)
             except Exception as error:
-                # The error was raised outside the planner, as the loop handles failures of the planner. Orders of this
-                # step may not have been queued: the next planner starts from the state that the registry stores, and
-                # orders what is missing.
+                # The error was raised outside `Planner.handle`, whose errors the loop handles. Orders of this step may
+                # not have been queued. The next planner starts from the state that the registry stores, and orders what
+                # is missing.
                 self.loop.give_up(now_ns, error)
             self._record_step(self.clock.now() - now_ns)
             await anyio.sleep(EVENT_BATCH_S)
@@ -120,7 +120,7 @@
         self._longest_step_ns = max(self._longest_step_ns, duration_ns)
 
     def _pause_s(self) -> float | None:
-        """Return the time until the next step is due, or None if no step is due before the next event."""
+        """Return the seconds until the next step is due, or None if no step is due before the next event."""
         due_ns = self.loop.next_step()
         if due_ns is None:
             return None
--- a/damsonpick/protocols/platform/readiness.py
+++ b/damsonpick/protocols/platform/readiness.py
@@ -1,4 +1,4 @@
-"""Determines when the pilot starts to answer heartbeats: after it has received all state, or after a timeout."""
+"""Determines when the pilot starts to answer heartbeat requests: with the state of all sources, or after a timeout."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self._ready = anyio.Event()
 
     def is_ready(self) -> bool:
-        """Return whether heartbeats are answered."""
+        """Return whether heartbeat requests are answered."""
         return self._ready.is_set()
 
     async def wait(self) -> None:
@@ -43,7 +43,7 @@
             self.become_ready()
 
     def become_ready(self) -> None:
-        """Answer heartbeats from now on."""
+        """Answer heartbeat requests from now on."""
         self._ready.set()
 
     async def enforce_timeout(self) -> None:
--- a/damsonpick/protocols/platform/registry.py
+++ b/damsonpick/protocols/platform/registry.py
@@ -17,7 +17,7 @@
 from damsonpick.protocols.platform.watch_snapshot import Proxy, WatchSnapshot
 from damsonpick.time_units import NS_PER_MS
 
-MAX_WITHDRAWN_ENDPOINTS = 4096  # stored to initialise a planner that replaces a failed planner
+MAX_WITHDRAWN_ENDPOINTS = 4096  # most endpoints that are kept for a planner that replaces a failed planner
 
 
 class Registry:
@@ -27,7 +27,7 @@
         pending: Orders that the registry has not accepted yet.
         proxies: Joined proxies, by number.
         tables: Table entries of the owned slices, by slice.
-        levels: Accepted admission levels that apply to all tables.
+        levels: Accepted admission levels that apply to all tables, by class.
         withdrawn: Endpoints whose withdrawal was accepted, newest last.
         ownership: Tracks changes of slice ownership.
     """
@@ -53,7 +53,7 @@
     # -- events for the planner
 
     def initial_events(self) -> list[api.Event]:
-        """Return the events that pass the known state to a planner that replaces a failed planner."""
+        """Return the events that pass the known state, with pending orders applied, to a new planner."""
         events: list[api.Event] = []
         for slice_number, entries in self.tables.items():
             events += _table_events(slice_number, self.pending.overlay_entries(slice_number, entries))
@@ -70,9 +70,9 @@
 
         Args:
             snapshot: State at the start of the watch.
-            gap: Whether events may have been missed. If so, a proxy that had joined before may have left and rejoined:
-                the planner is notified of both, because acknowledgements of the proxy and orders sent to it in the
-                meantime may be lost. Without a gap only proxies that differ are reported, so that the tables need not
+            gap: Whether events may have been missed. If so, a known proxy may have left and rejoined. The planner is
+                notified of a leave and a join, because acknowledgements of the proxy and orders sent to it in the
+                meantime may be lost. Without a gap, only proxies that differ are reported, so that the tables need not
                 be sent again to the other proxies.
 
         Returns:
@@ -108,11 +108,11 @@
         desired = self.pending.overlay_entries(slice_number, entries)
         known = self.tables.get(slice_number)
         self.tables[slice_number] = entries
-        if known is not None:  # orders accepted before the snapshot was read may be newer than it
+        if known is not None:  # orders that were accepted before the snapshot was read may be newer than the snapshot
             recent = self._uncertain.recent_endpoints(slice_number)
             differing = [name for name in recent if known.get(name, 0.0) != entries.get(name, 0.0)]
             self._uncertain.add_unconfirmed(slice_number, differing)
-        # Pending orders are included on both sides, as the registry may already have applied them.
+        # The tables are compared with pending orders applied, as the registry may already have applied these orders.
         if known is not None and self.pending.overlay_entries(slice_number, known) == desired:
             return []
         return _table_events(slice_number, desired)
@@ -174,7 +174,13 @@
             self._order_entries(slice_number, endpoints)
 
     def _order_entries(self, slice_number: int, endpoints: Iterable[str]) -> bool:
-        """Order the currently desired weights of entries, whatever is stored; return whether any order was added."""
+        """Order the currently desired weights of entries, regardless of their stored weights.
+
+        Entries with a pending order are skipped.
+
+        Returns:
+            Whether any order was added.
+        """
         desired = self.pending.overlay_entries(slice_number, self.tables[slice_number])
         orders = [
             api.SetEntry(slice_number, endpoint, desired.get(endpoint, 0.0))
@@ -202,13 +208,14 @@
                 apply_admission(self.levels, order, self.pending.class_count)
 
     def repeat_uncertain(self, orders: Iterable[Order], ownership_epoch: int) -> bool:
-        """Repeat orders whose effect is uncertain because the ownership changed, or may have, during their request.
+        """Repeat orders during whose request the ownership of their slice has changed, or may have changed.
 
         The registry applied such an order in the previous ownership, in the current ownership or between them, so it is
-        unknown whether the order changed the entries that are stored now. The currently desired weights are ordered
-        for its entries: for known stored entries immediately, and for all entries after a heartbeat, which shows that
-        the watch has reported the stored entries of the slice. A change of ownership that is reported later is covered
-        as well, because all entries of the request are added to the recent entries.
+        unknown whether the order changed the entries that are stored now. After a change, the currently desired weights
+        of the order's entries are ordered: immediately for known stored entries, and for all entries after a heartbeat,
+        which shows that the watch has reported the stored entries of the slice. After a gap, in which a change may have
+        been missed, the order is repeated immediately. A change of ownership that is reported later is covered as well,
+        because all entries of the request are added to the recent entries (see `UncertainEntries`).
 
         Args:
             orders: Orders of a request that was accepted or whose outcome is unknown.
@@ -238,7 +245,13 @@
         return False
 
     def _repeat_order(self, order: TableChange) -> bool:
-        """Order again what the planner still expects; return False if this or a newer order is already pending."""
+        """Repeat an order, unless this order or a newer order for the same entry is pending.
+
+        Instead of an order that clears the table, the desired weights of all known entries are ordered.
+
+        Returns:
+            Whether any order was added.
+        """
         if isinstance(order, api.ClearTable):
             return self._order_entries(order.table, list(self.tables[order.table]))
         if self.pending.is_entry_pending(order.table, order.endpoint):
@@ -247,10 +260,11 @@
         return True
 
     def rejection_events(self, order: Order) -> list[api.Event]:
-        """Return events with the known table of a rejected order, so that the planner decides again.
+        """Return events with the known table of a rejected entry, so that the planner decides again.
 
-        An earlier request without a response may have stored the entry nevertheless. In this case, the entry is
-        ordered again after the next heartbeat, with the weight that is desired then.
+        There are no events for orders of other kinds. An earlier request without a response may have stored the entry
+        nevertheless. Therefore a recent entry (see `UncertainEntries`) is ordered again after the next heartbeat, with
+        the weight that is desired then.
         """
         if isinstance(order, api.SetEntry) and order.table in self.tables:
             if order.endpoint in self._uncertain.recent_endpoints(order.table):
@@ -274,7 +288,8 @@
         self.withdrawn.pop(order.endpoint, None)
         if order.withdrawn:
             self.withdrawn[order.endpoint] = None
-        while len(self.withdrawn) > MAX_WITHDRAWN_ENDPOINTS:  # the endpoints withdrawn longest ago are gone permanently
+        # Drop the oldest withdrawals: endpoints that were withdrawn so long ago are gone permanently.
+        while len(self.withdrawn) > MAX_WITHDRAWN_ENDPOINTS:
             del self.withdrawn[next(iter(self.withdrawn))]
 
 
--- a/damsonpick/protocols/platform/registry_events.py
+++ b/damsonpick/protocols/platform/registry_events.py
@@ -15,7 +15,7 @@
 
 
 class Heartbeat(Struct):
-    """Shows that the watch is alive and has reported all entries of the slices that were assigned before.
+    """Shows that the watch is alive and has reported all entries of the slices that were assigned before it.
 
     It is an empty object on the wire.
     """
@@ -26,7 +26,7 @@
 
     proxy: Uint16
     zone: Name
-    fresh: bool  # True if the proxy has no tables yet
+    fresh: bool  # whether the proxy has no tables yet
     weight: float = 0.0
 
 
--- a/damsonpick/protocols/platform/registry_watch.py
+++ b/damsonpick/protocols/platform/registry_watch.py
@@ -75,13 +75,14 @@
 
         Args:
             synchronizer: Applies the snapshot and the events.
-            has_gap: Returns whether events may have been missed because no other watch is open.
+            has_gap: Returns whether events may have been missed before the snapshot, because no other open watch has
+                sent the current state or its heartbeat is overdue.
             dropped_input_log: Records events that cannot be decoded.
         """
         self._synchronizer = synchronizer
         self._has_gap = has_gap
         self._dropped_input_log = dropped_input_log
-        self._snapshot: WatchSnapshot | None = WatchSnapshot()  # None once it is complete
+        self._snapshot: WatchSnapshot | None = WatchSnapshot()  # None once the snapshot is complete and applied
 
     def path(self) -> str:
         """Return the path of the watch."""
@@ -94,7 +95,7 @@
             Whether the snapshot is complete.
 
         Raises:
-            TransportError: A line is not a JSON object.
+            TransportError: A line is not a JSON object, so the watch must be opened again.
         """
         for line in filter(None, lines):
             try:
--- a/damsonpick/protocols/platform/rejected_orders.py
+++ b/damsonpick/protocols/platform/rejected_orders.py
@@ -8,7 +8,7 @@
 from damsonpick.protocols.platform.order_codec import Order
 from damsonpick.protocols.platform.pending_orders import OrderKey, order_key
 
-MAX_RESENDS = 12  # per rejected order
+MAX_RESENDS = 12  # resends of a rejected order; at the next rejection it is dropped
 FIRST_RESEND_DELAY_S = 0.1
 MAX_RESEND_DELAY_S = 5.0
 
@@ -28,18 +28,20 @@
 
 
 class RejectedOrders:
-    """Keeps rejected withdrawals, admission levels and table clearings, and resends each after an increasing delay.
+    """Keeps rejected orders until they are due to be resent. The delay doubles with each rejection, up to a maximum.
 
-    A newer order with the same key replaces the rejected order.
+    It is used for all orders except those for single entries. A newer order with the same key replaces the rejected
+    order.
     """
 
     def __init__(self) -> None:
         """Create a collection without rejected orders."""
         self._waiting: dict[OrderKey, RejectedOrder] = {}
-        self._attempts: dict[OrderKey, int] = {}  # rejections of the orders that were resent and are not accepted yet
+        # Number of rejections of each resent order, until it is rejected again or superseded.
+        self._attempts: dict[OrderKey, int] = {}
 
     def add(self, order: Order, now_s: float) -> bool:
-        """Add a rejected order; return False if it has been rejected too often and is not resent."""
+        """Add a rejected order; return False if it was rejected more than `MAX_RESENDS` times and is not resent."""
         key = order_key(order)
         attempts = self._attempts.pop(key, 0) + 1
         if attempts > MAX_RESENDS:
--- a/damsonpick/protocols/platform/state_log.py
+++ b/damsonpick/protocols/platform/state_log.py
@@ -30,7 +30,7 @@
         unconfirmed_requests: Number of these requests whose outcome is unknown.
         connections: Number of open connections at the listening address.
         new_reports: Number of reports received since the previous line.
-        new_steps: Number of steps of the planner since the previous line.
+        new_steps: Number of steps of the planner's driver, also those without events, since the previous line.
         longest_step_ns: Duration of the longest of these steps.
     """
 
--- a/damsonpick/protocols/platform/stored_state.py
+++ b/damsonpick/protocols/platform/stored_state.py
@@ -13,7 +13,7 @@
 
 
 def tables_digest(tables: Mapping[int, TableEntries]) -> int:
-    """Return a checksum of all entries, to check whether two programs know the same stored state.
+    """Return a checksum of all tables and entries, to check whether two programs know the same stored state.
 
     Weights are rounded to six significant digits, as on the wire.
     """
--- a/damsonpick/protocols/platform/watch_client.py
+++ b/damsonpick/protocols/platform/watch_client.py
@@ -20,7 +20,7 @@
 CONNECT_TIMEOUT_S = 0.5  # for opening the connection, and again for sending the request
 FIRST_RETRY_DELAY_S = 0.04
 MAX_RETRY_DELAY_S = 1.0
-NO_STATUS = 0
+NO_STATUS = 0  # `ResponseReader.status` before the headers are complete
 STATUS_OK = 200
 MAX_LOGGED_BODY_BYTES = 80
 
@@ -52,7 +52,7 @@
             reset it.
 
     Raises:
-        TransportError: The watch has ended. The error text contains the reason.
+        TransportError: The watch could not be opened or has ended. The error text contains the reason.
     """
     stream = await http_client.dial(address, CONNECT_TIMEOUT_S)
     try:
@@ -87,7 +87,7 @@
         scope: Cancel scope of the task that keeps the watch open.
         superseded: Whether another address has replaced this one.
         synchronized: Whether the watch has sent the current state and has not been interrupted since then.
-        last_received_s: Time at which lines were last received.
+        last_received_s: Time at which lines were last received; 0 if none were received.
     """
 
     def __init__(self, address: Address) -> None:
@@ -108,7 +108,7 @@
     """Keeps a watch open. When the address changes, the new watch is opened before the previous one is closed.
 
     Attributes:
-        interruptions: Number of times that a watch was interrupted.
+        interruptions: Number of times that a watch was interrupted or could not be opened.
     """
 
     def __init__(
@@ -138,17 +138,21 @@
         self._active: WatchedAddress | None = None  # the last address whose watch has sent the current state
 
     def is_current(self) -> bool:
-        """Return whether an open watch has sent the current state, so that no event can have been missed."""
+        """Return whether an open watch has sent the current state and no heartbeat of it is overdue.
+
+        If so, no event can have been missed.
+        """
         if self._active is None or not self._active.synchronized:
             return False
-        overdue_s = self._silence_timeout_s / 2  # after this time a heartbeat is overdue; an event may have been missed
+        overdue_s = self._silence_timeout_s / 2  # after this time without lines, an event may have been missed
         return anyio.current_time() - self._active.last_received_s < overdue_s
 
     def follow(self, group: TaskGroup, address: Address) -> None:
         """Switch the watch to an address.
 
-        The watch at the previous address stays open until the new watch has sent the current state. A watch that has
-        not sent the current state yet is closed, because it could send it later and replace the newest watch.
+        The last watch that has sent the current state stays open until the new watch has sent the current state. A
+        previous watch that has not sent the current state yet is closed, because it could otherwise send the state
+        later and replace the newest watch.
         """
         if self._newest is not None and self._newest is not self._active:
             self._newest.supersede()
--- a/damsonpick/protocols/platform/watch_snapshot.py
+++ b/damsonpick/protocols/platform/watch_snapshot.py
@@ -13,7 +13,7 @@
 
     zone: str
     weight: float
-    fresh: bool  # True if the proxy has no tables yet
+    fresh: bool  # whether the proxy has no tables yet
 
 
 class WatchSnapshot:
