--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -6,8 +6,8 @@
     weight = 6
     started = 0
 
-`started` is the wall-clock time of the last start in nanoseconds since 1970. If it is 0 or absent, the server started
-long ago.
+`started` is the wall-clock time of the last start in nanoseconds since 1970. If it is 0 or absent, the server is
+assumed to have started long ago.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from damsonpick.state.endpoint_list.sources import ListError
 from damsonpick.state.endpoint_list.validation import STATES_BY_SAFETY
 
-SECTION_KIND = "server"  # first word of a section name, which the endpoint follows
+SECTION_KIND = "server"  # first word of a section name; the endpoint follows it
 KEYS = ("zone", "state", "weight", "started")
 DEFAULT_STATE, DEFAULT_WEIGHT, DEFAULT_STARTED = "in_service", "1", "0"
 
@@ -54,8 +54,8 @@
         name: Name of the file, for error messages.
 
     Raises:
-        ListFileError: The file has an error; the first one is reported. No entry is used then, because an incomplete
-            list would mean a smaller fleet.
+        ListFileError: The file has at least one error. Only the first error is reported. No entry is used, because an
+            incomplete list would mean a smaller fleet.
     """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     try:
@@ -98,7 +98,10 @@
 
 
 def render(entries: list[api.EndpointEntry]) -> str:
-    """Return the text of a list file, from which `parse` returns the same entries."""
+    """Return the text of a list file. `parse` returns the same entries from it.
+
+    Only weights differ if they have more than six significant digits.
+    """
     return "".join(_render_entry(entry) for entry in entries)
 
 
@@ -139,7 +142,7 @@
         self.poll_s = poll_s
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        """Yield the list each time the text changes, or an error if the file cannot be used. Iterates forever."""
+        """Yield the list, or an error if the file cannot be used, at the first read and after each change, forever."""
         last: str | None = None
         while True:
             content = await self._read()
--- a/damsonpick/protocols/shared/grpc_stream.py
+++ b/damsonpick/protocols/shared/grpc_stream.py
@@ -1,9 +1,9 @@
 """Reads and writes on the gRPC stream of a client, with one error type for every end of the stream.
 
 grpc.aio raises `asyncio.CancelledError` in a reader when the *peer* ended the call with CANCELLED, as a killed process
-may do. It raises `InvalidStateError` in a writer whose call is over. The first error would silently cancel the whole
-task group of the reader. The functions of this module raise `StreamEndedError` instead of both. A real cancellation of
-the task is raised unchanged.
+may do. It raises `InvalidStateError` in a writer whose call is over. The `CancelledError` would silently cancel the
+whole task group of the reader. The functions of this module raise `StreamEndedError` instead of both errors. A real
+cancellation of the task is raised unchanged.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 async def guarded(awaitable: Awaitable[Result]) -> Result:
     """Await one operation of a call, or a whole session.
 
-    A call that this side cut off may end with a cancellation too.
+    A call that this side has aborted may also end with a `CancelledError`, which becomes a `StreamEndedError`.
 
     Raises:
         StreamEndedError: The call is over.
--- a/damsonpick/protocols/shared/instance_settings.py
+++ b/damsonpick/protocols/shared/instance_settings.py
@@ -136,10 +136,12 @@
         raise SettingError.invalid(path, f"none of {', '.join(allowed)}", text)
 
     def names(self, path: str) -> tuple[str, ...]:
-        """Return a list of names, given as a JSON list or as text separated by commas. Empty if the setting is absent.
+        """Return names that are given as a JSON list or as text separated by commas.
+
+        Empty names and the name `-` are omitted. The tuple is empty if the setting is absent.
 
         Raises:
-            SettingError: The setting is neither.
+            SettingError: The setting is neither text nor a list of texts.
         """
         value = self._value(path, "")
         parts = value.split(",") if isinstance(value, str) else value
@@ -170,7 +172,7 @@
 
 
 def _whole_number(value: Any) -> int | None:
-    """Return a number or its text as a whole number, or None if it is not one or reaches `INTEGER_LIMIT`."""
+    """Return a number or its text as a whole number, or None if it has no whole value below `INTEGER_LIMIT`."""
     try:
         number = int(value)
     except (TypeError, ValueError, OverflowError):
@@ -182,7 +184,7 @@
 
 
 def _finite_number(value: Any) -> float | None:
-    """Return a number or its text as a finite number, or None if it is not one."""
+    """Return a number or its text as a finite number, or None if the value is not a finite number."""
     try:
         number = float(value)
     except (TypeError, ValueError, OverflowError):
@@ -199,8 +201,8 @@
         values: Values by path, as `flatten` yields them.
 
     Raises:
-        SettingError: A setting is absent, has the wrong type or is out of range. The message states the path, the value
-            and what is allowed.
+        SettingError: A setting is absent, has the wrong type or is out of range. The message states the path and, if
+            the setting is present, the value and what is wrong with it.
     """
     get = SettingsReader(values)
     class_count = get.integer("grades.count", minimum=1, maximum=MAX_CLASSES)
--- a/damsonpick/protocols/shared/send_queue.py
+++ b/damsonpick/protocols/shared/send_queue.py
@@ -4,9 +4,9 @@
 
 The queue of a client is a set of entries by unit, not a list of messages. An entry that changes again before it is sent
 is still one entry, so a client that does not read occupies at most one entry per entry of the published state. The
-budget is a token bucket over all clients. It counts entries and the overhead of each message. Clients are served in
-order of arrival, but clients with a withdrawal are served first, because the grace period of a drain does not wait for
-balancing.
+budget is a token bucket over all clients. It counts entries and the overhead of each message. Clients are served in the
+order in which their oldest pending changes were queued. Only clients with a pending withdrawal are served before all
+others, because the grace period of a drain does not wait for balancing.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
     Attributes:
         client: Number of the client.
         units: Changed entries by unit.
-        ordered_at: Time in ns at which the oldest of the changes was ordered.
-        first_seq: Lowest sequence number of the changes.
-        entries: Number of entries.
+        ordered_at: Time in ns at which the first of the changes was queued.
+        first_seq: Sequence number of the change that was queued first.
+        entries: Number of changed entries in all units.
     """
 
     client: int
@@ -45,9 +45,9 @@
     def __init__(self) -> None:
         """Initialize the object without changes."""
         self.units: dict[str, set[str]] = {}  # changed entries by unit
-        self.ordered_at = 0  # time in ns at which the oldest change was ordered
-        self.first_seq = 0  # lowest sequence number of the changes
-        self.entries = 0
+        self.ordered_at = 0  # time in ns at which the first change was queued
+        self.first_seq = 0  # sequence number of the change that was queued first
+        self.entries = 0  # number of changed entries in all units
         self.urgent = False  # whether the changes include a withdrawal
 
     def add(self, now: int, seq: int, entries: Mapping[str, set[str]], urgent: bool) -> None:
@@ -69,8 +69,8 @@
     Args:
         rate: Entries per second over all clients, or 0 for no limit.
         message_overhead: Entries that each message costs in addition to its own entries.
-        limit: Most entries that may wait. The queue reports a higher number but does not enforce the limit, because the
-            planner stays within it.
+        limit: Most entries that may wait. The queue does not enforce the limit, because the planner stays within it.
+            `most_waiting` shows whether it was exceeded.
         messages: Most messages to one client within `window`, or 0 for no limit.
         window: Length of the window in ns.
     """
@@ -83,7 +83,7 @@
         self.messages = messages
         self.window = window
         self.pending: dict[int, PendingChanges] = {}  # by client
-        self.service_order: OrderedDict[int, None] = OrderedDict()  # clients with pending changes
+        self.service_order: OrderedDict[int, None] = OrderedDict()  # clients with pending changes, longest wait first
         self.urgent: OrderedDict[int, None] = OrderedDict()  # clients whose pending changes include a withdrawal
         self.blocked: set[int] = set()  # clients that do not accept another message now
         self.sent_at: dict[int, deque[int]] = {}  # by client: times in ns of the messages within the window
@@ -133,9 +133,9 @@
             self.blocked.add(client)
 
     def charge(self, entries: float) -> None:
-        """Charge the budget for entries, also for those by which a message is longer than what was queued.
+        """Charge entries to the budget. Later messages wait until the budget has recovered.
 
-        Later messages wait until the budget has recovered.
+        If a message contains more entries than were queued, the caller also charges the additional entries.
         """
         if self.rate:
             self.tokens -= entries
--- a/damsonpick/protocols/shared/session.py
+++ b/damsonpick/protocols/shared/session.py
@@ -1,7 +1,7 @@
 """The interface that the session manager requires of a session of any protocol. This module defines types only.
 
-A session accepts changes by unit and reports what its peer has acknowledged. Common to all protocols are the published
-state, the order and the budget of sending, and the events that the planner receives.
+A session accepts changes by unit and reports what its peer has acknowledged. All protocols share the published state,
+the send order, the send budget and the events that the planner receives.
 """
 
 from __future__ import annotations
@@ -14,8 +14,9 @@
     """The changes that a message delivers to a client.
 
     Attributes:
-        first_seq: Lowest sequence number of the changes, or 0 if the message answers a request of the client.
-        ordered_at: Time in ns at which the oldest of the changes was ordered.
+        first_seq: Sequence number of the change that was queued first, or 0 if the message answers a request of the
+            client.
+        ordered_at: Time in ns at which the first of the changes was queued.
         entries: Number of entries that changed.
     """
 
@@ -48,7 +49,7 @@
         fresh: Whether the peer has no state from earlier streams.
         verifies_roots: Whether the peer itself checks the root of the state that it has.
         rejected_ranges: Changes in messages that the peer rejected.
-        rejections: Reasons of the peer for rejecting a unit, in its own words, by unit.
+        rejections: Error text of the peer for each rejected unit, by unit.
         newly_rejected: Versions that were rejected since the session manager last processed this list.
     """
 
@@ -71,7 +72,10 @@
         """Return whether the session accepts another message now."""
 
     def oldest_unacknowledged(self) -> int:
-        """Return the lowest sequence number that the peer has not acknowledged, or a number above all of them."""
+        """Return the lowest sequence number that the peer has not acknowledged.
+
+        If there is none, the result is higher than every sequence number.
+        """
 
     def unacknowledged_messages(self) -> int:
         """Return the number of messages that were sent but not acknowledged."""
@@ -80,7 +84,7 @@
         """Return the versions that the peer has acknowledged, by unit. Empty if the protocol does not report them."""
 
     def acknowledged_at(self) -> int:
-        """Return the time in ns at which the peer last acknowledged anything, or 0 if it never did."""
+        """Return the time in ns at which the peer last acknowledged a message, or 0 if it never did."""
 
     def held_counts(self) -> dict[str, int]:
         """Return the amount of state that the peer has, by kind, for operators."""
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -16,7 +16,8 @@
 from damsonpick.state.history.digest import Digest
 from damsonpick.state.published_tables import FLEET, Change, PublishedTables
 
-MAX_REMEMBERED_REJECTIONS = 10_000  # most versions whose rejecting nodes are remembered
+# Most versions whose rejecting nodes are remembered. Above this number, only those of stopped versions are kept.
+MAX_REMEMBERED_REJECTIONS = 10_000
 FIRST_DUPLICATE_NUMBER = 60_000  # first of the client numbers for additional streams of a node id already in use
 LAST_DUPLICATE_NUMBER = 65_534
 NO_CHANGE = 1 << 62  # higher than every sequence number
@@ -26,7 +27,7 @@
     """Keeps the units in a form that is ready to be sent, consistent with the published state.
 
     Attributes:
-        stopped: Version, by unit, that too many clients rejected. It is not sent to any other client.
+        stopped: Versions that too many clients have rejected, by unit. They are not sent to further clients.
     """
 
     stopped: dict[str, str]
@@ -40,7 +41,7 @@
 
     seq: int
     token: int
-    ordered_at: int  # ns
+    ordered_at: int  # time in ns at which the change of the token was published
 
 
 class StagedChange(NamedTuple):
@@ -65,7 +66,7 @@
 
     Attributes:
         sessions: Sessions that have messages to send now.
-        next_due: Time in ns until more may be sent, or None if nothing waits.
+        next_due: Time in ns until more may be sent, or None if no change is waiting that a client accepts.
     """
 
     sessions: list[Session]
@@ -86,7 +87,7 @@
         self.number = number
         self.session = session
         self.pending_tokens: deque[PendingToken] = deque()  # in order of sequence numbers
-        self.acknowledged_at = now  # time in ns at which the client last acknowledged a sync token
+        self.acknowledged_at = now  # time in ns at which the client last acknowledged a sync token, or at first joined
 
 
 class SessionManager:
@@ -154,11 +155,12 @@
         Args:
             now: Current time in ns.
             change: Change of the published state.
-            delay_by_zone: Delay in ns for the clients of a zone. If a client needs a unit earlier, because the unit
-                changes again or because the client joins, the complete unit is sent to it at once.
+            delay_by_zone: Delay in ns for the clients of a zone, by zone. If a client needs a unit earlier, because the
+                unit changes again or because the client joins, the complete unit is sent to it at once.
 
         Returns:
-            Sessions that subscribe to none of the changed units. They may acknowledge the change's sync tokens now.
+            Sessions that subscribe to none of the changed units. They may acknowledge the change's sync tokens now. The
+            list is empty if the change has no sync tokens.
         """
         self.catalogue.refresh(change.entries)
         tokens = [PendingToken(change.seq, token, now) for token in change.sync_tokens]
@@ -176,7 +178,7 @@
         return unaffected
 
     def enqueue(self, now: int, session: Session, entries: Mapping[str, set[str]], urgent: bool) -> None:
-        """Queue entries for one session that are not part of a change of the tables. They count against the budget."""
+        """Queue entries that are not part of a change of the tables for one session. They count against the budget."""
         client = self.by_session.get(session)
         if client is not None:
             self.send_queue.enqueue(now, client.number, self.published.seq, entries, urgent)
@@ -193,7 +195,7 @@
         return Dispatch(sessions, self._next_due(now))
 
     def _next_due(self, now: int) -> int | None:
-        """Return the time in ns until more may be sent, or None if nothing waits."""
+        """Return the time in ns until more may be sent, or None if no change is waiting that a client accepts."""
         due = self.send_queue.next_due(now)
         if not self._staged:
             return due
@@ -208,11 +210,11 @@
                 self.send_queue.enqueue(now, staged.client, staged.seq, staged.entries, False)
 
     def release_staged(self, now: int) -> None:
-        """Make all staged changes due now, because endpoints may now drain that only the new tables have removed."""
+        """Make all staged changes due now, because an endpoint that only the new tables omit may be draining."""
         self._staged = [staged._replace(due_at=now) for staged in self._staged]
 
     def update_ready(self, session: Session) -> bool:
-        """Record whether a session accepts another message, after it received an answer or sent a message.
+        """Record whether a session accepts another message, after it received or sent a message.
 
         Returns:
             Whether changes are waiting that the session accepts now.
@@ -245,7 +247,10 @@
             session.rejected_ranges.clear()
 
     def _oldest_unacknowledged(self, client: Client) -> int:
-        """Return the lowest sequence number that is queued or unacknowledged, or a number above all if none is."""
+        """Return the lowest sequence number that is queued or unacknowledged.
+
+        If there is none, the result is higher than every sequence number.
+        """
         return min(client.session.oldest_unacknowledged(), self._oldest_queued(client.number))
 
     def _oldest_queued(self, number: int) -> int:
@@ -253,7 +258,7 @@
         return pending.first_seq if pending is not None and pending.units else NO_CHANGE
 
     def _count_rejections(self, session: Session) -> None:
-        """Count the nodes that reject a version. A version that too many reject is not sent to further clients."""
+        """Count the nodes that reject each version. A version that too many reject is not sent to further clients."""
         for rejected in session.newly_rejected:
             nodes = self._rejecting_nodes.setdefault(rejected, set())
             nodes.add(session.node)
@@ -265,7 +270,7 @@
             self._forget_rejections()
 
     def _stops_rollout(self, rejected: RejectedVersion, rejections: int) -> bool:
-        """Return whether too many nodes reject a version. Withdrawals are never stopped."""
+        """Return whether the rejections of a version stop its rollout now. Withdrawals are never stopped."""
         if rejected.unit == FLEET or not rejected.version:
             return False
         if self.catalogue.stopped.get(rejected.unit) == rejected.version:
@@ -286,9 +291,9 @@
     def held_versions(self, now: int, numbers_by_root: Mapping[str, int]) -> Iterator[dict[str, object]]:
         """Yield the version of the tables that each client has, as `damsonpick versions who` shows it.
 
-        If `verified` is true, the client checks roots itself. Otherwise the version is the one that the client has
-        acknowledged. `version` is None if the state of the client is not a stored version, for example while the client
-        is between two versions.
+        If `verified` is true, the client itself checks the root of its state. Otherwise the version is only what the
+        client has acknowledged. `version` is None if the state of the client is not a stored version, for example while
+        the client is between two versions.
 
         Args:
             now: Current time in ns.
@@ -341,9 +346,9 @@
 
 
 def _rejected(session: Session, seq: int) -> bool:
-    """Return whether a message that the client rejected contained a change.
+    """Return whether a message that the client rejected contained the change `seq`.
 
-    Messages without a sequence number of a change do not count.
+    Rejected messages without changes, whose range starts at 0, do not count.
     """
     return any(changes.first <= seq <= changes.last for changes in session.rejected_ranges if changes.first)
 
--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -21,7 +21,7 @@
 
 
 class Start(NamedTuple):
-    """The start of an instance, with its name, seed and settings."""
+    """The start of an instance with the given name, seed and settings."""
 
     instance: str
     seed: int
--- a/damsonpick/protocols/simulator/host.py
+++ b/damsonpick/protocols/simulator/host.py
@@ -17,7 +17,14 @@
         self._planners: dict[str, Planner] = {}
 
     def reply(self, batch: codec.Batch) -> list[str]:
-        """Pass to each instance its events of the batch, in order, and return the reply lines."""
+        """Start and stop planners, pass each planner its events of the batch in one call, and return the reply lines.
+
+        The events are passed in order. Events of a planner that is stopped or started again later in the batch are
+        dropped.
+
+        Raises:
+            codec.WireError: A stop or an event is for an instance that is not running.
+        """
         pending: dict[str, list[api.Event]] = {}
         lines: list[str] = []
         for item in batch.items:
@@ -37,12 +44,12 @@
 
     def _require_started(self, instance: str) -> None:
         if instance not in self._planners:
-            raise codec.WireError(f"event for {instance}, which was never started")
+            raise codec.WireError(f"event for {instance}, which was never started or has exited")
 
     def _run(self, instance: str, now: int, events: list[api.Event]) -> list[str]:
         try:
             actions = self._planners[instance].handle(now, events)
             return [codec.write_action(instance, action) for action in actions]
-        except Exception as error:  # the simulator ends the run; the traceback helps the engineer
+        except Exception as error:  # the simulator ends the run; the traceback on standard error shows the cause
             traceback.print_exc(file=sys.stderr)
             return [codec.write_fault(instance, error)]
--- a/damsonpick/runtime/backoff.py
+++ b/damsonpick/runtime/backoff.py
@@ -7,16 +7,17 @@
 
 import random
 
-MIN_DELAY_S = 0.05
-MAX_DELAY_S = 5.0
+MIN_DELAY_S = 0.05  # default upper bound of the first delay
+MAX_DELAY_S = 5.0  # default upper bound of every delay
 MAX_DOUBLINGS = 30
 
 
 class Backoff:
     """Computes delays between attempts.
 
-    The upper bound of the delay doubles with each failure, and each delay is drawn from the upper half of the range.
-    This jitter spreads the attempts of many clients that lost the same source at the same time.
+    The upper bound of the delay doubles with each failure, and each delay is drawn from the range between half the
+    upper bound and the upper bound. This jitter spreads the attempts of many clients that lost the same source at the
+    same time.
 
     Args:
         rng: Random generator that draws the jitter.
@@ -29,7 +30,7 @@
         self.rng = rng
         self.min_delay_s = min_delay_s
         self.max_delay_s = max_delay_s
-        self.failures = 0  # consecutive failed attempts
+        self.failures = 0  # consecutive failed attempts, counted up to MAX_DOUBLINGS
 
     def next_delay_s(self) -> float:
         """Record a failed attempt and return the seconds to wait before the next attempt."""
@@ -38,5 +39,5 @@
         return self.rng.uniform(upper_bound_s / 2, upper_bound_s)
 
     def reset(self) -> None:
-        """Record a successful attempt, which resets the next delay to the shortest."""
+        """Record a successful attempt, which resets the upper bound of the next delay to `min_delay_s`."""
         self.failures = 0
--- a/damsonpick/runtime/clock.py
+++ b/damsonpick/runtime/clock.py
@@ -1,7 +1,8 @@
-"""The clock of the process. It reads the wall clock once, at the start, and then follows the monotonic clock.
+"""The clock of the process. It reads the wall clock only at the start, and then follows the monotonic clock.
 
-Setting the wall clock of the machine forward or back does not affect it. With a rate other than 1, which rehearsals
-use, the clocks of all processes on one machine still agree, because time is scaled around a fixed moment.
+Setting the wall clock of the machine forward or back later does not affect it. With a rate other than 1, which
+rehearsals use, the clocks of all processes with the same rate on one machine still agree, because time is scaled around
+a fixed moment.
 """
 
 from __future__ import annotations
@@ -10,8 +11,8 @@
 from typing import NamedTuple
 
 SCALING_ORIGIN_NS = 1_767_225_600_000_000_000  # 2026-01-01 00:00 UTC, when scaled and true time are equal
-MAX_ORIGIN_READS = 20
-MAX_ORIGIN_GAP_NS = 5_000  # longest time between the two monotonic reads of an attempt in an undelayed process
+MAX_ORIGIN_READS = 20  # attempts
+MAX_ORIGIN_GAP_NS = 5_000  # longest time between the two monotonic reads of an attempt if the process is not suspended
 
 
 class ClockOrigin(NamedTuple):
@@ -25,9 +26,10 @@
     """Read the wall clock and the monotonic clock at the same moment.
 
     The system may suspend the process between two reads, for milliseconds under load. The clock of the process would
-    then stay behind the clocks of all other processes permanently. Therefore each attempt reads the wall clock between
-    two reads of the monotonic clock, and the attempt with the shortest time between its two monotonic reads is used.
-    The error is at most half of that time.
+    then be permanently behind or ahead of the clocks of all other processes, depending on between which reads the
+    process was suspended. Therefore each attempt reads the wall clock between two reads of the monotonic clock, and the
+    attempt with the shortest time between its two monotonic reads is used. The error is at most half of that time. No
+    further attempt is made after an attempt with a time of at most `MAX_ORIGIN_GAP_NS`.
     """
     best_gap_ns: int | None = None
     origin = ClockOrigin(0, 0)
@@ -53,7 +55,7 @@
     """
 
     def __init__(self, rate: float = 1.0, origin: ClockOrigin | None = None) -> None:
-        """Read the wall clock once, unless an origin is passed."""
+        """Read the origin, unless it is passed."""
         self.rate = rate
         self.origin = origin or read_clock_origin()
 
@@ -63,12 +65,12 @@
         return SCALING_ORIGIN_NS + int(true_ns * self.rate)
 
     def seconds(self, ns: int) -> float:
-        """Return the true seconds that a duration of this clock takes, or 0 if the duration is negative."""
+        """Return the true seconds that a duration of `ns` nanoseconds of this clock takes, or 0 if `ns` is negative."""
         return max(0, ns) / 1e9 / self.rate
 
 
 class MonotonicReading:
-    """Turns a series of times into one that never goes back, by replacing a lower time with the latest so far."""
+    """Turns a series of times into a series that never goes back: a lower time is replaced by the latest so far."""
 
     def __init__(self) -> None:
         """Initialize the latest time with 0."""
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -1,7 +1,7 @@
-"""Runs the planner: queues events, keeps timers, calls `Planner.handle` once per step, and schedules a restart.
+"""Runs the planner: queues events, keeps timers, calls `Planner.handle` once per step, and schedules restarts.
 
-A restart follows an exception of the planner. The loop uses no sockets and no store. The owner of the loop starts the
-planner and executes the actions that a step returns.
+The planner is restarted if it raises an exception or if its owner gives it up. The loop uses no sockets and no store.
+The owner of the loop starts the planner and executes the actions that a step returns.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 from damsonpick.decisions.planner import Planner
 from damsonpick.runtime.clock import MonotonicReading
 
-# The delay doubles with each failure. After consecutive failures it is 0, 400, 800, 900, 900 ms, and so on.
+# Delay of a restart. After consecutive failures it is 0, 400, 800, 900, 900 ms, and so on: it doubles from the second
+# failure on, up to the maximum.
 BASE_RESTART_DELAY_NS = 100_000_000
 MAX_RESTART_DELAY_NS = 900_000_000
 MAX_DELAY_DOUBLINGS = 8
@@ -50,7 +51,8 @@
         self.inbox: list[api.Event] = []  # events for the next step
         self.timers: list[tuple[int, int]] = []  # heap of (due time in ns, token)
         self.clock = MonotonicReading()
-        self.planner: Planner | None = None  # None after a failure; the next planner starts at `restart_at`
+        # None before the first planner is installed and after a failure. The owner starts the next at `restart_at`.
+        self.planner: Planner | None = None
         self.failures = 0  # consecutive failures
         self.failed_at = 0  # ns
         self.restart_at = 0  # ns
@@ -72,10 +74,10 @@
         return self.timers[0][0] if self.timers else None
 
     def advance(self, now: int, more: Iterable[api.Event] = ()) -> Step | None:
-        """Pass the queued events to the planner, then `more`, then the timers that are due.
+        """Pass the queued events, then `more`, then the timers that are due to the planner in one call.
 
         Returns:
-            The step, or None if there were no events or the planner failed.
+            The step, or None if there were no events and no due timers, or if the planner failed.
         """
         events, self.inbox = [*self.inbox, *more], []
         while self.timers and self.timers[0][0] <= now:
--- a/damsonpick/runtime/loop_lag.py
+++ b/damsonpick/runtime/loop_lag.py
@@ -15,7 +15,7 @@
 
 from damsonpick.time_units import MS_PER_SECOND
 
-PROBE_PERIOD_S = 0.05
+PROBE_PERIOD_S = 0.05  # length of the sleeps whose delay is measured
 LOG_PERIOD_S = 10.0  # at most one log line is written per period
 LAG_LIMIT_S = 0.25  # shorter lags are not logged
 
--- a/damsonpick/runtime/port_files.py
+++ b/damsonpick/runtime/port_files.py
@@ -17,7 +17,7 @@
 
 
 def write(path: Path | None, port: int) -> None:
-    """Write the port to a file. A reader sees either the complete file or no file.
+    """Write the port to a file. Until the new file is complete, a reader sees no file or the previous complete file.
 
     Args:
         path: Path of the file. If None, nothing is written.
--- a/damsonpick/runtime/supervision.py
+++ b/damsonpick/runtime/supervision.py
@@ -25,7 +25,7 @@
     """Run a task until it returns or is cancelled.
 
     If the task raises an exception, the exception is logged and the task restarts after a delay that grows with each
-    failure.
+    failure, up to `MAX_RESTART_DELAY_S`.
 
     Args:
         name: Name of the task in the log.
--- a/damsonpick/runtime/timeouts.py
+++ b/damsonpick/runtime/timeouts.py
@@ -13,7 +13,9 @@
 import anyio
 import anyio.lowlevel
 
-GRACE_ITERATIONS = 10  # of the event loop; more than a connect needs once the answer of the peer has arrived
+# Iterations of the event loop for which an operation may continue after its timeout. A connect needs fewer iterations
+# once the response of the peer has arrived.
+GRACE_ITERATIONS = 10
 
 Result = TypeVar("Result")
 
@@ -25,12 +27,12 @@
 ) -> Result:
     """Run an operation and cancel it after a timeout and `GRACE_ITERATIONS` further iterations of the event loop.
 
-    The further iterations take no time if the event loop is not late.
+    The further iterations take almost no time if the event loop is not late.
 
     Args:
         timeout_s: Timeout in seconds.
         operation: Operation to run. An exception that it raises is raised by this function.
-        discard: Closes the result of the operation if the caller was cancelled and cannot receive it.
+        discard: Closes the result of the operation if the caller was cancelled and cannot receive the result.
 
     Raises:
         TimeoutError: The operation did not end in time.
--- a/damsonpick/settings/consistency.py
+++ b/damsonpick/settings/consistency.py
@@ -8,7 +8,9 @@
 from damsonpick.settings.problems import Problem
 from damsonpick.settings.units import slice_numbers
 
-MIN_COLD_LOAD_SHARE = 0.05  # share of a server's capacity; below it a server that warms up could never receive load
+# Lowest permitted load above which a server that warms up fails, as a share of its capacity. With a lower value, the
+# server could never receive load.
+MIN_COLD_LOAD_SHARE = 0.05
 
 
 def check(settings: PilotSettings) -> list[Problem]:
--- a/damsonpick/settings/ini.py
+++ b/damsonpick/settings/ini.py
@@ -12,7 +12,7 @@
     """Return the sections of an INI file. Keys are case-sensitive; `#` and `;` start comments.
 
     Raises:
-        SettingsError: The file cannot be read or is not an INI file. The problem names the line.
+        SettingsError: The file cannot be read or is not an INI file. In the second case the problem names the line.
     """
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
     parser.optionxform = str
--- a/damsonpick/settings/load.py
+++ b/damsonpick/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads an INI file into `PilotSettings` and reports all of its problems at once."""
+"""Reads an INI file into `PilotSettings` and reports the problems of the file together."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     "sasp",
     "log",
 )
-# Sections with a name, such as [class page], by the words before the name. The value holds the key of `PilotSettings`
-# that collects the sections, and the model of one section.
+# Sections with a name, such as [class page], by the words before the name. Each value is a pair: the key of
+# `PilotSettings` that collects the sections, and the model of one section.
 NAMED_SECTIONS: dict[str, tuple[str, type[BaseModel]]] = {
     "class": ("classes", model.RequestClass),
     "list": ("lists", model.ListSource),
     "sasp group": ("sasp_groups", model.SaspGroup),
     "sasp balancer": ("sasp_balancers", model.SaspBalancer),
 }
-# Each message of `units` starts with one of these words; no message of pydantic does.
+# Each message of `value_errors` starts with one of these words; no message of pydantic does.
 OWN_MESSAGE_PREFIXES = ("is ", "has ", "names ")
 
 
@@ -42,7 +42,8 @@
     """Return the settings of a pilot. Paths in the file are relative to the folder of the file.
 
     Raises:
-        SettingsError: The file has problems. The error holds all of them, each with section, key, value and remedy.
+        SettingsError: The file has problems. The error contains those that `read` returns, each with section, key,
+            value and remedy.
     """
     settings, problems = read(path)
     if settings is None:
@@ -51,7 +52,11 @@
 
 
 def read(path: Path) -> tuple[model.PilotSettings | None, list[Problem]]:
-    """Return the settings, or None and all problems. Paths in the file are relative to the folder of the file."""
+    """Return the settings and no problem, or None and the problems of the file.
+
+    Problems between several values are reported only if each value is valid. Paths in the file are relative to the
+    folder of the file.
+    """
     try:
         parser = parse(path)
     except SettingsError as error:
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -40,7 +40,7 @@
     name: str = Field("pilot-0", min_length=1)
     zone: str
     zones: Names
-    state: Path  # folder for the store and the control socket
+    state: Path  # folder for the databases, the learned state and the control socket
     seed: int = Field(1, ge=0)
     clock_rate: float = Field(1.0, gt=0, le=100)  # seconds of the pilot's clock per second of wall time, for rehearsals
 
@@ -61,7 +61,7 @@
     admission: Literal["ratio", "none"] = "ratio"
     # Timeout of a retryable attempt, as a multiple of the latency objective.
     attempt_timeout_objectives: float = Field(1.2, gt=0, alias="try_aims")
-    # Consecutive failures, seen by one gateway, after which it ejects a server. If 0, it never ejects one.
+    # Consecutive failures, seen by one gateway, after which the gateway ejects a server. If 0, none is ejected.
     ejection_failures: int = Field(5, ge=0, alias="strikes")
 
 
@@ -72,7 +72,8 @@
     empty_table_limit: Duration = Field(alias="bare_limit")  # longest time that a slice may be without an endpoint
     cold_capacity_share: float = Field(gt=0, le=1, alias="cold_share")
     warm_up_time: Duration = Field(alias="cold_time")
-    overload_multiple: float = Field(gt=1, alias="fall_multiple")  # load, in capacities, above which a server fails
+    # Load, as a multiple of the capacity, above which a server fails.
+    overload_multiple: float = Field(gt=1, alias="fall_multiple")
     overload_time: Duration = Field(alias="fall_time")  # time of such overload after which the server fails
     write_linger: Duration = 20 * MS
     write_lease: Duration = 800 * MS
@@ -84,7 +85,8 @@
     lines_per_second: float = Field(ge=0)
     limit: float = Field(gt=0)  # most entries that may wait to be sent
     message_overhead: float = Field(8, ge=0, alias="head")  # entries added to each message
-    messages_per_window: int = Field(0, ge=0, alias="messages")  # messages to each gateway; 0 for no limit
+    # Most messages to one gateway per `message_window`. If 0, there is no limit.
+    messages_per_window: int = Field(0, ge=0, alias="messages")
     message_window: Duration = Field(10 * SECOND, alias="window")
     max_transit: Duration = Field(500 * MS, alias="transit_most")
 
@@ -93,7 +95,7 @@
     """[reports]: Load reports of the gateways."""
 
     period: Duration = Field(1 * SECOND, alias="every")
-    max_age: Duration = Field(15 * SECOND, alias="oldest")  # reports that cover more time or arrive later are dropped
+    max_age: Duration = Field(15 * SECOND, alias="oldest")  # longest period of a report; a longer report is dropped
 
 
 class ListSource(Section):
@@ -114,7 +116,8 @@
     solve_entries: bool = Field(False, alias="lines")  # also compute weights for slices with several endpoints
     advise_capacity: bool = Field(False, alias="levels")  # also notify the planner of the load that the fleet sustains
     cross_zone_cost: float = Field(0.02, ge=0, alias="cross")
-    zone_pair_costs: ZonePairCosts = Field((), alias="pairs")  # from>to cost, ...; used instead of `cross_zone_cost`
+    # Costs of pairs of zones, `from>to cost, ...` in the file. They replace `cross_zone_cost` for these pairs.
+    zone_pair_costs: ZonePairCosts = Field((), alias="pairs")
     move_cost: float = Field(0.05, ge=0, alias="move")
     min_share: float = Field(0.1, ge=0, le=0.5, alias="least")  # fraction of an even share that every server keeps
     max_move_share: float = Field(0.2, gt=0, le=1, alias="bound")  # largest share of all work that one plan may move
@@ -151,7 +154,8 @@
     groups: int = Field(2000, ge=1)  # most groups of one balancer
     members: int = Field(1000, ge=1)  # most members of one group
     messages_per_second: float = Field(50, gt=0, alias="messages")  # highest rate of one session
-    send_timeout: Duration = Field(10 * SECOND, alias="patience")  # time after which the session is ended
+    # Longest time to send a message. If it is exceeded, the session ends.
+    send_timeout: Duration = Field(10 * SECOND, alias="patience")
     # Use the members as the last list source. Quiesced members drain.
     members_as_list: bool = Field(False, alias="feed")
 
@@ -187,12 +191,17 @@
     key_window: Duration = 0
     writes: bool = False
     mean_work: Duration = Field(0, alias="work")  # mean core time of a request at speed 1; the solver needs it
-    late_weight: float = Field(0.1, ge=0, alias="late_worth")  # weight of a response after the latency objective
+    # Priority weight of a response that arrives after the latency objective.
+    late_weight: float = Field(0.1, ge=0, alias="late_worth")
     own_zone_only: bool = Field(False, alias="own_zone")  # send requests only to servers in the zone of the gateway
 
 
 class PilotSettings(Section):
-    """All settings of a pilot. An alias is a section of the file, or the collection of all named sections of a kind."""
+    """All settings of a pilot.
+
+    A field contains a section of the file, or all named sections of a kind. Its alias, or its name if it has no alias,
+    is the name of the section or of the collection of named sections.
+    """
 
     pilot: Pilot
     listen: Listen = Listen()
@@ -217,7 +226,10 @@
         return not self.tables.slices or self.solver.solve_entries or self.solver.advise_capacity
 
     def table_count(self) -> int:
-        """Return the number of published tables: the number of slices, or one table per zone and request class."""
+        """Return the number of published tables.
+
+        There is one table for each slice, or, without slices, one for each pair of a zone and a request class.
+        """
         return self.tables.slices or len(self.pilot.zones) * len(self.classes)
 
     def store_path(self) -> Path:
@@ -237,7 +249,7 @@
         return self.pilot.state / "control.sock"
 
     def planner(self, instances: int = 1, instance: int = 0, proxies: int = 0) -> api.Settings:
-        """Return the settings of the planner. An unlimited channel becomes one with a limit that is never reached."""
+        """Return the settings of the planner. The rate and limit of an unlimited channel are never reached."""
         channel, rules = self.channel, self.rules
         unlimited = channel.lines_per_second == 0
         return api.Settings(
--- a/damsonpick/settings/sections.py
+++ b/damsonpick/settings/sections.py
@@ -1,4 +1,4 @@
-"""Reads an INI file into a pydantic model and reports all problems of the file at once.
+"""Reads an INI file into a pydantic model and reports the problems of the file together.
 
 Programs other than the pilot use this module.
 """
@@ -21,15 +21,18 @@
 def read(
     path: Path, model: type[Model], single: tuple[str, ...], named: Mapping[str, str], whole: str = ""
 ) -> tuple[Model, list[Problem]]:
-    """Return the model, and a list of the other problems, to which the caller may add.
+    """Return the model, and the problems that are not errors of the model, such as unknown sections.
+
+    The caller may add problems to the list.
 
     Args:
         path: Path of the INI file.
         model: Model of the file.
         single: Sections that occur once. Each is a field of the same name, unless `whole` collects it.
-        named: Field that collects the named sections of a kind, by the first word of the section:
+        named: Field that collects the named sections of a kind, by the first word of the section, for example
             {"class": "classes"}.
-        whole: Field that collects, unchanged, the sections of `single` that are not fields. Empty if there is none.
+        whole: Field that collects, unchanged, those sections of `single` that are not fields of the model. Empty if
+            every section of `single` is a field.
 
     Raises:
         SettingsError: The file cannot be parsed or does not fit the model.
--- a/damsonpick/settings/units.py
+++ b/damsonpick/settings/units.py
@@ -1,7 +1,8 @@
-"""Parses values of a settings file: durations with a unit, addresses and lists.
+"""Parses values of a settings file: durations, loopback addresses, names, costs of zone pairs and coverages.
 
-Each parser accepts the text of a value or a value that is already parsed. It raises a ValueError of `value_errors`,
-whose message describes the problem and the correct form.
+Each `parse_` function accepts the text of a value or a value that is already parsed. If the text is invalid, it raises
+an error of `value_errors`, which is a ValueError whose message describes the problem and the correct form. Only a cost
+that is not a number, such as 0.1.2, raises the ValueError of `float`.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 def parse_duration(text: object) -> int:
     """Return the nanoseconds of a duration such as '2.2 s', '250 ms' or '15 min'.
 
-    A number without a unit is rejected, because its unit would be a guess.
+    A text without a unit is rejected, because its unit would be a guess. An integer is an already parsed duration.
     """
     if isinstance(text, int) and not isinstance(text, bool):
         return text
@@ -61,7 +62,7 @@
 
 
 def parse_names(text: object) -> tuple[str, ...]:
-    """Return the names of a comma-separated list without repeated names."""
+    """Return the names of a comma-separated list. An empty list and repeated names are rejected."""
     names = tuple(text) if isinstance(text, tuple | list) else _split(text)
     if len(set(names)) != len(names):
         raise RepeatedNameError
