--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -98,9 +98,9 @@
 
 
 def render(entries: list[api.EndpointEntry]) -> str:
-    """Return the text of a list file. `parse` returns the same entries from it.
+    """Return the text of a list file.
 
-    Only weights differ if they have more than six significant digits.
+    `parse` returns the same entries from it, except that weights are rounded to six significant digits.
     """
     return "".join(_render_entry(entry) for entry in entries)
 
@@ -142,7 +142,7 @@
         self.poll_s = poll_s
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        """Yield the list, or an error if the file cannot be used, at the first read and after each change, forever."""
+        """Yield the list, or an error if the file cannot be used: first at once, then after each change. Never ends."""
         last: str | None = None
         while True:
             content = await self._read()
--- a/damsonpick/protocols/platform/connection_handler.py
+++ b/damsonpick/protocols/platform/connection_handler.py
@@ -90,9 +90,9 @@
         await self.respond(opened, received)
 
     async def respond(self, opened: OpenConnection, received: ReceivedInput) -> None:
-        """Queue the events of received reports, log dropped messages, and send one heartbeat for each request.
+        """Queue the events of received reports, log dropped messages, and answer heartbeat requests.
 
-        Heartbeats are sent only when the pilot is ready.
+        One heartbeat is sent for each request, but not before the pilot is ready.
         """
         for reason in received.drop_reasons:
             self._dropped_input_log.record(DroppedInput.REPORT, reason)
--- a/damsonpick/protocols/platform/connection_listener.py
+++ b/damsonpick/protocols/platform/connection_listener.py
@@ -99,7 +99,8 @@
             # Without the pause, the loop would retry continuously until the resource is available again.
             self._close(self._limiter.oldest_unjoined())
             await anyio.sleep(ACCEPT_RETRY_DELAY_S)
-        else:  # for example, the peer reset the connection before it was accepted; closing another would not help
+        else:
+            # For example, the peer reset the connection before it was accepted. No other connection needs to be closed.
             await anyio.sleep(0)
 
     def _open(self, stream: SocketStream, group: TaskGroup) -> None:
--- a/damsonpick/protocols/platform/endpoint_list.py
+++ b/damsonpick/protocols/platform/endpoint_list.py
@@ -84,9 +84,9 @@
         return api.EndpointListChanged("replace" if update.full else "update", entries)
 
     def _entries_to_keep(self, update: EndpointListUpdate) -> list[api.EndpointEntry]:
-        """Return the known entries of the endpoints that a full list contains only with an invalid entry.
+        """Return the known entries of the endpoints whose entries in a full update are invalid.
 
-        A full list removes the endpoints that are missing from it; these endpoints are not missing.
+        The update must not remove these endpoints, because its list contains them.
         """
         if not update.full:
             return []
--- a/damsonpick/protocols/platform/order_codec.py
+++ b/damsonpick/protocols/platform/order_codec.py
@@ -72,9 +72,9 @@
 
         Args:
             class_names: Names of the request classes, in the order of the settings.
-            token_offset: Offset that is added to sync tokens on the wire. An offset that differs from those of earlier
-                incarnations keeps a proxy's acknowledgement of a token of an earlier incarnation from being mistaken
-                for the acknowledgement of the same token of this incarnation.
+            token_offset: Offset that is added to sync tokens on the wire. If incarnations have different offsets, a
+                proxy's acknowledgement of a token of an earlier incarnation is not mistaken for the acknowledgement of
+                the same token of this incarnation.
         """
         self.class_names = class_names
         self.token_offset = token_offset
--- a/damsonpick/protocols/platform/ownership.py
+++ b/damsonpick/protocols/platform/ownership.py
@@ -10,8 +10,8 @@
 from collections import deque
 from collections.abc import Container, Iterable
 
-# Most heartbeats of one watch that the registry can have sent without the pilot having read them. With more unread
-# heartbeats, the pilot would have treated the watch as silent.
+# Largest number of heartbeats of one watch that were sent but not yet read. If there were more, the pilot would have
+# treated the watch as silent.
 MAX_UNREAD_HEARTBEATS = 3
 
 Endpoints = dict[str, None]  # an ordered set
--- a/damsonpick/protocols/platform/pending_orders.py
+++ b/damsonpick/protocols/platform/pending_orders.py
@@ -9,7 +9,7 @@
 regardless of where the orders are split into requests and of whether a request is applied: the orders for one table are
 consecutive, at the position of the oldest of them, with additions before removals. A withdrawal keeps the position of
 an older order for its endpoint. Orders that restore an endpoint, set an admission level or request a sync move to the
-end, so that they follow the orders that the planner gave before them.
+end, so that they follow the orders that the planner issued before them.
 """
 
 from __future__ import annotations
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -15,7 +15,7 @@
 from damsonpick.runtime.decision_loop import DecisionLoop
 
 EVENT_BATCH_S = 0.004  # pause after each step; the events that arrive during the pause are handled in one step
-MIN_PAUSE_S = 0.001  # shortest wait for events if the next step is due earlier or is overdue
+MIN_PAUSE_S = 0.001  # shortest wait for the next step, even if the step is due earlier
 
 
 class PlannerStart(NamedTuple):
--- a/damsonpick/protocols/platform/registry.py
+++ b/damsonpick/protocols/platform/registry.py
@@ -208,7 +208,7 @@
                 apply_admission(self.levels, order, self.pending.class_count)
 
     def repeat_uncertain(self, orders: Iterable[Order], ownership_epoch: int) -> bool:
-        """Repeat orders during whose request the ownership of their slice has changed, or may have changed.
+        """Repeat the orders for slices whose ownership has changed, or may have changed, during the request.
 
         The registry applied such an order in the previous ownership, in the current ownership or between them, so it is
         unknown whether the order changed the entries that are stored now. After a change, the currently desired weights
--- a/damsonpick/protocols/platform/registry_watch.py
+++ b/damsonpick/protocols/platform/registry_watch.py
@@ -75,14 +75,14 @@
 
         Args:
             synchronizer: Applies the snapshot and the events.
-            has_gap: Returns whether events may have been missed before the snapshot, because no other open watch has
-                sent the current state or its heartbeat is overdue.
+            has_gap: Returns whether events may have been missed before the snapshot. This is so unless another open
+                watch has sent the current state and none of its heartbeats is overdue.
             dropped_input_log: Records events that cannot be decoded.
         """
         self._synchronizer = synchronizer
         self._has_gap = has_gap
         self._dropped_input_log = dropped_input_log
-        self._snapshot: WatchSnapshot | None = WatchSnapshot()  # None once the snapshot is complete and applied
+        self._snapshot: WatchSnapshot | None = WatchSnapshot()  # None once the snapshot is complete
 
     def path(self) -> str:
         """Return the path of the watch."""
--- a/damsonpick/protocols/shared/send_queue.py
+++ b/damsonpick/protocols/shared/send_queue.py
@@ -5,8 +5,8 @@
 The queue of a client is a set of entries by unit, not a list of messages. An entry that changes again before it is sent
 is still one entry, so a client that does not read occupies at most one entry per entry of the published state. The
 budget is a token bucket over all clients. It counts entries and the overhead of each message. Clients are served in the
-order in which their oldest pending changes were queued. Only clients with a pending withdrawal are served before all
-others, because the grace period of a drain does not wait for balancing.
+order in which their oldest pending changes were queued, except that clients with a pending withdrawal are served first,
+because the grace period of a drain does not wait for balancing.
 """
 
 from __future__ import annotations
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -87,7 +87,7 @@
         self.number = number
         self.session = session
         self.pending_tokens: deque[PendingToken] = deque()  # in order of sequence numbers
-        self.acknowledged_at = now  # time in ns at which the client last acknowledged a sync token, or at first joined
+        self.acknowledged_at = now  # time in ns of the last acknowledged sync token; initially of joining
 
 
 class SessionManager:
@@ -178,7 +178,7 @@
         return unaffected
 
     def enqueue(self, now: int, session: Session, entries: Mapping[str, set[str]], urgent: bool) -> None:
-        """Queue entries that are not part of a change of the tables for one session. They count against the budget."""
+        """Queue entries for one session. They are not part of a change of the tables, but count against the budget."""
         client = self.by_session.get(session)
         if client is not None:
             self.send_queue.enqueue(now, client.number, self.published.seq, entries, urgent)
--- a/damsonpick/runtime/clock.py
+++ b/damsonpick/runtime/clock.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 SCALING_ORIGIN_NS = 1_767_225_600_000_000_000  # 2026-01-01 00:00 UTC, when scaled and true time are equal
-MAX_ORIGIN_READS = 20  # attempts
+MAX_ORIGIN_READS = 20  # attempts to read both clocks at the same moment
 MAX_ORIGIN_GAP_NS = 5_000  # longest time between the two monotonic reads of an attempt if the process is not suspended
 
 
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -51,7 +51,8 @@
         self.inbox: list[api.Event] = []  # events for the next step
         self.timers: list[tuple[int, int]] = []  # heap of (due time in ns, token)
         self.clock = MonotonicReading()
-        # None before the first planner is installed and after a failure. The owner starts the next at `restart_at`.
+        # None before the first planner is installed, and after a failure until the owner starts the next planner, which
+        # is due at `restart_at`.
         self.planner: Planner | None = None
         self.failures = 0  # consecutive failures
         self.failed_at = 0  # ns
@@ -74,7 +75,7 @@
         return self.timers[0][0] if self.timers else None
 
     def advance(self, now: int, more: Iterable[api.Event] = ()) -> Step | None:
-        """Pass the queued events, then `more`, then the timers that are due to the planner in one call.
+        """Pass events to the planner in one call: the queued events, then `more`, then the timers that are due.
 
         Returns:
             The step, or None if there were no events and no due timers, or if the planner failed.
--- a/damsonpick/runtime/timeouts.py
+++ b/damsonpick/runtime/timeouts.py
@@ -13,8 +13,8 @@
 import anyio
 import anyio.lowlevel
 
-# Iterations of the event loop for which an operation may continue after its timeout. A connect needs fewer iterations
-# once the response of the peer has arrived.
+# Iterations of the event loop for which an operation may continue after its timeout. Opening a connection needs fewer
+# iterations once the response of the peer has arrived.
 GRACE_ITERATIONS = 10
 
 Result = TypeVar("Result")
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -66,7 +66,7 @@
 
 
 class Rules(Section):
-    """[rules]: Parameters of the five rules."""
+    """[rules]: Parameters of the five rules that `damsonpick.testing.rules` checks."""
 
     drain_grace: Duration
     empty_table_limit: Duration = Field(alias="bare_limit")  # longest time that a slice may be without an endpoint
@@ -84,7 +84,7 @@
 
     lines_per_second: float = Field(ge=0)
     limit: float = Field(gt=0)  # most entries that may wait to be sent
-    message_overhead: float = Field(8, ge=0, alias="head")  # entries added to each message
+    message_overhead: float = Field(8, ge=0, alias="head")  # cost of a message in addition to its entries, in entries
     # Most messages to one gateway per `message_window`. If 0, there is no limit.
     messages_per_window: int = Field(0, ge=0, alias="messages")
     message_window: Duration = Field(10 * SECOND, alias="window")
