--- a/damsonpick/protocols/xds/assignment_builder.py
+++ b/damsonpick/protocols/xds/assignment_builder.py
@@ -1,4 +1,4 @@
-"""Builds the xDS load assignments: table entries, withdrawals and admission levels. Pure functions."""
+"""Builds the xDS load assignments: table entries, withdrawals and admission levels. Sans I/O."""
 
 from __future__ import annotations
 
--- a/damsonpick/protocols/xds/delta_session.py
+++ b/damsonpick/protocols/xds/delta_session.py
@@ -19,7 +19,7 @@
         names = list(request.resource_names_subscribe)
         if not watch.started:
             self._start(watch, request)
-            names = names or [WILDCARD]  # the older form of a wildcard
+            names = names or [WILDCARD]  # a first request without names is the older form of a wildcard
         if WILDCARD in names and not watch.wildcard:
             watch.wildcard = True
             watch.request(now, [*self.catalogue.by_type[watch.type_url], *list(watch.expected)])
@@ -65,7 +65,8 @@
 def _unsubscribe_from(watch: ResourceWatch, name: str) -> None:
     """End the subscription to a name.
 
-    For the wildcard, end the subscription to all resources that the client does not also subscribe to by name.
+    For the wildcard, this ends the subscription to all resources that the client does not also subscribe to by name.
+    For a resource, the subscription continues as long as a wildcard includes the resource.
     """
     if name == WILDCARD:
         watch.wildcard = False
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -32,7 +32,7 @@
     health_check_pb2.DRAINING: "terminating",
 }
 HEALTH_BY_STATE = {"in_service": health_check_pb2.HEALTHY, "terminating": health_check_pb2.DRAINING}
-MAX_LOGGED_VALUE = 60  # characters
+MAX_LOGGED_VALUE = 60  # characters of an invalid start time that an error message quotes
 KEEPALIVE = [("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 3000)]
 
 
@@ -136,7 +136,7 @@
 class UpstreamSource:
     """Yields each complete list that the upstream server sends.
 
-    If the stream breaks, it yields a ListError and connects again.
+    It yields a ListError for each invalid response, and when the stream ends. After the end it connects again.
     """
 
     def __init__(
@@ -157,7 +157,7 @@
         self.clock = clock
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        """Yield lists without end; after a failure, yield the error instead of a list."""
+        """Yield lists without end; after each failure, yield the error instead of a list."""
         while True:
             await anyio.sleep(self.budget.wait(self.clock()) / 1e9)
             self.budget.spend(self.clock())
@@ -211,7 +211,8 @@
     """Unpack all assignments in a response.
 
     Raises:
-        UpstreamTypeError: A resource has another type; nothing in the response is used then.
+        UpstreamTypeError: A resource has another type.
+        UpstreamFormatError: A resource cannot be decoded.
     """
     return [_unpack(body) for body in response.resources]
 
--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -22,8 +22,8 @@
 LATENCY_METRIC = "latency_ms"
 REQUESTS_PREFIX = "requests."
 FAILURES_PREFIX = "failures."
-CLASS_COUNTS_SUB_ZONE = "asked"  # of the locality with counts by class, regardless of the server of a request
-MAX_CLUSTERS = 70_000  # read from one report; greater than the largest possible number of slices
+CLASS_COUNTS_SUB_ZONE = "asked"  # sub-zone of the locality that contains the counts by class for all servers
+MAX_CLUSTERS = 70_000  # clusters that are read from one report; greater than the largest possible number of slices
 MAX_LATENCY_SUM_MS = 1e15  # sums of this size or larger are ignored
 MAX_COUNT = 1e12  # counts of this size or larger are ignored
 
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class _ClassCounts:
-    """Number of requests of one class in one slice."""
+    """Number of requests of one class in one slice, including dropped requests, and how many of them failed."""
 
     requests: int = 0
     failures: int = 0
@@ -102,7 +102,7 @@
 
 
 def _slice_stats(cluster: load_report_pb2.ClusterStats) -> Iterator[SliceStats]:
-    """Yield the counts of each class if the cluster stands for a slice; yield nothing for other clusters."""
+    """Yield the counts of each class if the cluster represents a slice; yield nothing for other clusters."""
     number = slice_of(cluster.cluster_name)
     if number < 0:
         return
@@ -187,7 +187,7 @@
     dropped: dict[str, int] = field(default_factory=dict)
 
     def count_attempt(self, zone: str, endpoint: str, succeeded: bool, latency_ms: float) -> None:
-        """Count an attempt at an endpoint."""
+        """Count an attempt at an endpoint. The latency counts only if the attempt succeeded."""
         key = (zone, endpoint)
         counts = self.attempts.get(key)
         if counts is None:
@@ -203,7 +203,7 @@
         self._requests_of(request_class).admitted += 1
 
     def count_failed(self, request_class: str) -> None:
-        """Count an admitted request that got no response."""
+        """Count an admitted request that failed."""
         self._requests_of(request_class).failed += 1
 
     def count_dropped(self, request_class: str) -> None:
--- a/damsonpick/protocols/xds/names.py
+++ b/damsonpick/protocols/xds/names.py
@@ -13,11 +13,11 @@
 CLUSTER_HEADER = "x-damson-cluster"
 ZONE_HEADER = "x-damson-zone"
 SLICE_PREFIX = "slice"
-MAX_SLICE_DIGITS = 6
+MAX_SLICE_DIGITS = 6  # a cluster name with more digits is not the name of a slice
 
 
 def slice_of(cluster: str) -> int:
-    """Return the slice number of a cluster name such as 'slice/17', or -1 if the cluster does not stand for a slice."""
+    """Return the slice number of a cluster name such as 'slice/17', or -1 if the cluster does not represent a slice."""
     prefix, _, number = cluster.partition("/")
     if prefix != SLICE_PREFIX or not number.isdecimal() or len(number) > MAX_SLICE_DIGITS:
         return -1
--- a/damsonpick/protocols/xds/rejections.py
+++ b/damsonpick/protocols/xds/rejections.py
@@ -1,8 +1,9 @@
 """Handling of a client's rejection (NACK) of a response. Sans I/O.
 
 A rejection states that something in a response is invalid, but not which resource. The session therefore splits the
-response in halves until the invalid resource is alone in a response. It never sends that version again, and the client
-receives all other resources.
+response in halves until the invalid resource is alone in a response. The client thereby receives all other resources.
+The rejected version is not sent again, unless a delta request repeats the subscription to the resource, the digest
+range of the resource is replaced, or a state-of-the-world response must contain all clusters.
 
 A client that checks roots also rejects a response if the state that it has differs from the state that it should have.
 The session then resends the differing ranges of the digest completely.
@@ -17,14 +18,14 @@
 from damsonpick.state.history import root_statement
 from damsonpick.state.history.digest import RANGE_COUNT, Digest, range_of
 
-MAX_REASON_CHARS = 1500
+MAX_REASON_CHARS = 1500  # longer error texts are cut; the text for a wrong root contains 1024 digits of range sums
 
 
 class RejectionHandler:
     """Handles and records the rejections on one stream.
 
     Attributes:
-        seq_ranges: Sequence numbers of the changes that rejected responses covered.
+        seq_ranges: For each rejected response, the range of sequence numbers of the changes that it may contain.
         reasons: The client's error text, by name of the resource whose version it rejected.
         new_versions: Versions that were rejected since the session manager last read this list.
         events: Events for the log.
@@ -66,7 +67,10 @@
             self._reject_versions(watch, response, reason)
 
     def _split(self, watch: ResourceWatch, response: InFlightResponse, reason: str) -> None:
-        """Schedule two new responses, each with half of the resources whose rejected version is still published."""
+        """Schedule new responses for the resources whose rejected version is still published.
+
+        Each response contains half of these resources. A half without resources is not sent.
+        """
         names = [name for name, version in response.versions.items() if watch.published_version(name) == version]
         middle = (len(names) + 1) // 2
         watch.isolated_batches.extend(half for half in (names[:middle], names[middle:]) if half)
@@ -83,7 +87,8 @@
     def _repair_mismatch(self, watch: ResourceWatch, range_sums: str, reason: str) -> None:
         """Schedule the replacement of the ranges in which the client's state differs from the published state.
 
-        All ranges are replaced if an earlier repair did not help or the client's range sums cannot be parsed.
+        All ranges are replaced if the client's range sums cannot be parsed or show no difference, or if the client has
+        accepted no response since the previous repair was scheduled.
         """
         target = self._target_versions(watch)
         try:
--- a/damsonpick/protocols/xds/request_rate.py
+++ b/damsonpick/protocols/xds/request_rate.py
@@ -6,7 +6,7 @@
 from damsonpick.time_units import NS_PER_SECOND
 
 REQUESTS_PER_S = 200.0  # refill rate of the bucket
-REQUEST_BURST = 4000.0  # size of the bucket; a client may send a separate request to subscribe to each slice
+REQUEST_BURST = 4000.0  # size of the bucket in requests; a client may subscribe to each slice in a separate request
 
 
 class RequestRateLimit:
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         """Create a full bucket."""
         self._tokens = REQUEST_BURST
-        self._updated_at = 0  # ns; 0 before the first request
+        self._updated_at = 0  # time of the last request, ns; 0 before the first request
 
     def count_request(self, now: int) -> None:
         """Remove one token from the bucket for a request.
@@ -24,7 +24,7 @@
             now: Current time, ns.
 
         Raises:
-            RequestRateError: The bucket is empty.
+            RequestRateError: The bucket contains less than one token.
         """
         gained = max(0, now - self._updated_at) / NS_PER_SECOND * REQUESTS_PER_S if self._updated_at else 0.0
         self._tokens = min(REQUEST_BURST, self._tokens + gained) - 1
--- a/damsonpick/protocols/xds/resource_watch.py
+++ b/damsonpick/protocols/xds/resource_watch.py
@@ -19,12 +19,14 @@
 from damsonpick.state.history.digest import Digest
 from damsonpick.state.published_tables import FLEET
 
-MAX_RESPONSE_BYTES = 1_000_000  # of resources; a quarter of the message size that a gRPC client accepts by default
-MAX_ANSWERED_RESPONSES = 32  # kept after their answer, because a late rejection must still take effect
+# Size in bytes up to which resources are added to a response: about a quarter of the message size that a gRPC client
+# accepts by default. A response may exceed it with a single large resource, or with clusters.
+MAX_RESPONSE_BYTES = 1_000_000
+MAX_ANSWERED_RESPONSES = 32  # responses kept after their answer, because a late rejection must still take effect
 
 
 class InFlightResponse(NamedTuple):
-    """A response that was sent and that the client has not answered yet.
+    """A response that was sent. It is kept in `in_flight` until the client answers it, and then in `answered`.
 
     Attributes:
         nonce: Identifier of the response.
@@ -56,10 +58,10 @@
         in_flight: Unanswered responses by nonce, in sending order.
         answered: The most recently answered responses by nonce.
         last_nonce: Nonce of the newest response.
-        ranges_to_replace: Ranges of the digest that are sent completely once nothing is in flight. None if there is no
-            mismatch.
-        repairs: Number of mismatches since the last accepted response.
-        acknowledged_at: Time at which the client last accepted a response, ns.
+        ranges_to_replace: Ranges of the digest that are sent completely once nothing is in flight. None if no
+            replacement is scheduled.
+        repairs: Number of replacements scheduled since the last accepted response.
+        acknowledged_at: Time at which the client last accepted a response, ns; 0 if it never did.
     """
 
     def __init__(self, catalogue: Catalogue, type_url: str) -> None:
@@ -127,7 +129,11 @@
         return resource.version if resource else ""
 
     def needs(self, name: str) -> bool:
-        """Return whether the published version must be sent, because the client neither has it nor rejected it."""
+        """Return whether the published version must be sent to the client.
+
+        It is not sent if the client is expected to have it or has rejected it. A version whose rollout was stopped is
+        sent only to a client without any version.
+        """
         version = self.published_version(name)
         if version and version == self.rejected.get(name):
             return False
@@ -184,7 +190,10 @@
                 self.acknowledged.pop(name, None)
 
     def revert(self, versions: dict[str, str]) -> None:
-        """Reset the expected versions that a rejected response would have set to the acknowledged versions."""
+        """Expect the acknowledged versions again in place of the versions of a rejected response.
+
+        A resource whose expected version a later response has changed keeps the version of that response.
+        """
         for name, version in versions.items():
             if self.expected.get(name, "") == version:
                 self.expect(name, self.acknowledged.get(name, ""))
@@ -192,13 +201,14 @@
     # -- responses
 
     def has_pending(self) -> bool:
-        """Return whether any resource must still be sent."""
+        """Return whether any resource is pending or belongs to an isolated batch."""
         return bool(self.pending or self.isolated_batches)
 
     def next_batch(self) -> list[str]:
         """Return the names of the resources for the next response.
 
-        Withdrawals are sent in a separate response, so that a client that rejects a table still applies them.
+        Withdrawals are sent first and in a separate response, so that a client that rejects a table still applies them.
+        An isolated batch is removed; other names stay pending until `pop_pending` is called.
         """
         if self.type_url == EDS and FLEET in self.pending:
             return [FLEET]
--- a/damsonpick/protocols/xds/resources.py
+++ b/damsonpick/protocols/xds/resources.py
@@ -1,10 +1,10 @@
 """The published state as xDS resources, each serialized once for all clients.
 
 The version of a resource is the hash of its content (64-bit XXH3 over protobuf's deterministic serialization). A client
-that rejoins, even after a restart of the control service, therefore receives only the resources that differ. Each
-resource is stored as a serialized field of a response. A response is a concatenation of such fields, because protobuf
-parses concatenated messages as their merge. Its cost therefore grows with the data that is sent, not with the size of
-the whole state.
+of the delta variant that rejoins, even after a restart of the control service, therefore receives only the resources
+that differ. Each resource is stored as a serialized field of a response. A response is a concatenation of such fields,
+because protobuf parses concatenated messages as their merge. The cost of a response therefore grows with the data that
+is sent, not with the size of the whole state.
 """
 
 from __future__ import annotations
--- a/damsonpick/protocols/xds/route_builder.py
+++ b/damsonpick/protocols/xds/route_builder.py
@@ -1,4 +1,4 @@
-"""Builds the xDS routes: the cluster, deadline and retry policy of each request class. Pure functions."""
+"""Builds the xDS routes: the cluster, deadline and retry policy of each request class. Sans I/O."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 from damsonpick.settings.model import PilotSettings
 from damsonpick.state.published_tables import NO_RETRIES, ROUTES, PublishedTables, slice_unit
 
-RETRY_ON_UNPROCESSED = "connect-failure,refused-stream"  # they prove that the server has not started the request
+# Failures after which the server is known not to have started to process the request.
+RETRY_ON_UNPROCESSED = "connect-failure,refused-stream"
 RETRY_ON_FAILURE = RETRY_ON_UNPROCESSED + ",5xx,reset"
-FIRST_MODE_WITH_ATTEMPT_TIMEOUT = 2
+FIRST_MODE_WITH_ATTEMPT_TIMEOUT = 2  # this retry mode and higher ones limit the time of each attempt
 
 
 class RetryRule(NamedTuple):
@@ -59,7 +60,11 @@
         return config
 
     def _zone_routes(self, table: int | None, class_number: int, mode: int) -> list[route_components_pb2.Route]:
-        """Build the routes of a class without slices, where the zone and class of a request determine its table."""
+        """Build the routes of a class for a deployment without slices, with one route for each zone.
+
+        In such a deployment, the zone and the class of a request determine its table. If `table` is not None, only the
+        route for this table is built.
+        """
         routes = []
         for zone_number, zone in enumerate(self._settings.pilot.zones):
             number = zone_number * len(self._published.classes) + class_number
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -41,7 +41,7 @@
         """Create a stream for a session and the type of the requests that the session accepts."""
         self.session = session
         self.request_type = request_type
-        self.error: StreamError | None = None  # why the server ends the stream; None if the server does not end it
+        self.error: StreamError | None = None  # error with which the server ends the stream; None if there is none
         self._wakeup = anyio.Event()
 
     def notify(self) -> None:
--- a/damsonpick/protocols/xds/session.py
+++ b/damsonpick/protocols/xds/session.py
@@ -22,9 +22,9 @@
 from damsonpick.state.history import root_statement
 from damsonpick.state.history.digest import names_in_ranges
 
-MAX_IN_FLIGHT = 4  # responses per resource type; while so many are unanswered, further changes wait and are merged
-MAX_TYPE_URL_CHARS = 200  # of an unknown type URL in the log
-MAX_NONCE_CHARS = 80  # of an unknown nonce in the log
+MAX_IN_FLIGHT = 4  # responses per resource type; while that many are unanswered, further changes wait and are merged
+MAX_TYPE_URL_CHARS = 200  # a longer type URL that is unknown is cut to this length in the log
+MAX_NONCE_CHARS = 80  # a longer nonce that is unknown is cut to this length in the log
 SEQ_UPPER_BOUND = 1 << 62  # greater than every sequence number
 
 Request: TypeAlias = discovery_pb2.DiscoveryRequest | discovery_pb2.DeltaDiscoveryRequest
@@ -73,7 +73,7 @@
 
         Raises:
             MissingNodeIdError: The first request has no node id.
-            RequestRateError: The client sends more requests than any client needs.
+            RequestRateError: The client exceeds the request rate limit of the stream.
         """
         self._request_rate.count_request(now)
         self._identify(request)
@@ -128,7 +128,7 @@
     # -- changes, and queries of the session manager
 
     def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
-        """Mark resources as pending that have changed and may be sent now."""
+        """Mark the resources of changed units, which may be sent now, as pending."""
         for unit in units:
             watch = self.watches.get(type_url_of(unit))
             if watch is not None:
@@ -145,7 +145,7 @@
         return EDS in self.watches
 
     def ready(self) -> bool:
-        """Return whether another response may be sent: fewer than `MAX_IN_FLIGHT` of each type are unanswered."""
+        """Return whether fewer than `MAX_IN_FLIGHT` responses of each type are unanswered."""
         return all(len(watch.in_flight) < MAX_IN_FLIGHT for watch in self.watches.values())
 
     def unacknowledged_messages(self) -> int:
@@ -187,7 +187,9 @@
             now: Current time, ns.
 
         Returns:
-            A serialized response. None if nothing is pending or too many responses are unanswered.
+            A serialized response, or None if no response of any type can be sent now. A type has no response if nothing
+            is pending, if `MAX_IN_FLIGHT` of its responses are unanswered, or if ranges must be replaced but responses
+            are still in flight.
         """
         for type_url in SEND_ORDER:
             watch = self.watches.get(type_url)
@@ -228,7 +230,7 @@
         return self._send(now, watch, versions, covered)
 
     def _compose_replacement(self, now: int, watch: ResourceWatch, ranges: list[int]) -> bytes:
-        """Build a response that replaces complete ranges, regardless of what the client has in them."""
+        """Build a response that replaces complete ranges, regardless of what the client has or has rejected in them."""
         watch.ranges_to_replace = None
         known = self.catalogue.by_type[watch.type_url]
         names = [name for name in names_in_ranges(known, ranges) if watch.wants(name)]
--- a/damsonpick/protocols/xds/sotw_session.py
+++ b/damsonpick/protocols/xds/sotw_session.py
@@ -34,12 +34,12 @@
                 watch.drop(name)
         watch.names = names
         watch.wildcard = wildcard
-        # The version_info of a first request does not state the versions of single resources, so every requested one
-        # is sent.
+        # The version_info of a first request does not state the versions of single resources, so every newly requested
+        # resource is sent.
         watch.request(now, sorted(requested - previous))
 
     def _required_names(self, watch: ResourceWatch, names: list[str]) -> list[str]:
-        """Return all clusters instead of a subset, because a client of this variant deletes omitted clusters."""
+        """Return all subscribed clusters instead of a subset, because these clients delete omitted clusters."""
         if watch.type_url != CDS or not names:
             return names
         return [name for name in self.catalogue.by_type[CDS] if watch.wants(name)]
@@ -54,5 +54,5 @@
 
 
 def _is_implicit_wildcard(watch: ResourceWatch, names: set[str], first: bool) -> bool:
-    """Return whether a request without names subscribes to all clusters (the older form of a wildcard)."""
+    """Return whether a request subscribes to all clusters because it has no names (the older form of a wildcard)."""
     return watch.type_url == CDS and not names and (first or watch.wildcard)
