--- a/damsonpick/protocols/sasp/access.py
+++ b/damsonpick/protocols/sasp/access.py
@@ -20,8 +20,8 @@
     def coverage_of(self, group: bytes) -> str | None:
         """Return which slices a group with this name covers, or None if groups with this name are rejected.
 
-        A group without a section in the settings covers one slice if its name is `slice/NUMBER`, and has the default
-        coverage otherwise.
+        A group without a section in the settings covers one slice if its name is `slice/NUMBER` with the number of an
+        existing table. Otherwise it covers the fleet if this is the default coverage, and is rejected if not.
         """
         name = group.decode("utf-8", "replace")
         section = self.settings.sasp_groups.get(name)
--- a/damsonpick/protocols/sasp/advisor.py
+++ b/damsonpick/protocols/sasp/advisor.py
@@ -15,10 +15,10 @@
 from damsonpick.state.published_tables import FLEET, PublishedTables, slice_unit
 from damsonpick.time_units import NS_PER_SECOND
 
-SHARES_PERIOD_NS = 2 * NS_PER_SECOND  # maximum age of the shares of several slices while no table changes
+SHARES_PERIOD_NS = 2 * NS_PER_SECOND  # maximum age of shares over several slices, even if no table has changed
 FLEET_COVERAGE = "fleet"  # coverage of groups that cover all slices
-MAX_CACHED_ADVICE = 20_000  # cached advice dictionaries, one per coverage and member snapshot
-MAX_CACHED_ENTRIES = 100_000  # cached encodings of weight entries
+MAX_CACHED_ADVICE = 20_000  # number of items, one per coverage and member snapshot, above which the cache is cleared
+MAX_CACHED_ENTRIES = 100_000  # number of encoded weight entries above which the cache is cleared
 
 
 # Coverage and `id` of the member snapshot. Groups with the same coverage and the same members get the same advice.
@@ -29,7 +29,7 @@
     """Version of the inputs that shares are computed from. Shares are valid as long as the version is unchanged.
 
     Attributes:
-        fleet_seq: Sequence number of the last change of the fleet.
+        fleet_seq: Sequence number of the last change of withdrawals or fleet-wide admission levels.
         tables_seq: Sequence number of the last change of a covered table.
         period: Number of the period in which the load was read; 0 if the shares do not depend on load.
     """
@@ -106,7 +106,7 @@
     _entries: dict[tuple[Member, int, Advice], bytes] = field(default_factory=dict, init=False)
     _units: dict[str, dict[str, None]] = field(default_factory=dict, init=False)  # by coverage
     _status_revision: int = field(default=0, init=False)
-    _last_seq: int = field(default=0, init=False)  # of the tables, when last checked for changes
+    _last_seq: int = field(default=0, init=False)  # sequence number of the published state when it was last checked
 
     def clear_caches(self) -> None:
         """Clear the cached shares, advice and encodings. The next advice is computed from the current state."""
@@ -153,12 +153,13 @@
         changed = self.published.changed
         units = self.covered_units(coverage)
         tables_seq = max((changed[unit] for unit in units), default=0)
-        # Load weights slices against each other, so it has no effect on the shares of a single slice.
+        # The load determines how much each slice counts relative to the others, so it has no effect on the shares of a
+        # single slice.
         period = now // SHARES_PERIOD_NS if len(units) > 1 else 0
         return SharesVersion(changed[FLEET], tables_seq, period)
 
     def _compute_shares(self, coverage: str) -> dict[str, float]:
-        if coverage == FLEET_COVERAGE:  # the shares of a single slice always follow its table
+        if coverage == FLEET_COVERAGE:  # shares over other sets of slices always follow the tables
             shares = weights.capacity_shares(self.fallback_capacities(), self.published.withdrawn)
             if shares:
                 return shares
--- a/damsonpick/protocols/sasp/client.py
+++ b/damsonpick/protocols/sasp/client.py
@@ -71,7 +71,7 @@
         """Send a request and return its reply.
 
         Raises:
-            SaspError: The stream ended before the reply arrived.
+            SaspError: The connection failed or was closed before the reply arrived.
         """
         self._number += 1
         number = self._number
@@ -113,7 +113,8 @@
         """Poll the weights of the named groups, or of all groups of the load balancer if no names are given.
 
         Raises:
-            SaspError: The stream ended before the reply arrived, or the reply is not a Get Weights Reply.
+            SaspError: The connection failed or was closed before the reply arrived, or the reply is not a Get Weights
+                Reply.
         """
         reply = await self.ask(sasp.GetWeights(tuple(Group(self.lb, name) for name in names)))
         if not isinstance(reply, sasp.WeightsReply):
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -24,6 +24,7 @@
 MAX_COMPONENT_BYTES = 0xFFFF
 MAX_NAME_BYTES = 255
 MAX_MESSAGE_BYTES = 1_048_576
+# Masks of the flags that this version defines. Other flags are ignored when a message is read.
 KNOWN_WEIGHT_FLAGS = 0x0F
 KNOWN_MEMBER_FLAGS = 0x01
 KNOWN_LB_FLAGS = 0x07
@@ -33,7 +34,7 @@
 MIN_GROUP_BYTES = 6
 MIN_WEIGHT_BYTES = 32
 MIN_STATE_BYTES = 30
-MIN_GROUP_OF_BYTES = 12  # a group of members, weights or states without any rows
+MIN_GROUP_OF_BYTES = 12  # component with a group and its members, weights or states, if it has no such rows
 
 T = TypeVar("T")
 
@@ -227,7 +228,9 @@
         start = self.position
         end = start + count
         if end > len(self.data):
-            raise MessageError(f"{self.what}: {count} bytes are read at {start}, but it has {len(self.data)}")
+            raise MessageError(
+                f"{self.what}: {count} bytes are read at offset {start}, but only {len(self.data)} exist"
+            )
         self.position = end
         return self.data[start:end]
 
@@ -244,7 +247,7 @@
         return int.from_bytes(self.take(2), "big")
 
     def name(self) -> bytes:
-        """Read a name, which has its length in the byte before it."""
+        """Read a name, which is preceded by its length in one byte."""
         return bytes(self.take(self.byte()))
 
     def component(self, kind: int) -> Reader:
@@ -395,7 +398,10 @@
 
 
 def _check_size(kind: int, size: int, available: int) -> None:
-    """Raise MessageError if the length of the message component contradicts the message length in the header."""
+    """Raise MessageError if the length of the message component contradicts the message length in the header.
+
+    The length of a message of an unknown type is not checked.
+    """
     is_known = kind in CODE_REPLIES or kind in BODY_READERS
     if is_known and size != min(available, MAX_COMPONENT_BYTES):
         raise MessageError(f"message 0x{kind:04x} says it has {size} bytes, but {available} follow the header")
--- a/damsonpick/protocols/sasp/fleet.py
+++ b/damsonpick/protocols/sasp/fleet.py
@@ -13,7 +13,7 @@
 
 NO_REPORTS_NS = 60 * NS_PER_SECOND  # time without any load report after which advice is derived from capacities
 RECENT_REPORT_NS = 10 * NS_PER_SECOND  # age up to which a load report on an endpoint counts as recent
-UNKNOWN_SLICE_LOAD = 0.01  # requests per second assumed for a slice that the planner does not know
+UNKNOWN_SLICE_LOAD = 0.01  # requests per second assumed for a slice whose load the planner does not know
 
 
 class Controller(Protocol):
@@ -44,7 +44,10 @@
         self.clock = clock
 
     def load_of(self, number: int) -> float:
-        """Return the requests per second of a slice; `UNKNOWN_SLICE_LOAD` if the planner does not know the slice."""
+        """Return the requests per second of a slice.
+
+        Returns `UNKNOWN_SLICE_LOAD` if the planner does not own the slice, or while there is no planner.
+        """
         planner = self.controller.planner
         slice_state = planner.slices.get(number) if planner else None
         return slice_state.load if slice_state is not None else UNKNOWN_SLICE_LOAD
@@ -68,7 +71,7 @@
     def fallback_capacities(self) -> dict[str, float]:
         """Return the capacities of all routable endpoints if no load report arrived for `NO_REPORTS_NS`.
 
-        Empty if a load report arrived within that time, or while there is no planner.
+        The result is empty if a load report arrived within that time, or while there is no planner.
         """
         planner = self.controller.planner
         if planner is None:
--- a/damsonpick/protocols/sasp/layout.py
+++ b/damsonpick/protocols/sasp/layout.py
@@ -71,7 +71,7 @@
 
 
 class Sender(IntFlag):
-    """Who sends a registration or member states: the load balancer if BALANCER is set, else the member itself."""
+    """Sender of a request about members: the load balancer if BALANCER is set, else the member itself."""
 
     BALANCER = 0x01
 
@@ -180,7 +180,8 @@
 class Deregister(NamedTuple):
     """Deregistration request (RFC 4678, 6.2).
 
-    Without groups it applies to all groups of the sender. A group without members is deregistered with all its members.
+    A request without groups applies to all groups of the sender. A group that is listed without members is deregistered
+    with all its members.
     """
 
     sender: Sender
@@ -189,7 +190,7 @@
 
 
 class GetWeights(NamedTuple):
-    """Get Weights request (RFC 4678, 6.3): a poll. Without groups it asks for all groups of the sender."""
+    """Get Weights request (RFC 4678, 6.3): a poll. A request without groups asks for all groups of the sender."""
 
     groups: tuple[Group, ...]
 
--- a/damsonpick/protocols/sasp/member_source.py
+++ b/damsonpick/protocols/sasp/member_source.py
@@ -1,4 +1,4 @@
-"""Supplies the members that load balancers registered as a source of the endpoint list."""
+"""A source of the endpoint list: the members that load balancers have registered."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Args:
         registry: All registrations.
         controller: Controller whose endpoint list supplies zone, weight and start time of the endpoints on it.
-        default_zone: Zone of endpoints that the endpoint list does not know.
+        default_zone: Zone of endpoints whose zone the endpoint list does not know.
         receive: Callback for the members as list entries. A quiesced member has the state `terminating`.
     """
 
@@ -34,7 +34,7 @@
         self.default_zone = default_zone
         self.receive = receive
         self._revision = 0  # revision of the registry when it was last read
-        self._quiesced: dict[str, bool] = {}  # by endpoint, as last passed to `receive`
+        self._quiesced: dict[str, bool] = {}  # whether an endpoint is quiesced, as last passed to `receive`
 
     def update(self) -> None:
         """Pass the members to `receive` if they have changed since the last call."""
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -20,7 +20,7 @@
 MAX_GROUP_BYTES = 65_535  # largest size that the length field of a component can represent
 GROUP_HEAD_BYTES = 12  # encoded group without names and entries: two component heads, count, two name lengths
 WEIGHT_BYTES = 32  # size of a weight entry with an empty label
-MAX_SHARED_SNAPSHOTS = 10_000  # number of snapshots above which those that no group uses are dropped
+MAX_SHARED_SNAPSHOTS = 10_000  # number of stored snapshots above which the snapshots that no group uses are dropped
 
 
 class AccessLevel(IntEnum):
@@ -202,7 +202,10 @@
     def _check_registration(
         self, sender: Sender, group: Group, members: Sequence[Member], seen: set[tuple[Group, Member]]
     ) -> Code:
-        """Check whether members may be added to a group; `seen` collects the members of the whole request."""
+        """Return `Code.OK` if members may be added to a group, or the reply code of the rejection.
+
+        `seen` collects the members of the whole request, so that a duplicate is found.
+        """
         code = _check_names(group) or self._check_sender(sender, group.lb, AccessLevel.REGISTER)
         if code != Code.OK:
             return code
@@ -242,8 +245,8 @@
     def deregister(self, session: RegisteredSession, sender: Sender, groups: tuple[MembersOf, ...]) -> Code:
         """Carry out a deregistration request (RFC 4678, 6.2).
 
-        A group without members is removed with all its members. Without groups, all groups of the load balancer are
-        removed.
+        If the request lists a group without members, the group is removed with all its members. If the request lists no
+        groups, all groups of the session's load balancer are removed.
         """
         if not groups:
             return self._deregister_all(session, sender)
@@ -264,7 +267,7 @@
         return Code.OK
 
     def _deregister_all(self, session: RegisteredSession, sender: Sender) -> Code:
-        """Remove all groups of the session's load balancer."""
+        """Remove all groups of each load balancer to which the session belongs."""
         balancers = [balancer for balancer in self.balancers.values() if session in balancer.sessions]
         if not sender & Sender.BALANCER or not balancers:
             return Code.UNKNOWN_LB
@@ -323,7 +326,7 @@
         return self.balancers[group.lb].groups.get(group.name) or Code.UNKNOWN_GROUP
 
     def _check_sender(self, sender: Sender, lb: bytes, level: AccessLevel) -> Code:
-        """Check whether this sender may change groups of a load balancer."""
+        """Return `Code.OK` if this sender may change groups of a load balancer, or the reply code of the rejection."""
         if sender & Sender.BALANCER:
             return Code.OK if self.may(lb, level) else Code.NOT_FROM_SENDER
         if lb not in self.balancers or not self.balancers[lb].sessions:
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -38,7 +38,7 @@
 
 PEER_CLOSED = "the peer closed the connection"
 READ_BYTES = 65_536
-MAX_CONCURRENT_REQUESTS = 4  # requests per turn of the event loop, limited so that a burst of polls delays no push
+MAX_CONCURRENT_REQUESTS = 4  # requests per iteration of the event loop, limited so that a burst of polls delays no push
 REFRESH_INTERVAL_S = 1.0  # interval of checks for changes that occur without a request or a table change
 UNSENT_ADVICE_SHARE = 0.05  # share of the send queue's limit that one refresh may enqueue for all sessions
 
@@ -158,7 +158,10 @@
             self._refresh()
 
     def _refresh(self) -> None:
-        """Read members and endpoint statuses again and enqueue the advice that has changed with them."""
+        """Read the endpoint statuses and enqueue the advice that has changed.
+
+        If the settings make the registered members a source of the endpoint list, this source is updated first.
+        """
         if self.settings.sasp.members_as_list:
             self.member_source.update()
         self.update_statuses()
@@ -168,8 +171,9 @@
     def update_statuses(self) -> None:
         """Read the statuses of all endpoints and invalidate the cached advice if they have changed.
 
-        Poll replies show a draining endpoint immediately. Pushes show it with the withdrawal that the planner orders,
-        after the withdrawal messages to gateways, each of which is a single entry.
+        Poll replies show a draining endpoint immediately. A push shows it when the planner has ordered the withdrawal,
+        or after the next refresh. The push is sent after the withdrawal messages to gateways, each of which is a single
+        entry.
         """
         statuses = self.fleet.statuses()
         if statuses != self._statuses:
@@ -293,7 +297,11 @@
                 await connection.stream.send(data)
 
     def _handle(self, session: SaspSession, frame: bytes) -> bytes:
-        """Process a request, start the join or refresh that results from it, and return the reply."""
+        """Process a request and return the reply.
+
+        If the request identifies the load balancer, its session joins the session manager. If the request changes
+        registrations, advice is refreshed.
+        """
         revision = self.registry.revision
         was_joined = session.joined
         reply = session.receive(self.clock.now(), frame)
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -1,9 +1,10 @@
 """State machine of one SASP connection. Sans I/O.
 
-SASP has no acknowledgements, so sending counts instead. A poll reply contains all advice, so the load balancer has seen
-everything that was published by the time of the reply. A push counts as seen as soon as the socket has accepted it.
-Until then, its sync token and its entries in the send queue are unacknowledged. A load balancer that neither polls nor
-accepts pushes is assumed to still use the advice that it received last.
+SASP has no acknowledgements, so sending counts as acknowledgement. A poll reply contains the current advice, so the
+load balancer counts as having seen everything that was published by the time of the reply. A push counts as seen as
+soon as the socket has accepted it. Until then, the sync tokens of its changes and its entries in the send queue are
+unacknowledged. A load balancer that neither polls nor accepts pushes is assumed to still use the advice that it
+received last.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
     Attributes:
         entries: Names of the entries to push, by unit.
-        urgent: Whether a member has newly been quiesced.
+        urgent: Whether a member has newly been quiesced in a group whose advice the peer has received before.
     """
 
     entries: dict[str, set[str]]
@@ -98,8 +99,8 @@
         self._last_advice: dict[bytes, dict[str, Advice]] = {}  # by group name: advice that the peer received last
         self._polled_at = 0  # time of the last poll reply in ns; 0 if there was none
         self._pushed_at = 0  # time of the last push in ns; 0 if there was none
-        self._pending: CoveredChanges | None = None  # changes to push
-        self._pending_units: set[str] = set()  # units whose groups may have changed; FLEET stands for all groups
+        self._pending: CoveredChanges | None = None  # changes that the next push must deliver; None if there are none
+        self._pending_units: set[str] = set()  # units with changes to push; FLEET affects all groups
         self._subscription = Subscription(-1, frozenset())
         self._writing_seq = 0  # lowest sequence number in the push being written; 0 if no push is being written
         self._push_number = 0  # message id of the last push
@@ -179,7 +180,10 @@
         return tuple(group.key for group in balancer.groups.values())
 
     def _collect_weights(self, now: int, groups: tuple[sasp.Group, ...], encoded_groups: list[bytes]) -> Code:
-        """Append the encoded weights of groups, up to the first group that cannot be read; return its reply code."""
+        """Append the encoded weights of groups to `encoded_groups` and return the reply code.
+
+        The first group that cannot be read ends the collection and determines the reply code.
+        """
         if len(set(groups)) != len(groups):
             return Code.DUPLICATE_GROUP
         for key in groups:
@@ -224,7 +228,11 @@
         return codec.frame(self._push_number, Kind.SEND_WEIGHTS, codec.write_groups(encoded_groups))
 
     def _encode_push(self, changed: ChangedGroup) -> bytes:
-        """Encode the weights of a group: only the changed members if the load balancer set NO_CHANGE, else all."""
+        """Encode the weights of a group.
+
+        Only the changed members are included if the load balancer set NO_CHANGE and has received advice on the group
+        before. Otherwise, all members are included.
+        """
         before = self._last_advice.get(changed.group.key.name)
         if not self.flags & LbFlag.NO_CHANGE or before is None:
             self.pushed_members += len(changed.group.snapshot)
@@ -234,7 +242,11 @@
         return members.encoded
 
     def _changed_groups(self, now: int, units: set[str]) -> Iterator[ChangedGroup]:
-        """Yield the groups that cover any of `units` and whose advice has changed significantly since last sent."""
+        """Yield the groups whose advice has changed significantly since it was last sent.
+
+        Only groups that cover any of `units` are considered, or all groups if `units` contains FLEET. The advice last
+        sent on groups that are no longer registered is forgotten.
+        """
         balancer = self.advisor.registry.balancers.get(self.lb)
         groups = balancer.groups if balancer else {}
         for name in [name for name in self._last_advice if name not in groups]:
@@ -251,10 +263,12 @@
     def unsent_advice(self, now: int, max_entries: int) -> UnsentAdvice:
         """Return advice that has changed without a table change and should be pushed.
 
+        The result is empty if the peer does not accept pushes, changes are pending, or a push is being written.
+
         Args:
             now: Current time, nanoseconds.
-            max_entries: Approximate limit on the entries. Groups with newly quiesced members are included beyond it;
-                other groups wait for the next call or for the peer's poll.
+            max_entries: Approximate limit on the entries. Groups with newly quiesced members are included even above
+                the limit; other groups wait for the next call or for the peer's poll.
         """
         entries: dict[str, set[str]] = {}
         if not self.accepts_pushes or self._pending is not None or self._writing_seq:
@@ -313,7 +327,10 @@
         return not self._writing_seq
 
     def oldest_unacknowledged(self) -> int:
-        """Return the lowest sequence number that was not sent to the peer, or `NOTHING_UNACKNOWLEDGED`."""
+        """Return the lowest sequence number that is pending or being written.
+
+        Returns `NOTHING_UNACKNOWLEDGED` if there is none.
+        """
         pending_seq = self._pending.first_seq if self._pending else 0
         return min((seq for seq in (self._writing_seq, pending_seq) if seq), default=NOTHING_UNACKNOWLEDGED)
 
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -1,9 +1,10 @@
 """Derives the weights of a group's members from the published tables. Sans I/O.
 
-A member's share of a set of slices is the fraction of their requests that the tables send to it: the sum over the
-slices of the slice's load times the member's fraction of the weight of all routable entries. Shares are converted to
-the 16-bit weights of RFC 4678. The conversion preserves the order of shares and the difference between zero and
-non-zero. Withdrawn endpoints have weight 0 and are quiesced.
+A member's share of a set of slices is the fraction of their requests that the tables send to it. It is the mean over
+the slices, weighted by load, of the member's fraction of the total weight of the slice's routable entries. Shares are
+converted to the 16-bit weights of RFC 4678. The conversion preserves the order of shares and the difference between
+zero and non-zero. An endpoint that is withdrawn, not in service or quiesced on request has weight 0 and the flag
+QUIESCE.
 """
 
 from __future__ import annotations
@@ -15,8 +16,10 @@
 from damsonpick.protocols.sasp.layout import MAX_WEIGHT, WeightFlag
 from damsonpick.state.published_tables import PublishedTables
 
-LARGEST_SHARE_WEIGHT = 60_000  # the range above it, up to MAX_WEIGHT, separates shares that round to the same number
-EQUAL_SHARE_TOLERANCE = 1e-9  # fraction of the largest share; shares that differ by less get the same weight
+# Weight of the largest share. The range from it to MAX_WEIGHT is reserved to separate shares that round to the same
+# number; the largest share gets a weight from this range if many smaller shares must be separated.
+LARGEST_SHARE_WEIGHT = 60_000
+EQUAL_SHARE_TOLERANCE = 1e-9  # fraction of the largest share up to which shares may differ and get the same weight
 WEIGHT_CHANGE_TOLERANCE = 0.05  # relative change of a weight up to which it is not pushed
 
 
@@ -36,9 +39,9 @@
     """Status of an endpoint, independent of the tables.
 
     Attributes:
-        listed: Whether it is on the endpoint list.
-        serving: Whether the endpoint list has it as in service.
-        has_recent_reports: Whether recent load reports include it.
+        listed: Whether the endpoint is on the endpoint list.
+        serving: Whether the endpoint is on the list with the state `in_service`.
+        has_recent_reports: Whether recent load reports include the endpoint.
     """
 
     listed: bool
@@ -102,8 +105,9 @@
 def whole_weights(shares: Mapping[str, float]) -> dict[str, int]:
     """Convert shares to integer weights.
 
-    Only a share of 0 gets weight 0, a larger share gets a larger weight, and equal shares get equal weights. Within
-    these constraints, weights are as close to proportional as possible.
+    Only a share of 0 gets weight 0, a larger share gets a larger weight, and shares that are equal within
+    `EQUAL_SHARE_TOLERANCE` get equal weights. Apart from these constraints, weights are rounded multiples of the
+    shares.
     """
     largest = max(shares.values(), default=0.0)
     weights = dict.fromkeys(shares, 0)
