--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -27,7 +27,7 @@
 MAX_CORES = 256  # upper bound of a server's number of cores in a problem
 MIN_WARMING_SHARE = 0.05  # lower bound of `Server.max_share` while a server warms up
 MAX_RETRY_INTERVAL_NS = 30 * NS_PER_SECOND  # longest interval between solves after failures
-MAX_BACKOFF_DOUBLINGS = 10  # of the interval between solves after failures
+MAX_BACKOFF_DOUBLINGS = 10  # maximum number of times that consecutive failures double the interval between solves
 FULLY_ADMITTED = 0.999  # admitted share above which a class counts as fully admitted
 
 
@@ -71,7 +71,7 @@
         previous_plan: The plan before `last_plan`, or None.
         advised_weights: Last advised weights by table and endpoint.
         solved_fleet: The fleet at the start of the last solve.
-        repaired_fleet: The fleet for which `repaired_tables` last returned advice.
+        repaired_fleet: The fleet for which `repaired_tables` last computed advice.
         failures: Number of failed solves since the last successful solve.
         failure_reason: Reason of the last failure; empty after a successful solve.
     """
@@ -193,7 +193,11 @@
     # -- advice
 
     def initial_tables(self, planner: Planner) -> list[api.Event]:
-        """Return initial advice by capacity in a deployment without slices. It applies until the first plan."""
+        """Return advice in proportion to capacity for a deployment without slices. It applies until the first plan.
+
+        The result is empty in a deployment with slices, if tables have been advised before, or while the planner knows
+        no endpoints.
+        """
         if self.settings.tables.slices or self.advised_weights or not planner.endpoints:
             return []
         servers = self.servers(planner)
@@ -205,9 +209,10 @@
         return self.advise_tables(tables, planner)
 
     def repaired_tables(self, planner: Planner) -> list[api.Event]:
-        """Return advice when servers were added or removed, without waiting for a solve.
+        """Return advice when servers were added, removed or restarted, without waiting for a solve.
 
-        Servers keep their last weights. Servers that are new to a table get the same weight per capacity as the others.
+        Servers keep their last weights. Servers that are new to a table get the mean weight per capacity of the others,
+        multiplied by their `max_share`.
         """
         fleet = self.fleet(planner)
         if self.settings.tables.slices or not self.advised_weights or fleet == self.repaired_fleet:
@@ -237,7 +242,7 @@
         return [api.TableAdvised(number, entries, False) for number, entries in sorted(weights.items())]
 
     def advise_tables(self, tables: Mapping[tuple[str, str], Weights], planner: Planner) -> list[api.Event]:
-        """Return advice on the tables that differ from the planner's current tables.
+        """Return advice on the tables that differ from the planner's current tables or are not advised yet.
 
         The comparison uses the planner's state, because the planner may have dropped entries since they were advised.
 
@@ -266,7 +271,7 @@
         ]
 
     def _sustainable_rate(self, plan: Plan) -> float:
-        """Return the requests per second that the fleet can sustain, or 0 if the plan admits all demand."""
+        """Return the requests per second that the fleet can sustain, or 0 if the plan admits (nearly) all demand."""
         if all(share > FULLY_ADMITTED for share in plan.admitted.values()):
             return 0.0
         if sum(plan.shed.values()) <= 0:
@@ -317,7 +322,10 @@
 
 
 def _extend_weights(weights: Mapping[str, float], servers: list[Server]) -> dict[str, float]:
-    """Return a table's weights for these servers. New servers get the same weight per capacity as the others."""
+    """Return the weights of a table for these servers.
+
+    New servers get the mean weight per capacity of the others, multiplied by their `max_share`.
+    """
     known = [server for server in servers if server.name in weights]
     capacity = sum(server.capacity for server in known) or 1.0
     level = sum(weights[server.name] for server in known) / capacity or 1.0
--- a/damsonpick/solver/latency.py
+++ b/damsonpick/solver/latency.py
@@ -2,8 +2,9 @@
 
 The share of requests that wait longer than t on a server with c cores at utilisation u follows the M/M/c queue
 (Erlang's C formula; A. K. Erlang 1917, in any textbook on queueing): P(wait > t) = C(c, u) exp(-c (1-u) t / m), where m
-is the mean service time. A server loses u times this share of its capacity. The linear program charges the lower convex
-hull of this loss over a grid of u, so that latency is part of the objective and not only a hard limit.
+is the mean service time. The lost share of the server's capacity is u times this share, because late requests use it.
+The linear program charges the lower convex hull of this loss over a grid of u, so that latency is part of the objective
+and not only a hard limit.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-GRID_STEPS = 40
+GRID_STEPS = 40  # number of equal steps into which utilisation from 0 to 1 is divided
 UTILISATION_GRID = tuple(k / GRID_STEPS for k in range(GRID_STEPS + 1))
-MAX_SEGMENTS = 8  # of a loss curve
-FULL_UTILISATION = 0.95  # utilisation above which load shedding rejects the rest
+MAX_SEGMENTS = 8  # maximum number of segments to which a loss curve is simplified
+FULL_UTILISATION = 0.95  # utilisation up to which load is admitted under uncertain demand; load above it is rejected
 EPSILON = 1e-12  # tolerance for comparing slopes and utilisations
-MAX_CACHED_CURVES = 4096
+MAX_CACHED_CURVES = 4096  # maximum number of cached results of `segments`
 
 
 class Point(NamedTuple):
@@ -48,7 +49,7 @@
 
 
 def erlang_c(cores: int, utilisation: float) -> float:
-    """Return the probability that a request must wait, for a `utilisation` from 0 to 1."""
+    """Return the probability that a request must wait; 1 for a utilisation of 1 or more."""
     if utilisation >= 1:
         return 1.0
     load = cores * utilisation
@@ -68,8 +69,9 @@
 def expected_loss(cores: int, utilisation: float, patience: float, spread: float) -> float:
     """Return the expected value of the lost share of capacity over uncertain demand.
 
-    Demand is below, at or above its estimate by the share `spread`, with probabilities in the ratio 1 : 2 : 1. Load
-    above `FULL_UTILISATION` is rejected and counts as lost; the rest has the lateness at that utilisation.
+    Demand is below, at or above its estimate by the share `spread`, with probabilities in the ratio 1 : 2 : 1. If the
+    spread is above 0, load above `FULL_UTILISATION` is rejected and counts as lost. The lateness of the admitted load
+    is that at the utilisation of this load.
 
     Args:
         cores: Number of cores of the server.
@@ -103,7 +105,7 @@
         cores: Number of cores of the server.
         patience: Longest acceptable wait in mean service times.
         spread: Largest deviation of demand from its estimate, as a share.
-        max_slope: Upper bound of slopes that only the spread raises: the value of the cheapest work.
+        max_slope: Upper bound to which the spread may raise slopes. It is derived from the value of the cheapest work.
     """
     slopes = _grid_slopes(_loss_curve(cores, patience, 0.0))
     if spread:
@@ -132,7 +134,7 @@
 
 
 def _simplified(curve: list[Point]) -> list[Point]:
-    """Remove the points with the smallest effect on the curve until it has `MAX_SEGMENTS` segments; it stays convex."""
+    """Remove points with the smallest effect until the curve has at most `MAX_SEGMENTS` segments; it stays convex."""
     points = list(curve)
     while len(points) - 1 > MAX_SEGMENTS:
         gaps = [_gap(points[k - 1], points[k], points[k + 1]) for k in range(1, len(points) - 1)]
--- a/damsonpick/solver/linear_program.py
+++ b/damsonpick/solver/linear_program.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class LinearProgram:
-    """Minimise cost * x with 0 <= x <= upper and lower <= row * x <= upper for each row.
+    """Minimise costs * x with 0 <= x <= upper, and with row_lower <= row * x <= row_upper for each row.
 
     The order of columns and rows affects the result: it determines which of several solutions of equal cost is found.
     """
@@ -32,7 +32,7 @@
     upper: list[float] = field(default_factory=list)  # by column
     row_lower: list[float] = field(default_factory=list)
     row_upper: list[float] = field(default_factory=list)
-    # The matrix by rows: row k has the entries from row_starts[k] up to row_starts[k + 1].
+    # The matrix by rows: row k has the entries from row_starts[k] up to, but not including, row_starts[k + 1].
     row_starts: list[int] = field(default_factory=lambda: [0])
     entry_columns: list[int] = field(default_factory=list)
     entry_values: list[float] = field(default_factory=list)
--- a/damsonpick/solver/model.py
+++ b/damsonpick/solver/model.py
@@ -1,6 +1,6 @@
 """Input and output types of the solver.
 
-Work is measured in core-seconds per second at capacity factor 1. Objectives and prices are in priority weight per
+Work is measured in core-seconds per second at capacity factor 1. The value of a plan is measured in priority weight per
 second: a request that is answered in time contributes the priority weight of its class.
 """
 
@@ -58,15 +58,16 @@
 
 
 class Costs(NamedTuple):
-    """Costs in priority weight per unit of work per second, and the limits of a plan.
+    """Costs in priority weight per core-second of work, and the limits of a plan.
 
     Attributes:
         cross_zone: Cost of work that goes to another zone, for pairs of zones that are not in `zone_pairs`.
         zone_pairs: Costs of pairs of zones as (from, to, cost).
         move: Cost of work that moves to a different server than in the last plan.
-        min_share: Share of an even distribution that each server keeps, so that load reports on it continue.
+        min_share: Minimum load of a server, as a fraction of its load if all work were distributed by usable capacity.
+            The minimum keeps load reports on the server coming.
         max_move_share: Share of all work that may move in one plan, in addition to work that must move.
-        headroom: Share of demand for which spare capacity is kept on every server.
+        headroom: Capacity that is kept free on every server, as a share of the largest load that a plan may assign.
         demand_spread: Largest deviation of a zone's demand from its estimate, as a share of the estimate. Lateness is
             the expected value over this range.
     """
@@ -150,7 +151,7 @@
         shed: Priority weight per second of the rejected demand, by class.
         zone_prices: Priority weight gained by one more unit of work per second in a zone, by zone.
         cross_zone_prices: Priority weight gained by one unit of cross-zone work without cost, by (from, to).
-        objective: Priority weight per second; a lower value is worse.
+        objective: Value of the plan minus its costs, priority weight per second; a higher objective is better.
         solve_s: Duration of the solve, seconds.
         iterations: Iterations of the simplex method.
     """
--- a/damsonpick/solver/plan.py
+++ b/damsonpick/solver/plan.py
@@ -12,10 +12,10 @@
 from damsonpick.solver.program import Program, Solution
 
 ENTRY_CHANGE_TOLERANCE = 0.08  # relative change of an entry up to which it is not sent
-MAX_TABLE_DRIFT = 0.03  # share of a table's weight that may deviate before the whole table is sent
+MAX_TABLE_DRIFT = 0.03  # share of a table's weight that kept entries may shift; above it, the whole table is sent
 MIN_WEIGHT = 0.001  # fraction of the mean weight below which an entry is left out
 MIN_FLOW = 1e-9  # core-seconds per second up to which a flow counts as zero
-SMALLEST_WEIGHT = 1e-9  # lower bound of the weight that a relative change is compared with
+SMALLEST_WEIGHT = 1e-9  # lower bound of the weight that a change of an entry is relative to
 
 
 class Admission(NamedTuple):
@@ -98,7 +98,7 @@
     """Return a table for each zone and class.
 
     The flow into a target zone is divided among the zone's servers in proportion to their loads. If there is no flow,
-    weights are in proportion to capacity, so that a table is never empty while any server may be used.
+    weights are in proportion to usable capacity, so that a table is never empty while any server may be used.
     """
     own_zone_only = {each.name: each.own_zone_only for each in problem.classes}
     zone_loads: dict[str, float] = {}
@@ -120,7 +120,10 @@
 
 
 def normalise(raw: Mapping[str, float]) -> Weights:
-    """Scale weights to a mean of 1 over the entries above 0, and leave out entries below `MIN_WEIGHT`."""
+    """Scale weights to a mean of 1 over the entries above 0, and leave out entries below `MIN_WEIGHT`.
+
+    The result is empty if no entry is above 0.
+    """
     positive_count = sum(value > 0 for value in raw.values())
     mean = sum(raw.values()) / (positive_count or 1)
     if mean <= 0:
--- a/damsonpick/solver/program.py
+++ b/damsonpick/solver/program.py
@@ -8,6 +8,9 @@
     t[s]      gains of a server over the last plan
     n[s]      shortfalls under a server's minimum share
     m         excess over the bound on moves
+Here, value is the priority weight per core-second of a class, cross is the cost of work between two zones, and density
+is the mean priority weight that a core-second of late work loses. Penalties apply to n and m.
+
 All classes use a zone's servers in the same proportions, because a server is limited by its total load. The size of the
 program therefore grows with servers plus zones squared, not with servers times zones times classes. The program is
 always feasible: admitting no work satisfies all constraints.
@@ -31,12 +34,12 @@
 from damsonpick.solver.model import OPTIMAL, Limit, Problem, RequestClass, Server
 
 SHORTFALL_PENALTY = 10.0  # factor on the highest value; a minimum share is missed only if it cannot be reached
-EXCESS_MOVE_PENALTY = 5.0  # factor on the highest value
+EXCESS_MOVE_PENALTY = 5.0  # factor on the highest value, for work that moves beyond the bound on moves
 TIE_BREAK_COST = 1e-7  # added cost of other zones and of smaller servers; selects one of several equal solutions
 SPREAD_SLOPE_SHARE = 0.95  # fraction of the value of the cheapest work that bounds slopes raised by demand spread
 RELATIVE_TOLERANCE = 1e-6  # for comparing a load with a limit
 LOAD_TOLERANCE = 1e-12  # core-seconds per second, for comparing a load with a minimum load
-GAIN_TOLERANCE = 1e-9  # for gains and row prices that count as zero
+GAIN_TOLERANCE = 1e-9  # absolute value of gains and row prices up to which they count as zero
 
 
 class ServerGroup(NamedTuple):
@@ -120,9 +123,10 @@
 
 
 def patience(classes: tuple[RequestClass, ...]) -> float:
-    """Return the longest acceptable wait in mean service times, for the class that accepts the shortest wait.
+    """Return the longest wait that every class accepts, in mean service times.
 
-    The value is rounded, so that cached loss curves can be shared.
+    A class accepts waits up to its latency objective minus its mean service time. The value is rounded, so that cached
+    loss curves can be shared.
     """
     waits = [max(0.0, each.latency_objective_s / each.mean_work_s - 1.0) for each in classes]
     return round(min(waits), 2)
@@ -131,7 +135,7 @@
 def max_spread_slope(classes: tuple[RequestClass, ...], density: float) -> float:
     """Return the upper bound of slopes that only the demand spread raises.
 
-    It is slightly below the value of the cheapest work, relative to the mean loss `density`.
+    It is slightly below the value of the cheapest work, relative to the mean loss `density`, or 0 if `density` is 0.
     """
     if not density:
         return 0.0
@@ -209,7 +213,10 @@
         self._compute_move_bound()
 
     def _loss_density(self) -> float:
-        """Return the priority weight that a unit of late work loses, as a mean over the demand."""
+        """Return the priority weight that a core-second of late work loses, as a mean over the demand.
+
+        Without demand, this is the highest value of any class.
+        """
         if not self.total_work:
             return self.highest_value
         lost = {
@@ -243,7 +250,8 @@
     def _compute_move_bound(self) -> None:
         """Scale the last plan to the current demand and capacities, and compute the bound on moves.
 
-        Work that must leave its servers does not count as moved.
+        The bound includes the work that must leave its servers, so that it does not use up the share that may move.
+        Without a last plan, moves are not bounded.
         """
         planned_loads = [group.work_share * len(group.names) * self.total_work for group in self.groups]
         self.previous_loads = [
@@ -284,7 +292,11 @@
             program.add_column(cost, INFINITY)
 
     def _add_segment_columns(self, program: LinearProgram) -> list[range]:
-        """Add columns for each group's segments, whose total width is its usable capacity, and return them."""
+        """Add columns for the segments of each group, whose total width is the usable capacity of the group.
+
+        Returns:
+            The range of columns of each group.
+        """
         spans = []
         for rank, (group, segments) in enumerate(zip(self.groups, self.segments, strict=True)):
             first = program.column_count
@@ -330,7 +342,7 @@
     # -- reading the solution
 
     def read(self, solution: highspy.HighsSolution, info: highspy.HighsInfo, solve_s: float) -> Solution:
-        """Convert the result of HiGHS for the program that was built to a solution."""
+        """Convert the result of HiGHS to a solution. `build` must have been called before."""
         values = np.array(solution.col_value)
         reduced_costs = np.array(solution.col_dual)
         row_prices = np.array(solution.row_dual)
--- a/damsonpick/solver/slice_weights.py
+++ b/damsonpick/solver/slice_weights.py
@@ -1,8 +1,8 @@
 """Computes the weights of slices that are assigned to several endpoints. Placement chooses the endpoints.
 
-The program minimises the lateness of all servers plus the cost of moved work, over y[p,h]: the work of slice p that
-endpoint h gets. The work of slices with one endpoint is fixed. The loss segments are the same as in the linear program
-of a whole plan.
+The program minimises the lateness and the failures of all servers plus the cost of moved work. Its variables are
+y[p,h], the work of slice p that endpoint h receives. The work of slices with one endpoint is fixed. The loss segments
+are computed as in the linear program of a whole plan.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 from damsonpick.solver.model import Costs, RequestClass, Server, Weights
 from damsonpick.solver.program import patience
 
-MIN_WEIGHT = 0.15  # least weight of an entry, as a fraction of an even distribution
-MIN_CHANGE = 0.1  # least change of a weight that is sent, as a fraction of an even distribution
-# Slope beyond the last segment. It keeps the program feasible if fixed work exceeds the capacity of a server.
+MIN_WEIGHT = 0.15  # least part of a slice's work for an entry before scaling, as a fraction of an even distribution
+MIN_CHANGE = 0.1  # change up to which all weights of a slice are kept, as a fraction of an even distribution
+# Slope of a server's loss beyond its last segment. The additional column keeps the program feasible if fixed work
+# exceeds the capacity of a server.
 OVERLOAD_SLOPE = 3.0
 
 
@@ -53,7 +54,7 @@
 
 
 class Placement(NamedTuple):
-    """The column for a slice's work at an endpoint, and its work there with the current weights."""
+    """The column for the work of a slice at an endpoint, and the work that the current weights assign there."""
 
     endpoint: str
     column: int
@@ -63,7 +64,7 @@
 def divide_slices(problem: SliceWeightsProblem) -> dict[int, Weights]:
     """Return new weights by slice, with mean 1 over a slice's entries.
 
-    Slices whose weights change by at most `MIN_CHANGE` are left out.
+    Slices with a single endpoint, and slices whose weights change by at most `MIN_CHANGE`, are left out.
 
     Raises:
         NoOptimumError: The program has no optimum.
@@ -141,7 +142,10 @@
 
 
 def _add_servers(program: LinearProgram, problem: SliceWeightsProblem, columns_of: Mapping[str, list[int]]) -> None:
-    """Add the loss segments of each server, and a row that equates them with its slices' work and its fixed work."""
+    """Add columns for the loss segments of each server, and a row that equates their load with the server's work.
+
+    The work of a server consists of the columns of slices with several endpoints and of its fixed work.
+    """
     fixed = _fixed_work(problem)
     max_wait = patience(problem.classes)
     for server in problem.servers:
@@ -156,7 +160,7 @@
 
 
 def _add_moves(program: LinearProgram, placements: list[Placement], move_cost: float) -> None:
-    """Charge the cost of moves for work above that of the current weights."""
+    """Charge the cost of moves for the work that a placement gains over its current work."""
     for placement in placements:
         gained = program.add_column(move_cost, INFINITY)
         program.add_row(
--- a/damsonpick/solver/work.py
+++ b/damsonpick/solver/work.py
@@ -16,7 +16,7 @@
 def solve(problem: Problem, time_limit: float) -> Plan:
     """Solve a problem and return the plan.
 
-    The process keeps the program, so that the next solve starts from the basis of this one.
+    The process keeps the program, so that the next solve can start from the basis of this one.
 
     Args:
         problem: The problem to solve.
