--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -1,4 +1,4 @@
-"""A fake balancer: it takes its weights from SASP advice, one group per slice, and forwards as the gateways do."""
+"""A fake balancer: a fake gateway whose tables are made from SASP advice, with one group per slice."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
             zone: Zone of the balancer.
             pilot_address: Returns the address of the pilot's SASP port, or '' while the port is not open.
             context: Objects shared by all gateways of the process.
-            rng: Source of the random draws for server choice and backoff.
+            rng: Source of the random draws for server choice, backoff and admission.
             members: Zone of each server, by server address.
             slices: Number of slices. The balancer registers one group per slice.
         """
@@ -97,7 +97,7 @@
     async def _poll(self, client: Client) -> None:
         """Poll the weights at the interval that the pilot recommends.
 
-        A push leaves out weight changes that count as noise; only a poll returns them.
+        The pilot does not push advice whose weights have changed only slightly; only a poll returns it.
         """
         while True:
             reply = await client.weights()
--- a/damsonpick/testing/fakes/discovery.py
+++ b/damsonpick/testing/fakes/discovery.py
@@ -35,7 +35,7 @@
         requested_targets: HTTP targets of all requests received so far.
         is_down: Whether every request is answered with status 503.
         holds_requests: Whether requests wait for `gate` before they are answered.
-        omits_list: Whether a watch begins with a heartbeat instead of the list.
+        omits_list: Whether a watch begins with a heartbeat instead of the list or its changes.
         gate: Blocks requests while `holds_requests` is set.
     """
 
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -27,8 +27,8 @@
 from damsonpick.testing.fakes.request_outcome import Ending
 from damsonpick.time_units import NS_PER_MS, NS_PER_SECOND
 
-CLIENT_RETRY_DELAY_S = 0.15  # in scenario time, before a client retries a request that is safe to repeat
-IDLE_POLL_S = 0.05  # in wall-clock time, between checks of a request rate that is 0
+CLIENT_RETRY_DELAY_S = 0.15  # delay in scenario time before a client retries a request that is safe to repeat
+IDLE_POLL_S = 0.05  # interval in wall-clock time between checks of a request rate that is 0
 NO_SLICE = -1
 # Sigma of the lognormal factors on the popularity of slices, the work of requests and the gateways' traffic shares.
 SLICE_SPREAD, WORK_SPREAD, GATEWAY_SPREAD = 0.6, 0.4, 0.8
@@ -61,7 +61,7 @@
         rate: Mean arrival rate, in requests per second of scenario time.
         factor: Multiplier on `rate`.
         hot_slices: Slices that receive an additional share of the requests. Empty if there are none.
-        hot_share: Share of all requests that goes to `hot_slices`.
+        hot_share: Share of all requests that is divided evenly among `hot_slices` instead of by popularity.
     """
 
     def __init__(self, setup: dict[str, Any], rng: random.Random) -> None:
@@ -181,7 +181,10 @@
             group.start_soon(self._run_client, self._gateways[name], self._request_count)
 
     async def _run_client(self, gateway: Gateway, number: int) -> None:
-        """Send one request, retry it once if that is safe, and record how it ended."""
+        """Send one request, and record how it ended.
+
+        If the request fails, is safe to repeat and has used less than half of its deadline, it is retried once.
+        """
         request = self._demand.draw()
         traffic_class = self._classes[request.class_name]
         start = self._clock.now()
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -20,18 +20,22 @@
 from damsonpick.testing.fakes.server_picker import ServerPicker
 from damsonpick.time_units import NS_PER_MS
 
-TABLE_WAIT_NS = 500_000_000  # longest time that a request waits for a table with an entry
+TABLE_WAIT_NS = 500_000_000  # longest time that a request waits for a table with an available entry
 CONNECT_TIMEOUT_NS = 400_000_000
 RETRY_ON_CONNECT_FAILURE = "connect-failure"
 RETRY_ON_ANY_FAILURE = "5xx"
 NOT_RUN_HEADER = "x-not-run"
+# Logger that discards every event.
 NO_LOG = structlog.wrap_logger(None, processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
 
 
 def response_details(
     received_state: ReceivedState, kind: str, nonce: str, resources: list, removed: list[str], bad: str
 ) -> dict[str, Any]:
-    """Return an xDS response as the details of a `got` record, which the rule checker reads."""
+    """Return an xDS response as the details of a `got` record, which the rule checker reads.
+
+    `bad` is the reason for which the gateway rejects the response, or '' if it accepts the response.
+    """
     found: dict[str, Any] = {}
     for name, version, _ in resources:
         found[name] = {"v": version}
@@ -192,7 +196,11 @@
         return outcome
 
     async def _attempt_until_answered(self, request: ForwardedRequest) -> str:
-        """Make attempts within the published retry settings; returns how the last attempt ended."""
+        """Make attempts within the published retry settings.
+
+        Returns:
+            How the last attempt ended, or `Ending.NO_SERVER` if no attempt was made.
+        """
         attempted: set[str] = set()
         retries = self.received_state.retries_of(request.cluster, request.traffic_class.name)
         ending: str = Ending.NO_SERVER
@@ -248,7 +256,7 @@
     async def _exchange(self, request: ForwardedRequest, server: str, zone: str) -> str:
         """Send the request and read the response; returns how the exchange ended."""
         if zone and not self.network.connects(self.zone, zone):
-            await anyio.sleep(self.clock.seconds(CONNECT_TIMEOUT_NS))  # no server across a cut link responds
+            await anyio.sleep(self.clock.seconds(CONNECT_TIMEOUT_NS))  # a server in an unreachable zone never responds
             return Ending.NEVER_RAN
         connection, complete = None, False
         try:
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -78,7 +78,7 @@
             group.cancel_scope.cancel()
 
     async def _send_changes(self, context: grpc.aio.ServicerContext) -> None:
-        """Send the list now and on each change until the server is down."""
+        """Send the list now, unless it has never been changed, and on each change until the server is down."""
         sent_version = 0
         while not self._is_down:
             wakeup = anyio.Event()
--- a/damsonpick/testing/fakes/registry.py
+++ b/damsonpick/testing/fakes/registry.py
@@ -1,6 +1,6 @@
 """A fake of the platform's registry of proxies: it stores tables, accepts requests and reports changes on a watch.
 
-A test queues faults in `FakeRegistry.faults`; each request takes the next one.
+A test queues faults in `FakeRegistry.faults`. Each request with orders removes the next fault and fails in this way.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 INVALID_ANSWER = b'{"taken":-1}'
 OUT_OF_RANGE_ANSWER = b'{"taken":999999}'
 SYNTAX_ANSWER = b'{"error":"SYNTAX"}'
-SYNC_LATENCY_MS = 1.0
+SYNC_LATENCY_MS = 1.0  # latency that the fake reports for every sync token
 
 
 class RequestFault(Enum):
-    """How a request with orders fails."""
+    """How a request with orders fails. The comments say first whether the orders are applied."""
 
     ANSWER_LOST = auto()  # applied; the connection is closed before the response
     ANSWER_WITHHELD = auto()  # applied; no response is sent
@@ -39,7 +39,7 @@
 
 
 class PartlyApplied(NamedTuple):
-    """A request of which only the first orders are applied, as the response states.
+    """A fault with which only the first orders of a request are applied. The response states their number.
 
     Attributes:
         orders: Number of orders that are applied.
@@ -63,7 +63,7 @@
         members: Connected proxies by number, with the fields that the watch reports.
         levels: Admitted share, by route.
         withdrawn: Servers that no proxy may use.
-        faults: Faults of the next requests, in order. Each request removes one.
+        faults: Faults of the next requests with orders, in order. Each request removes one.
         request_count: Number of requests with orders received so far.
         gate: Blocks the responses of requests with the fault ANSWER_HELD.
     """
@@ -151,7 +151,10 @@
         return await self._respond(len(applied), fault, stream)
 
     async def _apply(self, orders: list[Order], reports_sync: bool) -> None:
-        """Apply orders, and report on the watches that each proxy has reached their sync tokens."""
+        """Apply orders, and report on the watches that each proxy has reached their sync tokens.
+
+        Sync tokens are not reported if `reports_sync` is False or the registry is silent.
+        """
         tokens = []
         for order in orders:
             if order["op"] == "SYNC":
--- a/damsonpick/testing/fakes/request_outcome.py
+++ b/damsonpick/testing/fakes/request_outcome.py
@@ -13,10 +13,10 @@
 
     ANSWERED = "ok"  # a response with status 200
     REFUSED = "refused"  # not admitted
-    NO_SERVER = "no server"
+    NO_SERVER = "no server"  # no attempt was made, because no server or no proxy was available
     NEVER_RAN = "never ran"  # the connection or the server proves that the request has not run
     BROKEN = "broken"  # the connection ended before the response; the request may have run
-    TOO_LATE = "too late"
+    TOO_LATE = "too late"  # there was no response before the deadline
 
 
 class RequestOutcome(NamedTuple):
--- a/damsonpick/testing/fakes/results_server.py
+++ b/damsonpick/testing/fakes/results_server.py
@@ -19,7 +19,8 @@
 from damsonpick.testing.fakes.record import Recorder
 from damsonpick.time_units import MS_PER_SECOND, NS_PER_MS
 
-BURST_ALLOWANCE_MS = 1500.0  # work that a cold server tolerates above its limit: a few requests that coincide by chance
+# Work that a cold server tolerates above its limit, so that a few requests that coincide by chance do not crash it.
+BURST_ALLOWANCE_MS = 1500.0
 UNAVAILABLE = http.Answer(503, {"x-not-run": "1"}, b"")
 FAILED = http.Answer(500, {}, b"")
 
@@ -31,7 +32,7 @@
     Attributes:
         zone: Zone of the server.
         cores: Number of requests that run concurrently.
-        capacity_factor: Speed of a core when the server is warm. At speed 1 a request takes its work in ms.
+        capacity_factor: Speed of a core when the server is warm. At speed 1, a request runs for as many ms as its work.
         cold_share: Share of the warm speed that a cold server has right after its start.
         warm_up_ns: Time from a cold start until the server has its full speed.
         overload_multiple: Ratio of offered work to current capacity above which a cold server crashes.
@@ -162,7 +163,7 @@
             self._scope.cancel()
 
     def record_slowdown(self) -> None:
-        """Record the current slowdown, for plans that are given the true capacity."""
+        """Record the current slowdown, so that plans can be computed with the true capacity."""
         self.record.put("speed", server=self.address, slow=self.faults.slowdown)
 
     async def _serve_connection(self, stream: SocketStream) -> None:
@@ -227,7 +228,8 @@
     def _crashes_from_overload(self, now: int, work_ms: float) -> bool:
         """Add offered work; return whether the server has crashed from overload.
 
-        A cold server crashes if the work within the window exceeds its limit and the burst allowance. It stays down.
+        A cold server crashes if the work offered within the window exceeds its limit plus the burst allowance. It stays
+        down.
         """
         self._offered.append((now, work_ms))
         self._offered_ms += work_ms
--- a/damsonpick/testing/fakes/server_picker.py
+++ b/damsonpick/testing/fakes/server_picker.py
@@ -1,4 +1,4 @@
-"""Server choice of a fake gateway: the less busy of two servers drawn by weight, without ejected ones. No I/O."""
+"""Server choice of a fake gateway: the less busy of two drawn by weight, while avoiding ejected servers. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 from damsonpick.time_units import NS_PER_SECOND
 
-EJECTION_MIN_S, EJECTION_MAX_S = 2.0, 6.0  # drawn at random between them, so that gateways do not return at once
+# Range from which the time of an ejection is drawn, so that gateways do not all return to a server at the same time.
+EJECTION_MIN_S, EJECTION_MAX_S = 2.0, 6.0
 
 
 class ServerPicker:
--- a/damsonpick/testing/soak/pilot_process.py
+++ b/damsonpick/testing/soak/pilot_process.py
@@ -17,6 +17,7 @@
 START_TIMEOUT_S = 20.0
 LOG_POLL_S = 0.01
 COMMAND = [sys.executable, "-m", "damsonpick.edge"]
+# Log events that show a fault of the program.
 FAULT_EVENTS = frozenset(
     (
         "connection_failed",
@@ -45,7 +46,7 @@
         self._log_offset = 0  # offset in the log file at which the log of this incarnation begins
 
     def write_config(self, config: dict[str, Any] | None) -> None:
-        """Replace the configuration file. None stands for a file with invalid JSON."""
+        """Replace the configuration file. If `config` is None, the new file contains invalid JSON."""
         partial = self.config_file.with_suffix(".part")
         partial.write_text("{" if config is None else json.dumps(config))
         partial.replace(self.config_file)
@@ -115,7 +116,7 @@
         """Wait for one of these events in the log of this incarnation.
 
         Returns:
-            Whether one was logged. False if the timeout passed or the process ended without it.
+            Whether one of the events was logged before the timeout and before the process ended.
         """
         with anyio.move_on_after(timeout_s):
             while not self.has_logged(*events):
--- a/damsonpick/testing/soak/plan.py
+++ b/damsonpick/testing/soak/plan.py
@@ -6,9 +6,11 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-SMALL_DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT = 192, 384  # file descriptors of the pilot
-MIN_STEPS_S, MAX_STEPS_S = 1.5, 3.0  # range of the total pause of one incarnation; its last pause may exceed it
-MIN_PAUSE_S, MAX_PAUSE_S = 0.02, 0.25  # before each step
+# Limits on the pilot's open file descriptors, of which each plan uses one.
+SMALL_DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT = 192, 384
+# Range from which the sum of the pauses of one incarnation is drawn. The last pause may exceed the drawn sum.
+MIN_STEPS_S, MAX_STEPS_S = 1.5, 3.0
+MIN_PAUSE_S, MAX_PAUSE_S = 0.02, 0.25  # range of the pause before each step
 
 
 class Ending(StrEnum):
@@ -86,8 +88,8 @@
         unjoined_clients: Number of clients that connect and send nothing or half a message. In some plans the number
             is close to `max_descriptors`.
         malformed_cached_list: Whether the cached list in the configuration contains entries with malformed states.
-        incarnations: Incarnations of the pilot, in order. Only at the end of the last one are tables and open
-            descriptors checked.
+        incarnations: Incarnations of the pilot, in order. Tables and open descriptors are checked only at the end of
+            the last incarnation.
     """
 
     seed: int
--- a/damsonpick/testing/soak/platform.py
+++ b/damsonpick/testing/soak/platform.py
@@ -13,7 +13,7 @@
 from damsonpick.testing.fakes.registry import FakeRegistry, PartlyApplied, RequestFault
 from damsonpick.testing.soak.plan import Action, SoakPlan, Step
 
-REGISTRY_SILENCE_S = 2.6  # longer than the pilot tolerates a watch without heartbeats
+REGISTRY_SILENCE_S = 2.6  # longer than the time for which the pilot tolerates a watch without heartbeats
 DISCOVERY_OUTAGE_S = 0.5
 ODD_SERVERS = ("odd", "Odd")  # names of servers that malformed entries may contain
 ODD_VALUES = (["Ready"], {"Ready": 1}, None, 7, "", "Odd", [[]], 1e300)  # values of a field in a malformed entry
@@ -56,8 +56,8 @@
     async def end_faults(self) -> None:
         """End all faults, report the servers of malformed entries as gone, and return all slices to the pilot.
 
-        An entry that was meant to be malformed may be valid after all, for example that of a server without a zone. The
-        pilot then uses this server rightly.
+        An entry that was meant to be malformed may be valid after all, for example the entry of a server without a
+        zone. The pilot then rightly uses this server.
         """
         self.registry.faults.clear()
         self.registry.silent = self.discovery.silent = self.discovery.is_down = False
--- a/damsonpick/testing/soak/player.py
+++ b/damsonpick/testing/soak/player.py
@@ -18,11 +18,11 @@
 from damsonpick.testing.soak.plan import Ending, Incarnation, SoakPlan, draw_plan
 from damsonpick.testing.soak.platform import ODD_VALUES, SoakPlatform
 
-SETTLE_TIMEOUT_S = 8.0
-SETTLE_POLL_S = 0.05
+SETTLE_TIMEOUT_S = 8.0  # time after the end of all faults within which the tables must have become stable
+SETTLE_POLL_S = 0.05  # interval between checks whether the tables have changed
 STABLE_PERIOD_S = 1.2  # time without changes at the end of a soak; longer than the time between two heartbeats
 READY_EVENTS = frozenset(("pilot_ready", "readiness_timed_out"))
-MAX_IDLE_DESCRIPTORS = 40  # of a pilot without clients that never join
+MAX_IDLE_DESCRIPTORS = 40  # open file descriptors allowed to the pilot, not counting those of unjoined clients
 SIGNALS_BY_ENDING: dict[Ending, tuple[signal.Signals, ...]] = {
     Ending.TERM: (signal.SIGTERM,),
     Ending.TERM_TWICE: (signal.SIGTERM, signal.SIGTERM),
@@ -152,7 +152,7 @@
         allowed = (0,) if had_started else (0, -signal.SIGTERM)
         if exit_code not in allowed:
             self._fail(
-                f"after {ending} the pilot exited with {exit_code} (None: it did not exit within the platform's time)"
+                f"after {ending} the pilot exited with {exit_code} (None if it did not exit within the platform's time)"
             )
         elif is_last:
             self._check_known_state()
@@ -183,7 +183,10 @@
             self._fail(f"{held} descriptors open, at most {allowed} expected, limit {self.plan.max_descriptors}")
 
     def _check_known_state(self) -> None:
-        """Check that the registry stores what the pilot believes to be stored, and has applied all of its orders."""
+        """Check that the registry stores the tables that the pilot, at its end, believes to be stored.
+
+        They differ if the registry has not applied all orders of the pilot.
+        """
         endings = [entry for entry in self.pilot.entries() if entry["event"] == "pilot_ended"]
         if not endings:
             self._fail("the log contains no pilot_ended event")
