--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -72,7 +72,7 @@
         flags: Flags that the load balancer set last.
         seen_seq: Sequence number of the newest change that was sent to the peer.
         pushed_members: Number of members in the last push.
-        decode_error: Why the last message could not be decoded; empty if it could.
+        decode_error: Reason for which the last message could not be decoded; empty if it was decoded.
     """
 
     variant = "sasp"
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -106,8 +106,8 @@
     """Convert shares to integer weights.
 
     Only a share of 0 gets weight 0, a larger share gets a larger weight, and shares that are equal within
-    `EQUAL_SHARE_TOLERANCE` get equal weights. Apart from these constraints, weights are rounded multiples of the
-    shares.
+    `EQUAL_SHARE_TOLERANCE` get equal weights. Apart from these constraints and rounding, weights are proportional
+    to shares.
     """
     largest = max(shares.values(), default=0.0)
     weights = dict.fromkeys(shares, 0)
@@ -188,8 +188,8 @@
 def is_significant(before: Mapping[str, Advice], after: Mapping[str, Advice]) -> bool:
     """Return whether a change of advice must be pushed.
 
-    It must if the set of members changes, a weight becomes zero or non-zero, a member becomes quiesced or is no longer
-    quiesced, or a weight changes by more than `WEIGHT_CHANGE_TOLERANCE`.
+    This is the case if the set of members changes, a weight becomes zero or non-zero, a member becomes quiesced or is
+    no longer quiesced, or a weight changes by more than `WEIGHT_CHANGE_TOLERANCE`.
     """
     if before.keys() != after.keys():
         return True
--- a/damsonpick/protocols/xds/resource_watch.py
+++ b/damsonpick/protocols/xds/resource_watch.py
@@ -22,7 +22,9 @@
 # Size in bytes up to which resources are added to a response: about a quarter of the message size that a gRPC client
 # accepts by default. A response may exceed it with a single large resource, or with clusters.
 MAX_RESPONSE_BYTES = 1_000_000
-MAX_ANSWERED_RESPONSES = 32  # responses kept after their answer, because a late rejection must still take effect
+# Number of responses of a type that are kept after the client has answered them, because a late rejection must still
+# take effect.
+MAX_ANSWERED_RESPONSES = 32
 
 
 class InFlightResponse(NamedTuple):
--- a/damsonpick/solver/plan.py
+++ b/damsonpick/solver/plan.py
@@ -11,7 +11,7 @@
 from damsonpick.solver.model import OPTIMAL, Plan, Problem, ServerPlan, Weights
 from damsonpick.solver.program import Program, Solution
 
-ENTRY_CHANGE_TOLERANCE = 0.08  # relative change of an entry up to which it is not sent
+ENTRY_CHANGE_TOLERANCE = 0.08  # relative change up to which an entry keeps its weight and is not sent
 MAX_TABLE_DRIFT = 0.03  # share of a table's weight that kept entries may shift; above it, the whole table is sent
 MIN_WEIGHT = 0.001  # fraction of the mean weight below which an entry is left out
 MIN_FLOW = 1e-9  # core-seconds per second up to which a flow counts as zero
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -222,7 +222,7 @@
         handler(command)
 
     def _named_gateways(self, command: Command) -> list[Gateway]:
-        """Return the gateways of this process that a command names, or all of them if it names none."""
+        """Return the gateways of this process that a command names, or all its gateways if the command names none."""
         names = command.get("gateways") or self._gateways
         return [self._gateways[name] for name in names if name in self._gateways]
 
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -89,7 +89,7 @@
         zone: Zone of the locality.
         received_state: State received from the pilot.
         stalled_until: Time until which the gateway reads and forwards nothing, in ns of the scenario's clock.
-        read_delay: Additional delay before it reads a response of the pilot, in ns.
+        read_delay: Additional delay before the gateway reads a response of the pilot, in ns.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         Args:
             name: Node id.
             zone: Zone of the locality.
-            delta: Whether it uses the delta variant of xDS instead of state of the world.
+            delta: Whether the gateway uses the delta variant of xDS instead of state of the world.
             pilot_address: Returns the pilot's address, or '' while the pilot has none.
             context: Objects shared by all gateways of the process.
             rng: Source of the random draws for server choice, backoff and admission.
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -15,7 +15,7 @@
 
 
 class FakeListServer(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
-    """Sends the whole list on each change, and records each list that it sends as the pilot's knowledge.
+    """Sends the whole list on each change, and records each sent list as what the pilot knows.
 
     Attributes:
         entries: Entries of the list, by endpoint.
--- a/damsonpick/testing/fakes/server_picker.py
+++ b/damsonpick/testing/fakes/server_picker.py
@@ -1,4 +1,4 @@
-"""Server choice of a fake gateway: the less busy of two drawn by weight, while avoiding ejected servers. No I/O."""
+"""Server choice of a fake gateway: the less busy of two servers drawn by weight. Avoids ejected servers. No I/O."""
 
 from __future__ import annotations
 
