--- a/damsonpick/protocols/xds/rejections.py
+++ b/damsonpick/protocols/xds/rejections.py
@@ -2,8 +2,9 @@
 
 A rejection states that something in a response is invalid, but not which resource. The session therefore splits the
 response in halves until the invalid resource is alone in a response. The client thereby receives all other resources.
-The rejected version is not sent again, unless a delta request repeats the subscription to the resource, the digest
-range of the resource is replaced, or a state-of-the-world response must contain all clusters.
+The rejected version is not sent again, unless a delta request repeats the subscription to the resource or the digest
+range of the resource is replaced. Splitting does not isolate an invalid cluster in the state-of-the-world variant,
+because each of its responses with clusters contains all of them.
 
 A client that checks roots also rejects a response if the state that it has differs from the state that it should have.
 The session then resends the differing ranges of the digest completely.
