--- a/damsonpick/testing/rules/__init__.py
+++ b/damsonpick/testing/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Checks the program's five rules against the traffic that gateways, servers and the list server recorded."""
+"""Checks the traffic that gateways, servers and the list server recorded against the five rules for a pilot."""
 
 from damsonpick.testing.rules.checker import Checker
 from damsonpick.testing.rules.limits import EffectRule, Limits
--- a/damsonpick/testing/rules/checker.py
+++ b/damsonpick/testing/rules/checker.py
@@ -21,10 +21,10 @@
 
 
 class Checker:
-    """Checks all rules: call `feed` with the records in time order, then `results`."""
+    """Checks all rules. Call `feed` once with all records in time order, then `results`."""
 
     def __init__(self, limits: Limits) -> None:
-        """Create one checker per rule; all of them use `limits`."""
+        """Create the check of each rule with the bounds in `limits`."""
         self.fleet = ObservedFleet()
         self.listed = ListedServers(limits.warm_up_ns)
         self.empty_tables = EmptyTablesRule(limits, self.fleet, self.listed)
@@ -43,7 +43,10 @@
         }
 
     def feed(self, events: Iterable[dict[str, Any]]) -> Checker:
-        """Process all records and finish the rules. Records without a handler only advance the current time."""
+        """Process all records, finish the checks at the time of the last record, and return this checker.
+
+        A record without a handler only advances the current time, at which a server may have finished its warm-up.
+        """
         now = 0
         for event in events:
             now = event["t"]
--- a/damsonpick/testing/rules/cold_servers.py
+++ b/damsonpick/testing/rules/cold_servers.py
@@ -9,24 +9,28 @@
 from damsonpick.testing.rules.result import Breach, RuleResult
 from damsonpick.time_units import NS_PER_MS, NS_PER_SECOND
 
-BURST_ALLOWANCE_MS = 1500.0  # work allowed above the limit, because a few requests can arrive at once by chance
+BURST_ALLOWANCE_MS = 1500.0  # work added to the limit, because a few requests can arrive at once by chance
 
 
 class ColdServersRule:
-    """Sums the work that each cold server receives in the overload window."""
+    """Compares the work that a cold server receives within the overload window with the work at which it crashes."""
 
     def __init__(self, limits: Limits, fleet: ObservedFleet, listed: ListedServers) -> None:
-        """Check the servers of `fleet`; `listed` gives the time at which the pilot learned of each server start."""
+        """Check the servers of `fleet`; `listed` provides the time at which the pilot learned of each server start."""
         self.limits, self.fleet, self.listed = limits, fleet, listed
         self.result = RuleResult("no cold server pushed over", 1.0, "of the limit")
-        self._last_sender: dict[str, str] = {}  # by request ID: the gateway that sent the request last
+        self._last_sender: dict[str, str] = {}  # gateway that sent the request last, by request ID
 
     def on_request_sent(self, record: RequestSent) -> None:
         """Store which gateway sent the request."""
         self._last_sender[record.request_id] = record.gateway
 
     def on_request_received(self, record: RequestReceived) -> None:
-        """Check the work of the last overload window if informed gateways sent at least two thirds of it."""
+        """Check the work that a cold server received within the overload window that ends now.
+
+        The check applies only if informed gateways sent at least two thirds of this work. A gateway is informed if it
+        could know of the server's start.
+        """
         server = self.fleet.servers.get(record.server)
         if server is None or server.warm_share(record.time_ns) >= 1:
             return
@@ -54,9 +58,10 @@
         return rate * self.limits.overload_window_ns / NS_PER_MS + BURST_ALLOWANCE_MS
 
     def _sender_informed(self, record: RequestReceived, server: ObservedServer) -> bool:
-        """Return whether the sender could know of the server's start.
+        """Return whether the gateway that sent the request could know of the server's start.
 
-        It could if it has read a response since the pilot learned of the start, or if the drain grace has passed since.
+        It could if it has read a response since the pilot learned of the start, or if the drain grace has passed since
+        the pilot learned of it. The result is False if the pilot has not learned of the start or the sender is unknown.
         """
         known_since = self.listed.start_known_since.get((record.server, server.start.started_ns))
         sender = self._last_sender.get(record.request_id)
--- a/damsonpick/testing/rules/drains.py
+++ b/damsonpick/testing/rules/drains.py
@@ -1,7 +1,7 @@
-"""Rule: a connected gateway sends no request to a server once the drain grace has passed.
+"""Rule: a connected gateway stops sending requests to a draining or departed server within the drain grace.
 
-The grace starts when the pilot learns that the server is draining or gone, or when the gateway connects if that is
-later.
+The grace starts when the pilot learns that the server is draining or gone. If the gateway connects later, the grace
+starts when the gateway connects.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 
 class DrainsRule:
-    """Measures how long gateways keep sending requests after the pilot learned that a server drains or has left."""
+    """Measures how long gateways keep sending requests to a server that is draining or gone."""
 
     def __init__(self, limits: Limits, fleet: ObservedFleet, listed: ListedServers) -> None:
-        """Check the requests of `fleet` against the leaving servers in `listed`."""
+        """Check the requests of the gateways in `fleet`; `listed` states which servers are draining or gone."""
         self.limits, self.fleet, self.listed = limits, fleet, listed
         self.result = RuleResult("drains kept", limits.drain_grace_ns / NS_PER_SECOND, "s")
 
     def on_leaving(self, servers: list[str]) -> None:
-        """Count one test per connected gateway and server, as each gateway must learn that the server is leaving."""
+        """Count one test per connected gateway and server, as each gateway must learn of each server."""
         self.result.tested += len(servers) * self.fleet.connected_gateways()
 
     def on_stream(self, record: StreamChanged) -> None:
-        """Count one test per leaving or departed server, as a gateway that connects must learn of all of them."""
+        """When a stream opens, count one test per draining or departed server, as the gateway must learn of each."""
         if record.is_open:
             self.result.tested += len(self.listed.leaving_since)
 
     def on_request_sent(self, record: RequestSent) -> None:
-        """Measure the time between a request and the later of the server's leaving and the gateway's connection."""
+        """Measure how long after the start of the grace a gateway sent a request to a draining or departed server."""
         leaving_since = self.listed.leaving_since.get(record.server)
         connected_ns = self.fleet.gateway(record.gateway).connected_ns
         if leaving_since is None or not connected_ns:
--- a/damsonpick/testing/rules/duplicate_effects.py
+++ b/damsonpick/testing/rules/duplicate_effects.py
@@ -1,7 +1,8 @@
 """Rule: no request takes effect more than once.
 
-A request that is not idempotent runs at most once. A request with an idempotency key may run again within the key's
-scope and window. A request without side effects may run any number of times.
+A request that is not idempotent runs at most once, and no gateway sends it again after it has run. A request with an
+idempotency key may run again within the key's scope and window. A request without side effects may run any number of
+times.
 """
 
 from __future__ import annotations
@@ -48,7 +49,10 @@
             self._add_breach(record, f"{record.request_id} ran {len(runs)} times")
 
     def _key_covers(self, effect_rule: EffectRule, first: Run, record: RequestRan) -> bool:
-        """Return whether a further execution is within the scope and window of the first one's idempotency key."""
+        """Return whether the idempotency key of the first execution also covers the execution in `record`.
+
+        Requests that are not idempotent have no key. The scopes `zone` and `cell` both cover the first server's zone.
+        """
         if effect_rule.effect == "non_idempotent":
             return False
         if record.time_ns - first.time_ns > effect_rule.key_window_ns:
--- a/damsonpick/testing/rules/empty_tables.py
+++ b/damsonpick/testing/rules/empty_tables.py
@@ -1,6 +1,7 @@
 """Rule: no connected gateway has a slice without a usable server for longer than the limit.
 
-Periods in which the endpoint list has no warm server do not count.
+When the endpoint list has a warm server again, the measurement of every empty slice starts anew. The empty time counts
+as 0 if the list has no warm server when the slice gets a usable server, or at the end of the records.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
         self.result = RuleResult("nobody left without a server", limits.empty_table_ns / NS_PER_SECOND, "s")
 
     def on_stream(self, record: StreamChanged) -> None:
-        """Start checking all slices of a gateway when its stream opens."""
+        """Check all slices of a gateway when its stream opens."""
         if record.is_open:
             self._check_slices(record.time_ns, record.gateway, range(self.limits.slice_count))
 
     def on_response(self, record: ResponseRead) -> None:
-        """Check the slices that a response may have changed."""
+        """Check the slices that a response may have changed: all slices if it contains the withdrawn servers."""
         if not record.is_endpoints or not self.fleet.gateway(record.gateway).connected_ns:
             return
         if record.withdrawn is not None:
--- a/damsonpick/testing/rules/limits.py
+++ b/damsonpick/testing/rules/limits.py
@@ -13,9 +13,9 @@
     """Conditions under which a request of a class may run more than once.
 
     Attributes:
-        effect: Whether a second run repeats the effect: `read_like` requests have none, an idempotency key prevents it
-            within the key's scope and window, and `non_idempotent` requests repeat it.
-        key_scope: Set of servers that share an idempotency key: all, or those of one zone or cell.
+        effect: Side effect of the requests. A `read_like` request has none. An `idempotency_key` request takes effect
+            once within its key's scope and window. A `non_idempotent` request takes effect on each run.
+        key_scope: Which servers share their stored idempotency keys: all servers, or the servers of one zone or cell.
         key_window_ns: Time for which the servers store an idempotency key.
     """
 
@@ -32,15 +32,15 @@
     """Bounds of the rules. Times are in ns of the scenario's clock.
 
     Attributes:
-        slice_count: Number of slices; each gateway needs a table for each of them.
+        slice_count: Number of slices. Each gateway needs a table for each slice.
         empty_table_ns: Longest time for which a slice may have no usable entry.
         drain_grace_ns: Time after which gateways must send no more requests to a draining or departed server.
         warm_up_ns: Time for which a server is cold after its start.
-        overload_multiple: Ratio of received work to current capacity at which a cold server crashes.
+        overload_multiple: Ratio of received work to current capacity above which a cold server crashes.
         overload_window_ns: Period over which the received work is summed.
         queued_entries: Most table entries that the send queue may hold.
         message_overhead_entries: Fixed cost of a message in addition to its entries, expressed in entries.
-        messages_per_window: Most messages that the pilot may send to one gateway in a window; 0 if there is no bound.
+        messages_per_window: Most messages that the pilot may send to one gateway in a window; 0 for no limit.
         message_window_ns: Length of the message window.
         effect_rules: Rule on repeated runs of each request class, by class name.
     """
--- a/damsonpick/testing/rules/listed_servers.py
+++ b/damsonpick/testing/rules/listed_servers.py
@@ -1,12 +1,13 @@
-"""The endpoint list as the pilot may interpret it: which servers serve or leave, and whether one of them is warm."""
+"""The endpoint list as the pilot may interpret it: the state of each server, and whether a server is warm."""
 
 from __future__ import annotations
 
 from damsonpick.testing.rules.records import ListedServer, ListSent
 from damsonpick.time_units import NS_PER_SECOND
 
-# If a list omits a large part of the serving servers, these count as gone only after the lists have omitted them for
-# VANISH_CONFIRMED_NS; see docs/design/knowledge.md.
+# If a list omits at least VANISH_MIN_SERVERS of the servers in service, and more than the share VANISH_SHARE of them,
+# the omitted servers count as gone only once the lists have omitted so many for VANISH_CONFIRMED_NS; see
+# docs/design/knowledge.md.
 VANISH_SHARE = 0.4
 VANISH_MIN_SERVERS = 3
 VANISH_CONFIRMED_NS = 30 * NS_PER_SECOND
@@ -21,8 +22,9 @@
 
     Attributes:
         leaving_since: Time in ns at which the pilot learned that a server is draining or gone, by server.
-        start_known_since: Time in ns at which the pilot learned of a server process, by server and process start.
-        has_warm_server: Whether the list has a server in service that has finished its warm-up.
+        start_known_since: Time in ns at which a list first showed a server process in service, by server and process
+            start.
+        has_warm_server: Whether, at the last `update_warmth`, a server in service had finished its warm-up.
     """
 
     def __init__(self, warm_up_ns: int) -> None:
@@ -43,7 +45,7 @@
         """Apply a list. An empty list indicates a failed list source and changes nothing.
 
         Returns:
-            Servers that the pilot learns from this list to be draining or gone.
+            Servers that this list is the first to show as draining or gone.
         """
         if not record.servers:
             return []
@@ -73,7 +75,7 @@
         return record.servers | {name: self.servers[name] for name in missing}
 
     def warm_server_due(self, now: int) -> bool:
-        """Return whether a listed server has finished its warm-up since the last `update_warmth`."""
+        """Return whether no server was warm at the last `update_warmth` and one has finished its warm-up since."""
         return not self.has_warm_server and bool(self._next_warm_ns) and now >= self._next_warm_ns
 
     def update_warmth(self, now: int) -> bool:
--- a/damsonpick/testing/rules/observed.py
+++ b/damsonpick/testing/rules/observed.py
@@ -1,4 +1,4 @@
-"""State of gateways and servers as the records show it. All rules share it."""
+"""State of gateways and servers as the records show it. All rules except that of the send queue share it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class ObservedGateway:
-    """State of a gateway as its stream shows it. Times are in ns; 0 means never.
+    """State of a gateway as its stream shows it. Times are in ns.
 
     Attributes:
         connected_ns: Time at which the open stream was opened; 0 if no stream is open.
-        last_response_ns: Time at which the gateway last read a response.
+        last_response_ns: Time at which the gateway last read a response; 0 if it has read none.
         tables: Servers of each table, by slice.
         withdrawn: Servers that no slice may use.
-        empty_since: Time since which a slice has had no usable server, by slice.
+        empty_since: Time since which a slice has had no usable server, for each such slice.
     """
 
     connected_ns: int = 0
@@ -32,7 +32,7 @@
         return not self.tables.get(slice_number, set()) - self.withdrawn
 
     def apply_stream(self, record: StreamChanged) -> None:
-        """Update the state after the stream opened or closed."""
+        """Update the state after the stream opened or closed. Closing ends the measurement of empty slices."""
         if not record.is_open:
             self.connected_ns = 0
             self.empty_since.clear()
@@ -67,7 +67,12 @@
 
 @dataclass(slots=True)
 class ObservedServer:
-    """State of a server's process as the server's own records show it."""
+    """State of a server's process as the server's own records show it.
+
+    Attributes:
+        start: Record of the start of the process.
+        recent_work: Work received while cold, within the overload window before the last request; oldest first.
+    """
 
     start: ServerStarted
     recent_work: deque[ReceivedWork] = field(default_factory=deque)
--- a/damsonpick/testing/rules/records.py
+++ b/damsonpick/testing/rules/records.py
@@ -1,7 +1,7 @@
 """The records that the rules read, with one type per kind of event.
 
 The fakes write the records as JSON objects (see `damsonpick.testing.fakes.record`); for these kinds, only this module
-reads the JSON keys. Times are in ns of the scenario's clock.
+reads the JSON keys other than the time `t` and the kind `e`. Times are in ns of the scenario's clock.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     """A server in the endpoint list.
 
     Attributes:
-        state: State of the server in the list.
+        state: State of the server in the list, for example `in_service` or `terminating`.
         started_ns: Start time of the server's process; 0 if it started before the scenario.
     """
 
@@ -68,8 +68,8 @@
 
     Attributes:
         queued_ns: Time at which the pilot queued the response.
-        sent_ns: Time at which the pilot sent it.
-        entries: Number of table entries that it counted for.
+        sent_ns: Time at which the pilot sent the response.
+        entries: Number of table entries that the pilot counted for the response.
     """
 
     queued_ns: int
@@ -82,9 +82,10 @@
     """A gateway read a response.
 
     Attributes:
-        send_info: Parsed from the nonce `count.queued.sent.entries`. None for the first tables of a stream, which the
-            pilot sends as read from a store and counts as no entries.
-        is_endpoints: Whether the response contains tables and the gateway accepted it.
+        send_info: Parsed from the nonce `count.queued.sent.entries`. None if the nonce has another form or counts no
+            entries. The first tables of a stream count as no entries, because the pilot sends them as stored.
+        is_endpoints: Whether the response has the type `ClusterLoadAssignment` and the gateway accepted it. Otherwise
+            `tables` and `removed_slices` are empty and `withdrawn` is None.
         tables: Servers of each table in the response, by slice.
         withdrawn: Servers that no slice may use; None if the response does not contain this set.
         removed_slices: Slices whose table the response removes.
--- a/damsonpick/testing/rules/result.py
+++ b/damsonpick/testing/rules/result.py
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True)
 class RuleResult:
-    """Number of tests of a rule, its worst figure, its limit, and every breach.
+    """Result of checking one rule, which compares a figure, for example a duration, with a limit.
 
     Attributes:
         name: Name of the rule in the command's output.
         limit: Bound that the rule's figure must not exceed.
         unit: Unit of the figure and of the limit.
         tested: Number of times that the rule was tested.
-        worst: Largest figure observed.
+        worst: Largest figure observed; 0 if there was none.
         breaches: Every breach, in the order of detection.
     """
 
--- a/damsonpick/testing/rules/send_queue.py
+++ b/damsonpick/testing/rules/send_queue.py
@@ -17,15 +17,18 @@
         self.limits = limits
         self.result = RuleResult("a short queue", limits.queued_entries, "lines")
         self._sent_messages: list[SendInfo] = []
-        self._recently_sent: dict[str, deque[int]] = {}  # by gateway: send times, ns
+        self._recently_sent: dict[str, deque[int]] = {}  # send times within the last message window, ns, by gateway
 
     def on_stream(self, record: StreamChanged) -> None:
-        """Discard the send times of the previous stream, as each new stream has its own message window."""
+        """When a stream opens, discard the send times of the previous stream: the message window starts anew."""
         if record.is_open:
             self._recently_sent.pop(record.gateway, None)
 
     def on_response(self, record: ResponseRead) -> None:
-        """Store a message, and check the number of messages in the gateway's last window."""
+        """Store a message, and check the number of messages to its gateway in the window that ends when it was sent.
+
+        A response without `send_info` does not count as a message.
+        """
         if record.send_info is None:
             return
         queued_ns, sent_ns, entries = record.send_info
@@ -43,7 +46,7 @@
     def finish(self) -> None:
         """Check the number of queued entries each time a message is queued.
 
-        A message counts with its entries from the time it was queued until it was sent.
+        A message counts with its entries and its overhead from the time it was queued until it was sent.
         """
         queued = [(message.queued_ns, message.entries) for message in self._sent_messages]
         sent = [(message.sent_ns, -message.entries) for message in self._sent_messages]
--- a/damsonpick/testing/scenarios/environment.py
+++ b/damsonpick/testing/scenarios/environment.py
@@ -1,4 +1,4 @@
-"""A scenario's environment.
+"""Starts and stops the processes and fakes of a scenario, and provides the operations that faults use.
 
 The pilot and the gateways run in separate processes. The servers and the list server run in this process.
 """
@@ -25,9 +25,9 @@
 from damsonpick.testing.scenarios.script import Script
 from damsonpick.time_units import NS_PER_MS, NS_PER_SECOND
 
-CAPACITY_FACTORS = (0.8, 1.0, 1.25)
+CAPACITY_FACTORS = (0.8, 1.0, 1.25)  # speeds of a warm server's cores; one is drawn for each server
 MEAN_WORK_FACTOR = 1.083  # mean of the random factor that clients apply to a request's work
-GATEWAY_PROCESSES = 3  # several, so that a delay in one process does not delay all gateways
+GATEWAY_PROCESSES = 3  # most processes; there are several so that a delay in one does not delay all gateways
 SOTW_GATEWAY_EVERY = 4  # each fourth fake gateway uses the state-of-the-world variant of xDS
 
 
@@ -134,7 +134,7 @@
         }
 
     def _request_rate(self) -> float:
-        """Return the requests per second, in time of the scenario, that result in the script's load."""
+        """Return the number of requests per second of the scenario's clock that results in the script's load."""
         capacity = sum(server.config.cores * server.config.capacity_factor for server in self.servers)
         classes = self.script.classes.values()
         total_share = sum(c.share for c in classes)
@@ -178,7 +178,10 @@
         self.endpoint_list.put(self._list_entry(server, state))
 
     def update_list_after_notice(self, server: FakeResultsServer, state: str) -> None:
-        """Set a server's state in the list after the script's notice, unless it started or stopped in the meantime."""
+        """Set a server's state in the list after the script's notice.
+
+        The state stays unchanged if the server starts or stops in the meantime.
+        """
         started, is_up = server.started, server.is_up
 
         async def update() -> None:
@@ -189,7 +192,10 @@
         self._group.start_soon(update)
 
     async def restart_server(self, server: FakeResultsServer) -> None:
-        """Start a new, cold process at the same address, unless the server has crashed from overload."""
+        """Start a new, cold process at the same address, and list the server as in service after the script's notice.
+
+        A server that has crashed from overload is not restarted.
+        """
         if not server.fell_over:
             await server.start(self._group, cold=True)
             self.update_list_after_notice(server, "in_service")
--- a/damsonpick/testing/scenarios/faults.py
+++ b/damsonpick/testing/scenarios/faults.py
@@ -1,7 +1,7 @@
-"""Injects each kind of fault into the environment. The script sets the figures; the targets are drawn at random.
+"""Injects each kind of fault into the environment.
 
-The docstring of each kind states the meaning of the fault's `size` and `extra`. `extra` is in seconds unless stated
-otherwise.
+The script sets the times and the extent of a fault; the targets are drawn at random. The docstring of each kind's
+function states the meaning of `size` and `extra`. `extra` is in seconds unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -24,14 +24,17 @@
 
 
 async def crash(environment: Environment, fault: Fault) -> None:
-    """Servers crash; they restart cold after the duration."""
+    """A share of the servers crashes. They restart cold after the duration."""
     await _crash_servers(environment, environment.draw_servers(fault.affected_share), "crash", fault.duration)
 
 
 async def _crash_servers(
     environment: Environment, servers: list[FakeResultsServer], reason: str, down_ns: float
 ) -> None:
-    """Stop servers at once, and start them cold after `down_ns`. The list removes them after the script's notice."""
+    """Stop servers at once, and start them cold after `down_ns`.
+
+    The list removes a server after the script's notice, unless the server has started again by that time.
+    """
     for server in servers:
         server.stop(reason)
         environment.update_list_after_notice(server, "terminated")
@@ -41,7 +44,7 @@
 
 
 async def deploy(environment: Environment, fault: Fault) -> None:
-    """Servers are replaced in batches. Each batch is the share `size` of the fleet and drains for `extra`."""
+    """A share of the servers is replaced in batches of `size` times the fleet. Each batch drains for `extra`."""
     servers = environment.draw_servers(fault.affected_share)
     batch_size = max(1, round(fault.size * len(environment.servers)))
     batches = [servers[at : at + batch_size] for at in range(0, len(servers), batch_size)]
@@ -55,7 +58,10 @@
 
 
 async def shrink(environment: Environment, fault: Fault) -> None:
-    """The fleet shrinks to 1/`size` over the duration. The removed servers drain, and stop `extra` after its end."""
+    """The fleet shrinks to 1/`size`.
+
+    The removed servers start to drain one after another over the duration, and stop `extra` after the end of it.
+    """
     servers = environment.draw_servers(1 - 1 / fault.size)
     for server in servers:
         environment.update_list(server, "terminating")
@@ -67,7 +73,7 @@
 
 
 async def preempt(environment: Environment, fault: Fault) -> None:
-    """Machines are preempted with a notice of `extra`, and their servers restart cold after the duration."""
+    """A share of the servers is preempted with a notice of `extra`. They restart cold after the duration."""
     servers = environment.draw_servers(fault.affected_share)
     for server in servers:
         environment.update_list(server, "terminating")
@@ -81,7 +87,7 @@
 
 
 async def flapping(environment: Environment, fault: Fault) -> None:
-    """Servers crash and restart cold repeatedly; they are down for `extra` and up for `extra`."""
+    """A share of the servers crashes and restarts cold repeatedly; each time they are down, then up, for `extra`."""
     servers = environment.draw_servers(fault.affected_share)
     end = environment.clock.now() + fault.duration
     while environment.clock.now() < end:
@@ -114,7 +120,7 @@
 
 
 async def half_building(environment: Environment, fault: Fault) -> None:
-    """Half of the servers of a zone crash at once; they restart cold after the duration."""
+    """Half of the servers of a zone that are up crash at once. They restart cold after the duration."""
     zone = environment.random.choice(environment.script.day.zones)
     inside = [server for server in environment.servers if server.config.zone == zone and server.is_up]
     lost = environment.random.sample(inside, len(inside) // 2)
@@ -133,7 +139,7 @@
 
 
 async def hot_key(environment: Environment, fault: Fault) -> None:
-    """`extra` slices (1 to 3, not seconds) receive the share `size` of all traffic, at most 0.9."""
+    """A few slices together receive the share `size` of all traffic, at most 0.9. `extra` is their number, 1 to 3."""
     count = max(1, min(MAX_HOT_SLICES, int(fault.extra)))
     hot = environment.random.sample(range(environment.script.day.slices), count)
     await environment.gateways.send_command("hot", slices=hot, share=min(fault.size, MAX_HOT_SHARE))
@@ -149,7 +155,10 @@
 
 
 async def zone_cut(environment: Environment, fault: Fault) -> None:
-    """One zone is disconnected from the others: the pilot's own if `size` is below 1 or there is only one zone."""
+    """One zone is disconnected from the others.
+
+    It is the pilot's own zone if `size` is below 1 or there is only one zone, otherwise a random other zone.
+    """
     zones = environment.script.day.zones
     cuts_pilot_zone = fault.size < 1 or len(zones) == 1
     zone = zones[0] if cuts_pilot_zone else environment.random.choice(zones[1:])
@@ -180,14 +189,14 @@
 
 
 async def origin_slow(environment: Environment, fault: Fault) -> None:
-    """Gateways take `size` times 100 ms longer to read a response."""
+    """Gateways take `size` times 100 ms longer to read a response of the pilot."""
     await environment.gateways.send_command("slow_reads", ns=int(fault.size * SLOW_READ_UNIT_NS))
     await environment.sleep(fault.duration)
     await environment.gateways.send_command("slow_reads", ns=0)
 
 
 async def balancer_stall(environment: Environment, fault: Fault) -> None:
-    """A share of the gateways stalls for `size` s, repeatedly at an interval of `extra`, at least 0.1 s."""
+    """A share of the gateways stalls for `size` seconds, repeatedly at intervals of `extra` but at least 0.1 s."""
     names = environment.draw_gateways(fault.affected_share)
     end = environment.clock.now() + fault.duration
     while environment.clock.now() < end:
--- a/damsonpick/testing/scenarios/outcome.py
+++ b/damsonpick/testing/scenarios/outcome.py
@@ -14,7 +14,7 @@
 from damsonpick.time_units import MS_PER_SECOND
 
 PILOT_LOG = "pilot.log"
-LEAD_NS = 2_000_000_000  # requests that begin in this time of the scenario after the first one are not counted
+LEAD_NS = 2_000_000_000  # a request that begins less than this scenario time after the first one is not counted
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,9 +24,9 @@
     Attributes:
         begun_ns: Time at which the request began, in ns of the scenario's clock.
         gateway: Name of the gateway or balancer that served the request.
-        answered: Whether the client received a response.
-        ending: How the request ended.
-        latency_ms, objective_ms: Duration of the request, and its latency objective.
+        answered: Whether the client received a response with status 200.
+        ending: How the request ended, as text; see `damsonpick.testing.fakes.request_outcome`.
+        latency_ms, objective_ms: Duration of the request, and the latency objective of its class.
         priority_weight: Priority weight of the request's class.
     """
 
@@ -53,7 +53,7 @@
 
     @property
     def in_time(self) -> bool:
-        """Return whether the client received a response within the latency objective."""
+        """Return whether the request was answered within its latency objective."""
         return self.answered and self.latency_ms <= self.objective_ms
 
     @property
@@ -64,14 +64,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessLoad:
-    """Event loop lag and CPU use of a process of the scenario, which show whether it was starved of CPU.
+    """Event loop lag and CPU use of a process. They show whether the machine gave the process too little CPU time.
 
     Times are in seconds of the wall clock, not of the scenario's clock.
 
     Attributes:
         name: Name of the process.
         longest_lag_s: Longest delay of the process's event loop.
-        cpu_s, wall_s: CPU time and running time of the process; 0 if it was killed before it could record them.
+        cpu_s, wall_s: CPU time and running time of the process; 0 if it was killed before it could record them. For
+            the pilot, the sums over all incarnations that were not killed.
     """
 
     name: str
@@ -82,13 +83,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Outcome of a scenario.
+    """Outcome of a scenario. A request is counted if it begins at least `LEAD_NS` after the first request.
 
     Attributes:
         rules: Result of each rule.
-        service: Priority weight of the requests answered in time, as a share of that of all counted requests.
+        service: Priority weight of the counted requests that were answered in time, as a share of the priority weight
+            of all counted requests.
         requests: Number of counted requests.
-        endings: Number of counted requests by how they ended.
+        endings: Number of counted requests by how they ended; `late` if an answered request missed its latency
+            objective.
         service_by_protocol: Service of the xDS gateways and of the SASP balancers, by protocol; empty if no request
             went through a balancer.
         processes: Load of each process. No verdict depends on it.
@@ -103,7 +106,7 @@
 
     @property
     def kept(self) -> bool:
-        """Return whether no rule was broken."""
+        """Return whether no rule has a breach."""
         return not any(rule.breaches for rule in self.rules)
 
     def as_dict(self) -> dict[str, Any]:
@@ -151,7 +154,7 @@
 
 
 def read_records(folder: Path) -> list[dict[str, Any]]:
-    """Return all records of a scenario in time order, without lines that a kill of the process truncated."""
+    """Return all records of a scenario in time order, without lines that the kill of a process truncated."""
     found = []
     for path in sorted(folder.glob("*.jsonl")):
         for line in path.read_text().splitlines():
--- a/damsonpick/testing/scenarios/player.py
+++ b/damsonpick/testing/scenarios/player.py
@@ -29,7 +29,7 @@
         proxies: Whether real proxies forward the requests, instead of the fake gateways.
 
     Raises:
-        ScenarioError: A process did not start or ended early.
+        ExceptionGroup: A process did not start or ended early. The group contains a `ScenarioError`.
     """
     environment = Environment(script, seed, folder, pilot or PILOT_COMMAND, proxies)
     async with anyio.create_task_group() as group:
--- a/damsonpick/testing/scenarios/processes.py
+++ b/damsonpick/testing/scenarios/processes.py
@@ -14,8 +14,8 @@
 from damsonpick.testing.scenarios.errors import ProcessError
 
 PILOT_START_TIMEOUT_S = 20
-PORT_POLL_S = 0.02
-STOP_TIMEOUT_S = 5
+PORT_POLL_S = 0.02  # interval of the checks for the pilot's port file
+STOP_TIMEOUT_S = 5  # a process that has not ended after this time is killed
 GATEWAYS_COMMAND = [sys.executable, "-m", "damsonpick.testing.fakes.fleet"]
 
 
@@ -42,7 +42,7 @@
         self._process: Process | None = None
 
     async def start(self) -> None:
-        """Start the pilot and wait until its port is open.
+        """Start the pilot and wait until it has written its port file.
 
         Raises:
             ProcessError: The pilot ended or did not open its port in time.
@@ -59,7 +59,9 @@
             while not self.port_file.exists() and self._process.returncode is None:
                 await anyio.sleep(PORT_POLL_S)
         if not self.port_file.exists():
-            raise ProcessError(f"the pilot did not start within {PILOT_START_TIMEOUT_S} s", self.log_file)
+            raise ProcessError(
+                f"the pilot ended or did not open its port within {PILOT_START_TIMEOUT_S} s", self.log_file
+            )
 
     async def kill(self) -> None:
         """Kill the pilot without a graceful shutdown."""
@@ -68,7 +70,7 @@
         self._remove_port_files()
 
     async def stop(self) -> None:
-        """Shut the pilot down gracefully if it is running."""
+        """Shut the pilot down gracefully if it is running; kill it if it does not end in time."""
         if self._process is not None and self._process.returncode is None:
             self._process.terminate()
             await _wait_or_kill(self._process)
@@ -110,8 +112,7 @@
         """Wait until a process ends.
 
         Raises:
-            ProcessError: Always raised when a process ends, so that an early end fails the scenario instead of staying
-                unnoticed.
+            ProcessError: A process ended, with any exit code, so that its early end fails the scenario.
         """
         exit_codes: list[int | None] = []
 
@@ -125,7 +126,7 @@
         raise ProcessError(f"a gateway process ended with exit code {exit_codes}", self.log_file)
 
     async def stop(self) -> None:
-        """End all processes by closing their standard input."""
+        """End all processes by closing their standard input; kill those that do not end in time."""
         for process in self._processes:
             await process.stdin.aclose()
         for process in self._processes:
--- a/damsonpick/testing/scenarios/report.py
+++ b/damsonpick/testing/scenarios/report.py
@@ -15,7 +15,7 @@
 from damsonpick.testing.scenarios.player import play
 from damsonpick.testing.scenarios.script import Script, load
 
-SHOWN_BREACHES = 5  # printed per rule
+SHOWN_BREACHES = 5  # most breaches printed per rule
 EXIT_KEPT, EXIT_BROKEN, EXIT_UNREADABLE = 0, 1, 2
 
 
@@ -34,7 +34,7 @@
         paths: Paths of the scripts.
         seed: Seed of the first play; None for the script's own seed.
         times: Number of plays of each scenario; each play uses the next seed.
-        keep: Folder for settings, records and logs; None to remove them after each play.
+        keep: Folder in which each play gets a new folder for its settings, records and logs; None to keep no files.
         pilot: Command that runs a pilot; None for this program's own pilot.
         as_json: Whether to print one JSON object per play instead of a table.
         proxies: Whether real proxies forward the requests, instead of the fake gateways.
--- a/damsonpick/testing/scenarios/script.py
+++ b/damsonpick/testing/scenarios/script.py
@@ -1,6 +1,7 @@
-"""The script of a scenario: an INI file, of which all problems are reported at once.
+"""Reads the script of a scenario, which is an INI file, and reports all of its problems at once.
 
-Fields have the names that the code uses; an alias gives the key in the file if it differs. Durations are integer ns.
+If the key of a setting in the file differs from the name of its field, the key is the field's alias. Durations are
+integer ns.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
     slices: int = Field(96, ge=0, le=5000)  # 0 for a table per zone and class instead of slices
     load: Share = 0.5  # offered load as a share of the fleet's capacity at the start
     cores: int = Field(4, ge=1, le=64)
-    notice: Duration = 1_000_000_000  # delay until the endpoint list shows a change of a server
+    notice: Duration = 1_000_000_000  # delay until the endpoint list shows a crash or a restart
 
 
 class RequestClassSettings(Section):
@@ -125,5 +126,7 @@
     for name, fault in script.faults.items():
         if fault.start >= script.day.length:
             start_s = f"{fault.start / 1e9:g} s"
-            found.append(Problem(f"trouble {name}", "at", start_s, "is after the scenario's end; start it earlier"))
+            found.append(
+                Problem(f"trouble {name}", "at", start_s, "is not before the scenario's end; start the fault earlier")
+            )
     return found
