--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -15,7 +15,7 @@
 
 
 def deaf_to_drains() -> None:
-    """The planner receives every endpoint as in service, also if it is draining or has terminated."""
+    """Show the planner every endpoint as in service, even if the endpoint is draining or gone."""
 
     def apply_change(self, event):
         entries = tuple(entry._replace(state="in_service") for entry in event.entries)
@@ -26,11 +26,11 @@
 
 
 def bare() -> None:
-    """Every slice except the first loses its entries soon after the start."""
+    """Remove all entries of every slice except the first, once the first tables have been published."""
 
     def apply(self, orders):
         change = original(self, orders)
-        if self.seq > 2:  # the first tables were published
+        if self.seq > 2:  # the first tables have been published
             for number in range(1, self.slices):
                 for name in list(self.tables[number]):
                     del self.tables[number][name]
@@ -41,7 +41,7 @@
 
 
 def replace_admission(**fields) -> None:
-    """Every admission order is published with the given values in these fields."""
+    """Replace the given fields in every admission order before the order is published."""
 
     def apply(self, orders):
         return original(self, [o._replace(**fields) if isinstance(o, api.SetAdmission) else o for o in orders])
@@ -50,12 +50,12 @@
 
 
 def retrying() -> None:
-    """Proxies retry requests of all classes after any failure."""
+    """Let proxies retry requests of all classes after any failure."""
     replace_admission(retry=3)
 
 
 def reckless() -> None:
-    """Warming endpoints count as warm and receive all requests of their slices, and no load is shed to protect them."""
+    """Treat warming endpoints as warm, send them all requests of their slices, and shed no load to protect them."""
     warming = set()
 
     def warm_up_share(fleet, endpoint):
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -27,7 +27,7 @@
 
 
 def test_levels_recover_when_no_requests_are_answered():
-    """Regression (varazdin-izbori, overload): levels stayed low, since no requests were sent to show a low latency."""
+    """Regression (varazdin-izbori, overload): levels stayed low, as no requests were sent to measure a low latency."""
     world = World()
     world.run(6)
     world.run(6, latency=dict.fromkeys("pqrs", 900))
--- a/tests/decisions/test_channel_at_scale.py
+++ b/tests/decisions/test_channel_at_scale.py
@@ -59,7 +59,7 @@
         return orders
 
     def wait_until_withdrawn(self, names: list[str], notified: int, grace: int) -> None:
-        """Wait until proxies send to none of these endpoints. The orders must reach the proxies within the grace."""
+        """Wait until proxies send to none of these endpoints. All orders must arrive within `grace` of `notified`."""
         while any(map(self.world.count, names)):
             self.run(0.05)
             assert self.world.now - notified < grace
@@ -103,7 +103,10 @@
 
 
 def test_messages_to_the_first_proxies_do_not_block_the_channel():
-    """Regression (ocitanja-vode big-2): a message to the first proxies waited for half of all proxies joining later."""
+    """Regression (ocitanja-vode big-2): a message to the first proxies waited for acknowledgements of half of all.
+
+    Most proxies joined only after this message.
+    """
     world = large_fleet()
     world.acks = False
     world.proxies = [0, 1, 2]
--- a/tests/decisions/test_slice_demand.py
+++ b/tests/decisions/test_slice_demand.py
@@ -8,7 +8,10 @@
 
 
 def test_slices_without_reports_do_not_go_to_a_warming_endpoint_by_the_dozen():
-    """The rate of reports is limited: they need seconds to cover a large fleet. Drains then move unreported slices."""
+    """The rate of reports is limited, so that they need seconds to cover a large fleet.
+
+    Drains in this time move slices whose demand has not been reported.
+    """
     world = World(names=ENDPOINT_NAMES[:40], slices=240, proxies=40, channel_rate=40_000.0, channel_limit=60_000.0)
     drained = set(ENDPOINT_NAMES[:20])
     reported = [n for n, table in world.tables.items() if not drained & set(table)]
@@ -30,9 +33,9 @@
 
 
 def test_a_slice_whose_demand_is_known_in_part_goes_to_no_warming_endpoint():
-    """Regression (roll+mass seed 1): a slice gained a second before overloaded a warming endpoint.
+    """Regression (roll+mass seed 1): a slice that was gained one second earlier overloaded a warming endpoint.
 
-    Only 1.5 of its 8.5 requests/s were reported.
+    Only 1.5 of the slice's 8.5 requests/s were reported.
     """
     world = World(names=ENDPOINT_NAMES[:40], slices=120, proxies=40, channel_rate=40_000.0, channel_limit=60_000.0)
     for _ in range(12):
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -97,7 +97,7 @@
 
 
 async def not_bare(look):
-    """Wait until `look` holds, at most for the time for which the settings allow a slice to have no usable entry.
+    """Wait until `look` returns true; fail after the longest time for which a slice may have no usable entry.
 
     Slices may have no usable entry for a short time, because a withdrawal arrives just before the new tables.
     """
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -105,7 +105,7 @@
     async def wait_for_log_entry(
         self, event: str, count: int = 1, reason: str = "", timeout_s: float = TIMEOUT_S
     ) -> None:
-        """Wait until the log has `count` entries of an event whose reason contains a text."""
+        """Wait until the log has at least `count` entries of `event` whose reasons contain `reason`."""
 
         def is_logged() -> bool:
             entries = self.log_entries(event)
@@ -162,7 +162,7 @@
 
 @asynccontextmanager
 async def world(folder: Path, servers: str = "pqr", slices: int = 6, proxies: int = 4, rate: float = 4000.0):
-    """Run a pilot with its fake servers; at the start every slice has an entry for a usable endpoint.
+    """Run a pilot with its fake servers; yield once every slice has an entry for a usable endpoint.
 
     Args:
         folder: Folder for the configuration and the log.
--- a/tests/slow_solver_pilot.py
+++ b/tests/slow_solver_pilot.py
@@ -1,4 +1,7 @@
-"""A pilot whose solver is slow, raises or dies: `python -m tests.slow_solver_pilot WHICH run FILE`."""
+"""Runs a pilot whose solver is slow, raises or ends its process: `python -m tests.slow_solver_pilot WHICH run FILE`.
+
+WHICH is the name of a function of this module.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 
 
 if __name__ == "__main__":
-    from tests import slow_solver_pilot as this_module  # the worker process can load functions of a named module
+    from tests import slow_solver_pilot as this_module  # under this name the worker process can load its functions
 
     work = getattr(this_module, sys.argv.pop(1))
     run_pilot = pilot_commands.run_pilot
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -14,7 +14,7 @@
 
 
 class DelayedProcess:
-    """A time module with a delay of 5 ms after each of its first reads, as it occurs under load."""
+    """A time module for a process that, as under load, is delayed by 5 ms after each of its first clock reads."""
 
     def __init__(self, delayed_reads: int) -> None:
         self.elapsed_ns, self.reads, self.delayed_reads = 0, 0, delayed_reads
@@ -34,7 +34,10 @@
 
 @pytest.mark.parametrize("delayed_reads", [1, 2, 3, 7])
 def test_a_process_that_is_delayed_while_it_reads_the_clocks_agrees_with_others(delayed_reads, monkeypatch):
-    """A clock that was behind dated the execution of a request before its sending: "sent again after it had run"."""
+    """Regression: a server's clock was behind, and its record of a request's execution was dated before the sending.
+
+    The rule checker then reported that the request "was sent again after it had run".
+    """
     process = DelayedProcess(delayed_reads)
     monkeypatch.setattr(clock, "time", process)
     delayed_clock = Clock()
--- a/tests/test_control_requests.py
+++ b/tests/test_control_requests.py
@@ -48,7 +48,7 @@
 
 
 def test_malformed_requests_end_neither_the_daemon_nor_its_control_socket(pilot):
-    """Eight of fifteen such requests ended the daemon or its control socket."""
+    """Regression: eight of fifteen such requests ended the daemon or its control socket."""
     texts = [json.dumps(request) for request in MALFORMED] + [
         DEEPLY_NESTED,
         '{"ask":' + DEEPLY_NESTED,
--- a/tests/test_control_socket.py
+++ b/tests/test_control_socket.py
@@ -26,7 +26,10 @@
 
 
 def test_a_pilot_that_takes_a_request_and_is_silent_is_not_taken_for_none(tmp_path):
-    """TimeoutError is an OSError, so the handler for OSError reported "no pilot answers" for a pilot that hung."""
+    """Regression: for a pilot that hung, the handler for OSError reported "no pilot answers".
+
+    TimeoutError is a subclass of OSError.
+    """
     with socket.socket(socket.AF_UNIX) as listener:
         listener.bind(str(tmp_path / "control.sock"))
         listener.listen()
@@ -49,7 +52,10 @@
 
 
 def test_forget_leaves_the_files_of_a_pilot_that_hangs_or_lost_its_socket(pilot):
-    """The command deleted the files of a running pilot that hung. Only the folder's lock shows whether a pilot runs."""
+    """Regression: the command deleted the files of a running pilot that hung.
+
+    Only the lock of the state folder shows whether a pilot runs.
+    """
     folder = pilot.folder / "state"
     until(lambda: pilot.ask("status")["knowledge"]["sequence"])
 
@@ -91,7 +97,7 @@
 
 
 def test_a_state_folder_whose_name_is_too_long_for_a_socket_is_named(tmp_path):
-    """The start failed with a traceback, or with a message that an address cannot be opened."""
+    """Regression: the start failed with a traceback, or with a message that an address cannot be opened."""
     folder = tmp_path / ("x" * 120)
     folder.mkdir()
     done = run_pilot_in(folder)
--- a/tests/test_decision_package.py
+++ b/tests/test_decision_package.py
@@ -14,7 +14,7 @@
 MODULES = sorted((ROOT / "damsonpick" / "decisions").glob("*.py"))
 LINE_LENGTH = 120
 MODULE_LINES = 250
-FUNCTION_LINES = 30  # including the docstring
+FUNCTION_LINES = 30  # most lines of a function, including its docstring
 
 
 def test_deploy_file_names_every_decision_module():
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -247,8 +247,10 @@
 
 
 def test_a_withdrawal_from_before_a_restart_is_shown_and_its_readmission_logged(tmp_path):
-    """A restarted engine showed an endpoint withdrawn before the restart as in full service and did not log its
-    readmission."""
+    """Regression: a restarted engine showed an endpoint as in full service that was withdrawn before the restart.
+
+    It did not log the readmission of this endpoint either.
+    """
     harness = EngineHarness(tmp_path)
     harness.published.apply([api.SetWithdrawn("127.0.0.1:9002", True)])
     harness.engine.persistence.save(harness.now)
--- a/tests/test_history_rollback.py
+++ b/tests/test_history_rollback.py
@@ -114,7 +114,7 @@
 
 
 def test_a_pin_that_caps_levels_lets_cuts_for_all_classes_and_unchanged_levels_pass():
-    """The pin held back a cut for all classes in an overload, and an action that does not change the level."""
+    """Regression: the pin held back a cut for all classes in an overload, and also actions that change no level."""
     published = PublishedTables(("page", "tally"), 2)
     published.apply([api.SetAdmission(None, (0, 1), 0.5, 1)])
     pin = Pin()
--- a/tests/test_instance_settings.py
+++ b/tests/test_instance_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance that the planner cannot serve are rejected when they are read; it serves all others."""
+"""Settings that the planner cannot serve are rejected when they are read; the planner serves all other settings."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize(("path", "value"), REJECTED)
 def test_a_setting_that_cannot_be_served_is_rejected_with_its_path(path, value):
-    """A latency objective of 0 was accepted, and the planner then raised an exception in every review."""
+    """Regression: a latency objective of 0 was accepted, and the planner then raised an exception in every review."""
     with pytest.raises(ConfigError, match=f"settings: (missing setting ')?{path}"):
         read(path, value)
 
--- a/tests/test_learned_generations.py
+++ b/tests/test_learned_generations.py
@@ -79,8 +79,8 @@
         """Return the files after a power cut.
 
         Args:
-            kept: Indexes of the pending changes of names that reached the disk.
-            torn: Number of bytes of each file that was not synced that reached the disk.
+            kept: Indexes of those pending changes of names that reached the disk.
+            torn: Number of bytes that reached the disk of each file that was not synced.
         """
         names = dict(self.durable)
         for k in kept:
--- a/tests/test_learned_pilot.py
+++ b/tests/test_learned_pilot.py
@@ -291,7 +291,7 @@
 
 
 def test_a_folder_that_cannot_be_written_stops_nothing(tmp_path):
-    """The folder is replaced by a file, because root can write to any folder: the same calls raise an OSError."""
+    """A file replaces the folder, because root can write to any folder. The pilot's writes then raise an OSError."""
     pilot = ended(tmp_path)
     shutil.rmtree(kept(tmp_path))
     kept(tmp_path).write_text("not a folder")
--- a/tests/test_learned_restore.py
+++ b/tests/test_learned_restore.py
@@ -94,9 +94,9 @@
 
 
 def test_restored_best_throughput_speeds_recovery_and_does_not_weaken_the_first_cut():
-    """Too much load was shed before the restart.
+    """Regression: when the restored best throughput was capped at once, the limit recovered by only 4% per second.
 
-    When the restored best throughput was capped at once, the limit recovered by only 4% a second.
+    Too much load had been shed before the restart.
     """
 
     def recovered_world(best_throughput):
@@ -104,7 +104,7 @@
         world.handle(api.FleetRestored((0.1, 0.1), (), best_throughput, 2.0))
         world.proxies = [0, 1]
         world.handle(api.ProxyJoined(0, "a", 5.0, False), api.ProxyJoined(1, "a", 5.0, False))
-        # Latencies are low, but neither low enough nor near enough to the usual ones for fast growth by themselves.
+        # Latencies are low, but neither low enough nor near enough to the usual ones to allow fast growth on their own.
         world.run(1, latency=dict.fromkeys("pqrs", 120), rate=40, tries=12)
         world.run(6, latency=dict.fromkeys("pqrs", 200), rate=40, tries=12)
         return world
--- a/tests/test_list_confidence.py
+++ b/tests/test_list_confidence.py
@@ -22,7 +22,7 @@
 
 
 def restored_with_ages(**ages):
-    """Confidence in entries whose last confirmation has the given age, ns by endpoint."""
+    """Return the confidence in a restored list. `ages` are the times since the last confirmation, ns by endpoint."""
     confidence = ListConfidence()
     confidence.restore(NOW, {n: EntryTimes(NOW - age, 0) for n, age in ages.items()})
     return confidence
--- a/tests/test_list_sources.py
+++ b/tests/test_list_sources.py
@@ -40,7 +40,10 @@
 
 @pytest.mark.parametrize("started", ["²", "-", "1.5", "9" * 5000])
 def test_a_start_that_is_no_number_is_an_error_of_the_list(started):
-    """Such values ended the daemon: superscript digits count as digits, and a number cannot have 5000 digits."""
+    """Regression: such values ended the daemon.
+
+    A superscript digit passes a check for digits, and a number with 5000 digits cannot be parsed.
+    """
     assignment = endpoint_list_client.write_entries("servers", [entry("127.0.0.1:9001")])
     metadata = assignment.endpoints[0].lb_endpoints[0].metadata
     metadata.filter_metadata["damsonpick"].update({"started": started})
--- a/tests/test_platform_http_client.py
+++ b/tests/test_platform_http_client.py
@@ -17,7 +17,7 @@
 
 
 def test_a_response_that_comes_byte_by_byte_has_no_more_time_than_another():
-    """Guards against a timeout for each wait in place of the whole response: an endless response delayed a drain."""
+    """Guards against a timeout that applies to each read, not to the response: an endless response delayed a drain."""
 
     async def send_bytewise(stream) -> None:
         async with stream:
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("use_uvloop", [False, True])
 def test_a_request_is_confirmed_though_each_turn_of_the_loop_takes_longer_than_its_timeout(use_uvloop):
-    """Guards against a late event loop that timed out answered requests: resending their orders delayed it further."""
+    """Guards against timeouts of answered requests on a late event loop: resending the orders delayed it further."""
     server = AnsweringThread()
 
     async def block_event_loop() -> None:
--- a/tests/test_platform_ownership.py
+++ b/tests/test_platform_ownership.py
@@ -20,8 +20,8 @@
 class LateEventsWorld:
     """A registry with one slice whose events and heartbeats may arrive late and whose watch may be interrupted.
 
-    The planner wants one desired endpoint in the slice's table. It acts at arbitrary times on the events that it has
-    received.
+    The planner wants one endpoint, the desired endpoint, in the slice's table. It acts at arbitrary times on the events
+    that it has received.
     """
 
     def __init__(self) -> None:
@@ -241,12 +241,12 @@
 
 @pytest.mark.parametrize("sent_before", [True, False])
 def test_an_entry_rejected_after_a_request_without_an_answer_is_ordered_again_as_desired(sent_before):
-    """Soak seed 89: the request without a response had stored the entry, but the pilot assumed that it was absent."""
+    """Regression (soak seed 89): a request without a response had stored the entry, but the pilot assumed it absent."""
     registry = owned_registry()
     registry.pending.push([api.SetEntry(SLICE, "q", 1.0)])
     request = registry.pending.next_request(registry.ownership.epoch)
     if sent_before:
-        registry.repeat_uncertain(request.orders, request.ownership_epoch)  # its outcome is unknown
+        registry.repeat_uncertain(request.orders, request.ownership_epoch)  # the outcome of the request is unknown
     rejected = registry.pending.acknowledge(request.orders, 0).rejected
     assert registry.rejection_events(rejected)[0] == api.SliceOwnershipChanged(SLICE, True)
     registry.apply(registry_events.Heartbeat())
--- a/tests/test_platform_races.py
+++ b/tests/test_platform_races.py
@@ -106,12 +106,12 @@
                     site.reload()
                     await until(lambda service=service: service.requested_targets)
                 await until(lambda: newest.watchers and not site.discovery.watchers)
-                slow.gate.opened.set()  # it sends its state after the newest service has sent its own, and ends
+                slow.gate.opened.set()  # the slow service sends its state after the newest service has sent its own
                 await anyio.sleep(0.2)
                 await slow.cut_watches()
                 assert len(slow.requested_targets) == 1
                 site.discovery = newest
-                await newest.cut_watches()  # the pilot reconnects to it
+                await newest.cut_watches()  # the pilot reconnects to the newest service
                 await until(lambda: newest.watchers)
                 await site.drain("q")
                 assert len(slow.requested_targets) == 1
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -31,7 +31,7 @@
 
 
 def test_servers_that_only_odd_entries_named_are_reported_gone_at_the_end():
-    """Seed 60: an entry without a zone is valid, so the pilot continued to place slices on its server."""
+    """Regression (seed 60): an entry without a zone is valid, so the pilot continued to place slices on its server."""
 
     async def end_after_an_odd_entry():
         platform = SoakPlatform(draw_plan(1), random.Random(1), lambda valid: None)
--- a/tests/test_proxy_program.py
+++ b/tests/test_proxy_program.py
@@ -120,7 +120,7 @@
 def test_a_pilot_back_with_older_tables_is_followed_and_withdrawals_hold_meanwhile(tmp_path, servers):
     """The state folder of the pilot is replaced by an older copy while the pilot is stopped.
 
-    Withdrawals stay in force until the pilot restarts. Then the proxy follows the pilot, which reads the new list.
+    The proxy keeps the withdrawals until the pilot restarts. Then it follows the pilot, which reads the new list.
     """
     one, two = map(str, servers)
     pilot = Pilot(tmp_path)
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -273,7 +273,7 @@
 async def test_a_balancer_that_stops_reading_is_disconnected_and_delays_nobody(tmp_path):
     """A balancer that does not read must not delay replies to others or drains of gateways.
 
-    Replies fill its socket until a send times out.
+    Replies fill the socket of this balancer until a send times out.
     """
     sasp_settings = SASP_SETTINGS.replace("messages = 2000", "messages = 2000\npatience = 2 s")
     async with (
@@ -353,7 +353,7 @@
 
 
 async def test_groups_deleted_while_their_pushes_are_written(tmp_path):
-    """No push of a group may arrive after its deregistration, although each drain starts a push just before it."""
+    """No push of a group may arrive after its deregistration, although each drain starts a push just before."""
     pushes = []
     async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1", pushes.append) as client:
         await client.hello(LbFlag.PUSH)
@@ -437,7 +437,10 @@
 
 
 async def test_two_pilots_asked_by_one_balancer_agree_on_what_the_list_says(tmp_path):
-    """Weights depend on what each pilot has seen. Zero, quiesce and membership follow the list and must agree."""
+    """Zero weights, quiesce flags and membership follow the list, so they must agree.
+
+    Other weights depend on what each pilot has observed.
+    """
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     async with running_pilot(tmp_path / "a") as (one, _), running_pilot(tmp_path / "b") as (other, _):
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -115,7 +115,7 @@
 
 
 def test_running_out_of_descriptors_does_not_end_the_server(captured, log):
-    """An accept that failed because no file descriptor was free ended the program."""
+    """Regression: an accept that failed because no file descriptor was free ended the program."""
 
     async def run_test(port: int) -> None:
         client = socket.create_connection(("127.0.0.1", port))  # opens its descriptor before the last ones are used up
--- a/tests/test_table_persistence.py
+++ b/tests/test_table_persistence.py
@@ -38,7 +38,10 @@
 
 
 def test_a_withdrawal_alone_is_written_again_after_a_failed_write():
-    """The write was retried only together with an unsaved table, so a kill would have readmitted the endpoint."""
+    """Regression: a failed write of a withdrawal was retried only together with that of a table.
+
+    If the pilot was killed before, the endpoint was readmitted.
+    """
     persistence, store, captured = make_persistence()
     store.full = True
     apply(persistence, api.SetWithdrawn("p", True))
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -41,7 +41,10 @@
 
 @pytest.mark.parametrize("dial", [dial_platform, dial_fake])
 def test_a_connection_opens_though_each_iteration_of_the_loop_takes_longer_than_the_timeout(dial):
-    """Each connect of a busy process failed. It opened a new connection for each request and became busier."""
+    """Regression: each connect of a busy process timed out.
+
+    The process then opened a new connection for each request and became busier.
+    """
 
     async def run_test() -> None:
         async with anyio.create_task_group() as group:
