--- a/damsonpick/protocols/platform/config.py
+++ b/damsonpick/protocols/platform/config.py
@@ -117,7 +117,7 @@
 
 def _text(tree: JsonObject, key: str, prefix: str = "") -> str:
     if not isinstance(tree.get(key), str) or not tree[key]:
-        raise ConfigError(f"{prefix}{key}", "missing, or not text")
+        raise ConfigError(f"{prefix}{key}", "missing, empty, or not text")
     return tree[key]
 
 
--- a/damsonpick/protocols/platform/config_reloader.py
+++ b/damsonpick/protocols/platform/config_reloader.py
@@ -48,7 +48,8 @@
     def reload(self) -> None:
         """Read the configuration file again and apply its changes.
 
-        An invalid file is rejected as a whole, and the previous configuration stays active.
+        Changes that need a restart are only logged. An invalid file is rejected as a whole, and the previous
+        configuration stays active.
         """
         try:
             changed = read_config()
--- a/damsonpick/protocols/platform/connection.py
+++ b/damsonpick/protocols/platform/connection.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class ReceivedInput:
-    """The messages that a connection has received, decoded.
+    """The decoded messages of one call of `CollectorConnection.feed`.
 
     Attributes:
         events: Events of the received reports, in order of arrival.
@@ -33,7 +33,7 @@
 
 
 class ConnectionRejectedError(PlatformError):
-    """The connection must be closed. `received` contains the valid input before the error, which is still processed."""
+    """The connection must be closed. The caller must still process `received`, the valid input before the error."""
 
     def __init__(self, field_name: str, reason: str) -> None:
         """Create an error with the invalid field, the reason and no received input."""
--- a/damsonpick/protocols/platform/connection_limiter.py
+++ b/damsonpick/protocols/platform/connection_limiter.py
@@ -57,7 +57,8 @@
         """Return the connections to close after a collector has joined.
 
         If a zone has more than `MAX_COLLECTORS_PER_ZONE` connections, some of them are dead and would keep their
-        descriptors for ever. The connections that have sent nothing for the longest time are closed.
+        descriptors for ever. The connections above this number that have sent nothing for the longest time are
+        returned, but never `joined` itself.
         """
         same_zone = [connection for connection in self.connections if connection.zone == joined.zone]
         same_zone.sort(key=lambda connection: connection.last_received_ns)
--- a/damsonpick/protocols/platform/discovery.py
+++ b/damsonpick/protocols/platform/discovery.py
@@ -19,11 +19,11 @@
     "Terminating": "terminating",
     "Gone": "terminated",
 }
-# Exclusive upper bounds of values in an update.
+# The next three constants are exclusive upper bounds of values in an update.
 MAX_START_MS = 1 << 52  # far later than any real clock shows
 MAX_VERSION = 1 << 62
 MAX_WEIGHT = 1e9
-MAX_LOGGED_PROBLEMS = 8  # per update
+MAX_LOGGED_PROBLEMS = 8  # most reasons that are kept per update
 
 
 class EndpointListUpdate(NamedTuple):
@@ -64,7 +64,7 @@
     """Validate an update that is decoded from JSON.
 
     Raises:
-        EndpointListError: The value is not a valid update. The error names the field.
+        EndpointListError: The value is not a valid update. The error names the field unless the value is not an object.
     """
     if not isinstance(message, dict):
         raise EndpointListError("", "not an object")
@@ -97,7 +97,7 @@
         raise EndpointEntryError("", "id", "missing, or not text")
     endpoint = item.get("id")
     if not isinstance(endpoint, str) or not endpoint:
-        raise EndpointEntryError("", "id", "missing, or not text")
+        raise EndpointEntryError("", "id", "missing, empty, or not text")
     status = item.get("state")
     if not isinstance(status, str) or status not in STATUSES:
         reason = f"{describe_value(status)} is none of {', '.join(STATUSES)}"
--- a/damsonpick/protocols/platform/endpoint_list.py
+++ b/damsonpick/protocols/platform/endpoint_list.py
@@ -42,7 +42,11 @@
         self._confirmed = False  # whether an update from discovery has been applied
 
     def initial_events(self) -> list[api.Event]:
-        """Return the events that send the current list to a new planner."""
+        """Return the events that pass the current list to a new planner.
+
+        The list is passed as `restored`, which may be outdated, and also as `replace` once an update from discovery has
+        been applied.
+        """
         entries = tuple(self.entries.values())
         events: list[api.Event] = [api.EndpointListChanged("restored", entries)]
         if self._confirmed:
@@ -54,7 +58,7 @@
         self._needs_full_list = True
 
     def watch_from(self) -> int:
-        """Return the version since which the next watch requests changes."""
+        """Return the start version of the next watch, which is `COMPLETE_LIST` if a change may have been missed."""
         return COMPLETE_LIST if self._needs_full_list else self.version
 
     def apply(self, update: EndpointListUpdate, now_ns: int) -> api.EndpointListChanged | None:
--- a/damsonpick/protocols/platform/endpoint_list_watch.py
+++ b/damsonpick/protocols/platform/endpoint_list_watch.py
@@ -52,8 +52,9 @@
             Whether this watch has sent an update. Heartbeats do not count.
 
         Raises:
-            TransportError: A line is not a valid update, or the update requires the complete list. A change may have
-                been missed, so the watch must be opened again.
+            TransportError: An update is invalid, is older than the previous update of this watch, is partial and
+                contains an invalid entry, or cannot be applied without the complete list (see `EndpointList.apply`). A
+                change may have been missed, so the watch must be opened again, with the complete list.
         """
         for line in filter(None, lines):
             try:
--- a/damsonpick/protocols/platform/errors.py
+++ b/damsonpick/protocols/platform/errors.py
@@ -47,7 +47,7 @@
 
 
 class EndpointListError(PlatformError):
-    """Discovery sent a value that is not a valid update of the endpoint list."""
+    """An update of the endpoint list, from discovery or from the configuration, is invalid or cannot be applied."""
 
 
 class EndpointEntryError(EndpointListError):
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -14,9 +14,9 @@
 from damsonpick.runtime.timeouts import complete_within
 
 READ_BYTES = 65_536
-# A long step of the event loop may end after a deadline although bytes arrived before the deadline. These bytes are
-# still received: each receive has at least this timeout, and a response may take MAX_LATE_RECEIVES receives after its
-# deadline.
+# While a long step blocks the event loop, a deadline may pass although bytes have arrived in time. To receive these
+# bytes, each receive of a response or a watch has a timeout of at least MIN_RECEIVE_TIMEOUT_S, and up to
+# MAX_LATE_RECEIVES receives of a response may start after its deadline.
 MIN_RECEIVE_TIMEOUT_S = 0.05
 MAX_LATE_RECEIVES = 2
 STREAM_ERRORS = (  # includes TimeoutError, which is a subclass of OSError
@@ -114,6 +114,8 @@
     async def request(self, method: str, path: str, body: bytes, timeout_s: float) -> HttpResponse:
         """Send a request and return its response; call `connect` first.
 
+        The connection is closed if the request fails or the response does not allow the connection to be reused.
+
         Args:
             method: HTTP method.
             path: Request path.
@@ -139,7 +141,11 @@
                 await self.close()
 
     async def _read_response(self, stream: SocketStream, reader: ResponseReader, timeout_s: float) -> None:
-        """Read the complete response. The timeout covers the whole response, even if it arrives byte by byte."""
+        """Read the complete response.
+
+        The timeout covers the whole response, even if it arrives byte by byte. After the timeout, at most
+        `MAX_LATE_RECEIVES` further receives are made.
+        """
         deadline_s = anyio.current_time() + timeout_s
         late_receives = 0
         while not reader.complete:
--- a/damsonpick/protocols/platform/http_response.py
+++ b/damsonpick/protocols/platform/http_response.py
@@ -37,7 +37,8 @@
         """Create a reader for a new response.
 
         Args:
-            max_body_bytes: Largest length of the body, or of one line if the body is read with `take_lines`.
+            max_body_bytes: Largest length of `body`: of the whole body, or of the part that `take_lines` has not
+                removed yet.
         """
         self.body = bytearray()
         self.complete = False
@@ -79,7 +80,7 @@
         return self._parser.should_keep_alive()
 
     def take_lines(self) -> list[bytes]:
-        """Remove the complete lines from the received body and return them."""
+        """Remove the complete lines from the received body and return them without surrounding whitespace."""
         *complete, rest = self.body.split(b"\n")
         self.body = bytearray(rest)
         return [bytes(line).strip() for line in complete]
