--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -57,10 +57,10 @@
         return self._backoff.next_delay_s()
 
     def unconfirmed_delay_s(self, order_count: int) -> float:
-        """Return the delay, in addition to the backoff, after a request whose outcome is unknown.
+        """Count a request whose outcome is unknown, and return the delay after it in addition to the backoff.
 
-        The first such request after an accepted request causes no additional delay: it may contain a drain, and the
-        planner leaves half of the channel free. If the outcome of the repeated request is unknown as well, both
+        The first such request since the last accepted request causes no additional delay: it may contain a drain, and
+        the planner leaves half of the channel free. If the outcome of the repeated request is unknown as well, both
         requests may wait in the channel. The delay then leaves time for the channel to send one of the two requests.
         """
         self._consecutive_unconfirmed += 1
@@ -163,9 +163,15 @@
         return await self._handle_response(connection, request, response.body)
 
     async def _handle_unconfirmed(self, request: OrderRequest, reason: str) -> bool:
-        """Keep the orders of a request with unknown outcome pending for a resend, and wait for the additional delay.
+        """Handle a request whose outcome is unknown: the registry has applied it once or not at all.
 
-        The registry has applied such a request once or not at all. The return value is always False.
+        The orders are not removed from the pending orders, so they are sent again unless newer orders replace them.
+        `Registry.repeat_uncertain` also repeats orders for slices whose ownership may have changed during the request.
+        The method then waits for `RetryDelays.unconfirmed_delay_s`, which is 0 for the first such request since the
+        last accepted request.
+
+        Returns:
+            Always False: the next request must not follow without the delay of the backoff.
         """
         self.unconfirmed_count += 1
         self._registry.repeat_uncertain(request.orders, request.ownership_epoch)
@@ -209,14 +215,17 @@
     def _handle_rejected_order(self, order: Order) -> None:
         """Let the planner decide again on a rejected entry; resend any other rejected order up to `MAX_RESENDS` times.
 
-        A withdrawal must not be lost if the registry rejects it because it does not know the endpoint yet.
+        A withdrawal must not be lost if it is rejected because the registry does not know the endpoint yet.
         """
         self._enqueue(*self._registry.rejection_events(order))
         if not isinstance(order, api.SetEntry) and not self._rejected.add(order, anyio.current_time()):
             self._log.error("order_abandoned", order=repr(order), attempts=MAX_RESENDS)
 
     def _handle_rejected_request(self, request: OrderRequest, rejection: Rejection | None) -> None:
-        """Handle the rejection of a whole request. Its orders stay pending, except an order that cannot be parsed."""
+        """Handle the rejection of a whole request.
+
+        The orders stay pending, except one that `_handle_syntax_rejection` drops.
+        """
         if rejection is Rejection.SYNTAX:
             self._handle_syntax_rejection(request)
         elif not self._busy:  # log only the first BUSY rejection after an accepted request
@@ -224,7 +233,7 @@
             self._log.warning("order_request_busy", pending_orders=self._pending.key_count())
 
     def _handle_syntax_rejection(self, request: OrderRequest) -> None:
-        """Halve the request size until a request contains only the invalid order.
+        """Halve the number of orders per request until a rejected request contains only the invalid order.
 
         This order is dropped after `MAX_SYNTAX_REJECTIONS` rejections, so that it does not block other orders. No other
         order is dropped.
@@ -248,7 +257,10 @@
 
 
 def count_by_kind(orders: Iterable[Order]) -> dict[str, int]:
-    """Count the orders of each kind for the log; kinds without orders are omitted."""
+    """Count the orders of each kind for the log.
+
+    Kinds without orders are omitted. Orders that clear a table or request a sync are not counted.
+    """
     counts = {
         "entries_set": 0,
         "entries_removed": 0,
--- a/damsonpick/protocols/platform/ownership.py
+++ b/damsonpick/protocols/platform/ownership.py
@@ -80,7 +80,7 @@
         self._unconfirmed.setdefault(slice_number, {}).update(dict.fromkeys(endpoints))
 
     def handle_heartbeat(self, owned: Container[int]) -> dict[int, Endpoints]:
-        """Handle a heartbeat, which shows that the watch has reported all entries stored when slices were assigned.
+        """Handle a heartbeat: the watch has reported the stored entries of all slices that were assigned before it.
 
         Returns:
             The endpoints of the unconfirmed entries of owned slices, by slice. They are removed from the collection.
--- a/damsonpick/protocols/platform/pending_orders.py
+++ b/damsonpick/protocols/platform/pending_orders.py
@@ -154,7 +154,7 @@
         return len(self.by_key)
 
     def push(self, orders: Iterable[Order]) -> None:
-        """Add the orders of one step of the planner in the given sequence."""
+        """Add orders in the given sequence. Each replaces an older order for the same object (see the module)."""
         for order in orders:
             if isinstance(order, TableChange):
                 self._get_or_add_table(order.table).push(order)
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -168,7 +168,7 @@
         group.start_soon(self.readiness.enforce_timeout)
 
     async def _handle_signals(self, signals: AsyncIterator[signal.Signals], group: TaskGroup) -> None:
-        """Reload the configuration on SIGHUP; return on SIGTERM."""
+        """Reload the configuration on SIGHUP. On SIGTERM, block both signals and return."""
 
         def move_registry(address: Address) -> None:
             self._order_client.move_to(address)
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -72,7 +72,7 @@
             self._wakeup.set()
 
     def start(self) -> None:
-        """Create a planner and queue its first events."""
+        """Create a planner and queue its first events, which replace all queued events."""
         planner, events = self._start_planner()
         self.loop.begin_with(planner, events)
 
@@ -92,8 +92,8 @@
                 self._step(now_ns)
             except Exception as error:
                 # The error was raised outside `Planner.handle`, whose errors the loop handles. Orders of this step may
-                # not have been queued. The next planner starts from the state that the registry stores, and orders what
-                # is missing.
+                # not have been queued. The next planner starts from the known state of the registry, and orders what is
+                # missing.
                 self.loop.give_up(now_ns, error)
             self._record_step(self.clock.now() - now_ns)
             await anyio.sleep(EVENT_BATCH_S)
--- a/damsonpick/protocols/platform/readiness.py
+++ b/damsonpick/protocols/platform/readiness.py
@@ -36,7 +36,7 @@
         await self._ready.wait()
 
     def confirm(self, source: Source) -> None:
-        """Record that a source has sent its state."""
+        """Record that a source has sent its state, and become ready if all sources have."""
         self._missing.discard(source)
         if not self._missing and not self.is_ready():
             self._log.info("pilot_ready")
--- a/damsonpick/protocols/platform/registry.py
+++ b/damsonpick/protocols/platform/registry.py
@@ -17,7 +17,7 @@
 from damsonpick.protocols.platform.watch_snapshot import Proxy, WatchSnapshot
 from damsonpick.time_units import NS_PER_MS
 
-MAX_WITHDRAWN_ENDPOINTS = 4096  # most endpoints that are kept for a planner that replaces a failed planner
+MAX_WITHDRAWN_ENDPOINTS = 4096  # most withdrawals that are kept for a planner that replaces a failed planner
 
 
 class Registry:
@@ -210,12 +210,13 @@
     def repeat_uncertain(self, orders: Iterable[Order], ownership_epoch: int) -> bool:
         """Repeat the orders for slices whose ownership has changed, or may have changed, during the request.
 
-        The registry applied such an order in the previous ownership, in the current ownership or between them, so it is
-        unknown whether the order changed the entries that are stored now. After a change, the currently desired weights
-        of the order's entries are ordered: immediately for known stored entries, and for all entries after a heartbeat,
-        which shows that the watch has reported the stored entries of the slice. After a gap, in which a change may have
-        been missed, the order is repeated immediately. A change of ownership that is reported later is covered as well,
-        because all entries of the request are added to the recent entries (see `UncertainEntries`).
+        The registry applied such an order, if at all, in the previous ownership, in the current ownership or between
+        them, so it is unknown whether the order changed the entries that are stored now. After a change, the currently
+        desired weights of the order's entries are ordered: immediately for known stored entries, and for all entries
+        after a heartbeat, which shows that the watch has reported the stored entries of the slice. After a gap, in
+        which a change may have been missed, the order is repeated immediately. A change of ownership that is reported
+        later is covered as well, because all entries of the request are added to the recent entries (see
+        `UncertainEntries`).
 
         Args:
             orders: Orders of a request that was accepted or whose outcome is unknown.
@@ -262,9 +263,9 @@
     def rejection_events(self, order: Order) -> list[api.Event]:
         """Return events with the known table of a rejected entry, so that the planner decides again.
 
-        There are no events for orders of other kinds. An earlier request without a response may have stored the entry
-        nevertheless. Therefore a recent entry (see `UncertainEntries`) is ordered again after the next heartbeat, with
-        the weight that is desired then.
+        There are no events for orders of other kinds or for slices that the pilot does not own. An earlier request
+        without a response may have stored the entry nevertheless. Therefore a recent entry (see `UncertainEntries`) is
+        ordered again after the next heartbeat, with the weight that is desired then.
         """
         if isinstance(order, api.SetEntry) and order.table in self.tables:
             if order.endpoint in self._uncertain.recent_endpoints(order.table):
@@ -288,7 +289,7 @@
         self.withdrawn.pop(order.endpoint, None)
         if order.withdrawn:
             self.withdrawn[order.endpoint] = None
-        # Drop the oldest withdrawals: endpoints that were withdrawn so long ago are gone permanently.
+        # Drop the oldest withdrawals: endpoints that were withdrawn so long ago are assumed to be gone permanently.
         while len(self.withdrawn) > MAX_WITHDRAWN_ENDPOINTS:
             del self.withdrawn[next(iter(self.withdrawn))]
 
--- a/damsonpick/protocols/platform/stored_state.py
+++ b/damsonpick/protocols/platform/stored_state.py
@@ -9,7 +9,7 @@
 from damsonpick import interface as api
 
 TableEntries = dict[str, float]  # weight by endpoint
-AdmissionLevels = dict[int, float]  # by index of the request class
+AdmissionLevels = dict[int, float]  # level by index of the request class
 
 
 def tables_digest(tables: Mapping[int, TableEntries]) -> int:
--- a/damsonpick/protocols/platform/watch_client.py
+++ b/damsonpick/protocols/platform/watch_client.py
@@ -52,7 +52,8 @@
             reset it.
 
     Raises:
-        TransportError: The watch could not be opened or has ended. The error text contains the reason.
+        TransportError: The watch could not be opened, has ended, is considered dead, or has sent invalid HTTP. The
+            error text contains the reason.
     """
     stream = await http_client.dial(address, CONNECT_TIMEOUT_S)
     try:
