--- a/damsonpick/protocols/shared/instance_settings.py
+++ b/damsonpick/protocols/shared/instance_settings.py
@@ -172,7 +172,10 @@
 
 
 def _whole_number(value: Any) -> int | None:
-    """Return a number or its text as a whole number, or None if it has no whole value below `INTEGER_LIMIT`."""
+    """Return a number or its text as a whole number.
+
+    The result is None if the value is not a whole number or if its magnitude reaches `INTEGER_LIMIT`.
+    """
     try:
         number = int(value)
     except (TypeError, ValueError, OverflowError):
@@ -198,7 +201,7 @@
     """Return the settings of the planner.
 
     Args:
-        values: Values by path, as `flatten` yields them.
+        values: Values by path: plain JSON, as `flatten` yields it, or text.
 
     Raises:
         SettingError: A setting is absent, has the wrong type or is out of range. The message states the path and, if
--- a/damsonpick/protocols/shared/send_queue.py
+++ b/damsonpick/protocols/shared/send_queue.py
@@ -18,7 +18,7 @@
 from damsonpick.time_units import NS_PER_SECOND
 
 BURST_S = 0.05  # an idle queue may send the budget of this time at once
-REFILL_MARGIN_NS = 1_000_000  # added to the time until tokens are available, so that they are available by then
+REFILL_MARGIN_NS = 1_000_000  # added to the computed wait for tokens, so that tokens are available when it ends
 
 
 class OutboundMessage(NamedTuple):
@@ -88,7 +88,7 @@
         self.blocked: set[int] = set()  # clients that do not accept another message now
         self.sent_at: dict[int, deque[int]] = {}  # by client: times in ns of the messages within the window
         self.tokens = 0.0  # entries that may be sent; negative after a message that used the budget in advance
-        self.refilled_at = 0  # ns
+        self.refilled_at = 0  # time in ns of the last refill; 0 before the first refill
         self.most_waiting = 0.0  # most entries that ever waited at the same time, including overhead
 
     def join(self, client: int) -> None:
@@ -135,7 +135,8 @@
     def charge(self, entries: float) -> None:
         """Charge entries to the budget. Later messages wait until the budget has recovered.
 
-        If a message contains more entries than were queued, the caller also charges the additional entries.
+        `next_message` charges the queued entries of a message. The sender of a SASP push also charges the members in
+        the push, which may be more than the entries that were queued.
         """
         if self.rate:
             self.tokens -= entries
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -27,7 +27,8 @@
     """Keeps the units in a form that is ready to be sent, consistent with the published state.
 
     Attributes:
-        stopped: Versions that too many clients have rejected, by unit. They are not sent to further clients.
+        stopped: By unit, the version whose rollout was stopped because too many clients rejected it. A client that has
+            an earlier version keeps it; only a client without a version of the unit receives the stopped version.
     """
 
     stopped: dict[str, str]
@@ -47,14 +48,14 @@
 class StagedChange(NamedTuple):
     """Changed entries that are sent to a client later, for a rollout by zone. The field order orders the heap."""
 
-    due_at: int  # ns
+    due_at: int  # time in ns
     client: int
     seq: int
     entries: dict[str, set[str]]
 
 
 class StoppedRollout(NamedTuple):
-    """A version that is not sent to any further client."""
+    """A version that is no longer sent to clients that have an earlier version."""
 
     unit: str
     version: str
@@ -66,7 +67,8 @@
 
     Attributes:
         sessions: Sessions that have messages to send now.
-        next_due: Time in ns until more may be sent, or None if no change is waiting that a client accepts.
+        next_due: Time in ns until more may be sent. None if no change is staged for later and no client that accepts
+            messages has queued changes.
     """
 
     sessions: list[Session]
@@ -87,7 +89,7 @@
         self.number = number
         self.session = session
         self.pending_tokens: deque[PendingToken] = deque()  # in order of sequence numbers
-        self.acknowledged_at = now  # time in ns of the last acknowledged sync token; initially of joining
+        self.acknowledged_at = now  # time in ns of the last acknowledged sync token; initially the time of joining
 
 
 class SessionManager:
@@ -111,7 +113,7 @@
         self.clients: dict[int, Client] = {}  # by number
         self.by_session: dict[Session, Client] = {}
         self.events: list[api.Event] = []  # events for the planner, in order
-        self.stop_share = 1.0  # share of the clients; a version that so many reject is not sent to further clients
+        self.stop_share = 1.0  # share of the clients (at least of 2) whose rejections stop the rollout of a version
         self.stopped_rollouts: list[StoppedRollout] = []  # newly stopped rollouts, for the log
         self._next_duplicate_number = FIRST_DUPLICATE_NUMBER
         self._rejecting_nodes: dict[RejectedVersion, set[str]] = {}
@@ -120,7 +122,7 @@
     # -- connections
 
     def join(self, now: int, session: Session) -> Client:
-        """Register a session that has requested tables.
+        """Register a session as a client and notify the planner that a proxy has joined.
 
         Two sessions with the same node id are two clients, because a drain must reach both.
         """
@@ -140,7 +142,7 @@
         return number
 
     def leave(self, session: Session) -> None:
-        """Remove a session that has ended. A session that never requested tables is ignored."""
+        """Remove a session that has ended and notify the planner. A session that never joined is ignored."""
         client = self.by_session.pop(session, None)
         if client is not None:
             del self.clients[client.number]
@@ -195,7 +197,7 @@
         return Dispatch(sessions, self._next_due(now))
 
     def _next_due(self, now: int) -> int | None:
-        """Return the time in ns until more may be sent, or None if no change is waiting that a client accepts."""
+        """Return the time in ns until more may be sent, or None; see `Dispatch.next_due`."""
         due = self.send_queue.next_due(now)
         if not self._staged:
             return due
@@ -258,7 +260,7 @@
         return pending.first_seq if pending is not None and pending.units else NO_CHANGE
 
     def _count_rejections(self, session: Session) -> None:
-        """Count the nodes that reject each version. A version that too many reject is not sent to further clients."""
+        """Count the nodes that reject each version, and stop the rollout of a version that too many nodes reject."""
         for rejected in session.newly_rejected:
             nodes = self._rejecting_nodes.setdefault(rejected, set())
             nodes.add(session.node)
@@ -270,7 +272,11 @@
             self._forget_rejections()
 
     def _stops_rollout(self, rejected: RejectedVersion, rejections: int) -> bool:
-        """Return whether the rejections of a version stop its rollout now. Withdrawals are never stopped."""
+        """Return whether enough nodes have rejected a version to stop its rollout, and it is not stopped already.
+
+        The unit FLEET (withdrawals and fleet-wide admission levels) and the removal of a unit (an empty version) are
+        never stopped.
+        """
         if rejected.unit == FLEET or not rejected.version:
             return False
         if self.catalogue.stopped.get(rejected.unit) == rejected.version:
--- a/damsonpick/protocols/simulator/__main__.py
+++ b/damsonpick/protocols/simulator/__main__.py
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends. A malformed batch ends the program with a message and exit code 2."""
+    """Answer batches until the input ends. Invalid input ends the program with a message and exit code 2."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
     host = Host()
--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -17,7 +17,10 @@
 
 
 class WireError(Exception):
-    """Raised for input that violates the wire protocol. The text states the line number, the message and the reason."""
+    """Raised for input that violates the wire protocol.
+
+    The text states the reason and, if `Reader` raises the error, the line number.
+    """
 
 
 class Start(NamedTuple):
