--- a/damsonpick/protocols/sasp/advisor.py
+++ b/damsonpick/protocols/sasp/advisor.py
@@ -138,7 +138,10 @@
         return list(range(self.published.slices))
 
     def _current_shares(self, now: int, coverage: str) -> CachedShares:
-        """Return the shares over the covered slices. They are recomputed only if their version has changed."""
+        """Return the shares over the covered slices. They are recomputed only if their version has changed.
+
+        The first call after a change of the published state also notifies the pacer of the change.
+        """
         if self.published.seq != self._last_seq:
             self._last_seq = self.published.seq
             self.pacer.note_change(now)
--- a/damsonpick/protocols/sasp/client.py
+++ b/damsonpick/protocols/sasp/client.py
@@ -130,7 +130,7 @@
 async def connect(
     address: str, lb: bytes, on_push: Callable[[sasp.SendWeights], None] = _ignore_push
 ) -> AsyncIterator[Client]:
-    """Open a session with the manager at an address such as 127.0.0.1:3860.
+    """Open a connection to the manager at an address such as 127.0.0.1:3860, and close it at the end of the context.
 
     Raises:
         SaspError: The connection cannot be opened.
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -1,8 +1,8 @@
 """Encodes and decodes SASP messages and splits a byte stream into frames. Sans I/O.
 
-Memory is allocated only for bytes that were received, never for what a length or a count field claims. A message with
-a valid frame and invalid content leaves the stream usable: its reply has the code NOT_UNDERSTOOD. A frame with an
-invalid header ends the stream, because the start of the next frame cannot be determined.
+Memory is allocated only for bytes that were received, never for a size that only a length or count field states. A
+message with a valid frame and invalid content leaves the stream usable: its reply has the code NOT_UNDERSTOOD. A frame
+with an invalid header ends the stream, because the start of the next frame cannot be determined.
 """
 
 from __future__ import annotations
--- a/damsonpick/protocols/sasp/fleet.py
+++ b/damsonpick/protocols/sasp/fleet.py
@@ -12,7 +12,7 @@
 from damsonpick.time_units import NS_PER_SECOND
 
 NO_REPORTS_NS = 60 * NS_PER_SECOND  # time without any load report after which advice is derived from capacities
-RECENT_REPORT_NS = 10 * NS_PER_SECOND  # age up to which a load report on an endpoint counts as recent
+RECENT_REPORT_NS = 10 * NS_PER_SECOND  # age below which a load report on an endpoint counts as recent
 UNKNOWN_SLICE_LOAD = 0.01  # requests per second assumed for a slice whose load the planner does not know
 
 
@@ -69,7 +69,7 @@
         return {endpoint: self.status_of(endpoint) for endpoint in self.controller.endpoint_list.entries}
 
     def fallback_capacities(self) -> dict[str, float]:
-        """Return the capacities of all routable endpoints if no load report arrived for `NO_REPORTS_NS`.
+        """Return the capacities of all routable endpoints if no load report arrived for `NO_REPORTS_NS`, or ever.
 
         The result is empty if a load report arrived within that time, or while there is no planner.
         """
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -142,7 +142,7 @@
     # -- sessions
 
     def set_lb(self, session: RegisteredSession, lb: bytes, health: int, flags: LbFlag) -> Code:
-        """Carry out Set LB State (RFC 4678, 6.5): a load balancer identifies itself or changes its flags."""
+        """Carry out Set LB State (RFC 4678, 6.5): a load balancer identifies itself, or changes its health or flags."""
         if not lb:
             return Code.EMPTY_LB_UID
         if not self.may(lb, AccessLevel.READ):
@@ -305,7 +305,7 @@
         return Code.OK
 
     def find(self, group: Group) -> RegisteredGroup | Code:
-        """Return a registered group, or the reply code that says why it cannot be read."""
+        """Return a registered group, or the reply code with the reason if it cannot be read."""
         code = _check_names(group)
         if code != Code.OK:
             return code
--- a/damsonpick/protocols/sasp/server.py
+++ b/damsonpick/protocols/sasp/server.py
@@ -40,7 +40,9 @@
 READ_BYTES = 65_536
 MAX_CONCURRENT_REQUESTS = 4  # requests per iteration of the event loop, limited so that a burst of polls delays no push
 REFRESH_INTERVAL_S = 1.0  # interval of checks for changes that occur without a request or a table change
-UNSENT_ADVICE_SHARE = 0.05  # share of the send queue's limit that one refresh may enqueue for all sessions
+# Approximate share of the send queue's limit that one refresh may enqueue for all sessions together. Groups with newly
+# quiesced members are enqueued even above it.
+UNSENT_ADVICE_SHARE = 0.05
 
 
 @dataclass(slots=True, eq=False)
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -1,10 +1,10 @@
 """State machine of one SASP connection. Sans I/O.
 
 SASP has no acknowledgements, so sending counts as acknowledgement. A poll reply contains the current advice, so the
-load balancer counts as having seen everything that was published by the time of the reply. A push counts as seen as
-soon as the socket has accepted it. Until then, the sync tokens of its changes and its entries in the send queue are
-unacknowledged. A load balancer that neither polls nor accepts pushes is assumed to still use the advice that it
-received last.
+load balancer counts as having seen everything that was published by the time of the reply. The changes in a push count
+as acknowledged as soon as the socket has accepted the push. Until then, they and their sync tokens are unacknowledged,
+whether the changes wait in the send queue, wait in the session or are being written. A load balancer that neither polls
+nor accepts pushes is assumed to still use the advice that it received last.
 """
 
 from __future__ import annotations
@@ -41,10 +41,11 @@
 
 
 class UnsentAdvice(NamedTuple):
-    """Advice that has changed without a table change and should be pushed to a peer.
+    """Advice that has changed since it was last sent, possibly without a table change, and should be pushed to a peer.
 
     Attributes:
-        entries: Names of the entries to push, by unit.
+        entries: Names of the entries to queue, by unit: one for each endpoint of a changed group. The push may contain
+            fewer members if the load balancer has set the flag NO_CHANGE.
         urgent: Whether a member has newly been quiesced in a group whose advice the peer has received before.
     """
 
@@ -53,14 +54,16 @@
 
 
 class Subscription(NamedTuple):
-    """Units that all groups of a load balancer cover, as of a revision of the registry."""
+    """Union of the units that the groups of a load balancer cover, as of a revision of the registry."""
 
     revision: int
     units: frozenset[str]
 
 
 class SaspSession:
-    """Session of one connection. Implements `protocols.shared.session.Session` once its load balancer is identified.
+    """Session of one connection.
+
+    It is used as a `protocols.shared.session.Session` only after its load balancer has identified itself.
 
     Args:
         advisor: Computes advice; shared by all sessions.
@@ -70,9 +73,11 @@
     Attributes:
         lb: Identifier of the load balancer; empty until the load balancer has identified itself.
         flags: Flags that the load balancer set last.
-        seen_seq: Sequence number of the newest change that was sent to the peer.
-        pushed_members: Number of members in the last push.
-        decode_error: Reason for which the last message could not be decoded; empty if it was decoded.
+        seen_seq: Sequence number of the published state at the last successful poll reply, or at the last call of
+            `compose` that had pending changes, even if it found nothing to send. 0 if there was none.
+        pushed_members: Number of members in the last push; 0 if the last call of `compose` with pending changes found
+            nothing to send.
+        decode_error: Reason why the last message could not be decoded; empty if it was decoded.
     """
 
     variant = "sasp"
@@ -96,7 +101,7 @@
         self.decode_error = ""
         self.seen_seq = 0
         self.pushed_members = 0
-        self._last_advice: dict[bytes, dict[str, Advice]] = {}  # by group name: advice that the peer received last
+        self._last_advice: dict[bytes, dict[str, Advice]] = {}  # by group name: advice that was last sent to the peer
         self._polled_at = 0  # time of the last poll reply in ns; 0 if there was none
         self._pushed_at = 0  # time of the last push in ns; 0 if there was none
         self._pending: CoveredChanges | None = None  # changes that the next push must deliver; None if there are none
@@ -261,7 +266,7 @@
                 yield ChangedGroup(group, current.advice, current.encoded)
 
     def unsent_advice(self, now: int, max_entries: int) -> UnsentAdvice:
-        """Return advice that has changed without a table change and should be pushed.
+        """Return advice that has changed significantly since it was last sent, possibly without a table change.
 
         The result is empty if the peer does not accept pushes, changes are pending, or a push is being written.
 
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -19,7 +19,7 @@
 # Weight of the largest share. The range from it to MAX_WEIGHT is reserved to separate shares that round to the same
 # number; the largest share gets a weight from this range if many smaller shares must be separated.
 LARGEST_SHARE_WEIGHT = 60_000
-EQUAL_SHARE_TOLERANCE = 1e-9  # fraction of the largest share up to which shares may differ and get the same weight
+EQUAL_SHARE_TOLERANCE = 1e-9  # largest difference between shares of equal weight, as a fraction of the largest share
 WEIGHT_CHANGE_TOLERANCE = 0.05  # relative change of a weight up to which it is not pushed
 
 
