--- a/damsonpick/protocols/platform/connection_handler.py
+++ b/damsonpick/protocols/platform/connection_handler.py
@@ -29,8 +29,8 @@
         connection: Protocol state of the connection.
         stream: The socket.
         scope: Cancel scope of the task that serves the connection. Its deadline is the time by which the collector must
-            join a zone. It is infinite once the collector has joined, and while a heartbeat waits for the pilot's
-            readiness.
+            join a zone. It is infinite once the collector has joined, and while the response to a heartbeat request
+            waits until the pilot is ready.
     """
 
     connection: CollectorConnection
--- a/damsonpick/protocols/platform/registry.py
+++ b/damsonpick/protocols/platform/registry.py
@@ -70,10 +70,10 @@
 
         Args:
             snapshot: State at the start of the watch.
-            gap: Whether events may have been missed. If so, a known proxy may have left and rejoined. The planner is
-                notified of a leave and a join, because acknowledgements of the proxy and orders sent to it in the
-                meantime may be lost. Without a gap, only proxies that differ are reported, so that the tables need not
-                be sent again to the other proxies.
+            gap: Whether events may have been missed. If so, a known proxy may have left and rejoined, and its
+                acknowledgements and the orders sent to it in the meantime may be lost. The planner is therefore
+                notified that every known proxy has left and every proxy of the snapshot has joined. Without a gap, only
+                proxies that differ are reported, so that the tables need not be sent again to the other proxies.
 
         Returns:
             Events for the differences to the previously known state.
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -187,7 +187,9 @@
     def _collect_weights(self, now: int, groups: tuple[sasp.Group, ...], encoded_groups: list[bytes]) -> Code:
         """Append the encoded weights of groups to `encoded_groups` and return the reply code.
 
-        The first group that cannot be read ends the collection and determines the reply code.
+        The advice on each of these groups is recorded as last sent. Groups that are listed twice are rejected before
+        any weight is collected; otherwise the first group that cannot be read ends the collection and determines the
+        reply code.
         """
         if len(set(groups)) != len(groups):
             return Code.DUPLICATE_GROUP
@@ -212,8 +214,9 @@
     def compose(self, now: int) -> bytes | None:
         """Return the next push (Send Weights; RFC 4678, 6.4).
 
-        None if no changes are pending, if no advice has changed significantly since it was last sent, or while a push
-        is being written.
+        The result is None if no changes are pending, if no advice has changed significantly since it was last sent, or
+        while a push is being written. The pending changes are removed unless a push is being written, and the advice in
+        the push is recorded as last sent.
         """
         if self._pending is None or self._writing_seq:
             return None
