--- a/damsonpick/decisions/admission.py
+++ b/damsonpick/decisions/admission.py
@@ -1,8 +1,8 @@
 """Load shedding: how much demand the fleet admits, and the admission level of each request class.
 
-When responses are late across the fleet, the limit on the admitted rate is lowered below the observed throughput of
-the fleet and then raised step by step. Each class has one level for all slices, since separate levels for each slice
-would fill the channel.
+When responses are late across the fleet, the limit on the admitted rate is lowered below the throughput that the fleet
+is known to sustain, and then raised step by step. Each class has one level for all slices, since separate levels for
+each slice would fill the channel.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 
 OVERLOAD_LATENCY_SHARE = 0.4  # the limit falls while median latency / objective is above this
 LOW_LATENCY_SHARE = 0.3  # the limit grows while median latency / objective is below this
-LIMIT_HOLD_NS = 3 * NS_PER_SECOND  # minimum time between decreases, since reports show the effect of one only then
+LIMIT_HOLD_NS = 3 * NS_PER_SECOND  # minimum time between decreases; reports do not show a decrease's effect earlier
+# The known throughput is the current throughput or, if that is higher, `KNOWN_THROUGHPUT_SHARE` * best throughput.
 DECREASE_PER_LATENCY = 0.3  # a decrease sets limit / known throughput to 1 - this * median latency / objective
 MIN_DECREASE_FACTOR = 0.7  # lower bound on limit / known throughput after a decrease
 KNOWN_THROUGHPUT_SHARE = 0.85  # share of the best throughput that the fleet can certainly sustain
@@ -29,7 +30,7 @@
 PROBE_GROWTH_FACTOR = 1.04  # factor on the limit per report period in all other cases of growth
 UNQUEUED_LATENCY_RATIO = 1.2  # requests are assumed not to queue while latency / base latency is below this
 BASE_LATENCY_DECAY_FACTOR = 0.995  # the base latency is divided by it per report period, so that an old minimum expires
-UNLIMITED_DEMAND_RATIO = 2  # a limit of at least this multiple of the demand is removed
+UNLIMITED_DEMAND_RATIO = 2  # a limit that is raised to at least this multiple of the demand is removed
 WARMING_THROUGHPUT_RATIO = 1.5  # bound on limit / expected throughput while most of the capacity is warming up
 MIN_COVERAGE = 0.1  # smallest share of the fleet that the reports are assumed to cover
 EPSILON = 1e-6  # keeps ratios defined if demand or capacity is 0
@@ -102,8 +103,8 @@
             rises slowly, so that an old minimum expires.
         last_decrease_at: Time at which the limit was last lowered, or at which `hold_limit` was last called, ns.
         levels_restored: Whether the levels are those of an earlier incarnation and no reports have been evaluated yet.
-        best_throughput_restored: Whether the best throughput is that of an earlier incarnation and no overload has
-            tested it yet.
+        best_throughput_restored: Whether the best throughput may be that of an earlier incarnation, because no decrease
+            of the limit has compared it with the current throughput yet.
     """
 
     fleet: FleetState
@@ -134,7 +135,7 @@
         self.best_throughput = self.best_throughput * count / count_before
 
     def update(self) -> None:
-        """Adjust the limit to the reports and set the desired levels, once per report period while reports arrive."""
+        """Adjust the limit and, in mode `ratio`, the desired levels, once per report period while reports arrive."""
         fleet = self.fleet
         capacities = capacity.usable_capacities(fleet)
         rates = [sum(s.rates[k] for s in fleet.slices.values()) for k in range(len(fleet.published_levels))]
@@ -170,9 +171,9 @@
         return max(reported, min(success_ratio * admitted, extrapolated))
 
     def _coverage(self, capacities: dict[str, float]) -> float:
-        """Return the share of the capacity of all assigned endpoints that is covered by recent reports.
+        """Return the share of the capacity of all usable assigned endpoints that is covered by recent reports.
 
-        The capacity of an endpoint with a recent report is covered to the share of the proxies' zones that report it.
+        An endpoint with a recent report contributes its capacity * the share of the proxies' zones that report it.
         """
         fleet = self.fleet
         zones = fleet.proxy_zone_count() or 1
--- a/damsonpick/decisions/balancing_round.py
+++ b/damsonpick/decisions/balancing_round.py
@@ -36,7 +36,10 @@
     next_part_at: int = 0
 
     def start_if_due(self) -> None:
-        """Start a round if it is due, any report has been received, and earlier moves are acknowledged or overdue."""
+        """Start a round if it is due, any report has been received, and earlier moves are settled.
+
+        Earlier moves are settled if all have been sent, and have been acknowledged or are overdue.
+        """
         if not self._is_due() or not self._earlier_moves_are_settled():
             return
         self.next_round_at = self.fleet.now + ROUND_PERIOD_NS
--- a/damsonpick/decisions/capacity.py
+++ b/damsonpick/decisions/capacity.py
@@ -56,7 +56,9 @@
 
 
 def learn_capacity_factors(fleet: FleetState) -> None:
-    """Move the capacity factor of each warm endpoint with recent reports towards the observed factor.
+    """Move the capacity factor of each endpoint that can be assessed towards the observed factor.
+
+    These are the endpoints in service that are warm and have recent reports with enough attempts.
 
     The observed factor is (fleet's median latency / endpoint's latency) * (endpoint's success ratio / fleet's mean
     success ratio) ** `SUCCESS_EXPONENT`, where the ratio of success ratios is at most 1. The planner calls this
--- a/damsonpick/decisions/cluster_copy.py
+++ b/damsonpick/decisions/cluster_copy.py
@@ -64,7 +64,7 @@
         replica_loads: Load by replica, requests/s.
         endpoint_of: Endpoint by replica.
         start_of: Endpoint by replica before any move.
-        warmest_first: Endpoints by replica, sorted by descending warmth for its slice.
+        warmest_first: Endpoints that have warmth for the slice of a replica, the warmest first, by replica.
         total_load: Load of all endpoints, requests/s; 1 if there is no load.
         total_capacity: Capacity of all endpoints; 1 if there is no capacity.
         warming_limit: Maximum load of a warming endpoint per unit of capacity, requests/s.
@@ -90,7 +90,7 @@
     )
 
     def __init__(self, fleet: FleetState, capacities: dict[str, float]) -> None:
-        """Copy the assignments to the endpoints of `capacities`."""
+        """Copy the assignments whose endpoint is in `capacities`."""
         self.names = list(capacities)
         self.capacities = [max(MIN_CAPACITY, capacities[name]) for name in self.names]
         self.warming = [slow_start.is_warming_up(fleet, name) for name in self.names]
--- a/damsonpick/decisions/endpoint_list.py
+++ b/damsonpick/decisions/endpoint_list.py
@@ -22,7 +22,8 @@
 
     Attributes:
         fleet: State that the events change.
-        poll_at: Time of the next poll, ns; None if the list has been received or is sent without a poll.
+        poll_at: Time of the next poll, ns. None if no poll is scheduled, because the list was received after the last
+            failure or is sent without a poll.
         failures: Number of consecutive failed polls, at most `MAX_BACKOFF_DOUBLINGS`.
     """
 
--- a/damsonpick/decisions/endpoint_state.py
+++ b/damsonpick/decisions/endpoint_state.py
@@ -12,7 +12,9 @@
 EndpointListing = api.EndpointStatus | Literal["unlisted"]
 
 OUTCOME_TAU_S = 2.5  # time constant with which the reported outcomes of one endpoint decay
-RECENT_TAU_S = 1.0  # time constant for the fleet's median latency; shorter, since that is computed from many responses
+# Time constant of the outcomes from which the fleet's median latency is computed. It is shorter than `OUTCOME_TAU_S`,
+# since the median is computed from many responses.
+RECENT_TAU_S = 1.0
 ZONE_VIEW_TTL_NS = 2 * OUTCOME_TAU_S * NS_PER_SECOND  # age of its newest report from which a zone's view is ignored
 
 
@@ -74,7 +76,7 @@
         answer_rate: Successful responses per second over all zones.
         success_ratio: Share of successful attempts in the zone where this share is highest. A lower share in another
             zone may be caused by the network link of that zone.
-        reporting_zones: Number of zones whose newest report is younger than `ZONE_VIEW_TTL_NS`.
+        reporting_zones: Number of zones whose newest report was younger than `ZONE_VIEW_TTL_NS` at `last_report_at`.
         last_report_at: Time of the newest report, ns; 0 if there is none.
         zone_views: Outcomes by zone of the reporting proxies.
     """
--- a/damsonpick/decisions/flow_control.py
+++ b/damsonpick/decisions/flow_control.py
@@ -45,13 +45,15 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightMessage:
-    """A message that not all of its recipients have acknowledged.
+    """A message in flight: fewer than half of its recipients have acknowledged it.
+
+    A recipient that has left counts as one that has acknowledged the message.
 
     Attributes:
         token: Sync token that the recipients acknowledge.
         cost: Total size over all recipients, in table entries.
         recipients: Number of proxies to which the message was sent.
-        unacknowledged: Zone by proxy, for the recipients that have not acknowledged the message.
+        unacknowledged: Zone by proxy, for the recipients that have neither acknowledged the message nor left.
     """
 
     token: int
@@ -64,7 +66,7 @@
         return self.cost * len(self.unacknowledged) / self.recipients
 
     def is_acknowledged_by_half(self) -> bool:
-        """Return whether half of the recipients have acknowledged the message.
+        """Return whether at least half of the recipients have acknowledged the message or left.
 
         Waiting for all recipients would let one stalled proxy block all others.
         """
@@ -79,7 +81,7 @@
         settings: Settings with the limits of the channel.
         proxies: Zone by joined proxy.
         in_flight: Messages sent after the newest message that half of its recipients have acknowledged, oldest first.
-        sent_at: Send times of the messages in the current window, ns.
+        sent_at: Send times of the messages in the last `Settings.message_window`, ns, oldest first.
         last_sent_at: Send time of the newest message, ns.
         last_token: Sync token of the newest message.
         last_move_token: Sync token of the newest message that contained more than cleanup.
@@ -109,7 +111,7 @@
         return room if 2 * room >= self.message_capacity(urgency, 0.0) else 0
 
     def message_capacity(self, urgency: Urgency, outstanding: float) -> int:
-        """Return the number of entries that a message to all proxies may contain.
+        """Return the number of entries that a message to all proxies may contain. It may be negative.
 
         Args:
             urgency: Urgency of the orders in the message.
@@ -122,8 +124,8 @@
     def moves_acknowledged(self) -> bool:
         """Return whether no message with moves is in flight.
 
-        A message is in flight until half of its recipients have acknowledged it, or half of those of a later message.
-        Cleanup may be in flight, since it need not delay a round.
+        A message is in flight until half of its recipients have acknowledged it, or until half of the recipients of a
+        later message have acknowledged that one. Cleanup may be in flight, since it need not delay a round.
         """
         return all(message.token != self.last_move_token for message in self.in_flight)
 
@@ -151,8 +153,8 @@
     def acknowledge(self, proxy: int, token: int | None) -> None:
         """Record that a proxy has applied the message with a token, or that it has left if the token is None.
 
-        Proxies apply messages in order. Once half of the recipients of a message have acknowledged it, this message and
-        all earlier ones are therefore no longer in flight.
+        A message is no longer in flight once at least half of its recipients have acknowledged it or left. Proxies
+        apply messages in order, so all earlier messages are then no longer in flight either.
         """
         acknowledged_count = 0
         for position, message in enumerate(self.in_flight, start=1):
--- a/damsonpick/decisions/placement.py
+++ b/damsonpick/decisions/placement.py
@@ -108,14 +108,19 @@
 
 
 def _can_be_relieved(placement: Placement, slice_state: SliceState, load: float) -> bool:
-    if slice_state.externally_assigned:  # the other assigned endpoints take over the load
+    # The solver calculated the whole table, so the slice is not moved to an endpoint outside it. The other endpoints of
+    # the table take over the load, which requires at least one of them.
+    if slice_state.externally_assigned:
         return len(slice_state.assigned) > 1
     target = placement.least_loaded_within_limit(placement.capacities, load, slice_state.assigned)
     return target is not None
 
 
 def _assign_if_unassigned(placement: Placement, slice_state: SliceState) -> None:
-    """Assign an endpoint to a slice that has none, unless its table is intended to be empty."""
+    """Assign an endpoint to a slice that has none.
+
+    The slice stays without an endpoint if no endpoint is usable, or if the solver advised an empty table.
+    """
     meant_empty = slice_state.externally_assigned and not slice_state.advised_weights
     if slice_state.assigned or not placement.capacities or meant_empty:
         return
--- a/damsonpick/decisions/planner.py
+++ b/damsonpick/decisions/planner.py
@@ -116,7 +116,7 @@
 
         While no report has been received for two report spans, demand, capacity factors and admission levels stay
         unchanged. No endpoint or withdrawal is removed from the state either, since a disconnected proxy may still have
-        an entry of an endpoint that no longer exists.
+        an entry of an endpoint that no longer exists. The assignments are repaired in any case.
         """
         if self.fleet.reports_are_recent():
             slice_demand.refresh_demand(self.fleet)
--- a/damsonpick/decisions/publisher.py
+++ b/damsonpick/decisions/publisher.py
@@ -47,10 +47,10 @@
     Attributes:
         fleet: State that is published.
         flow_control: Flow control, which tracks the available capacity of the channel.
-        resync_due: Whether the admission levels must be sent again, since a proxy has joined.
+        resync_due: Whether the admission levels must be sent even if unchanged: at the start, and after a proxy joins.
         resync_withdrawals: Endpoints whose withdrawal state must be sent again, since a proxy may have missed it.
-        moves_published: Whether the last message contained all pending table changes except cleanup. An advised table
-            that is sent in parts does not count as pending.
+        moves_published: Whether all pending table changes except cleanup fitted when changes were last selected for a
+            message. An advised table that is sent in parts counts as one that fitted.
         limit_warning_logged: Whether the warning that the channel's limit is too low has been logged.
     """
 
@@ -78,7 +78,7 @@
         fleet.known_proxies[event.proxy] = event.zone
 
     def apply_proxy_left(self, event: api.ProxyLeft) -> None:
-        """Stop waiting for acknowledgements of a proxy that has left."""
+        """Remove a proxy that has left from the recipients of messages, and stop waiting for its acknowledgements."""
         self.flow_control.proxies.pop(event.proxy, None)
         self.flow_control.acknowledge(event.proxy, None)
 
@@ -90,7 +90,7 @@
         """Append one message with the changes of the published state that the channel has capacity for.
 
         Args:
-            actions: List to which the orders of the message are appended, with its sync request last.
+            actions: List to which the orders of the message, its sync request and any warning for the log are appended.
         """
         to_readmit = [n for n, out in self.fleet.withdrawn.items() if out and not self.fleet.is_unroutable(n)]
         if not self.flow_control.proxies or not self._is_anything_pending(to_readmit):
@@ -132,7 +132,7 @@
     def _add_withdrawals(
         self, message: list[api.Action], room: list[int], replaced: dict[str, bool]
     ) -> dict[str, bool]:
-        """Withdraw as many of the unroutable replaced endpoints as fit, and return them as keys.
+        """Withdraw as many unroutable endpoints of `replaced` as fit, and return those withdrawn now as keys.
 
         One order withdraws an endpoint from all tables. Changing the tables instead would take up to two entries for
         each slice and exceed the drain grace in a large fleet. The entries of a withdrawn endpoint are removed later,
@@ -229,7 +229,7 @@
         return has_moves
 
     def _record_published(self, slice_state: SliceState, added: list[str], removed: list[str]) -> None:
-        """Update a slice's published entries after a change was sent."""
+        """Update a slice's published entries after a change was sent, and `fleet.unpublished` if they are in sync."""
         if self.fleet.settings.sole_owner:
             entries = {n: slice_state.desired_weight(n) for n in slice_state.assigned}
         else:
--- a/damsonpick/decisions/search.py
+++ b/damsonpick/decisions/search.py
@@ -19,8 +19,8 @@
 STEPS_PER_REPLICA_AND_ENDPOINT = 1.0  # steps of a search / (replicas * endpoints)
 MAX_STEPS = 20_000  # upper bound on the steps of a search
 STEPS_PER_PART = 1000  # steps after which the search pauses so that other events can be handled
-MOVE_CAP_SHARE = 0.02  # share of the owned slices that a round may move
-MIN_GAIN = 0.032  # minimum cost decrease of a step * number of endpoints, since a step changes only two endpoints
+MOVE_CAP_SHARE = 0.02  # maximum of replicas moved by a search / owned slices; one replica may always move
+MIN_GAIN = 0.032  # an accepted step lowers the cost by more than this / endpoints, since it changes only two endpoints
 
 COUNT_COST_WEIGHT = 0.025
 LOAD_COST_WEIGHT = 1.0  # load, not the number of replicas, causes queues
@@ -30,7 +30,10 @@
 
 
 def is_skewed(copy: ClusterCopy) -> bool:
-    """Return whether any endpoint's load or replica count per capacity deviates by more than `SLOP` from the mean."""
+    """Return whether any endpoint's load or replica count per capacity deviates by more than `SLOP` from the mean.
+
+    It is False if there are fewer than two endpoints or no replicas, since no move is possible then.
+    """
     if len(copy.names) < 2 or not copy.replicas:
         return False
     counts = [len(replicas) for replicas in copy.replicas_on]
@@ -112,7 +115,7 @@
     __slots__ = ("copy", "fleet", "rng")
 
     def __init__(self, fleet: FleetState) -> None:
-        """Copy the assignments to the usable endpoints."""
+        """Copy the assignments whose endpoint is usable."""
         self.fleet = fleet
         self.rng = fleet.random
         self.copy = ClusterCopy(fleet, capacity.usable_capacities(fleet))
@@ -171,8 +174,9 @@
     def _apply_moves(self) -> None:
         """Apply the moves to the assignments.
 
-        A move is skipped if the slice is no longer owned, its assignment has changed since the copy was made, or the
-        target is no longer usable.
+        A move is skipped if the slice is no longer owned, if its assignment has changed since the copy was made, if the
+        solver has calculated its whole table in the meantime, or if the target is no longer usable or is already
+        assigned to the slice.
         """
         copy, fleet = self.copy, self.fleet
         usable = capacity.usable_capacities(fleet)
--- a/damsonpick/decisions/slice_demand.py
+++ b/damsonpick/decisions/slice_demand.py
@@ -30,7 +30,7 @@
 
 
 def apply_demand_report(fleet: FleetState, event: api.SliceDemand) -> None:
-    """Average a report of one slice and class into its rate. Most of a surge is applied at once.
+    """Average a report of one slice and class into its rate. Most of a surge or first report is applied at once.
 
     Reports of slices that are not owned, of unknown classes or without a period are ignored.
     """
@@ -76,7 +76,7 @@
 def _refresh_rates(fleet: FleetState, slice_state: SliceState, kept: float) -> None:
     """Decay the rates of classes without a recent report, unless the slice is newly owned.
 
-    Rates that are assumed because there was no report at all are set to the mean rates.
+    While a slice is newly owned, the assumed rates of classes without any report follow the mean rates.
     """
     report_timeout = fleet.settings.report_period + 2 * fleet.report_span
     for index, reported_at in enumerate(slice_state.last_reports_at):
--- a/damsonpick/decisions/slice_ownership.py
+++ b/damsonpick/decisions/slice_ownership.py
@@ -13,7 +13,8 @@
     """Create a new slice state when a slice is gained, and remove it when the slice is lost.
 
     The admission limit applies to the owned slices and is scaled with their number. At first, reports cover only part
-    of the time since a slice was gained. They must not lower the limit, which is therefore held for `LIMIT_HOLD_NS`.
+    of the time since a slice was gained. They must not lower the limit, so overload cannot lower it for `LIMIT_HOLD_NS`
+    after the gain.
     """
     count_before = len(fleet.slices)
     fleet.slices.pop(event.slice, None)
