--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -251,7 +251,10 @@
         return self.endpoint_list.known_zones.get(endpoint, "")
 
     def _list_changed(self) -> None:
-        """Refresh the statuses in SASP advice and send advice that needs no solve, after a change of the list."""
+        """Refresh the statuses in SASP advice after a change of the list.
+
+        If the solver is enabled, also step the engine and send advice that needs no solve.
+        """
         if self.sasp is not None:
             self.sasp.update_statuses()
         if self.settings.solved:
--- a/damsonpick/controller/control_requests.py
+++ b/damsonpick/controller/control_requests.py
@@ -1,5 +1,6 @@
-"""Typed requests of the control socket, decoded once on arrival. Their fields are the keys that the command line sends.
+"""Typed requests of the control socket, decoded once from the JSON objects that the command line sends.
 
+The keys `ask` and `do` of an object select the type of the request. The other keys are the fields of that type.
 Decoding checks types and ranges. The handler of a request checks whether a slice, a version or a zone exists.
 """
 
@@ -53,7 +54,7 @@
 
 
 class UnknownOrderError(InvalidRequestError):
-    """The key `do` of a request names an unknown operation.
+    """The key `do` of a request does not contain the name of a known operation.
 
     Attributes:
         order: Value of `do` as received.
--- a/damsonpick/controller/control_socket.py
+++ b/damsonpick/controller/control_socket.py
@@ -15,7 +15,7 @@
 
 from damsonpick.runtime.supervision import ConnectionServer
 
-Request = dict[str, Any]  # the key `ask` names the query; the other keys are its parameters
+Request = dict[str, Any]  # the key `ask` names the query; the other keys are its operation (`do`) and parameters
 Reply = dict[str, Any]  # the result, or a single key `error`
 
 MAX_REQUEST_BYTES = 65_536
--- a/damsonpick/controller/decision_log.py
+++ b/damsonpick/controller/decision_log.py
@@ -17,7 +17,10 @@
 
 
 def change_cause(events: list[api.Event]) -> Cause:
-    """Return the cause of a planner step. If several apply, the first of solver, list, gateways and module counts."""
+    """Return the cause of a planner step.
+
+    If several causes apply, the first of solver, list and gateways is returned; if none of them applies, module.
+    """
     if any(isinstance(event, api.TableAdvised | api.CapacityAdvised) for event in events):
         return "solver"
     if any(isinstance(event, api.EndpointListChanged) for event in events):
@@ -52,7 +55,7 @@
         Args:
             planner: Planner that issued the orders.
             orders: Orders that were applied.
-            changed_entries: Number of entries, withdrawals and levels that the orders changed.
+            changed_entries: Number of table entries, withdrawals, levels and retry modes that the orders changed.
         """
         self._write_withdrawals(planner, orders)
         self._write_admission(planner)
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -2,7 +2,7 @@
 
 The engine is the only caller of `Planner.handle` and the only writer of the published state. If the planner raises an
 exception, the last tables stay published, the engine logs the events that led to the exception, and a new planner
-starts from the store: immediately after the first failure, within a second after each further one.
+starts from the published tables: immediately after the first failure, within a second after each further one.
 """
 
 from __future__ import annotations
@@ -32,7 +32,8 @@
 from damsonpick.state.published_tables import Change, PublishedTables
 from damsonpick.state.store.sqlite import Store
 
-MAX_PLANNERS_PER_SEED = 1000  # planner seeds for each seed in the settings: one for each number of failures in a row
+# Number of planner seeds for each seed in the settings. The number of failures in a row selects one of them.
+MAX_PLANNERS_PER_SEED = 1000
 
 
 class Engine(DecisionLoop):
@@ -120,7 +121,8 @@
 
         Args:
             learned: Learned state of an earlier planner, with its aging applied, or None if there is none.
-            replaces_planner: Whether the new planner replaces a planner of this process. It does after any failure.
+            replaces_planner: Whether the new planner replaces a planner of this process. After a failure, this is
+                assumed even if the argument is False.
         """
         replaces_planner = replaces_planner or bool(self.failures)
         seed = self.settings.pilot.seed * MAX_PLANNERS_PER_SEED + self.failures
@@ -155,6 +157,7 @@
         """Capture the learned state of a planner that failed, if it can be read.
 
         The learned state may have caused the failure, so it is captured only after the first of consecutive failures.
+        After each further failure in a row, the next planner starts without learned state.
         """
         self.captured_state = None
         try:
@@ -216,6 +219,9 @@
     def step(self, now: int) -> list[Session]:
         """Pass pending events to the planner and apply its orders.
 
+        Before that, retry failed writes that are due, start a planner if none runs, and apply the start or end of a
+        pin. If no planner runs and the start of the next one is not due yet, only the failed writes are retried.
+
         Returns:
             Sessions that may acknowledge sync tokens now.
         """
@@ -330,7 +336,10 @@
         return entry is None or entry.state != "in_service" or name in self.published.withdrawn
 
     def is_warming_up(self, name: str) -> bool:
-        """Return whether an endpoint has not reached its full share of requests since its start."""
+        """Return whether an endpoint has not reached its full share of requests since its start.
+
+        It is False if no planner runs or the planner does not know the endpoint.
+        """
         planner = self.planner
         endpoint = planner.endpoints.get(name) if planner else None
         return planner is not None and endpoint is not None and planner.warm_up_share(endpoint) < 1
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -49,7 +49,9 @@
     source: str = field(default="", init=False)  # source of the list that was applied last
 
     def start(self, learned: Snapshot | None, away: int | None) -> None:
-        """Restore the confidence in the stored list, which is used until a source returns a list.
+        """Restore the confidence in the stored list, and accept load reports on its endpoints.
+
+        The stored list is used until a source returns a list.
 
         Args:
             learned: Learned state of an earlier incarnation, with its aging applied, or None if there is none.
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -29,7 +29,7 @@
     """A connection to one source."""
 
     def lists(self) -> AsyncIterator[ListResult]:
-        """Yield each list that the source returns, or an error that says why it returned none."""
+        """Yield each list that the source returns, or an error with the reason why it returned none."""
 
 
 class ListWatch:
@@ -97,7 +97,8 @@
     def receive_members(self, entries: list[api.EndpointEntry]) -> None:
         """Process the members registered over SASP as a list of the lowest-ranked source.
 
-        A quiesced member drains, because a drain that any live source reports is binding.
+        A quiesced member drains, because a drain that any live source reports is binding. If no members are registered
+        any more, the source counts as failed.
         """
         if entries:
             self.receive(SASP_SOURCE, entries)
@@ -105,7 +106,10 @@
             self.receive(SASP_SOURCE, ListError("no members are registered"))
 
     def receive(self, name: str, result: ListResult) -> None:
-        """Process a list of one source, or the error that says why it returned none."""
+        """Process a list of one source, or an error with the reason why it returned none.
+
+        An empty list counts as a failure of the source if the current list has entries.
+        """
         now = self.clock.now()
         if not isinstance(result, ListError) and not result and self.updater.endpoint_list.entries:
             result = ListError(
--- a/damsonpick/controller/planner_start.py
+++ b/damsonpick/controller/planner_start.py
@@ -66,7 +66,7 @@
             *self._learned_events(learned),
             *self.confidence_events(),
         ]
-        if replaces_planner:  # clients may have received withdrawals of the replaced planner
+        if replaces_planner:  # they join as not fresh, since they may apply withdrawals of the replaced planner
             events += self._client_events()
         return events
 
--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -46,9 +46,9 @@
     instances: int
     zone: str
     classes: tuple[RequestClass, ...]
-    slices: int  # 0 if the site has no slices and tables are bound to proxies
+    slices: int  # number of slices; 0 if the site has none, so that its tables are bound to proxies instead
     proxies: int
-    sole_owner: bool
+    sole_owner: bool  # whether each slice is served by only one endpoint
     admission: AdmissionMode
     list_on_request: bool  # whether the endpoint list is sent only after `SubscribeEndpointList`
     poll_interval: int  # interval between requests for the endpoint list
