--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -2,8 +2,9 @@
 
 The active source determines which endpoints exist. If another reachable source reports the same process of an endpoint
 as terminating or terminated, the merged list uses that state because it is the safer one. An endpoint that only another
-source lists is ignored. An unreachable source stays active for `UNREACHABLE_TIMEOUT_NS`, so that a short outage changes
-nothing. A preferred source that becomes reachable again takes over after it has been reachable for `STABLE_TIME_NS`.
+source lists is ignored. If the active source becomes unreachable, it stays active for `UNREACHABLE_TIMEOUT_NS`, so that
+a short outage changes nothing, and for longer if no other source is reachable. A source that is preferred to the active
+one takes over after it has been reachable for `STABLE_TIME_NS`.
 """
 
 from __future__ import annotations
@@ -186,7 +187,9 @@
 
 
 class CallBudget:
-    """Limits the rate of calls to one source. Otherwise, a source that closes connections at once is called in a loop.
+    """Limits the rate of calls to one source.
+
+    Without a limit, a source that closes each connection at once would be called in a loop without pauses.
 
     Args:
         calls: Most calls within any window.
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -6,9 +6,9 @@
 the effective list, which is the list that the planner uses.
 
 If the entries missing from a list are a large part of the endpoints in service, they are held: they stay in the
-effective list. They are held until the list has omitted them for `CONFIRM_NS`, an operator accepts the list, or nothing
-indicates any more that they exist (for example, all requests of clients to them fail). The states terminating and
-terminated apply at once, for any number of entries.
+effective list. They are held until entries have been held for `CONFIRM_NS` without interruption, an operator accepts
+the list, or nothing indicates any more that they exist (for example, all requests of clients to them fail). The states
+terminating and terminated apply at once, for any number of entries.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 MAX_MISSING_SHARE = 0.4  # if at most this share of the endpoints in service is missing from a list, none is held
 MIN_MISSING = 3  # if fewer endpoints are missing from a list, none is held
-CONFIRM_NS = 30 * NS_PER_SECOND  # time for which a list must omit held endpoints before they are removed
+CONFIRM_NS = 30 * NS_PER_SECOND  # time for which entries are held without interruption before all of them are removed
 MAX_WEIGHT = 1e6  # exclusive upper bound on a listed weight
 DEFAULT_WEIGHT = 1.0  # replaces an invalid weight
 STATES_BY_SAFETY: tuple[api.EndpointStatus, ...] = ("in_service", "terminating", "terminated")  # safest last
@@ -60,7 +60,9 @@
         self.confirmed = False  # whether the list of a source has been applied since the start
         self.received_entries: list[api.EndpointEntry] = []  # the last list of a source, before validation
         self.held: dict[str, api.EndpointEntry] = {}  # entries missing from `received_entries` that stay effective
-        self.held_since = 0  # time since which entries are held, ns; valid only while `held` is not empty
+        # Time since which `held` has not been empty, ns; valid only while it is not empty. Entries that are held later
+        # do not change it, so they are held for less than `CONFIRM_NS`.
+        self.held_since = 0
         self.accepted = False  # whether an operator has accepted that entries are missing; reset when a list is applied
         self.known_zones: dict[str, str] = {}  # zone by endpoint, also of endpoints that are no longer listed
 
@@ -103,7 +105,11 @@
         return ListValidation(api.EndpointListChanged("replace", tuple(listed.values())), problems)
 
     def recheck(self, now: int, is_lost: IsLost) -> ListValidation | None:
-        """Check whether held entries can be removed now; return None if no entry is held."""
+        """Apply the last list again, so that entries that need not be held any more are removed.
+
+        Returns:
+            The result, or None if no entry is held.
+        """
         return self.apply(now, self.received_entries, is_lost) if self.held else None
 
     def accept(self, now: int, is_lost: IsLost) -> ListValidation | None:
@@ -116,7 +122,11 @@
     def _update_held(
         self, now: int, listed: dict[str, api.EndpointEntry], is_lost: IsLost, problems: list[str]
     ) -> None:
-        """Set `held` to the missing entries that stay effective for now."""
+        """Set `held` to the missing entries that stay effective for now, and reset `accepted`.
+
+        The reported problem gives the whole `CONFIRM_NS`, which applies only to the first held entries: if more entries
+        are held later, all are removed `CONFIRM_NS` after the first.
+        """
         serving = [endpoint for endpoint, entry in self.entries.items() if entry.state == "in_service"]
         missing = [endpoint for endpoint in serving if endpoint not in listed]
         held: dict[str, api.EndpointEntry] = {}
--- a/damsonpick/state/history/recorder.py
+++ b/damsonpick/state/history/recorder.py
@@ -1,7 +1,7 @@
 """Records the history of one pilot: the digest of the published state, the versions, the pin, and their database.
 
-If the history cannot be written, the first failure is logged, and a bounded number of versions waits in memory until a
-write succeeds. The pilot continues to serve.
+If the history cannot be written, the first of consecutive failures is logged, and a bounded number of versions waits in
+memory until a write succeeds. The pilot continues to serve.
 """
 
 from __future__ import annotations
--- a/damsonpick/state/learned/ageing.py
+++ b/damsonpick/state/learned/ageing.py
@@ -21,8 +21,11 @@
 LEVELS_MAX_AGE_NS = 60 * NS_PER_SECOND  # older admission levels were set for a load that no longer exists
 UNKNOWN_AGE_NS = 1800 * NS_PER_SECOND  # age assumed if it cannot be determined
 CLOCK_TOLERANCE_NS = 5 * NS_PER_SECOND  # largest difference between two clocks of one host that is not reported
-NEGLIGIBLE_SHARE = 0.02  # rates and throughput with at most this remaining share are dropped, and so is warmth up to it
-# Throughput per capacity is dropped at this remaining share, because a lower value would throttle a healthy fleet.
+# All slices are dropped if at most this share of their rates remains, and the best throughput if at most this share of
+# it remains. A warmth is dropped if its decayed value is at most this.
+NEGLIGIBLE_SHARE = 0.02
+# Throughput per capacity is kept unchanged while more than this share would remain, and is then dropped, because a
+# decayed value would be too low and would throttle a healthy fleet.
 MIN_THROUGHPUT_PER_CAPACITY_SHARE = 0.5
 
 
--- a/damsonpick/state/learned/capture.py
+++ b/damsonpick/state/learned/capture.py
@@ -33,7 +33,8 @@
         pilot: Name of the pilot.
         taken_at: Present time of the host.
         clock_at: Present time of the pilot's clock, ns.
-        list_confirmed_at: Time of the pilot's clock when a source last confirmed the endpoint list, ns; 0 if never.
+        list_confirmed_at: Time of the pilot's clock at which the active list source was reachable and so confirmed the
+            endpoint list, ns; 0 if no source was active and reachable when the snapshot was taken, or if unknown.
     """
 
     sequence: int
@@ -81,7 +82,10 @@
                 yield
 
     def _read_endpoints(self) -> None:
-        """Read the endpoints of which anything was learned. A new planner assumes the same values for all others."""
+        """Read the endpoints of which anything was learned.
+
+        For the others, a new planner assumes the values that they have now.
+        """
         for name, state in list(self.planner.endpoints.items()):
             last_success_at = self.last_success_at.get(name, 0)
             if state.last_report_at or state.restored_share or last_success_at:
--- a/damsonpick/state/learned/disk.py
+++ b/damsonpick/state/learned/disk.py
@@ -33,7 +33,10 @@
             os.fsync(file.fileno())
 
     def link(self, old: Path, new: Path) -> None:
-        """Create a second name for a file, replacing `new`; on file systems without links, create a synced copy."""
+        """Create the name `new` for the file `old`, or a synced copy of it if it cannot be linked.
+
+        An existing file `new` is removed first.
+        """
         new.unlink(missing_ok=True)
         try:
             os.link(old, new)
@@ -42,7 +45,7 @@
             self.sync(new)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Rename a file to `new` atomically, replacing an existing file."""
+        """Rename `old` to `new` atomically. An existing file `new` is replaced."""
         os.replace(old, new)
 
     def sync_folder(self, path: Path) -> None:
--- a/damsonpick/state/learned/generations.py
+++ b/damsonpick/state/learned/generations.py
@@ -38,10 +38,10 @@
         """Flush the content of a file to disk."""
 
     def link(self, old: Path, new: Path) -> None:
-        """Create a second name for a file."""
+        """Create the second name `new` for the file `old`. An existing file `new` is replaced."""
 
     def rename(self, old: Path, new: Path) -> None:
-        """Rename a file to `new` atomically, replacing an existing file."""
+        """Rename `old` to `new` atomically. An existing file `new` is replaced."""
 
     def sync_folder(self, path: Path) -> None:
         """Flush changes of names in a folder to disk."""
--- a/damsonpick/state/learned/restore.py
+++ b/damsonpick/state/learned/restore.py
@@ -75,9 +75,10 @@
 ) -> dict[str, EntryTimes]:
     """Return when each entry of a cached endpoint list was last confirmed and last responded, by the pilot's clock.
 
-    The store contains the time when each entry was listed. The snapshot may contain a later time, when a source last
-    confirmed the whole list. This time applies to the entries of the newest list, but not to older entries that are
-    only held.
+    The store contains the time when each entry was last in a stored list. If the active source was reachable when the
+    snapshot was taken, the snapshot contains the time at which this source confirmed the whole list. If that time is
+    later, it applies to the entries of the list that was stored last, but not to entries that were only held, because
+    the list omitted them.
 
     Args:
         snapshot: Snapshot of the previous incarnation, or None if there is none.
--- a/damsonpick/state/learned/snapshot.py
+++ b/damsonpick/state/learned/snapshot.py
@@ -97,7 +97,8 @@
         pilot: Name of the pilot that wrote the snapshot.
         taken_at: Time of the snapshot by the host's clocks.
         clock_at: Time of the snapshot by the pilot's clock, ns.
-        list_confirmed_at: Time of the pilot's clock when a source last confirmed the endpoint list, ns; 0 if never.
+        list_confirmed_at: Time of the pilot's clock at which the active list source was reachable and so confirmed the
+            endpoint list, ns; 0 if no source was active and reachable when the snapshot was taken, or if unknown.
         classes: Names of the request classes, in the order of `LearnedSlice.rates`.
         slice_count: Number of slices in the settings.
     """
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -32,13 +32,13 @@
 
 
 class Change(NamedTuple):
-    """Change made by one set of orders.
+    """Result of one call of `PublishedTables.apply` or `PublishedTables.touch`.
 
     Attributes:
         seq: Sequence number of the change.
-        entries: Changed entries by unit.
+        entries: Changed entries by unit; empty if nothing has changed.
         sync_tokens: Tokens to be acknowledged by every client that has applied the change.
-        urgent: Whether the change withdraws an endpoint.
+        urgent: Whether the change withdraws an endpoint that was not withdrawn.
     """
 
     seq: int
