--- a/damsonpick/protocols/xds/delta_session.py
+++ b/damsonpick/protocols/xds/delta_session.py
@@ -30,7 +30,10 @@
             _unsubscribe_from(watch, name)
 
     def _start(self, watch: ResourceWatch, request: discovery_pb2.DeltaDiscoveryRequest) -> None:
-        """Initialize the watch with the versions that the client states to have from earlier streams."""
+        """Initialize the watch with the versions that the client states to have from earlier streams.
+
+        A client that states any version is not fresh.
+        """
         watch.started = True
         versions = dict(request.initial_resource_versions)
         watch.reset(versions)
@@ -54,7 +57,8 @@
 def _subscribe_to(now: int, watch: ResourceWatch, name: str) -> None:
     """Subscribe to a name.
 
-    The client always gets a response if it was already subscribed to the name, or if no such resource exists.
+    If the client was already subscribed to the name, or if no such resource exists, a response is sent even if the
+    client is expected to know the current state of the resource.
     """
     repeated = name in watch.names
     watch.names.add(name)
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -110,7 +110,10 @@
 
 
 def write_entries(cluster: str, entries: list[api.EndpointEntry]) -> endpoint_pb2.ClusterLoadAssignment:
-    """Build an assignment from entries, the inverse of `read_entries`; for fake list servers."""
+    """Build an assignment from entries, for fake list servers.
+
+    `read_entries` returns equal entries, except that each weight is rounded to an integer of at least 1.
+    """
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=cluster)
     by_zone: dict[str, list[api.EndpointEntry]] = {}
     for entry in entries:
@@ -193,7 +196,13 @@
                     await grpc_stream.write(call, self._request(accepted_version, response.nonce, str(error)))
 
     def _request(self, version: str = "", nonce: str = "", rejection: str = "") -> discovery_pb2.DiscoveryRequest:
-        """Build a request that accepts `version` or, if `rejection` is given, rejects the response with that nonce."""
+        """Build a subscription request.
+
+        Args:
+            version: Version of the last accepted response; empty if none was accepted.
+            nonce: Nonce of the response that the request answers; empty in the first request.
+            rejection: Reason for which that response is rejected; empty if it is accepted.
+        """
         request = discovery_pb2.DiscoveryRequest(
             node=base_pb2.Node(id=self.node),
             type_url=EDS,
--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -23,7 +23,7 @@
 REQUESTS_PREFIX = "requests."
 FAILURES_PREFIX = "failures."
 CLASS_COUNTS_SUB_ZONE = "asked"  # sub-zone of the locality that contains the counts by class for all servers
-MAX_CLUSTERS = 70_000  # clusters that are read from one report; greater than the largest possible number of slices
+MAX_CLUSTERS = 70_000  # most clusters that are read from one report; greater than the largest possible number of slices
 MAX_LATENCY_SUM_MS = 1e15  # sums of this size or larger are ignored
 MAX_COUNT = 1e12  # counts of this size or larger are ignored
 
--- a/damsonpick/protocols/xds/rejections.py
+++ b/damsonpick/protocols/xds/rejections.py
@@ -89,7 +89,8 @@
         """Schedule the replacement of the ranges in which the client's state differs from the published state.
 
         All ranges are replaced if the client's range sums cannot be parsed or show no difference, or if the client has
-        accepted no response since the previous repair was scheduled.
+        accepted no response since the previous repair was scheduled. If a replacement is scheduled but not sent yet,
+        only its ranges change; the further mismatch is neither counted nor logged.
         """
         target = self._target_versions(watch)
         try:
--- a/damsonpick/protocols/xds/resource_watch.py
+++ b/damsonpick/protocols/xds/resource_watch.py
@@ -20,7 +20,8 @@
 from damsonpick.state.published_tables import FLEET
 
 # Size in bytes up to which resources are added to a response: about a quarter of the message size that a gRPC client
-# accepts by default. A response may exceed it with a single large resource, or with clusters.
+# accepts by default. A response exceeds this size if its first resource alone does. The size of a response that
+# contains clusters or replaces ranges is not limited.
 MAX_RESPONSE_BYTES = 1_000_000
 # Number of responses of a type that are kept after the client has answered them, because a late rejection must still
 # take effect.
@@ -50,7 +51,7 @@
         names: Names of the resources to which the client subscribes by name.
         wildcard: Whether the client subscribes to all resources.
         started: Whether the first request for this type has been received.
-        acknowledged: Versions that the client has accepted, by name.
+        acknowledged: Versions that the client has accepted, or that were passed to `reset`, by name.
         expected: Versions that the client will have once it has accepted all responses in flight, by name.
         digest: Digest of `expected`.
         rejected: By name, the version that the client rejected and that is not sent again.
@@ -99,12 +100,12 @@
         return self.wildcard or name in self.names
 
     def request(self, now: int, names: Iterable[str], resend: bool = False) -> None:
-        """Mark newly requested resources as pending.
+        """Mark requested resources as pending, except those that need not be sent.
 
         Args:
             now: Current time, ns.
             names: Names of the requested resources.
-            resend: Send the resources even if the same version was sent before.
+            resend: Whether to send the resources even if the same version was sent before.
         """
         for name in names:
             if resend:
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -208,7 +208,8 @@
     async def _serve_load_stats(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
         """Receive load reports.
 
-        The first message identifies the node; the server responds with the statistics that the client must report.
+        The first message identifies the node. The server answers it with a LoadStatsResponse, which asks the client to
+        report on all clusters and their endpoints once per report period.
         """
         node, zone, number = "", "", -1
         async for raw_request in requests:
--- a/damsonpick/proxy/client.py
+++ b/damsonpick/proxy/client.py
@@ -52,7 +52,7 @@
         self._replay_complete = True  # whether every part of the body that was read is stored
 
     def pending(self) -> bool:
-        """Return whether data of another request was received."""
+        """Return whether any received data is left to process: parsed events, a partial head or unread bytes."""
         return bool(self._events or self.reader.partial_head or self.stream.data)
 
     def disconnected(self) -> bool:
@@ -80,7 +80,7 @@
         Raises:
             HttpProtocolError: The received data is not a valid request, or the rest of the previous body is malformed,
                 too large or stalled.
-            ClientDisconnectedError: The connection is lost.
+            ClientDisconnectedError: The connection is lost, or the client closed it within the previous body.
             TimeoutError: No request was received, or its head was not complete in time.
         """
         while not self.request_complete:  # discard the unread rest of the previous request's body
@@ -146,7 +146,7 @@
         """Send data with back-pressure, for at most the stall timeout.
 
         Raises:
-            ClientDisconnectedError: The client closed the connection or does not read.
+            ClientDisconnectedError: The connection is lost, or the client did not read within the stall timeout.
         """
         try:
             await self.stream.send(data, self.stream.time() + self.timeouts.stall)
--- a/damsonpick/proxy/load_balancer.py
+++ b/damsonpick/proxy/load_balancer.py
@@ -155,12 +155,12 @@
         self.active_requests[server] = self.active_requests.get(server, 0) + 1
 
     def request_ended(self, now: int, server: str, succeeded: bool, started: int | None = None) -> None:
-        """Count the end of a request, and eject the server after too many failures in a row.
+        """Count the end of a request. A success ends the server's ejection; too many failures in a row eject it.
 
         Args:
             now: Time in ns.
             server: Server that the request was sent to.
-            succeeded: False if the request failed and the server is at fault, otherwise True.
+            succeeded: Whether the request succeeded. If False, its end counts as a failure of the server.
             started: Time in ns at which the request was sent, or None if it was sent just now. If the request was sent
                 before the server was ejected, its success says nothing about the server's present state, and the server
                 stays ejected.
--- a/damsonpick/proxy/messages.py
+++ b/damsonpick/proxy/messages.py
@@ -1,4 +1,4 @@
-"""Parses and writes HTTP/1.1 messages with httptools (llhttp). Sans I/O: the reader turns bytes into events.
+"""Parses and writes HTTP/1.1 messages with httptools (llhttp). Sans I/O: the reader turns received bytes into events.
 
 llhttp is strict about framing. This module rejects the remaining ambiguous input before it is parsed: bare CR or LF in
 a head, folded lines, white space before a colon, content-length together with transfer-encoding, and more than one
@@ -52,7 +52,7 @@
     """Raised for a message that the proxy does not accept.
 
     Attributes:
-        status: Status code of the response to the sender.
+        status: Status code of the response if a client sent the message. It is not used if a server sent it.
     """
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -100,7 +100,10 @@
 
 
 class Reader:
-    """Turns bytes into Head, Body and End events. Each direction of a connection has its own reader."""
+    """Turns the bytes of HTTP/1 messages into Head, Body and End events.
+
+    Each direction of a connection has its own reader.
+    """
 
     def __init__(self, requests: bool, max_head_bytes: int = 16_384) -> None:
         """Create a reader that expects the start of a message.
--- a/damsonpick/proxy/pool.py
+++ b/damsonpick/proxy/pool.py
@@ -82,7 +82,7 @@
         return connection
 
     def reserve_new(self, now: int, name: str) -> bool:
-        """Return whether a new connection may be opened now. If so, it counts as open."""
+        """Return whether a new connection may be opened now. If so, it uses up one token and counts as open."""
         server = self._server(name)
         self._refill_tokens(now, server)
         if server.open + len(server.idle) >= self.per_server and server.idle:
@@ -134,7 +134,8 @@
             connection: The connection, or None if it was closed.
 
         Returns:
-            The waiter that should try to get a connection now, if any.
+            The first waiter of the queue, which leaves the queue and should try to get a connection now. None if no
+            waiter is queued.
         """
         server = self._server(name)
         server.open = max(0, server.open - 1)
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -49,7 +49,7 @@
         Args:
             settings: Validated settings.
             log: A structlog logger.
-            record: Called with the events on the sockets, for test scenarios.
+            record: Called with the name and fields of each observed event, for test scenarios.
             seed: Seed of all random draws. None uses a different seed each time.
             delta: Whether to use the delta variant of xDS.
         """
@@ -106,7 +106,7 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[TaskGroup]:
-        """Serve clients while the `async with` block runs."""
+        """Load the cached tables, then serve clients and watch the control service during the `async with` block."""
         self._restore()
         host, _, port = self.settings.proxy.listen.rpartition(":")
         async with anyio.create_task_group() as group:
@@ -134,7 +134,7 @@
                 group.cancel_scope.cancel()
 
     def _restore(self) -> None:
-        """Load the cached tables, if there are any."""
+        """Load the cached tables, if there are any. If the cache is damaged, log it and start without tables."""
         path = self.cache_path()
         if path is None:
             return
@@ -169,7 +169,7 @@
             )
 
     async def drain(self) -> None:
-        """Stop accepting connections, and wait up to the drain time for the requests received so far."""
+        """Abort new connections, and wait up to the drain time until all requests received so far are served."""
         self.requests.drain()
         with anyio.move_on_after(self.clock.seconds(self.settings.limits.drain_time)):
             while self.requests.clients:
--- a/damsonpick/proxy/request_handler.py
+++ b/damsonpick/proxy/request_handler.py
@@ -45,7 +45,7 @@
             settings: Settings of the proxy.
             router: Makes the decisions for each request.
             clock: Clock of the proxy.
-            record: Called with the events on the sockets, for test scenarios.
+            record: Called with the name and fields of each observed event, for test scenarios.
             log: A structlog logger.
         """
         proxy_section = settings.proxy
@@ -94,7 +94,7 @@
         return counts
 
     def drain(self) -> None:
-        """Stop accepting connections, and close connections that have no request in flight."""
+        """Abort new connections from now on, and close open connections that have no request in flight."""
         self.draining = True
         for stream in list(self.idle_streams):
             stream.close()
@@ -102,7 +102,10 @@
     # -- a client's connection
 
     async def serve(self, stream: Stream) -> None:
-        """Serve all requests of one client connection. Abort it above the limit and while draining."""
+        """Serve all requests of one client connection.
+
+        A new connection is aborted before any request if `limits.connections` are open or the proxy is draining.
+        """
         if self.clients >= self.limits.connections or self.draining:
             stream.abort()
             return
@@ -258,7 +261,8 @@
     async def _wait_for_server(self, request: RoutedRequest, attempted: set[str]) -> str | None:
         """Pick a server. Before its first attempt, a request waits for a table with a server.
 
-        The wait ends after the hold time or at the request's deadline.
+        The wait ends after the hold time or at the request's deadline. If no server can be picked by then, the result
+        is None.
         """
         until = 0
         if not attempted:
--- a/damsonpick/proxy/router.py
+++ b/damsonpick/proxy/router.py
@@ -141,7 +141,11 @@
         return admitted
 
     def pick(self, now: int, request: RoutedRequest, attempted: Collection[str]) -> str | None:
-        """Pick a server. Return None if every server is withdrawn or attempted, or if the admission level is 0."""
+        """Pick a server.
+
+        Return None if there is no table, if every server in it is withdrawn or attempted, or if the admission level
+        is 0.
+        """
         if self.received_state.admission_level(request.cluster, request.request_class) <= 0:
             return None  # a level of 0 also rejects requests that wait for a table
         return self.load_balancer.pick(now, self._table(request.cluster), self.withdrawn, attempted)
@@ -173,8 +177,9 @@
     def attempt_timeout(self, request: RoutedRequest, now: int) -> int:
         """Return the timeout of an attempt in ns.
 
-        The timeout is the time until the deadline. If a retry may follow, it is at most the published timeout or, if
-        none is published, a multiple of the latency objective of the class, if there is one.
+        The timeout never exceeds the time until the deadline. If a retry may follow, it also does not exceed the
+        published attempt timeout. If none is published, `ATTEMPT_TIMEOUT_OBJECTIVES` times the latency objective is
+        the bound, unless the class has no latency objective.
         """
         left_ns = request.deadline - now
         published = self._published_retries(request)
--- a/damsonpick/proxy/server_connector.py
+++ b/damsonpick/proxy/server_connector.py
@@ -44,7 +44,7 @@
     def take_idle(self, request: RoutedRequest, server: str, now: int) -> UpstreamConnection | None:
         """Return an idle connection that is still open and may be reused for this request, or None.
 
-        A non-idempotent request reuses only a connection that was idle for a short time.
+        A non-idempotent request reuses only a connection that was idle for at most `limits.write_fresh`.
         """
         non_idempotent = request.effect == NON_IDEMPOTENT
         max_idle_ns = self.limits.write_fresh if non_idempotent else self.limits.pool_time
@@ -64,8 +64,9 @@
             until: Time of the event loop in seconds at which the attempt ends.
 
         Raises:
-            AttemptError: No connection is available, or the server left the table. Nothing was sent.
-            TimeoutError: The attempt reached its end.
+            AttemptError: The queue is full, the connection cannot be opened, or the server left the table or was
+                withdrawn. Nothing was sent.
+            TimeoutError: `until` has passed.
         """
         loop = asyncio.get_running_loop()
         with anyio.fail_after(max(0.0, until - loop.time())):
@@ -122,7 +123,11 @@
             raise
 
     def release(self, server: str, connection: UpstreamConnection | None, reusable: bool, now: int) -> None:
-        """Return a connection to the pool, or close it. `connection` is None if it was never opened."""
+        """Return a connection to the pool and wake the next waiter.
+
+        The connection is closed instead if it is not reusable or its server is withdrawn. `connection` is None if it
+        was never opened.
+        """
         keep = reusable and connection is not None and server not in self.router.withdrawn
         _wake(self.pool.release(now, server, connection if keep else None))
         if connection is not None and not keep:
--- a/damsonpick/proxy/settings.py
+++ b/damsonpick/proxy/settings.py
@@ -144,7 +144,7 @@
         path: Path of the INI file.
 
     Raises:
-        SettingsError: The settings are invalid. The error lists every problem with section, key, value and remedy.
+        SettingsError: The settings are invalid. The error lists problems with section, key, value and remedy.
     """
     read_settings, problems = sections.read(path, ProxySettings, ("proxy", "limits"), {"class": "classes"})
     proxy_section = read_settings.proxy
--- a/damsonpick/proxy/stream.py
+++ b/damsonpick/proxy/stream.py
@@ -216,7 +216,10 @@
         self.transport.abort()
 
     async def linger(self) -> None:
-        """End the sending side, then read and drop the peer's data up to `LINGER_S` and `LINGER_BYTES`."""
+        """End the sending side, then read and drop the peer's data until the peer closes the connection.
+
+        Reading stops earlier after `LINGER_S` or `LINGER_BYTES`.
+        """
         remaining = LINGER_BYTES
         until = self.time() + LINGER_S
         with contextlib.suppress(ConnectionLostError, TimeoutError, OSError, RuntimeError):
--- a/damsonpick/proxy/table_cache.py
+++ b/damsonpick/proxy/table_cache.py
@@ -21,7 +21,7 @@
 
 
 class TableCacheError(Exception):
-    """Raised when the file is damaged or has another format. The file stays. The text names file and reason."""
+    """Raised when the file is damaged or has another format. The text names file and reason. The file is kept."""
 
 
 def save(path: Path, bodies: dict[str, dict[str, tuple[str, bytes]]]) -> None:
@@ -53,7 +53,7 @@
 
     Raises:
         TableCacheError: The checksum, the format or a resource is wrong. No resource is applied.
-            OSError: The file exists but cannot be read.
+        OSError: The file exists but cannot be read.
     """
     try:
         checksum, _, text = path.read_bytes().partition(b"\n")
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -87,7 +87,7 @@
             client: Sends the body and receives the response.
             connection: Connection to the server.
             head: Head of the request.
-            left_ms: Time until the deadline, which is sent to the server.
+            left_ms: Milliseconds until the deadline, which are sent to the server.
             closing: Whether the client's connection closes after this request.
         """
         self.limits = limits
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -97,7 +97,7 @@
         self._clock = clock
         self._backoff = backoff
         self._log = log
-        self._was_connected = False  # whether an earlier stream was connected
+        self._was_connected = False  # whether the tables were requested on any stream so far
         self._version_info: dict[str, str] = {}  # version of the last applied response by type URL
 
     async def run(self) -> None:
