--- a/damsonpick/cli/pilot.py
+++ b/damsonpick/cli/pilot.py
@@ -34,8 +34,8 @@
 def check(file: Path, as_json: bool) -> None:
     """Read all of FILE and list every problem in it.
 
-    Each line states file, section, key, value and remedy. Exit code 0: the pilot would start with FILE; 2: it would
-    not.
+    Each line states file, section, key, value and remedy. Exit code 0: no problems were found; 2: FILE has
+    problems.
     """
     from damsonpick.settings import read
 
--- a/damsonpick/cli/sasp.py
+++ b/damsonpick/cli/sasp.py
@@ -128,7 +128,10 @@
 @click.option("--count", type=click.IntRange(1), help="Stop after this number of pushes.")
 @as_json
 def watch(address: str, members: tuple[str, ...], name: str, lb: str, count: int | None, as_json: bool) -> None:
-    """Register MEMBERS and print the weights that the manager at ADDRESS pushes, until interrupted."""
+    """Register MEMBERS and print the weights that the manager at ADDRESS pushes.
+
+    The command runs until it is interrupted or, with --count, until it has printed that number of pushes.
+    """
     parsed = _parse_members(members)
 
     async def print_pushes() -> int:
@@ -148,7 +151,10 @@
 
 
 def _run_client(conversation: Callable[[], Awaitable[int]]) -> int:
-    """Run a conversation with a manager and return the exit code; print any error."""
+    """Run a conversation with a manager and return the exit code.
+
+    A rejected request and a failure of the client are printed. Other exceptions are raised.
+    """
     try:
         return anyio.run(conversation)
     except BaseExceptionGroup as group:
--- a/damsonpick/cli/shared.py
+++ b/damsonpick/cli/shared.py
@@ -44,7 +44,8 @@
 def ask_pilot(file: Path, request: Request) -> Reply:
     """Send a request to the pilot that runs with these settings and return its reply.
 
-    Ends the program with exit code 3 if no pilot answers, and with exit code 2 if the pilot rejects the request.
+    Ends the program with exit code 3 if no pilot answers, and with exit code 2 if the settings are invalid or the pilot
+    rejects the request.
     """
     settings = load_settings(file)
     try:
--- a/damsonpick/load_tool/experiment.py
+++ b/damsonpick/load_tool/experiment.py
@@ -73,7 +73,7 @@
     """Read and validate an experiment.
 
     Raises:
-        SettingsError: The settings are invalid. The error lists every problem with section, key, value and remedy.
+        SettingsError: The settings are invalid. The error lists problems with section, key, value and remedy.
     """
     experiment, problems = sections.read(path, Experiment, ("load",), {"class": "classes"})
     if experiment.load.warm_up >= experiment.load.length:
--- a/damsonpick/load_tool/results.py
+++ b/damsonpick/load_tool/results.py
@@ -39,7 +39,7 @@
         self.histogram.record_value(min(MAX_LATENCY_US, max(MIN_LATENCY_US, latency_us)))
 
     def view(self, seconds: float) -> dict[str, Any]:
-        """Return the part of the report about this class. `seconds` is the time whose requests are counted."""
+        """Return the part of the report about this class. `seconds` is the length of the run without warm-up."""
         count = sum(self.outcomes.values())
         return {
             "requests": count,
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -112,7 +112,7 @@
 def write_entries(cluster: str, entries: list[api.EndpointEntry]) -> endpoint_pb2.ClusterLoadAssignment:
     """Build an assignment from entries, for fake list servers.
 
-    `read_entries` returns equal entries, except that each weight is rounded to an integer of at least 1.
+    `read_entries` converts it back to these entries, sorted by zone and with weights rounded to integers of at least 1.
     """
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=cluster)
     by_zone: dict[str, list[api.EndpointEntry]] = {}
--- a/damsonpick/protocols/xds/resource_watch.py
+++ b/damsonpick/protocols/xds/resource_watch.py
@@ -20,8 +20,8 @@
 from damsonpick.state.published_tables import FLEET
 
 # Size in bytes up to which resources are added to a response: about a quarter of the message size that a gRPC client
-# accepts by default. A response exceeds this size if its first resource alone does. The size of a response that
-# contains clusters or replaces ranges is not limited.
+# accepts by default. A response exceeds this size if its first resource alone does. The size of a response is
+# not limited if it contains clusters, replaces ranges or repeats a part of a rejected response.
 MAX_RESPONSE_BYTES = 1_000_000
 # Number of responses of a type that are kept after the client has answered them, because a late rejection must still
 # take effect.
--- a/damsonpick/protocols/xds/session.py
+++ b/damsonpick/protocols/xds/session.py
@@ -128,7 +128,7 @@
     # -- changes, and queries of the session manager
 
     def enqueue(self, units: Iterable[str], covered: CoveredChanges) -> None:
-        """Mark the resources of changed units as pending, so that the next responses contain them."""
+        """Mark the resources of changed units as pending, except those to which the client does not subscribe."""
         for unit in units:
             watch = self.watches.get(type_url_of(unit))
             if watch is not None:
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -59,7 +59,12 @@
         self.restart_at = 0  # ns
 
     def begin_with(self, planner: Planner, events: list[api.Event]) -> None:
-        """Install a planner. `events` are the first events that it receives and replace all queued events."""
+        """Install a planner and discard all timers and queued events.
+
+        Args:
+            planner: The new planner.
+            events: The first events that the planner receives.
+        """
         self.planner = planner
         self.timers.clear()
         self.inbox = events
--- a/damsonpick/settings/consistency.py
+++ b/damsonpick/settings/consistency.py
@@ -8,8 +8,8 @@
 from damsonpick.settings.problems import Problem
 from damsonpick.settings.units import slice_numbers
 
-# Lowest permitted value of the load above which a server fails while it warms up, as a share of the server's capacity.
-# With a lower value, such a server could never receive load.
+# A server that warms up fails above a load of overload_multiple * cold_capacity_share of its capacity. This is the
+# lowest permitted value of that product. With a lower value, such a server could never receive load.
 MIN_COLD_LOAD_SHARE = 0.05
 
 
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -55,7 +55,7 @@
 class Tables(Section):
     """[tables]: How keys are divided into slices and how gateways choose an endpoint from a table."""
 
-    slices: int = Field(ge=0, le=65_000)  # 0 for no slices and one table per zone of gateways and request class
+    slices: int = Field(ge=0, le=65_000)  # if 0, there is one table per pair of gateway zone and request class
     balancing_policy: Literal["pair", "wheel", "lottery"] = Field("pair", alias="pick")
     sole_owner: bool = False
     admission: Literal["ratio", "none"] = "ratio"
@@ -95,7 +95,7 @@
     """[reports]: Load reports of the gateways."""
 
     period: Duration = Field(1 * SECOND, alias="every")
-    max_age: Duration = Field(15 * SECOND, alias="oldest")  # longest period of a report; a longer report is dropped
+    max_age: Duration = Field(15 * SECOND, alias="oldest")  # a report that covers a longer time is dropped
 
 
 class ListSource(Section):
@@ -113,8 +113,9 @@
 
     period: Duration = Field(2 * SECOND, alias="every")
     time_limit: Duration = 1 * SECOND
-    solve_entries: bool = Field(False, alias="lines")  # also compute weights for slices with several endpoints
-    advise_capacity: bool = Field(False, alias="levels")  # also notify the planner of the load that the fleet sustains
+    solve_entries: bool = Field(False, alias="lines")  # whether to compute weights for slices with several endpoints
+    # Whether to notify the planner of the rate of requests that the fleet sustains.
+    advise_capacity: bool = Field(False, alias="levels")
     cross_zone_cost: float = Field(0.02, ge=0, alias="cross")
     # Costs of pairs of zones, `from>to cost, ...` in the file. They replace `cross_zone_cost` for these pairs.
     zone_pair_costs: ZonePairCosts = Field((), alias="pairs")
@@ -156,12 +157,12 @@
     messages_per_second: float = Field(50, gt=0, alias="messages")  # highest rate of one session
     # Longest time to send a message. If it is exceeded, the session ends.
     send_timeout: Duration = Field(10 * SECOND, alias="patience")
-    # Use the members as the last list source. Quiesced members drain.
+    # Whether the members are used as the last list source. Quiesced members drain.
     members_as_list: bool = Field(False, alias="feed")
 
 
 class SaspGroup(Section):
-    """[sasp group NAME]: The tables that a group covers."""
+    """[sasp group NAME]: The tables that a group of a balancer covers."""
 
     covers: Coverage = "fleet"
 
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -211,6 +211,9 @@
     def repaired_tables(self, planner: Planner) -> list[api.Event]:
         """Return advice when servers were added, removed or restarted, without waiting for a solve.
 
+        The result is empty if the fleet has not changed since the last repair, in a deployment with slices, or if no
+        tables have been advised yet.
+
         Servers keep their last weights. Servers that are new to a table get the mean weight per capacity of the others,
         multiplied by their `max_share`.
         """
@@ -227,7 +230,10 @@
         return self.advise_tables(tables, planner)
 
     def accept(self, plan: Plan, planner: Planner) -> list[api.Event]:
-        """Store a plan and return advice from it. Entries that barely change keep their weight."""
+        """Store a plan and return advice from it. Entries that barely change keep their weight.
+
+        If the setting `advise_capacity` is on, the advice includes the rate that the fleet can sustain.
+        """
         self._note_success()
         self.previous_plan = self.last_plan
         self.last_plan = plan
@@ -271,7 +277,7 @@
         ]
 
     def _sustainable_rate(self, plan: Plan) -> float:
-        """Return the requests per second that the fleet can sustain, or 0 if the plan admits (nearly) all demand."""
+        """Return the requests per second that the fleet can sustain, or 0 if the plan admits nearly all demand."""
         if all(share > FULLY_ADMITTED for share in plan.admitted.values()):
             return 0.0
         if sum(plan.shed.values()) <= 0:
--- a/damsonpick/solver/model.py
+++ b/damsonpick/solver/model.py
@@ -147,7 +147,7 @@
             `solve_s`.
         servers: Assigned work by server.
         weights: Weights by (zone, class).
-        admitted: Share of each class's demand that the servers have capacity for.
+        admitted: Share of each class's demand that the plan serves, by class.
         shed: Priority weight per second of the rejected demand, by class.
         zone_prices: Priority weight gained by one more unit of work per second in a zone, by zone.
         cross_zone_prices: Priority weight gained by one unit of cross-zone work without cost, by (from, to).
--- a/damsonpick/solver/slice_weights.py
+++ b/damsonpick/solver/slice_weights.py
@@ -2,7 +2,7 @@
 
 The program minimises the lateness and the failures of all servers plus the cost of moved work. Its variables are
 y[p,h], the work of slice p that endpoint h receives. The work of slices with one endpoint is fixed. The loss segments
-are computed as in the linear program of a whole plan.
+are computed as in the linear program of a whole plan, except that the slopes raised by the demand spread are at most 1.
 """
 
 from __future__ import annotations
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -97,7 +97,7 @@
     async def _poll(self, client: Client) -> None:
         """Poll the weights at the interval that the pilot recommends.
 
-        The pilot does not push advice whose weights have changed only slightly; only a poll returns it.
+        The pilot does not push advice if weights have changed only slightly. Only a poll returns such advice.
         """
         while True:
             reply = await client.weights()
@@ -110,7 +110,7 @@
         scope.cancel()
 
     async def _apply_advice(self, groups: tuple[WeightsOf, ...]) -> None:
-        """Apply advice to the tables, once a stall of this balancer is over and its read delay has passed."""
+        """Apply advice to the tables, after any stall of this balancer and then its read delay have passed."""
         if (wait := self.clock.seconds(max(self.stalled_until - self.clock.now(), 0) + self.read_delay)) > 0:
             await anyio.sleep(wait)
         shown = {}
--- a/damsonpick/testing/fakes/collector.py
+++ b/damsonpick/testing/fakes/collector.py
@@ -34,7 +34,7 @@
         return cls(await anyio.connect_tcp("127.0.0.1", port))
 
     async def join(self, zone: str) -> FakeCollector:
-        """Announce the zone of the load reports; returns this collector."""
+        """Announce the zone of the load reports and return this collector."""
         await self.send({"@type": "telemetry", "zone": zone})
         return self
 
--- a/damsonpick/testing/fakes/discovery.py
+++ b/damsonpick/testing/fakes/discovery.py
@@ -88,7 +88,7 @@
         await self.send_line(self._list_message(False, entries))
 
     async def serve(self, request: faulty_http.Request, stream: SocketStream) -> bool:
-        """Respond with the list or open a watch; returns whether the connection stays open."""
+        """Respond with the list or open a watch. Return whether the connection stays open."""
         self.requested_targets.append(request.target)
         if self.is_down:
             await stream.send(faulty_http.answer_bytes(b"", "503 Service Unavailable"))
--- a/damsonpick/testing/fakes/faulty_http.py
+++ b/damsonpick/testing/fakes/faulty_http.py
@@ -135,7 +135,7 @@
         self._write_lock = anyio.Lock()  # one send completes before the next one starts, so lines never interleave
 
     async def serve(self, request: Request, stream: SocketStream) -> bool:
-        """Respond to a request; returns whether the connection stays open."""
+        """Respond to a request. Return whether the connection stays open."""
         raise NotImplementedError
 
     @asynccontextmanager
@@ -165,7 +165,10 @@
             await anyio.aclose_forcefully(stream)
 
     async def watch(self, stream: SocketStream, lines: list[bytes]) -> None:
-        """Send these lines as the start of a response and keep it open until the peer sends a byte or closes."""
+        """Send lines as the start of a response.
+
+        The response stays open until the peer sends a byte or closes the connection.
+        """
         first_chunks = [chunk_bytes(line + b"\n") for line in lines]
         await stream.send(CHUNKED_HEAD + b"".join(first_chunks))
         self.watchers.add(stream)
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -89,7 +89,7 @@
         zone: Zone of the locality.
         received_state: State received from the pilot.
         stalled_until: Time until which the gateway reads and forwards nothing, in ns of the scenario's clock.
-        read_delay: Additional delay before the gateway reads a response of the pilot, in ns.
+        read_delay: Time in ns that the gateway waits, after any stall, before it processes a response of the pilot.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
 
     @property
     def report_delay(self) -> int:
-        """Additional delay before a load report is sent, in ns."""
+        """Time in ns by which each load report is sent late."""
         return self.watch_client.report_delay
 
     @report_delay.setter
@@ -236,7 +236,7 @@
                 await self.changed.wait()
 
     async def _attempt(self, request: ForwardedRequest, server: str) -> str:
-        """Make, count and record one attempt; returns how it ended."""
+        """Make, count and record one attempt. Return how it ended."""
         start = self.clock.now()
         entry = self.received_state.available_entries(request.cluster).get(server)
         zone = entry.zone if entry else ""
@@ -254,7 +254,7 @@
         return ending
 
     async def _exchange(self, request: ForwardedRequest, server: str, zone: str) -> str:
-        """Send the request and read the response; returns how the exchange ended."""
+        """Send the request and read the response. Return how the exchange ended."""
         if zone and not self.network.connects(self.zone, zone):
             await anyio.sleep(self.clock.seconds(CONNECT_TIMEOUT_NS))  # a server in an unreachable zone never responds
             return Ending.NEVER_RAN
--- a/damsonpick/testing/fakes/http.py
+++ b/damsonpick/testing/fakes/http.py
@@ -98,7 +98,7 @@
             return b""
 
     def prepare_reuse(self) -> bool:
-        """Prepare the connection for another request; returns whether both sides keep it open."""
+        """Prepare the connection for another request. Return False if one of the sides does not keep it open."""
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             return True
@@ -140,7 +140,7 @@
 
 
 async def _read_request(stream: SocketStream, http: h11.Connection) -> dict[str, str] | None:
-    """Read the next request with its body; returns its headers, or None if the peer has closed the connection."""
+    """Read the next request with its body. Return its headers, or None if the peer has closed the connection."""
     headers: dict[str, str] = {}
     while True:
         event = http.next_event()
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -15,7 +15,7 @@
 
 
 class FakeListServer(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
-    """Sends the whole list on each change, and records each sent list as what the pilot knows.
+    """Sends the whole list on each change, and records each list that it sends.
 
     Attributes:
         entries: Entries of the list, by endpoint.
@@ -35,7 +35,7 @@
         self._wakeups: set[anyio.Event] = set()
 
     async def start(self) -> tuple[grpc.aio.Server, str]:
-        """Start a gRPC server on a free port; returns the server and its address."""
+        """Start a gRPC server on a free port. Return the server and its address."""
         server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         ads_pb2_grpc.add_AggregatedDiscoveryServiceServicer_to_server(self, server)
         port = server.add_insecure_port("127.0.0.1:0")
@@ -106,7 +106,7 @@
     async def _read_requests(
         self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], scope: anyio.CancelScope
     ) -> None:
-        """Discard acknowledgements; cancel the stream when the client closes it."""
+        """Discard all requests. End the serving of the stream once the client has closed its side."""
         async for _ in requests:
             pass
         scope.cancel()
--- a/damsonpick/testing/fakes/proxy_gateway.py
+++ b/damsonpick/testing/fakes/proxy_gateway.py
@@ -56,7 +56,7 @@
 
     @property
     def report_delay(self) -> int:
-        """Additional delay before a load report is sent, in ns."""
+        """Time in ns by which each load report is sent late."""
         return self.proxy.watch_client.report_delay
 
     @report_delay.setter
--- a/damsonpick/testing/fakes/registry.py
+++ b/damsonpick/testing/fakes/registry.py
@@ -94,7 +94,7 @@
     # Changes made by a test
 
     async def take_slice(self, number: int) -> dict[str, float]:
-        """End the pilot's ownership of a slice and report that on the watches; returns the table of the slice."""
+        """End the pilot's ownership of a slice, report the end on the watches, and return the table of the slice."""
         table = self.tables.pop(number)
         await self.send_line(_watch_line("owner", slice=number, on=False))
         return table
@@ -116,7 +116,7 @@
     # Requests
 
     async def serve(self, request: faulty_http.Request, stream: SocketStream) -> bool:
-        """Open a watch or respond to a request with orders; returns whether the connection stays open."""
+        """Open a watch or respond to a request with orders. Return whether the connection stays open."""
         if request.method == "GET" and request.target == "/watch":
             await self.watch(stream, self._initial_lines())
             return False
--- a/damsonpick/testing/fakes/results_server.py
+++ b/damsonpick/testing/fakes/results_server.py
@@ -226,7 +226,7 @@
         return http.Answer(200, {"endpoint-load-metrics": load}, b"ok")
 
     def _crashes_from_overload(self, now: int, work_ms: float) -> bool:
-        """Add offered work; return whether the server has crashed from overload.
+        """Add the work of a request to the offered work. Return whether the server has ever crashed from overload.
 
         A cold server crashes if the work offered within the window exceeds its limit plus the burst allowance. It stays
         down.
--- a/damsonpick/testing/soak/plan.py
+++ b/damsonpick/testing/soak/plan.py
@@ -8,7 +8,7 @@
 
 # Limits on the pilot's open file descriptors, of which each plan uses one.
 SMALL_DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT = 192, 384
-# Range from which the sum of the pauses of one incarnation is drawn. The last pause may exceed the drawn sum.
+# Range from which the sum of the pauses of one incarnation is drawn. Steps are added until their pauses reach this sum.
 MIN_STEPS_S, MAX_STEPS_S = 1.5, 3.0
 MIN_PAUSE_S, MAX_PAUSE_S = 0.02, 0.25  # range of the pause before each step
 
--- a/damsonpick/testing/soak/platform.py
+++ b/damsonpick/testing/soak/platform.py
@@ -33,7 +33,7 @@
     Args:
         plan: Plan of the soak, with the numbers of servers, slices and proxies.
         rng: Source of the random draws for the tables that another pilot makes while it owns a slice.
-        reload: Makes the pilot reload its configuration. The argument says whether that configuration is valid.
+        reload: Makes the pilot reload its configuration. The argument states whether the new configuration is valid.
 
     Attributes:
         registry_ports: Ports of the registry. The pilot's configuration contains the first one.
@@ -79,7 +79,10 @@
         return f"tables without a usable server {uncovered}, servers {states}, withdrawn {self.registry.withdrawn}"
 
     async def act(self, step: Step, group: TaskGroup) -> None:
-        """Carry out one step of a plan. Tasks that end a temporary fault later run in `group`."""
+        """Carry out one step of a plan.
+
+        If the step injects a temporary fault, a task in `group` ends the fault after some time.
+        """
         rng = random.Random(step.choice_seed)
         if step.action in REQUEST_FAULTS:
             self.registry.faults.extend([REQUEST_FAULTS[step.action]] * rng.randint(1, 2))
--- a/damsonpick/testing/soak/player.py
+++ b/damsonpick/testing/soak/player.py
@@ -37,7 +37,7 @@
     """The result of a soak.
 
     Attributes:
-        seed: Seed of the soak, with which it can be repeated.
+        seed: Seed of the soak. The soak can be repeated with it.
         endings: How each incarnation that was started ended, in order.
         requests: Number of requests that the registry received.
         failures: Descriptions of the failures. Empty if the soak passed.
@@ -69,7 +69,7 @@
         self._group: TaskGroup | None = None
 
     async def play(self) -> SoakResult:
-        """Run all incarnations of the pilot; returns the result."""
+        """Run all incarnations of the pilot and return the result."""
         async with (
             self.platform.registry.running() as first_port,
             self.platform.registry.running() as second_port,
@@ -199,5 +199,5 @@
 
 
 async def play(seed: int, folder: Path) -> SoakResult:
-    """Run the soak of a seed in an empty folder; returns its result."""
+    """Run the soak of a seed in an empty folder and return its result."""
     return await Soak(draw_plan(seed), folder).play()
