--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -126,7 +126,7 @@
         seed = self.settings.pilot.seed * MAX_PLANNERS_PER_SEED + self.failures
         events = self.planner_start.events(learned, replaces_planner)
         self._drop_stale_events(replaces_planner)
-        self.begin_with(self.make_planner(self.settings.planner(), seed), events)
+        self.install_planner(self.make_planner(self.settings.planner(), seed), events)
 
     def _drop_stale_events(self, replaces_planner: bool) -> None:
         """Drop the queued client events that do not apply to the new planner.
@@ -202,9 +202,9 @@
     def due(self) -> int | None:
         """Return the time in ns at which the next step must run, or None if only an event requires a step."""
         times: list[int] = []
-        next_step = self.next_step()
-        if next_step is not None:
-            times.append(next_step)
+        next_due_at = self.next_due_at()
+        if next_due_at is not None:
+            times.append(next_due_at)
         if self.persistence.failing:
             times.append(self.persistence.retry_at)
         if self.pin.applied:
--- a/damsonpick/load_tool/player.py
+++ b/damsonpick/load_tool/player.py
@@ -117,7 +117,7 @@
         """Return an idle connection that is still open, or None. Close connections that the target closed."""
         while self.idle_connections:
             connection = self.idle_connections.pop()
-            if sockets.idle(connection):
+            if sockets.is_reusable(connection):
                 return connection
             await anyio.aclose_forcefully(connection)
         return None
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -10,7 +10,7 @@
 from damsonpick.protocols.platform.address import Address
 from damsonpick.protocols.platform.errors import TransportError
 from damsonpick.protocols.platform.http_response import ResponseReader, build_request
-from damsonpick.runtime.sockets import idle
+from damsonpick.runtime.sockets import is_reusable
 from damsonpick.runtime.timeouts import complete_within
 
 READ_BYTES = 65_536
@@ -109,7 +109,7 @@
             self._stream = await dial(self.address, timeout_s)
 
     def _is_stale(self, stream: SocketStream) -> bool:
-        return anyio.current_time() - self._last_used_s > self.max_idle_s or not idle(stream)
+        return anyio.current_time() - self._last_used_s > self.max_idle_s or not is_reusable(stream)
 
     async def request(self, method: str, path: str, body: bytes, timeout_s: float) -> HttpResponse:
         """Send a request and return its response; call `connect` first.
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -74,7 +74,7 @@
     def start(self) -> None:
         """Create a planner and queue its first events."""
         planner, events = self._start_planner()
-        self.loop.begin_with(planner, events)
+        self.loop.install_planner(planner, events)
 
     def take_statistics(self) -> StepStatistics:
         """Return the statistics of the steps since the previous call, and reset them."""
@@ -94,7 +94,7 @@
                 # The error was raised outside `Planner.handle`, whose errors the loop handles. Orders of this step may
                 # not have been queued. The next planner starts from the state that the registry stores, and orders what
                 # is missing.
-                self.loop.give_up(now_ns, error)
+                self.loop.fail_planner(now_ns, error)
             self._record_step(self.clock.now() - now_ns)
             await anyio.sleep(EVENT_BATCH_S)
             if self.loop.planner is not None and self.loop.inbox:
@@ -121,7 +121,7 @@
 
     def _pause_s(self) -> float | None:
         """Return the seconds until the next step is due, or None if no step is due before the next event."""
-        due_ns = self.loop.next_step()
+        due_ns = self.loop.next_due_at()
         if due_ns is None:
             return None
         return max(MIN_PAUSE_S, self.clock.seconds(due_ns - self.clock.now()))
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -58,7 +58,7 @@
         self.failed_at = 0  # ns
         self.restart_at = 0  # ns
 
-    def begin_with(self, planner: Planner, events: list[api.Event]) -> None:
+    def install_planner(self, planner: Planner, events: list[api.Event]) -> None:
         """Install a planner. `events` are the first events that it receives and replace all queued events."""
         self.planner = planner
         self.timers.clear()
@@ -68,7 +68,7 @@
         """Queue events for the next step, in order."""
         self.inbox.extend(events)
 
-    def next_step(self) -> int | None:
+    def next_due_at(self) -> int | None:
         """Return the time in ns at which the loop must run again, or None if only an event requires it to run."""
         if self.planner is None:
             return self.restart_at
@@ -103,7 +103,7 @@
             return False
         return True
 
-    def give_up(self, now: int, error: Exception) -> None:
+    def fail_planner(self, now: int, error: Exception) -> None:
         """Drop the planner because the owner failed to start it or to execute its orders.
 
         Another planner replaces it after the restart delay.
--- a/damsonpick/runtime/sockets.py
+++ b/damsonpick/runtime/sockets.py
@@ -8,11 +8,11 @@
 from anyio.abc import SocketAttribute, SocketStream
 
 
-def idle(stream: SocketStream) -> bool:
+def is_reusable(stream: SocketStream) -> bool:
     """Return whether a connection can be reused for a request.
 
-    A connection with data or an end of stream to read is not idle. Usually its server has closed it, and a request
-    sent on it would be lost. A stream that is closed on this side is not idle either.
+    A connection with data or an end of stream to read is not reusable. Usually its server has closed it, and a request
+    sent on it would be lost. A stream that is closed on this side is not reusable either.
     """
     poller = select.poll()
     try:
--- a/damsonpick/testing/fakes/http.py
+++ b/damsonpick/testing/fakes/http.py
@@ -106,7 +106,7 @@
 
     def is_idle(self) -> bool:
         """Return whether the connection is open and the server has sent no data outside a response."""
-        return sockets.idle(self._stream)
+        return sockets.is_reusable(self._stream)
 
     async def close(self) -> None:
         """Close the connection at once."""
