--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -238,7 +238,7 @@
             {
                 Query.STATUS: status.answer,
                 Query.TABLES: TablesQuery(self.published, self.catalogue).answer,
-                Query.WEIGHTS: weights_query(self.advisor, self.settings.solved),
+                Query.WEIGHTS: weights_query(self.advisor, self.settings.needs_solver),
                 Query.VERSIONS: self._answer_versions,
                 Query.LIST: ListQuery(self.list_watch, self.list_updater, self.clock).answer,
                 Query.SASP: sasp_query(self.sasp),
@@ -254,7 +254,7 @@
         """Refresh the statuses in SASP advice and send advice that needs no solve, after a change of the list."""
         if self.sasp is not None:
             self.sasp.update_statuses()
-        if self.settings.solved:
+        if self.settings.needs_solver:
             self.engine.step(self.clock.now())
             self.solver_task.send_immediate_advice()
 
--- a/damsonpick/controller/daemon.py
+++ b/damsonpick/controller/daemon.py
@@ -132,7 +132,7 @@
         }
         if self.settings.learned_state.enabled:
             tasks["snapshots"] = components.snapshot_task.run
-        if self.settings.solved:
+        if self.settings.needs_solver:
             tasks["solver"] = components.solver_task.run
         for name, run in tasks.items():
             group.start_soon(keep_running, name, run, self.log)
--- a/damsonpick/settings/consistency.py
+++ b/damsonpick/settings/consistency.py
@@ -37,17 +37,17 @@
 
 def _classes(settings: PilotSettings) -> Iterator[Problem]:
     for name, request_class in settings.classes.items():
-        yield from _class(f"class {name}", request_class, settings.solved)
+        yield from _class(f"class {name}", request_class, settings.needs_solver)
 
 
-def _class(section: str, request_class: RequestClass, solved: bool) -> Iterator[Problem]:
+def _class(section: str, request_class: RequestClass, needs_solver: bool) -> Iterator[Problem]:
     if request_class.deadline < request_class.latency_objective:
         remedy = "is shorter than aim; give a deadline that is at least as long as aim"
         yield Problem(section, "deadline", f"{request_class.deadline} ns", remedy)
     if request_class.effect == "idempotency_key" and not request_class.key_window:
         remedy = "is missing; a class with idempotency keys needs the time for which servers remember a key"
         yield Problem(section, "key_window", "", remedy)
-    if solved and not request_class.mean_work:
+    if needs_solver and not request_class.mean_work:
         remedy = "is missing; the solver needs the mean core time of a request, such as 300 ms"
         yield Problem(section, "work", "", remedy)
 
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -221,7 +221,7 @@
     classes: dict[str, RequestClass]
 
     @property
-    def solved(self) -> bool:
+    def needs_solver(self) -> bool:
         """Return whether the solver has anything to compute."""
         return not self.tables.slices or self.solver.solve_entries or self.solver.advise_capacity
 
--- a/damsonpick/settings/sections.py
+++ b/damsonpick/settings/sections.py
@@ -19,7 +19,7 @@
 
 
 def read(
-    path: Path, model: type[Model], single: tuple[str, ...], named: Mapping[str, str], whole: str = ""
+    path: Path, model: type[Model], single: tuple[str, ...], named: Mapping[str, str], collecting_field: str = ""
 ) -> tuple[Model, list[Problem]]:
     """Return the model, and the problems that are not errors of the model, such as unknown sections.
 
@@ -28,16 +28,16 @@
     Args:
         path: Path of the INI file.
         model: Model of the file.
-        single: Sections that occur once. Each is a field of the same name, unless `whole` collects it.
+        single: Sections that occur once. Each is a field of the same name, unless `collecting_field` collects it.
         named: Field that collects the named sections of a kind, by the first word of the section, for example
             {"class": "classes"}.
-        whole: Field that collects, unchanged, those sections of `single` that are not fields of the model. Empty if
-            every section of `single` is a field.
+        collecting_field: Field that collects, unchanged, those sections of `single` that are not fields of the model.
+            Empty if every section of `single` is a field.
 
     Raises:
         SettingsError: The file cannot be parsed or does not fit the model.
     """
-    raw, problems = _collect(parse(path), model, single, named, whole)
+    raw, problems = _collect(parse(path), model, single, named, collecting_field)
     if "classes" in raw and not raw["classes"]:
         problems.append(Problem("class NAME", "", "", "is missing; add a section for each request class"))
     first_words = {field: word for word, field in named.items()}
@@ -53,18 +53,18 @@
     model: type[BaseModel],
     single: tuple[str, ...],
     named: Mapping[str, str],
-    whole: str,
+    collecting_field: str,
 ) -> tuple[dict[str, Any], list[Problem]]:
     """Return the sections of the file in the form that the model expects, and a problem per unknown section."""
     raw: dict[str, Any] = {field: {} for field in named.values()}
-    if whole:
-        raw[whole] = {}
+    if collecting_field:
+        raw[collecting_field] = {}
     problems = []
     for section in parser.sections():
         first_word, _, name = section.partition(" ")
         if section in single:
-            is_field = section in model.model_fields or not whole
-            target = raw if is_field else raw[whole]
+            is_field = section in model.model_fields or not collecting_field
+            target = raw if is_field else raw[collecting_field]
             target[section] = dict(parser[section])
         elif first_word in named and name.strip():
             raw[named[first_word]][name.strip()] = dict(parser[section])
--- a/damsonpick/testing/scenarios/script.py
+++ b/damsonpick/testing/scenarios/script.py
@@ -111,7 +111,7 @@
         SettingsError: The script has problems. The error lists each of them with section, key, value and remedy.
     """
     script, problems = sections.read(
-        path, Script, ("day", *PILOT_SECTIONS), {"class": "classes", "trouble": "faults"}, whole="pilot"
+        path, Script, ("day", *PILOT_SECTIONS), {"class": "classes", "trouble": "faults"}, collecting_field="pilot"
     )
     problems += _late_faults(script)
     if problems:
