--- a/damsonpick/controller/version_queries.py
+++ b/damsonpick/controller/version_queries.py
@@ -114,7 +114,7 @@
     def _who(self, now: int, request: WhoHolds) -> Reply:
         history = self.recorder.history
         asked = history.find(str(request.version)) if request.version else history.newest()
-        rows = self.session_manager.held_versions(now, history.roots)
+        rows = self.session_manager.client_versions(now, history.roots)
         return {
             "version": asked.number,
             "root": asked.root,
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -349,7 +349,7 @@
         """
         return max(self._polled_at, self._pushed_at)
 
-    def held_counts(self) -> dict[str, int]:
+    def state_counts(self) -> dict[str, int]:
         """Return the number of groups whose advice was sent to the peer."""
         return {"groups": len(self._last_advice)}
 
--- a/damsonpick/protocols/shared/session.py
+++ b/damsonpick/protocols/shared/session.py
@@ -86,5 +86,5 @@
     def acknowledged_at(self) -> int:
         """Return the time in ns at which the peer last acknowledged a message, or 0 if it never did."""
 
-    def held_counts(self) -> dict[str, int]:
+    def state_counts(self) -> dict[str, int]:
         """Return the amount of state that the peer has, by kind, for operators."""
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -288,7 +288,7 @@
 
     # -- state for operators; the keys are part of the interface of the commands
 
-    def held_versions(self, now: int, numbers_by_root: Mapping[str, int]) -> Iterator[dict[str, object]]:
+    def client_versions(self, now: int, numbers_by_root: Mapping[str, int]) -> Iterator[dict[str, object]]:
         """Yield the version of the tables that each client has, as `damsonpick versions who` shows it.
 
         If `verified` is true, the client itself checks the root of its state. Otherwise the version is only what the
@@ -335,7 +335,7 @@
                 "unanswered": session.unacknowledged_messages(),
                 "waiting_lines": pending.entries,
                 "waiting_s": _seconds(now - pending.ordered_at) if pending.units else 0.0,
-                "holds": session.held_counts(),
+                "holds": session.state_counts(),
                 "rejected": dict(session.rejections),
             }
 
--- a/damsonpick/protocols/xds/session.py
+++ b/damsonpick/protocols/xds/session.py
@@ -165,7 +165,7 @@
         """Return the time at which the client last accepted a response, ns; 0 if it never did."""
         return max((watch.acknowledged_at for watch in self.watches.values()), default=0)
 
-    def held_counts(self) -> dict[str, int]:
+    def state_counts(self) -> dict[str, int]:
         """Return the number of resources that the client has acknowledged, by short type name."""
         return {SHORT_NAMES[type_url]: len(watch.acknowledged) for type_url, watch in self.watches.items()}
 
