--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -175,7 +175,7 @@
         Returns:
             Sessions that may acknowledge sync tokens now.
         """
-        change = self.published.touch(endpoints)
+        change = self.published.mark_changed(endpoints)
         now = self.clock.advance_to(now)
         return self._publish(now, change, "list", "endpoints that moved") if change.entries else []
 
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -69,7 +69,7 @@
 
     def list_unavailable(self) -> None:
         """Notify the engine that no source is available and that the list, which stays in use, may be out of date."""
-        self.engine.enqueue(self.endpoint_list.failed())
+        self.engine.enqueue(self.endpoint_list.unavailable_event())
 
     def accept(self) -> list[str]:
         """Apply an operator's confirmation that the held endpoints, which the list omits, are gone. Return them."""
--- a/damsonpick/controller/load_report_task.py
+++ b/damsonpick/controller/load_report_task.py
@@ -41,7 +41,7 @@
     def receive(self, report: ClientReport) -> None:
         """Add one load report of a gateway."""
         now = self.clock.now()
-        self.load_reports.join(now, report.client)
+        self.load_reports.add_client(now, report.client)
         problems = self.load_reports.add(now, report)
         for problem in problems[:MAX_LOGGED_PROBLEMS]:
             self.log.info("load_report_invalid", gateway=report.client, reason=problem)
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -160,7 +160,7 @@
         """Yield lists without end; after each failure, yield the error instead of a list."""
         while True:
             await anyio.sleep(self.budget.wait(self.clock()) / 1e9)
-            self.budget.spend(self.clock())
+            self.budget.record_call(self.clock())
             try:
                 async for content in self._stream():
                     yield content
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -206,6 +206,6 @@
             return 0
         return self.recent[-self.calls] + self.window - now
 
-    def spend(self, now: int) -> None:
+    def record_call(self, now: int) -> None:
         """Count a call against the budget."""
         self.recent.append(now)
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -77,7 +77,7 @@
         self.known_zones.update((entry.endpoint, entry.zone) for entry in entries)
         return changed
 
-    def failed(self) -> api.EndpointListChanged:
+    def unavailable_event(self) -> api.EndpointListChanged:
         """Return the event for a source that sends no list."""
         return api.EndpointListChanged("unavailable", ())
 
@@ -94,7 +94,7 @@
         listed = self._consistent_entries(now, problems)
         if not listed and self.entries:
             problems.append("the list is empty: treated as a failed source, the previous list stays effective")
-            return ListValidation(self.failed(), problems)
+            return ListValidation(self.unavailable_event(), problems)
         self._update_held(now, listed, is_lost, problems)
         listed.update(self.held)
         if self.confirmed and listed == self.entries:
--- a/damsonpick/state/load_reports.py
+++ b/damsonpick/state/load_reports.py
@@ -99,7 +99,7 @@
         self._slices: dict[tuple[int, str], _SliceTotals] = {}  # totals by slice and class
         self._covered: dict[int, int] = {}  # sum of the periods of the reports, ns, by client
 
-    def join(self, now: int, client: int) -> None:
+    def add_client(self, now: int, client: int) -> None:
         """Register a client. The first report of a new client may cover the last report period.
 
         A client that has reported before may also report on the time during which it was disconnected.
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -140,7 +140,7 @@
         self.changed.update(dict.fromkeys(entries, self.seq))
         return Change(self.seq, entries, sync_tokens, urgent)
 
-    def touch(self, endpoints: Iterable[str]) -> Change:
+    def mark_changed(self, endpoints: Iterable[str]) -> Change:
         """Mark the entries of some endpoints as changed in all tables.
 
         This is needed when another property of the endpoints, such as their zone, has changed.
--- a/tests/test_endpoint_list_sources.py
+++ b/tests/test_endpoint_list_sources.py
@@ -82,7 +82,7 @@
     backoff = Backoff(rng)
     while now < NOW + 600 * SECOND:
         now += budget.wait(now)
-        budget.spend(now)
+        budget.record_call(now)
         calls.append(now)
         backoff.reset()
         now += int(backoff.next_delay_s() * SECOND)
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -31,7 +31,7 @@
 def test_reports_of_a_zone_add_up_as_rates():
     reports = load_reports()
     for client in (0, 1):
-        reports.join(NOW, client)
+        reports.add_client(NOW, client)
     assert reports.add(NOW, report(0)) == []
     assert reports.add(NOW, report(1, attempts=20, failures=2, timed_successes=18)) == []
     planner_report, demand = reports.flush()
@@ -43,7 +43,7 @@
 
 def test_a_repeated_report_is_dropped_and_a_late_one_counts_with_its_time():
     reports = load_reports()
-    reports.join(NOW, 0)
+    reports.add_client(NOW, 0)
     assert reports.add(NOW, report()) == []
     assert "more time than has passed" in reports.add(NOW, report())[0]
     reports.flush()
@@ -56,7 +56,7 @@
 
 def test_late_batches_that_come_at_once_all_count():
     reports = load_reports()
-    reports.join(NOW, 0)
+    reports.add_client(NOW, 0)
     assert not any(reports.add(NOW + 6 * SECOND, report()) for _ in range(6))
     planner_report = reports.flush()[0]
     assert (planner_report.attempts, planner_report.period) == (60, 6 * SECOND)
@@ -69,7 +69,7 @@
 
 def test_contradictory_counts_are_cut_to_possible_values():
     reports = load_reports()
-    reports.join(NOW, 0)
+    reports.add_client(NOW, 0)
     assert "cut" in reports.add(NOW, report(attempts=3, failures=9, timed_successes=7))[0]
     planner_report = reports.flush()[0]
     assert (planner_report.attempts, planner_report.failures, planner_report.latency) == (3, 3, 0)
@@ -77,7 +77,7 @@
 
 def test_unknown_endpoints_and_slices_are_dropped():
     reports = load_reports()
-    reports.join(NOW, 0)
+    reports.add_client(NOW, 0)
     unknown = ClientReport(0, "a", SECOND, (EndpointStats("who:1", 1, 0, 1, 1),), (SliceStats(99, "page", 1, 0),))
     assert len(reports.add(NOW, unknown)) == 2 and reports.flush() == []
 
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -522,7 +522,7 @@
     load_reports = LoadReports(("page", "tally"), 4, SECOND, 10 * SECOND)
     load_reports.known_endpoints = set(loop.zones)
     for number, (attempts, failures) in enumerate(((5, 50), (0, 0), (10**15, 3))):
-        load_reports.join(loop.now, number)
+        load_reports.add_client(loop.now, number)
         load_reports.add(
             loop.now,
             ClientReport(
