--- a/damsonpick/decisions/admission.py
+++ b/damsonpick/decisions/admission.py
@@ -155,7 +155,7 @@
     def _reporting_endpoints(self, capacities: dict[str, float]) -> list[EndpointState]:
         """Return the usable endpoints with recent successful responses."""
         usable = [self.fleet.endpoints[name] for name in capacities]
-        return [e for e in usable if self.fleet.has_recent_report(e) and e.answer_rate]
+        return [e for e in usable if self.fleet.has_recent_report(e) and e.response_rate]
 
     def _throughput(self, capacities: dict[str, float], reporting: list[EndpointState], admitted: float) -> float:
         """Estimate the successful responses/s of the fleet.
@@ -163,7 +163,7 @@
         In a large fleet, or after a start, the reports cover only part of the fleet. The success ratio and the response
         rate of that part are then assumed for the whole fleet.
         """
-        reported = sum(e.answer_rate for e in reporting)
+        reported = sum(e.response_rate for e in reporting)
         attempts = sum(e.attempts for e in reporting) or 1.0
         success_ratio = sum(e.attempts - e.failures for e in reporting) / attempts
         extrapolated = reported / max(MIN_COVERAGE, self._coverage(capacities))
--- a/damsonpick/decisions/endpoint_state.py
+++ b/damsonpick/decisions/endpoint_state.py
@@ -71,7 +71,7 @@
         attempts: Decaying number of attempts over all zones.
         failures: Decaying number of failed attempts over all zones.
         latency: Mean latency of the successful responses, ns; 0 if there are none.
-        answer_rate: Successful responses per second over all zones.
+        response_rate: Successful responses per second over all zones.
         success_ratio: Share of successful attempts in the zone where this share is highest. A lower share in another
             zone may be caused by the network link of that zone.
         reporting_zones: Number of zones whose newest report is younger than `ZONE_VIEW_TTL_NS`.
@@ -89,7 +89,7 @@
     attempts: float = 0.0
     failures: float = 0.0
     latency: float = 0.0
-    answer_rate: float = 0.0
+    response_rate: float = 0.0
     success_ratio: float = 1.0
     reporting_zones: int = 0
     last_report_at: int = 0
@@ -97,7 +97,7 @@
 
     def reset_outcomes(self) -> None:
         """Discard all reports, which describe an earlier process with the same name."""
-        self.attempts = self.failures = self.latency = self.answer_rate = 0.0
+        self.attempts = self.failures = self.latency = self.response_rate = 0.0
         self.success_ratio = 1.0
         self.reporting_zones = self.last_report_at = 0
         self.zone_views = {}
@@ -118,6 +118,6 @@
         self.attempts = sum(v.attempts for v in views)
         self.failures = self.attempts - successes
         self.latency = latency_sum / successes if successes > 0 else 0.0
-        self.answer_rate = sum(v.successes / v.covered_s for v in views)
+        self.response_rate = sum(v.successes / v.covered_s for v in views)
         self.success_ratio = max(v.successes / v.attempts for v in views)
         self.reporting_zones = len(views)
--- a/damsonpick/protocols/platform/state_log.py
+++ b/damsonpick/protocols/platform/state_log.py
@@ -67,7 +67,7 @@
         admitted_rate_limit_rps=_finite_or_none(planner.admitted_rate_limit),
         best_throughput_rps=round(planner.best_throughput, 1),
         request_rate_rps=round(sum(slice_.load for slice_ in planner.slices.values()), 1),
-        answer_rate_rps=round(sum(endpoint.answer_rate for endpoint in reporting), 1),
+        answer_rate_rps=round(sum(endpoint.response_rate for endpoint in reporting), 1),
         reporting_endpoints=len(reporting),
         report_span_s=round(planner.report_span / NS_PER_SECOND, 1),
         messages_in_flight=len(planner.flow_control.in_flight),
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -51,7 +51,7 @@
 
 def retrying() -> None:
     """Proxies retry requests of all classes after any failure."""
-    replace_admission(retry=3)
+    replace_admission(retry_mode=3)
 
 
 def reckless() -> None:
--- a/tests/test_learned_restore.py
+++ b/tests/test_learned_restore.py
@@ -112,7 +112,7 @@
     assert recovered_world(240.0).planner.admitted_rate_limit > 1.3 * recovered_world(0.0).planner.admitted_rate_limit
     world = recovered_world(5000.0)
     world.run(2, latency=dict.fromkeys("pqrs", 900), rate=40, tries=12)
-    throughput = sum(ep.answer_rate for ep in world.planner.endpoints.values())
+    throughput = sum(ep.response_rate for ep in world.planner.endpoints.values())
     assert world.planner.best_throughput <= 1.6 * throughput and world.planner.admitted_rate_limit <= 1.2 * throughput
 
 
