--- a/benchmarks/hand_pilot.py
+++ b/benchmarks/hand_pilot.py
@@ -23,7 +23,7 @@
             return []
         return self._advise_hand_made_tables(planner)
 
-    def repaired_tables(self, planner: Planner) -> list[api.Event]:
+    def advice_for_changed_fleet(self, planner: Planner) -> list[api.Event]:
         # Operators know that a cold server warms up, so they return it to the tables by hand once it is warm.
         fleet_state = (
             self.fleet(planner),
--- a/benchmarks/simhost_advised.py
+++ b/benchmarks/simhost_advised.py
@@ -16,7 +16,7 @@
 from damsonpick.protocols.simulator import __main__ as program
 from damsonpick.protocols.simulator import host as hosts
 from damsonpick.solver.model import Costs, RequestClass, Server
-from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem, divide_slices
+from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem, solve_slice_weights
 
 ADVICE_PERIOD_NS = 2_000_000_000
 LAST_ADVICE_NS: dict[str, int] = {}  # time of the last advice, by instance
@@ -37,7 +37,7 @@
         for _, p in sorted(planner.slices.items())
         if p.assigned
     )
-    weights_by_slice = divide_slices(SliceWeightsProblem(kinds, servers, pieces, Costs(move=0.1)))
+    weights_by_slice = solve_slice_weights(SliceWeightsProblem(kinds, servers, pieces, Costs(move=0.1)))
     return [TableAdvised(n, lines, False) for n, lines in sorted(weights_by_slice.items())]
 
 
--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -63,8 +63,8 @@
             return
         if planner is not self.planner:
             self.planner = planner
-            self.engine.enqueue(*self.advisor.readvise())
-        self._send(self.advisor.initial_tables(planner) or self.advisor.repaired_tables(planner))
+            self.engine.enqueue(*self.advisor.repeat_advice())
+        self._send(self.advisor.initial_tables(planner) or self.advisor.advice_for_changed_fleet(planner))
 
     async def run(self) -> None:
         """Send advice that needs no solve, and solve when a solve is due. Repeat periodically until cancelled."""
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -71,7 +71,7 @@
         previous_plan: The plan before `last_plan`, or None.
         advised_weights: Last advised weights by table and endpoint.
         solved_fleet: The fleet at the start of the last solve.
-        repaired_fleet: The fleet for which `repaired_tables` last computed advice.
+        repaired_fleet: The fleet for which `advice_for_changed_fleet` last computed advice.
         failures: Number of failed solves since the last successful solve.
         failure_reason: Reason of the last failure; empty after a successful solve.
     """
@@ -208,7 +208,7 @@
             tables[zone, request_class.name] = normalise(capacities)
         return self.advise_tables(tables, planner)
 
-    def repaired_tables(self, planner: Planner) -> list[api.Event]:
+    def advice_for_changed_fleet(self, planner: Planner) -> list[api.Event]:
         """Return advice when servers were added, removed or restarted, without waiting for a solve.
 
         Servers keep their last weights. Servers that are new to a table get the mean weight per capacity of the others,
@@ -263,7 +263,7 @@
                 events.append(api.TableAdvised(number, entries, True))
         return events
 
-    def readvise(self) -> list[api.Event]:
+    def repeat_advice(self) -> list[api.Event]:
         """Return all advice again, for a planner that was restarted."""
         return [
             api.TableAdvised(number, tuple(weights.items()), True)
--- a/damsonpick/solver/slice_weights.py
+++ b/damsonpick/solver/slice_weights.py
@@ -61,7 +61,7 @@
     current_work: float
 
 
-def divide_slices(problem: SliceWeightsProblem) -> dict[int, Weights]:
+def solve_slice_weights(problem: SliceWeightsProblem) -> dict[int, Weights]:
     """Return new weights by slice, with mean 1 over a slice's entries.
 
     Slices with a single endpoint, and slices whose weights change by at most `MIN_CHANGE`, are left out.
--- a/damsonpick/solver/work.py
+++ b/damsonpick/solver/work.py
@@ -8,7 +8,7 @@
 from damsonpick.solver.model import Plan, Problem, Weights
 from damsonpick.solver.plan import plan
 from damsonpick.solver.program import Program
-from damsonpick.solver.slice_weights import SliceWeightsProblem, divide_slices
+from damsonpick.solver.slice_weights import SliceWeightsProblem, solve_slice_weights
 
 _programs: dict[float, Program] = {}  # by time limit in seconds
 
@@ -34,4 +34,4 @@
         NoOptimumError: The program has no optimum.
     """
     del time_limit
-    return divide_slices(problem)
+    return solve_slice_weights(problem)
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -23,7 +23,7 @@
 from damsonpick.solver.model import Costs, Demand, Problem, RequestClass, Server
 from damsonpick.solver.plan import keep_similar, normalise, plan
 from damsonpick.solver.program import SHORTFALL_PENALTY, Program, max_spread_slope, patience
-from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem, divide_slices
+from damsonpick.solver.slice_weights import SliceLoad, SliceWeightsProblem, solve_slice_weights
 from damsonpick.state.load_reports import ClientReport, EndpointStats, LoadReports, SliceStats
 from tests.pilots import SETTINGS
 
@@ -355,10 +355,10 @@
         (SliceLoad(0, 5.0, ("s0", "s1"), (1.0, 1.0)), SliceLoad(1, 0.5, ("s1",), (1.0,))),
         Costs(move=0.0),
     )
-    got = dict(divide_slices(p)[0])
+    got = dict(solve_slice_weights(p)[0])
     assert got["s0"] > 2 * got["s1"]
-    assert divide_slices(p._replace(slices=p.slices[1:])) == {}
-    assert divide_slices(p._replace(slices=(SliceLoad(0, 50.0, ("gone", "s1"), (1.0, 1.0)),)))
+    assert solve_slice_weights(p._replace(slices=p.slices[1:])) == {}
+    assert solve_slice_weights(p._replace(slices=(SliceLoad(0, 50.0, ("gone", "s1"), (1.0, 1.0)),)))
 
 
 # -- with the planner
@@ -440,7 +440,7 @@
                     (self.now + int(self.rng.uniform(*self.report_delay_s) * SECOND), self.load_report_events())
                 )
             self.handle(api.TimerFired(0), *due)
-            self.handle(*self.advisor.repaired_tables(self.planner))
+            self.handle(*self.advisor.advice_for_changed_fleet(self.planner))
             if plans and self.advisor.is_due(self.now, self.planner):
                 self.advisor.begin_solve(self.now, self.planner)
                 solved = plan(self.program, self.advisor.problem(self.planner))
