--- a/benchmarks/sasp.py
+++ b/benchmarks/sasp.py
@@ -31,7 +31,7 @@
 from damsonpick.protocols.sasp import codec
 from damsonpick.protocols.sasp.advisor import WeightAdvisor
 from damsonpick.protocols.sasp.client import connect
-from damsonpick.protocols.sasp.layout import GetWeights, Group, LbFlag, MembersOf, Message, Sender, member
+from damsonpick.protocols.sasp.layout import GetWeights, Group, LbFlag, MemberGroup, Message, Sender, member
 from damsonpick.protocols.sasp.pacing import MessageRateLimiter, PollPacer
 from damsonpick.protocols.sasp.registry import AccessLevel, Limits, Registry
 from damsonpick.protocols.sasp.session import SaspSession
@@ -66,7 +66,7 @@
     session = SaspSession(advisor, lambda lb: "a", MessageRateLimiter(1e9))
     listed = tuple(member(name(k)) for k in range(1, MEMBERS + 1))
     keys = [Group(b"lb", b"all")] if groups == 1 else [Group(b"lb", b"%d" % n) for n in range(groups)]
-    registry.register(session, Sender.BALANCER, [MembersOf(k, listed) for k in keys])
+    registry.register(session, Sender.BALANCER, [MemberGroup(k, listed) for k in keys])
     request = codec.encode(Message(1, GetWeights(tuple(keys))))
     polls_per_s = {}
     for how in ("kept", "made anew"):
@@ -98,7 +98,7 @@
     async def run_balancer(k: int) -> None:
         nonlocal ready, done
         async with connect(address, f"storm-{k}".encode()) as client:
-            await client.hello()
+            await client.set_lb_state()
             await client.register(b"all", listed)
             ready += 1
             while polling:
@@ -150,7 +150,7 @@
         anyio.create_task_group() as group,
     ):
         group.start_soon(xds_gateway.watch_client.run)
-        await client.hello(LbFlag.PUSH)
+        await client.set_lb_state(LbFlag.PUSH)
         await client.register(b"all", [member(name(k)) for k in range(1, MEMBERS + 1)])
         while len(xds_gateway.received_state.tables) < 7:
             await anyio.sleep(0.05)
--- a/damsonpick/cli/sasp.py
+++ b/damsonpick/cli/sasp.py
@@ -22,7 +22,7 @@
     settings_file,
 )
 from damsonpick.protocols.sasp import client as sasp_client
-from damsonpick.protocols.sasp.layout import LbFlag, Member, SendWeights, WeightFlag, WeightsOf, member
+from damsonpick.protocols.sasp.layout import LbFlag, Member, SendWeights, WeightFlag, WeightGroup, member
 
 PUSH_BUFFER = 100  # most pushes that may wait to be printed
 FLAG_NAMES = {
@@ -44,7 +44,7 @@
     """The manager rejected a request. The message describes the code of its response."""
 
 
-def _print_weights(groups: tuple[WeightsOf, ...], as_json: bool) -> None:
+def _print_weights(groups: tuple[WeightGroup, ...], as_json: bool) -> None:
     rows = []
     for group in groups:
         name = group.group.name.decode("utf-8", "backslashreplace")
@@ -74,12 +74,12 @@
 
 
 async def _register(client: sasp_client.Client, group: bytes, members: list[Member], flags: int = 0) -> None:
-    """Send the hello message to the manager and register members.
+    """Send a Set LB State message to the manager and register members.
 
     Raises:
-        RequestRejectedError: The manager rejects the hello message or the registration.
+        RequestRejectedError: The manager rejects the Set LB State message or the registration.
     """
-    _require_success(await client.hello(flags))
+    _require_success(await client.set_lb_state(flags))
     _require_success(await client.register(group, members))
 
 
--- a/damsonpick/protocols/sasp/client.py
+++ b/damsonpick/protocols/sasp/client.py
@@ -10,7 +10,7 @@
 
 from damsonpick.protocols.sasp import codec
 from damsonpick.protocols.sasp import layout as sasp
-from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MembersOf, Sender
+from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberGroup, Sender
 
 READ_BYTES = 65_536
 
@@ -95,18 +95,18 @@
             raise SaspError(f"the manager replied to {type(body).__name__} with {type(reply).__name__}")
         return reply.code
 
-    async def hello(self, flags: int = 0, health: int = 127) -> int:
+    async def set_lb_state(self, flags: int = 0, health: int = 127) -> int:
         """Identify the load balancer to the manager with Set LB State and return the reply code."""
         return await self._ask_for_code(sasp.SetLbState(self.lb, health, LbFlag(flags)))
 
     async def register(self, name: bytes, members: list[Member], sender: Sender = Sender.BALANCER) -> int:
         """Register members of a group and return the reply code."""
-        body = sasp.Register(sender, (MembersOf(Group(self.lb, name), tuple(members)),))
+        body = sasp.Register(sender, (MemberGroup(Group(self.lb, name), tuple(members)),))
         return await self._ask_for_code(body)
 
     async def deregister(self, name: bytes) -> int:
         """Deregister a group with all its members and return the reply code."""
-        body = sasp.Deregister(Sender.BALANCER, 0, (MembersOf(Group(self.lb, name), ()),))
+        body = sasp.Deregister(Sender.BALANCER, 0, (MemberGroup(Group(self.lb, name), ()),))
         return await self._ask_for_code(body)
 
     async def weights(self, *names: bytes) -> sasp.WeightsReply:
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -132,21 +132,21 @@
     return b"".join((REPLY_HEAD.pack(code, interval), COUNT.pack(len(groups)), *groups))
 
 
-def _write_member_groups(groups: Sequence[sasp.MembersOf]) -> bytes:
+def _write_member_groups(groups: Sequence[sasp.MemberGroup]) -> bytes:
     encoded = []
     for group, members in groups:
         encoded.append(_write_group_of(sasp.MEMBERS_OF, group, [write_member(member) for member in members]))
     return write_groups(encoded)
 
 
-def _write_weight_groups(groups: Sequence[sasp.WeightsOf]) -> list[bytes]:
+def _write_weight_groups(groups: Sequence[sasp.WeightGroup]) -> list[bytes]:
     encoded = []
     for group, weights in groups:
         encoded.append(_write_group_of(sasp.WEIGHTS_OF, group, [write_weight(weight) for weight in weights]))
     return encoded
 
 
-def _write_state_groups(groups: Sequence[sasp.StatesOf]) -> bytes:
+def _write_state_groups(groups: Sequence[sasp.StateGroup]) -> bytes:
     encoded = []
     for group, states in groups:
         encoded.append(_write_group_of(sasp.STATES_OF, group, [_write_state(state) for state in states]))
@@ -321,16 +321,16 @@
     return group, rows
 
 
-def _read_members_of(reader: Reader) -> sasp.MembersOf:
-    return sasp.MembersOf(*_read_group_of(reader, sasp.MEMBERS_OF, MIN_MEMBER_BYTES, _read_member))
+def _read_members_of(reader: Reader) -> sasp.MemberGroup:
+    return sasp.MemberGroup(*_read_group_of(reader, sasp.MEMBERS_OF, MIN_MEMBER_BYTES, _read_member))
 
 
-def _read_weights_of(reader: Reader) -> sasp.WeightsOf:
-    return sasp.WeightsOf(*_read_group_of(reader, sasp.WEIGHTS_OF, MIN_WEIGHT_BYTES, _read_weight))
+def _read_weights_of(reader: Reader) -> sasp.WeightGroup:
+    return sasp.WeightGroup(*_read_group_of(reader, sasp.WEIGHTS_OF, MIN_WEIGHT_BYTES, _read_weight))
 
 
-def _read_states_of(reader: Reader) -> sasp.StatesOf:
-    return sasp.StatesOf(*_read_group_of(reader, sasp.STATES_OF, MIN_STATE_BYTES, _read_state))
+def _read_states_of(reader: Reader) -> sasp.StateGroup:
+    return sasp.StateGroup(*_read_group_of(reader, sasp.STATES_OF, MIN_STATE_BYTES, _read_state))
 
 
 def _read_sender(reader: Reader) -> sasp.Sender:
--- a/damsonpick/protocols/sasp/layout.py
+++ b/damsonpick/protocols/sasp/layout.py
@@ -132,7 +132,7 @@
     name: bytes
 
 
-class MembersOf(NamedTuple):
+class MemberGroup(NamedTuple):
     """A group with some of its members."""
 
     group: Group
@@ -148,7 +148,7 @@
     weight: int  # 0 to 65535
 
 
-class WeightsOf(NamedTuple):
+class WeightGroup(NamedTuple):
     """A group with weights of its members."""
 
     group: Group
@@ -163,7 +163,7 @@
     flags: MemberFlag
 
 
-class StatesOf(NamedTuple):
+class StateGroup(NamedTuple):
     """A group with states of its members."""
 
     group: Group
@@ -174,7 +174,7 @@
     """Registration request (RFC 4678, 6.1)."""
 
     sender: Sender
-    groups: tuple[MembersOf, ...]
+    groups: tuple[MemberGroup, ...]
 
 
 class Deregister(NamedTuple):
@@ -186,7 +186,7 @@
 
     sender: Sender
     reason: int
-    groups: tuple[MembersOf, ...]
+    groups: tuple[MemberGroup, ...]
 
 
 class GetWeights(NamedTuple):
@@ -200,13 +200,13 @@
 
     code: int
     interval: int  # advised time until the next poll, seconds
-    groups: tuple[WeightsOf, ...]
+    groups: tuple[WeightGroup, ...]
 
 
 class SendWeights(NamedTuple):
     """Send Weights (RFC 4678, 6.4): a push, which the manager sends without a request."""
 
-    groups: tuple[WeightsOf, ...]
+    groups: tuple[WeightGroup, ...]
 
 
 class SetLbState(NamedTuple):
@@ -221,7 +221,7 @@
     """Set Member State request (RFC 4678, 6.6)."""
 
     sender: Sender
-    groups: tuple[StatesOf, ...]
+    groups: tuple[StateGroup, ...]
 
 
 class Reply(NamedTuple):
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -13,7 +13,7 @@
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
-from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberFlag, MembersOf, Sender, StatesOf
+from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberFlag, MemberGroup, Sender, StateGroup
 from damsonpick.time_units import NS_PER_SECOND
 
 REGISTRATION_RETENTION_NS = 60 * NS_PER_SECOND  # time for which registrations are kept after their last session ends
@@ -188,7 +188,7 @@
 
     # -- requests
 
-    def register(self, session: RegisteredSession, sender: Sender, groups: Iterable[MembersOf]) -> Code:
+    def register(self, session: RegisteredSession, sender: Sender, groups: Iterable[MemberGroup]) -> Code:
         """Carry out a registration request (RFC 4678, 6.1)."""
         seen: set[tuple[Group, Member]] = set()
         for group, members in groups:
@@ -242,7 +242,7 @@
             registered.members[member] = MemberRegistration(self_registered=not is_balancer)
         self._update_snapshot(registered)
 
-    def deregister(self, session: RegisteredSession, sender: Sender, groups: tuple[MembersOf, ...]) -> Code:
+    def deregister(self, session: RegisteredSession, sender: Sender, groups: tuple[MemberGroup, ...]) -> Code:
         """Carry out a deregistration request (RFC 4678, 6.2).
 
         If the request lists a group without members, the group is removed with all its members. If the request lists no
@@ -285,7 +285,7 @@
             del groups[group.name]
         self._update_snapshot(registered)
 
-    def set_states(self, sender: Sender, groups: Iterable[StatesOf]) -> Code:
+    def set_states(self, sender: Sender, groups: Iterable[StateGroup]) -> Code:
         """Carry out Set Member State (RFC 4678, 6.6): set opaque states and quiesce or resume members."""
         for group, states in groups:
             registered = self._find_changeable(sender, group, AccessLevel.STATE)
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -142,7 +142,7 @@
             self._identify(lb, flags)
         return code
 
-    def _register(self, sender: Sender, groups: tuple[sasp.MembersOf, ...]) -> Code:
+    def _register(self, sender: Sender, groups: tuple[sasp.MemberGroup, ...]) -> Code:
         code = self.advisor.registry.register(self, sender, groups)
         if code == Code.OK and sender & Sender.BALANCER and groups:
             self._identify(groups[0].group.lb, self.flags)
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -8,7 +8,16 @@
 import anyio
 
 from damsonpick.protocols.sasp.client import Client, SaspError, connect
-from damsonpick.protocols.sasp.layout import Group, LbFlag, MembersOf, Register, Sender, SendWeights, WeightsOf, member
+from damsonpick.protocols.sasp.layout import (
+    Group,
+    LbFlag,
+    MemberGroup,
+    Register,
+    Sender,
+    SendWeights,
+    WeightGroup,
+    member,
+)
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedTable
 from damsonpick.runtime.backoff import Backoff
@@ -81,14 +90,14 @@
                 self.record.put("stream", gw=self.name, up=False)
 
     async def _register(self, client: Client) -> None:
-        if code := await client.hello(LbFlag.PUSH | LbFlag.NO_CHANGE):
+        if code := await client.set_lb_state(LbFlag.PUSH | LbFlag.NO_CHANGE):
             raise SaspError(f"refused with 0x{code:02x}")
         listed = tuple(member(name) for name in self.members)
         group_names = [f"slice/{n}".encode() for n in range(self.slices)]
         for k in range(0, len(group_names), GROUPS_PER_REGISTRATION):
             body = Register(
                 Sender.BALANCER,
-                tuple(MembersOf(Group(client.lb, n), listed) for n in group_names[k : k + GROUPS_PER_REGISTRATION]),
+                tuple(MemberGroup(Group(client.lb, n), listed) for n in group_names[k : k + GROUPS_PER_REGISTRATION]),
             )
             code = (await client.ask(body)).code
             if code not in (0, 0x40):  # 0x40: still registered from the previous session
@@ -109,7 +118,7 @@
             await anyio.sleep(0.05)
         scope.cancel()
 
-    async def _apply_advice(self, groups: tuple[WeightsOf, ...]) -> None:
+    async def _apply_advice(self, groups: tuple[WeightGroup, ...]) -> None:
         """Apply advice to the tables, once a stall of this balancer is over and its read delay has passed."""
         if (wait := self.clock.seconds(max(self.stalled_until - self.clock.now(), 0) + self.read_delay)) > 0:
             await anyio.sleep(wait)
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -21,7 +21,7 @@
     LbFlag,
     Member,
     MemberFlag,
-    MembersOf,
+    MemberGroup,
     MemberState,
     Message,
     Register,
@@ -30,10 +30,10 @@
     SendWeights,
     SetLbState,
     SetMemberState,
-    StatesOf,
+    StateGroup,
     Weight,
     WeightFlag,
-    WeightsOf,
+    WeightGroup,
     WeightsReply,
     member,
 )
@@ -64,7 +64,7 @@
 HEX_V6 = "3010 001b 11 1f90 20010db8000000000000000000000001 03 736978"
 VECTORS = {
     "registration request (6.1)": (
-        Message(1, Register(Sender.BALANCER, (MembersOf(WEB_GROUP, (MEMBER_V4, MEMBER_V6)),))),
+        Message(1, Register(Sender.BALANCER, (MemberGroup(WEB_GROUP, (MEMBER_V4, MEMBER_V6)),))),
         f"{HEAD} 00000059 00000001 1010 004c 01 0001 4010 0045 0002 {HEX_GROUP} {HEX_V4} {HEX_V6}",
     ),
     "registration reply (6.1)": (
@@ -72,7 +72,7 @@
         f"{HEAD} 00000012 00000001 1015 0005 40",
     ),
     "deregistration request (6.2)": (
-        Message(2, Deregister(Sender.BALANCER, 1, (MembersOf(WEB_GROUP, (MEMBER_V4,)),))),
+        Message(2, Deregister(Sender.BALANCER, 1, (MemberGroup(WEB_GROUP, (MEMBER_V4,)),))),
         f"{HEAD} 0000003f 00000002 1020 0032 01 01 0001 4010 002a 0001 {HEX_GROUP} {HEX_V4}",
     ),
     "deregistration reply (6.2)": (
@@ -89,13 +89,13 @@
             WeightsReply(
                 Code.OK,
                 10,
-                (WeightsOf(WEB_GROUP, (Weight(MEMBER_V4, 7, WeightFlag.CONTACT | WeightFlag.CONFIDENT, 1000),)),),
+                (WeightGroup(WEB_GROUP, (Weight(MEMBER_V4, 7, WeightFlag.CONTACT | WeightFlag.CONFIDENT, 1000),)),),
             ),
         ),
         f"{HEAD} 00000048 00000003 1035 003b 00 000a 0001 4011 0032 0001 {HEX_GROUP} 3012 0020 {HEX_V4} 07 09 03e8",
     ),
     "send weights (6.4)": (
-        Message(9, SendWeights((WeightsOf(WEB_GROUP, (Weight(MEMBER_V4, 0, WeightFlag.QUIESCE, 0),)),))),
+        Message(9, SendWeights((WeightGroup(WEB_GROUP, (Weight(MEMBER_V4, 0, WeightFlag.QUIESCE, 0),)),))),
         f"{HEAD} 00000045 00000009 1040 0038 0001 4011 0032 0001 {HEX_GROUP} 3012 0020 {HEX_V4} 00 02 0000",
     ),
     "set LB state request (6.5)": (
@@ -107,7 +107,9 @@
         f"{HEAD} 00000012 00000004 1055 0005 11",
     ),
     "set member state request (6.6)": (
-        Message(5, SetMemberState(Sender(0), (StatesOf(WEB_GROUP, (MemberState(MEMBER_V4, 5, MemberFlag.QUIESCE),)),))),
+        Message(
+            5, SetMemberState(Sender(0), (StateGroup(WEB_GROUP, (MemberState(MEMBER_V4, 5, MemberFlag.QUIESCE),)),))
+        ),
         f"{HEAD} 00000044 00000005 1060 0037 00 0001 4012 0030 0001 {HEX_GROUP} 3013 001e {HEX_V4} 05 01",
     ),
     "set member state reply (6.6)": (
@@ -136,12 +138,14 @@
     return st.lists(st.builds(kind, groups, st.lists(rows, max_size=4).map(tuple)), max_size=4).map(tuple)
 
 
-members_of = groups_of(MembersOf, members)
+members_of = groups_of(MemberGroup, members)
 weights_of = groups_of(
-    WeightsOf,
+    WeightGroup,
     st.builds(Weight, members, st.integers(0, 255), st.integers(0, 15).map(WeightFlag), st.integers(0, 65535)),
 )
-states_of = groups_of(StatesOf, st.builds(MemberState, members, st.integers(0, 255), st.integers(0, 1).map(MemberFlag)))
+states_of = groups_of(
+    StateGroup, st.builds(MemberState, members, st.integers(0, 255), st.integers(0, 1).map(MemberFlag))
+)
 sender = st.integers(0, 1).map(Sender)
 bodies = st.one_of(
     st.builds(Register, sender, members_of),
@@ -246,7 +250,7 @@
 
 
 def register_members(registry, *members, session="s", sender=Sender.BALANCER, group=WEB_GROUP):
-    return registry.register(session, sender, (MembersOf(group, members),))
+    return registry.register(session, sender, (MemberGroup(group, members),))
 
 
 def test_registration_is_whole_or_not_at_all():
@@ -254,7 +258,9 @@
     assert register_members(registry, MEMBER_V4) == Code.OK
     assert (
         registry.register(
-            "s", Sender.BALANCER, (MembersOf(Group(b"lb1", b"new"), (MEMBER_V4,)), MembersOf(WEB_GROUP, (MEMBER_V4,)))
+            "s",
+            Sender.BALANCER,
+            (MemberGroup(Group(b"lb1", b"new"), (MEMBER_V4,)), MemberGroup(WEB_GROUP, (MEMBER_V4,))),
         )
         == Code.ALREADY_REGISTERED
     )
@@ -275,7 +281,7 @@
 def test_one_member_with_two_protocols_is_two_members_of_one_endpoint():
     registry = make_registry()
     assert register_members(registry, MEMBER_V4, MEMBER_V4._replace(protocol=17)) == Code.OK
-    registry.set_states(Sender.BALANCER, (StatesOf(WEB_GROUP, (MemberState(MEMBER_V4, 0, MemberFlag.QUIESCE),)),))
+    registry.set_states(Sender.BALANCER, (StateGroup(WEB_GROUP, (MemberState(MEMBER_V4, 0, MemberFlag.QUIESCE),)),))
     assert registry.endpoints() == {"10.0.0.1:80": True}, (
         "one quiesced member is enough for the endpoint to get no new work"
     )
@@ -283,17 +289,19 @@
 
 def test_deregistration_of_what_was_never_there_is_refused_and_nothing_else_goes():
     registry = make_registry()
-    assert registry.deregister("s", Sender.BALANCER, (MembersOf(WEB_GROUP, ()),)) == Code.UNKNOWN_LB
+    assert registry.deregister("s", Sender.BALANCER, (MemberGroup(WEB_GROUP, ()),)) == Code.UNKNOWN_LB
     register_members(registry, MEMBER_V4)
-    unknown_group = MembersOf(Group(b"lb1", b"nosuch"), ())
+    unknown_group = MemberGroup(Group(b"lb1", b"nosuch"), ())
     assert (
-        registry.deregister("s", Sender.BALANCER, (MembersOf(WEB_GROUP, (MEMBER_V4,)), unknown_group))
+        registry.deregister("s", Sender.BALANCER, (MemberGroup(WEB_GROUP, (MEMBER_V4,)), unknown_group))
         == Code.UNKNOWN_GROUP
     )
-    assert registry.deregister("s", Sender.BALANCER, (MembersOf(WEB_GROUP, (MEMBER_V6,)),)) == Code.NOT_REGISTERED
-    assert registry.deregister("s", Sender.BALANCER, (MembersOf(WEB_GROUP, (MEMBER_V4,)),) * 2) == Code.DUPLICATE_GROUP
+    assert registry.deregister("s", Sender.BALANCER, (MemberGroup(WEB_GROUP, (MEMBER_V6,)),)) == Code.NOT_REGISTERED
+    assert (
+        registry.deregister("s", Sender.BALANCER, (MemberGroup(WEB_GROUP, (MEMBER_V4,)),) * 2) == Code.DUPLICATE_GROUP
+    )
     assert MEMBER_V4 in registry.find(WEB_GROUP).members
-    assert registry.deregister("s", Sender.BALANCER, (MembersOf(WEB_GROUP, ()),)) == Code.OK
+    assert registry.deregister("s", Sender.BALANCER, (MemberGroup(WEB_GROUP, ()),)) == Code.OK
     assert registry.find(WEB_GROUP) == Code.UNKNOWN_GROUP
     register_members(registry, MEMBER_V4)
     assert registry.deregister("s", Sender.BALANCER, ()) == Code.OK and registry.find(WEB_GROUP) == Code.UNKNOWN_GROUP
@@ -309,7 +317,7 @@
         and registry.find(WEB_GROUP).members[MEMBER_V4].self_registered
     )
     registry.set_lb("t", b"lb1", 1, LbFlag(0))
-    quiesce = (StatesOf(WEB_GROUP, (MemberState(MEMBER_V4, 0, MemberFlag.QUIESCE),)),)
+    quiesce = (StateGroup(WEB_GROUP, (MemberState(MEMBER_V4, 0, MemberFlag.QUIESCE),)),)
     assert registry.set_states(Sender(0), quiesce) == Code.NOT_FROM_SENDER
     registry.leave(NOW, "t")
     assert registry.set_states(Sender(0), quiesce) == Code.OK
@@ -321,7 +329,7 @@
 )
 def test_each_right_includes_those_before_it(rights, codes):
     registry = make_registry(AccessLevel[rights.upper()])
-    quiesce = (StatesOf(WEB_GROUP, (MemberState(MEMBER_V4, 0, MemberFlag.QUIESCE),)),)
+    quiesce = (StateGroup(WEB_GROUP, (MemberState(MEMBER_V4, 0, MemberFlag.QUIESCE),)),)
     assert (
         registry.set_lb("s", b"lb1", 1, LbFlag(0)),
         register_members(registry, MEMBER_V4),
@@ -427,7 +435,7 @@
                 Message(
                     2,
                     Register(
-                        Sender.BALANCER, (MembersOf(Group(lb, name), (member("1.1.1.1:1"), member("2.2.2.2:2"))),)
+                        Sender.BALANCER, (MemberGroup(Group(lb, name), (member("1.1.1.1:1"), member("2.2.2.2:2"))),)
                     ),
                 )
             ),
@@ -457,7 +465,7 @@
     assert len(codec.decode(session.compose(NOW)).body.groups[0].weights) == 2 and session.pushed_members == 2
     session.push_written()
     advisor.registry.set_states(
-        Sender.BALANCER, (StatesOf(WEB_GROUP, (MemberState(member("1.1.1.1:1"), 0, MemberFlag.QUIESCE),)),)
+        Sender.BALANCER, (StateGroup(WEB_GROUP, (MemberState(member("1.1.1.1:1"), 0, MemberFlag.QUIESCE),)),)
     )
     session.enqueue(["slice/0"], CoveredChanges(2, NOW, 1))
     pushed_weights = codec.decode(session.compose(NOW)).body.groups[0].weights
@@ -483,7 +491,7 @@
 def test_a_group_deleted_before_its_push_is_written_is_not_in_it():
     session = make_session(make_advisor(), b"lb1", LbFlag.PUSH, b"web", b"other")
     session.enqueue(["slice/0"], CoveredChanges(1, NOW, 1))
-    request(session, Deregister(Sender.BALANCER, 0, (MembersOf(WEB_GROUP, ()),)))
+    request(session, Deregister(Sender.BALANCER, 0, (MemberGroup(WEB_GROUP, ()),)))
     assert [g.group.name for g in codec.decode(session.compose(NOW)).body.groups] == [b"other"]
 
 
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -21,14 +21,14 @@
     Group,
     LbFlag,
     MemberFlag,
-    MembersOf,
+    MemberGroup,
     MemberState,
     Message,
     Register,
     Sender,
     SetLbState,
     SetMemberState,
-    StatesOf,
+    StateGroup,
     WeightFlag,
     member,
 )
@@ -115,7 +115,7 @@
 
 async def test_weights_follow_the_tables_and_a_drain_has_the_same_effect_on_gateways_and_balancers(tmp_path):
     async with running_pilot(tmp_path) as (server, gates), connect(server.address, b"lb1") as client:
-        assert await client.hello() == Code.OK and await client.register(b"web", ALL_MEMBERS) == Code.OK
+        assert await client.set_lb_state() == Code.OK and await client.register(b"web", ALL_MEMBERS) == Code.OK
         reply = await client.weights(b"web")
         assert reply.code == Code.OK and reply.interval >= 1
         assert all(w.weight > 0 and w.flags & WeightFlag.CONTACT for w in by_endpoint(reply).values())
@@ -136,7 +136,9 @@
 async def test_a_drain_is_pushed_within_the_grace_and_noise_is_not(tmp_path):
     pushes = []
     async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1", pushes.append) as client:
-        assert await client.hello(LbFlag.PUSH) == Code.OK and await client.register(b"web", ALL_MEMBERS) == Code.OK
+        assert (
+            await client.set_lb_state(LbFlag.PUSH) == Code.OK and await client.register(b"web", ALL_MEMBERS) == Code.OK
+        )
         await wait_until(lambda: pushes)
         count = len(pushes)
         await anyio.sleep(1.5)  # refreshes of load and reports occur in this time
@@ -150,11 +152,11 @@
 async def test_quiesce_over_sasp_drains_the_gateways_and_races_with_the_list(tmp_path):
     def states(flag):
         return SetMemberState(
-            Sender.BALANCER, (StatesOf(Group(b"lb1", b"web"), (MemberState(ALL_MEMBERS[1], 9, flag),)),)
+            Sender.BALANCER, (StateGroup(Group(b"lb1", b"web"), (MemberState(ALL_MEMBERS[1], 9, flag),)),)
         )
 
     async with running_pilot(tmp_path) as (server, gates), connect(server.address, b"lb1") as client:
-        await client.hello()
+        await client.set_lb_state()
         await client.register(b"web", ALL_MEMBERS)
 
         def reached():
@@ -202,7 +204,7 @@
 async def test_requests_split_at_every_byte_are_answered_alike(tmp_path):
     async with running_pilot(tmp_path) as (server, _):
         register = codec.encode(
-            Message(2, Register(Sender.BALANCER, (MembersOf(Group(b"raw", b"g"), tuple(ALL_MEMBERS)),)))
+            Message(2, Register(Sender.BALANCER, (MemberGroup(Group(b"raw", b"g"), tuple(ALL_MEMBERS)),)))
         )
         poll = codec.encode(Message(3, GetWeights((Group(b"raw", b"g"),))))
 
@@ -224,7 +226,7 @@
 @pytest.mark.parametrize("length", [0, 5, 2**32 - 1, 2**31, 5_000_000])
 async def test_an_invalid_length_ends_only_that_session(tmp_path, length):
     async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1") as client:
-        await client.hello()
+        await client.set_lb_state()
 
         def exchange():
             with connect_raw(server.address) as sock:
@@ -265,8 +267,12 @@
             (b"anybody", (0, 0, 0)),
         ):
             async with connect(server.address, lb) as client:
-                state = SetMemberState(Sender.BALANCER, (StatesOf(Group(lb, b"web"), (quiesce,)),))
-                got = (await client.hello(), await client.register(b"web", ALL_MEMBERS), (await client.ask(state)).code)
+                state = SetMemberState(Sender.BALANCER, (StateGroup(Group(lb, b"web"), (quiesce,)),))
+                got = (
+                    await client.set_lb_state(),
+                    await client.register(b"web", ALL_MEMBERS),
+                    (await client.ask(state)).code,
+                )
                 assert got == codes, lb
 
 
@@ -280,14 +286,14 @@
         running_pilot(tmp_path, sasp_settings=sasp_settings) as (server, gates),
         connect(server.address, b"lb1") as client,
     ):
-        await client.hello()
+        await client.set_lb_state()
         await client.register(b"web", ALL_MEMBERS)
         many = tuple(member(f"10.1.{k // 200}.{k % 200}:80") for k in range(900))
         poll = codec.encode(Message(3, GetWeights((Group(b"raw", b"g"),))))
 
         def exchange():
             sock = connect_raw(server.address)
-            body = Register(Sender.BALANCER, (MembersOf(Group(b"raw", b"g"), many),))
+            body = Register(Sender.BALANCER, (MemberGroup(Group(b"raw", b"g"), many),))
             sock.sendall(HELLO + codec.encode(Message(2, body)))
             assert [m.body.code for m in read_messages(sock, 2)] == [0, 0]
             sock.settimeout(3)
@@ -315,17 +321,17 @@
 async def test_two_balancers_with_one_identifier_one_of_them_without_trust(tmp_path):
     """A member may set its own state only while every session with that identifier trusts members."""
     quiesce = SetMemberState(
-        Sender(0), (StatesOf(Group(b"lb1", b"web"), (MemberState(ALL_MEMBERS[0], 0, MemberFlag.QUIESCE),)),)
+        Sender(0), (StateGroup(Group(b"lb1", b"web"), (MemberState(ALL_MEMBERS[0], 0, MemberFlag.QUIESCE),)),)
     )
     async with running_pilot(tmp_path) as (server, _), connect(server.address, b"member") as own:
         assert await own.register(b"web", [ALL_MEMBERS[0]], Sender(0)) == Code.NO_BALANCER_YET
         async with connect(server.address, b"lb1") as one:
-            await one.hello(LbFlag.TRUST)
-            body = Register(Sender(0), (MembersOf(Group(b"lb1", b"web"), (ALL_MEMBERS[0],)),))
+            await one.set_lb_state(LbFlag.TRUST)
+            body = Register(Sender(0), (MemberGroup(Group(b"lb1", b"web"), (ALL_MEMBERS[0],)),))
             assert (await own.ask(body)).code == Code.OK
             assert by_endpoint(await one.weights(b"web"))[name(1)].flags & WeightFlag.REGISTERED
             async with connect(server.address, b"lb1") as other:
-                await other.hello()
+                await other.set_lb_state()
                 assert (await own.ask(quiesce)).code == Code.NOT_FROM_SENDER
             await wait_until(lambda: len(server.pilot.log("balancer_left")) == 1)
             assert (await own.ask(quiesce)).code == Code.OK
@@ -334,7 +340,7 @@
 
 async def test_duplicate_members_unknown_members_and_one_member_with_two_protocols(tmp_path):
     async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1") as client:
-        await client.hello()
+        await client.set_lb_state()
         twin = ALL_MEMBERS[0]._replace(protocol=17)
         assert await client.register(b"web", [ALL_MEMBERS[0], ALL_MEMBERS[0]]) == Code.DUPLICATE_MEMBER
         assert await client.register(b"web", [ALL_MEMBERS[0], twin]) == Code.OK
@@ -343,7 +349,7 @@
         assert len(rows) == 2 and rows[0].weight == rows[1].weight > 0, (
             "both members have the same endpoint and get the same weight"
         )
-        stranger = Deregister(Sender.BALANCER, 0, (MembersOf(Group(b"lb1", b"web"), (ALL_MEMBERS[2],)),))
+        stranger = Deregister(Sender.BALANCER, 0, (MemberGroup(Group(b"lb1", b"web"), (ALL_MEMBERS[2],)),))
         assert (await client.ask(stranger)).code == Code.NOT_REGISTERED
         assert await client.deregister(b"nosuch") == Code.UNKNOWN_GROUP
         await client.register(b"odd", [member("10.9.9.9:1")])
@@ -356,7 +362,7 @@
     """No push of a group may arrive after its deregistration, although each drain starts a push just before it."""
     pushes = []
     async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1", pushes.append) as client:
-        await client.hello(LbFlag.PUSH)
+        await client.set_lb_state(LbFlag.PUSH)
         for k in range(8):
             await client.register(b"web", ALL_MEMBERS)
             server.pilot.list(s1="in_service", s2="in_service", s3="terminating" if k % 2 else "in_service")
@@ -377,7 +383,7 @@
             path.unlink()
         await anyio.to_thread.run_sync(server.pilot.start)
         async with connect(server.address, b"lb1") as client:
-            await client.hello()
+            await client.set_lb_state()
             await client.register(b"web", ALL_MEMBERS)
             reply = await client.weights(b"web")
             assert reply.code == Code.OK and len(by_endpoint(reply)) == 3
@@ -385,23 +391,23 @@
 
 async def test_a_thousand_groups(tmp_path):
     async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1") as client:
-        await client.hello()
+        await client.set_lb_state()
         names = [f"group {k}".encode() for k in range(1000)]
         for k in range(0, 1000, 100):
             body = Register(
-                Sender.BALANCER, tuple(MembersOf(Group(b"lb1", n), tuple(ALL_MEMBERS)) for n in names[k : k + 100])
+                Sender.BALANCER, tuple(MemberGroup(Group(b"lb1", n), tuple(ALL_MEMBERS)) for n in names[k : k + 100])
             )
             assert (await client.ask(body)).code == Code.OK
         reply = await client.weights()
         assert reply.code == Code.OK and len(reply.groups) == 1000
-        gone = Deregister(Sender.BALANCER, 0, tuple(MembersOf(Group(b"lb1", n), ()) for n in names[1:]))
+        gone = Deregister(Sender.BALANCER, 0, tuple(MemberGroup(Group(b"lb1", n), ()) for n in names[1:]))
         assert (await client.ask(gone)).code == Code.OK
         assert len((await client.weights()).groups) == 1
 
 
 async def test_a_group_too_large_for_its_component_is_refused_and_the_session_goes_on(tmp_path):
     async with running_pilot(tmp_path) as (server, _), connect(server.address, b"lb1") as client:
-        await client.hello()
+        await client.set_lb_state()
         wordy = [member(f"10.2.{k // 200}.{k % 200}:80", label=b"x" * 250) for k in range(200)]
         assert await client.register(b"wordy", wordy) == Code.OK
         more = [member(f"10.3.{k // 200}.{k % 200}:80", label=b"x" * 250) for k in range(100)]
@@ -412,7 +418,7 @@
 async def test_a_restart_drops_registrations_and_polls_get_an_error_code_until_reregistration(tmp_path):
     async with running_pilot(tmp_path) as (server, gates):
         async with connect(server.address, b"lb1") as client:
-            await client.hello()
+            await client.set_lb_state()
             await client.register(b"web", ALL_MEMBERS)
             server.pilot.stop(signal.SIGKILL)
             with anyio.fail_after(10):
@@ -420,7 +426,7 @@
         await anyio.to_thread.run_sync(server.pilot.start)
         async with connect(server.address, b"lb1") as client:
             assert (await client.weights(b"web")).code == Code.UNKNOWN_LB
-            await client.hello()
+            await client.set_lb_state()
             assert (await client.weights(b"web")).code == Code.UNKNOWN_GROUP
             assert await client.register(b"web", ALL_MEMBERS) == Code.OK
         await wait_until(lambda: all(g.watch_client.connected for g in gates))
@@ -428,7 +434,7 @@
 
 async def test_without_load_reports_a_returning_server_gets_weight_by_capacity(tmp_path):
     async with running_pilot(tmp_path, gates=0) as (server, _), connect(server.address, b"lb1") as client:
-        await client.hello()
+        await client.set_lb_state()
         await client.register(b"web", ALL_MEMBERS)
         server.pilot.list(s1="in_service", s2="in_service", s3="terminating")
         await poll_until(client, lambda w: w[name(3)].weight == 0, b"web")
@@ -445,7 +451,7 @@
         for server in (one, other):
             server.pilot.list(s1="in_service", s2="terminating", s3="in_service")
             async with connect(server.address, b"lb1") as client:
-                await client.hello()
+                await client.set_lb_state()
                 await client.register(b"web", ALL_MEMBERS)
                 reply = await poll_until(client, lambda w: w[name(2)].weight == 0, b"web")
                 got.append(
