--- a/damsonpick/protocols/xds/load_stats.py
+++ b/damsonpick/protocols/xds/load_stats.py
@@ -28,7 +28,7 @@
 MAX_COUNT = 1e12  # counts of this size or larger are ignored
 
 
-def subscription(report_period: int) -> lrs_pb2.LoadStatsResponse:
+def report_request(report_period: int) -> lrs_pb2.LoadStatsResponse:
     """Build the message that asks a client to report all clusters, by endpoint.
 
     Args:
@@ -130,7 +130,7 @@
 # -- writing
 
 
-def introduction(node_id: str, zone: str) -> lrs_pb2.LoadStatsRequest:
+def identification_request(node_id: str, zone: str) -> lrs_pb2.LoadStatsRequest:
     """Build the first message of a client's stream, which identifies the client."""
     request = lrs_pb2.LoadStatsRequest()
     request.node.id = node_id
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -221,7 +221,7 @@
                 if not node:
                     await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report has no node.id")
                 number = self.session_manager.number_of(node)
-                await context.write(load_stats.subscription(self.report_period).SerializeToString())
+                await context.write(load_stats.report_request(self.report_period).SerializeToString())
             report = load_stats.read(number, zone, request)
             if report is not None:
                 self._receive_report(report)
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -207,7 +207,7 @@
     async def _send_reports(self, channel: grpc.aio.Channel) -> None:
         """Send load reports with the period that the control service requests."""
         call = lrs_pb2_grpc.LoadReportingServiceStub(channel).StreamLoadStats()
-        await grpc_stream.write(call, load_stats.introduction(self.name, self.zone))
+        await grpc_stream.write(call, load_stats.identification_request(self.name, self.zone))
         subscription = await grpc_stream.read(call)
         period = subscription.load_reporting_interval.ToNanoseconds()
         self.callbacks.take_counts()  # discard the counts from the time without a stream
