--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -69,7 +69,7 @@
 
     def __init__(self) -> None:
         """Build the message, which is the same for every resource."""
-        super().__init__("upstream list: a resource is not a valid ClusterLoadAssignment, though it says so")
+        super().__init__("upstream list: a resource is no ClusterLoadAssignment, though it says so")
 
 
 def read_entries(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.EndpointEntry]:
--- a/damsonpick/protocols/xds/errors.py
+++ b/damsonpick/protocols/xds/errors.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         """Build the message."""
-        super().__init__("the first request has no node.id; set one for each gateway")
+        super().__init__("the first request names no node.id; set one for each gateway")
 
 
 class RequestFormatError(StreamError):
@@ -30,7 +30,7 @@
 
     def __init__(self, message_name: str) -> None:
         """Build the message that names the expected type."""
-        super().__init__(f"a request is not a valid {message_name}; send protobuf as specified")
+        super().__init__(f"a request is no {message_name}; send protobuf as specified")
         self.message_name = message_name
 
 
@@ -45,5 +45,5 @@
 
     def __init__(self, limit_per_s: float) -> None:
         """Build the message that states the accepted rate."""
-        super().__init__(f"more than {limit_per_s:g} requests per second; no client needs that many")
+        super().__init__(f"over {limit_per_s:g} requests a second: no client needs that")
         self.limit_per_s = limit_per_s
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -215,11 +215,11 @@
             try:
                 request = lrs_pb2.LoadStatsRequest.FromString(raw_request)
             except DecodeError:
-                await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "a report is not a valid LoadStatsRequest")
+                await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "a report is no LoadStatsRequest")
             if not node:
                 node, zone = request.node.id, request.node.locality.zone
                 if not node:
-                    await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report has no node.id")
+                    await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report names no node.id")
                 number = self.session_manager.number_of(node)
                 await context.write(load_stats.report_request(self.report_period).SerializeToString())
             report = load_stats.read(number, zone, request)
