--- a/benchmarks/proxy_faults.py
+++ b/benchmarks/proxy_faults.py
@@ -24,7 +24,7 @@
 from damsonpick.proxy.program import Proxy
 from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedResource, ReceivedTable
 from damsonpick.proxy.retry_policy import PublishedRetries
-from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
+from damsonpick.proxy.settings import Limits, ProxySection, ProxySettings, RequestClass
 
 SECOND = 1_000_000_000
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
@@ -104,7 +104,7 @@
     rng = random.Random(seed)
     fleet = Fleet(rng, good_share=0.5)
     settings = ProxySettings(
-        proxy=Own(name="p", zone="a"),
+        proxy=ProxySection(name="p", zone="a"),
         limits=Limits(connect_time=SECOND // 5, stall_time=SECOND // 4, hold=SECOND // 10, churn=5000.0),
         classes={
             "page": RequestClass(deadline=SECOND // 2, aim=SECOND // 5),
--- a/benchmarks/proxy_rate.py
+++ b/benchmarks/proxy_rate.py
@@ -111,10 +111,10 @@
 
     from damsonpick.protocols.xds.names import EDS
     from damsonpick.proxy.program import Proxy
-    from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
+    from damsonpick.proxy.settings import Limits, ProxySection, ProxySettings, RequestClass
 
     settings = ProxySettings(
-        proxy=Own(name="p", zone="a", slices=slices),
+        proxy=ProxySection(name="p", zone="a", slices=slices),
         limits=Limits(per_server=1000, churn=1e6, waiting=4000, connections=4000),
         classes={"page": RequestClass(deadline=10_000_000_000)},
     )
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -34,7 +34,7 @@
 from damsonpick.proxy.ads_client import AdsClient
 from damsonpick.proxy.program import Proxy
 from damsonpick.proxy.received_state import ReceivedState
-from damsonpick.proxy.settings import Own, ProxySettings, RequestClass
+from damsonpick.proxy.settings import ProxySection, ProxySettings, RequestClass
 from damsonpick.proxy.watch_client import WatchCallbacks, WatchClient
 from damsonpick.runtime.backoff import Backoff
 from damsonpick.runtime.clock import Clock
@@ -276,7 +276,7 @@
             group.start_soon(watch_clients[-1].run)
         for k in range(10):
             settings = ProxySettings(
-                proxy=Own(name=f"p{k}", zone="ab"[k % 2], slices=100, port_file=pilot.port_file),
+                proxy=ProxySection(name=f"p{k}", zone="ab"[k % 2], slices=100, port_file=pilot.port_file),
                 classes={"page": RequestClass(deadline=10**9)},
             )
             proxy = Proxy(settings, LOG, seed=k)
--- a/damsonpick/cli/load.py
+++ b/damsonpick/cli/load.py
@@ -30,7 +30,7 @@
     from damsonpick.settings.problems import SettingsError
 
     try:
-        result = anyio.run(player.Player(read(experiment)).run)
+        result = anyio.run(player.LoadGenerator(read(experiment)).run)
         comparison = results.compare(result, compare) if compare else []
     except (SettingsError, ValueError) as error:
         fail(str(error), EXIT_WRONG_INPUT)
--- a/damsonpick/load_tool/player.py
+++ b/damsonpick/load_tool/player.py
@@ -39,7 +39,7 @@
         self.done = self.parser.get_status_code() >= 200
 
 
-class Player:
+class LoadGenerator:
     """One run of an experiment.
 
     Args:
--- a/damsonpick/proxy/server_connector.py
+++ b/damsonpick/proxy/server_connector.py
@@ -39,7 +39,7 @@
             limits.per_server, limits.waiting, limits.churn, limits.pool_time
         )
         # Returns whether the proxy can reach a zone. Test scenarios replace it to cut links between zones.
-        self.reaches: Callable[[str], bool] = lambda zone: True
+        self.can_reach_zone: Callable[[str], bool] = lambda zone: True
 
     def take_idle(self, request: RoutedRequest, server: str, now: int) -> UpstreamConnection | None:
         """Return an idle connection that is still open and may be reused for this request, or None.
@@ -107,7 +107,7 @@
         host, _, port = server.rpartition(":")
 
         async def open_stream() -> streams.Stream:
-            if not self.reaches(zone):
+            if not self.can_reach_zone(zone):
                 await anyio.sleep_forever()
             return await streams.dial(host.strip("[]"), int(port))
 
--- a/damsonpick/proxy/settings.py
+++ b/damsonpick/proxy/settings.py
@@ -31,7 +31,7 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Own(Section):
+class ProxySection(Section):
     """[proxy]: the proxy's identity and addresses.
 
     Attributes:
@@ -127,7 +127,7 @@
         clock_rate: Nanoseconds of the proxy's clock per true nanosecond, for test scenarios.
     """
 
-    proxy: Own
+    proxy: ProxySection
     limits: Limits = Limits()
     classes: dict[str, RequestClass]
     clock_rate: float = Field(1.0, gt=0)
@@ -160,4 +160,4 @@
     return read_settings.model_copy(update={"proxy": proxy_section.model_copy(update=absolute_paths)})
 
 
-__all__ = ["Limits", "Own", "ProxySettings", "RequestClass", "load"]
+__all__ = ["Limits", "ProxySection", "ProxySettings", "RequestClass", "load"]
--- a/damsonpick/testing/fakes/proxy_gateway.py
+++ b/damsonpick/testing/fakes/proxy_gateway.py
@@ -9,7 +9,7 @@
 import anyio
 
 from damsonpick.proxy.program import Proxy
-from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
+from damsonpick.proxy.settings import Limits, ProxySection, ProxySettings, RequestClass
 from damsonpick.testing.fakes import http
 from damsonpick.testing.fakes.gateway import NO_LOG, ForwardedRequest, known_addresses, response_details
 from damsonpick.testing.fakes.gateway_context import GatewayContext, TrafficClass
@@ -35,7 +35,7 @@
         clock, network = context.clock, context.network
         self.name, self.zone, self.clock, self.record = name, zone, clock, context.record
         settings = ProxySettings(
-            proxy=Own(name=name, zone=zone, slice_header="x-damson-cluster"),
+            proxy=ProxySection(name=name, zone=zone, slice_header="x-damson-cluster"),
             limits=Limits(),
             clock_rate=clock.rate,
             classes={
@@ -48,7 +48,7 @@
         callbacks.addresses = lambda: known_addresses(pilot_address)
         callbacks.may_connect = lambda: network.reaches_pilot(name, zone)
         callbacks.read_pause = self._read_pause_s
-        self.proxy.requests.connector.reaches = lambda other: not other or network.connects(zone, other)
+        self.proxy.requests.connector.can_reach_zone = lambda other: not other or network.connects(zone, other)
         self.proxy.requests.stall = lambda: clock.seconds(self.stalled_until - clock.now())
         self.received_state = self.proxy.router.received_state
         self.stalled_until = self.read_delay = 0
--- a/tests/test_load_tool.py
+++ b/tests/test_load_tool.py
@@ -10,7 +10,7 @@
 
 from damsonpick.load_tool import results
 from damsonpick.load_tool.experiment import Arrival, arrivals, read
-from damsonpick.load_tool.player import Player
+from damsonpick.load_tool.player import LoadGenerator
 from damsonpick.settings.load import SettingsError
 
 EXPERIMENT = """
@@ -66,7 +66,7 @@
     async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener, anyio.create_task_group() as group:
         group.start_soon(listener.serve, serve)
         loaded = experiment(tmp_path, listener.extra(anyio.abc.SocketAttribute.local_port))
-        report = await Player(loaded).run()
+        report = await LoadGenerator(loaded).run()
         group.cancel_scope.cancel()
     counted = [arrival.request_class for arrival in arrivals(loaded) if arrival.due_ns >= loaded.load.warm_up]
     assert report["classes"]["page"]["ends"] == {"200": counted.count("page")}
@@ -103,6 +103,6 @@
         path.write_text(text.replace("share = 3\n", "share = 3\nmethod = HEAD\n").partition("[class write]")[0])
         due_ns = [arrival.due_ns for arrival in arrivals(read(path))]
         assert min(after - before for before, after in pairwise(due_ns)) > 5_000_000
-        figures = (await Player(read(path)).run())["classes"]["page"]
+        figures = (await LoadGenerator(read(path)).run())["classes"]["page"]
         group.cancel_scope.cancel()
     assert figures["ends"].keys() == {"200"}
--- a/tests/test_proxy_retry_policy.py
+++ b/tests/test_proxy_retry_policy.py
@@ -11,7 +11,7 @@
 from damsonpick.proxy.received_resources import parse_routes
 from damsonpick.proxy.retry_policy import Execution, PublishedRetries, RetryBudget, allows_retry
 from damsonpick.proxy.router import Router
-from damsonpick.proxy.settings import Own, ProxySettings, RequestClass
+from damsonpick.proxy.settings import ProxySection, ProxySettings, RequestClass
 from damsonpick.settings import load
 from damsonpick.state.published_tables import PublishedTables
 from tests.pilots import SETTINGS
@@ -59,7 +59,7 @@
     published.apply([api.SetAdmission(None, (0, 1), 1.0, 2)])
     body = RouteBuilder(published, settings).build().SerializeToString()
     classes = {"page": RequestClass(deadline=4 * SECOND, aim=SECOND // 2)}
-    router = Router(ProxySettings(proxy=Own(name="p", zone="a", slices=2), classes=classes), random.Random(1))
+    router = Router(ProxySettings(proxy=ProxySection(name="p", zone="a", slices=2), classes=classes), random.Random(1))
     router.received_state.retries, _, router.received_state.attempt_timeouts = parse_routes(body)
     request = router.classify(0, "page", "k", "c", "slice/1", None)
     page_objective_s = settings.classes["page"].latency_objective / SECOND
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -17,7 +17,7 @@
 from damsonpick.proxy.program import Proxy
 from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedResource, ReceivedTable
 from damsonpick.proxy.retry_policy import PublishedRetries
-from damsonpick.proxy.settings import Limits, Own, ProxySettings, RequestClass
+from damsonpick.proxy.settings import Limits, ProxySection, ProxySettings, RequestClass
 
 pytestmark = pytest.mark.anyio
 SECOND = 1_000_000_000
@@ -138,7 +138,7 @@
 @contextlib.asynccontextmanager
 async def proxy_harness(**limits):
     settings = ProxySettings(
-        proxy=Own(name="p", zone="a"),
+        proxy=ProxySection(name="p", zone="a"),
         limits=Limits(**{"connect_time": SECOND // 2, "stall_time": SECOND, "hold": SECOND // 5, **limits}),
         classes={
             "page": RequestClass(deadline=2 * SECOND, aim=SECOND // 2),
