--- a/damsonpick/protocols/platform/order_client.py
+++ b/damsonpick/protocols/platform/order_client.py
@@ -189,7 +189,7 @@
 
     def _handle_accepted(self, request: OrderRequest, accepted_count: int) -> None:
         acknowledged = self._pending.acknowledge(request.orders, accepted_count)
-        self._registry.orders_accepted(acknowledged.accepted, request.ownership_epoch)
+        self._registry.apply_accepted_orders(acknowledged.accepted, request.ownership_epoch)
         if self._registry.repeat_uncertain(acknowledged.accepted, request.ownership_epoch):
             self._log.info("orders_repeated", reason="the ownership of a slice possibly changed during the request")
         self._log.info("orders_accepted", **count_by_kind(acknowledged.accepted))
--- a/damsonpick/protocols/platform/registry.py
+++ b/damsonpick/protocols/platform/registry.py
@@ -190,7 +190,7 @@
         self.pending.push(orders)
         return bool(orders)
 
-    def orders_accepted(self, orders: Iterable[Order], ownership_epoch: int) -> None:
+    def apply_accepted_orders(self, orders: Iterable[Order], ownership_epoch: int) -> None:
         """Apply orders that the registry has accepted.
 
         Args:
--- a/tests/test_platform_ownership.py
+++ b/tests/test_platform_ownership.py
@@ -152,7 +152,7 @@
             return
         if answered:
             accepted = self.pending.acknowledge(request.orders, len(request.orders)).accepted
-            self.registry.orders_accepted(accepted, request.ownership_epoch)
+            self.registry.apply_accepted_orders(accepted, request.ownership_epoch)
         self.registry.repeat_uncertain(request.orders, request.ownership_epoch)
 
     # -- possible steps
@@ -234,7 +234,7 @@
     snapshot = WatchSnapshot()
     snapshot.tables[SLICE] = {"p": 1.0}
     assert registry.reconcile(snapshot) == []
-    registry.orders_accepted(registry.pending.acknowledge(request.orders, 2).accepted, request.ownership_epoch)
+    registry.apply_accepted_orders(registry.pending.acknowledge(request.orders, 2).accepted, request.ownership_epoch)
     registry.repeat_uncertain(request.orders, request.ownership_epoch)
     assert tuple(registry.pending) == orders
 
--- a/tests/test_platform_registry.py
+++ b/tests/test_platform_registry.py
@@ -107,7 +107,7 @@
             return
         if answered:
             accepted = self.pending.acknowledge(request.orders, len(request.orders)).accepted
-            self.registry.orders_accepted(accepted, request.ownership_epoch)
+            self.registry.apply_accepted_orders(accepted, request.ownership_epoch)
         self.registry.repeat_uncertain(request.orders, request.ownership_epoch)
 
 
@@ -209,7 +209,7 @@
     registry = Registry(PendingOrders(("x",)), 8, 8)
     count = 3 * MAX_WITHDRAWN_ENDPOINTS
     for number in range(count):
-        registry.orders_accepted((api.SetWithdrawn(f"s{number}", True),), registry.ownership.epoch)
+        registry.apply_accepted_orders((api.SetWithdrawn(f"s{number}", True),), registry.ownership.epoch)
     assert len(registry.withdrawn) == MAX_WITHDRAWN_ENDPOINTS and f"s{count - 1}" in registry.withdrawn
 
 
@@ -217,7 +217,7 @@
     pending = PendingOrders(("x", "y"))
     registry = Registry(pending, 8, 8)
     accepted = api.SetWithdrawn("p", True), api.SetWithdrawn("q", True), api.SetAdmission(None, (0, 1), 0.9, 1)
-    registry.orders_accepted(accepted, registry.ownership.epoch)
+    registry.apply_accepted_orders(accepted, registry.ownership.epoch)
     pending.push([api.SetWithdrawn("r", True), api.SetWithdrawn("q", False), api.SetAdmission(None, (1,), 0.4, 1)])
     assert registry.initial_events() == [api.FleetRestored((0.9, 0.4), ("p", "r"), 0.0, 0.0)]
 
@@ -226,7 +226,7 @@
     registry = Registry(PendingOrders(("x", "y")), 8, 8)
     registry.reconcile(snapshot([(0, True)], t1="p"))
     accepted = api.SetWithdrawn("p", True), api.SetAdmission(None, (1,), 0.5, 1), api.SetEntry(1, "q", 1.0)
-    registry.orders_accepted(accepted, registry.ownership.epoch)
+    registry.apply_accepted_orders(accepted, registry.ownership.epoch)
     events = registry.initial_events()
     assert api.FleetRestored((1.0, 0.5), ("p",), 0.0, 0.0) in events and api.StoredEntry(1, "q", 1.0) in events
     assert events[-1] == api.ProxyJoined(0, "a", 0.0, False)
