--- a/benchmarks/fanout.py
+++ b/benchmarks/fanout.py
@@ -80,7 +80,7 @@
 
     async def start(self) -> None:
         self.list_server = FakeListServer("servers", Recorder(self.folder / "list.jsonl", Clock().now))
-        self.list_server.put(*(entry(k) for k in range(SERVERS)))
+        self.list_server.update_entries(*(entry(k) for k in range(SERVERS)))
         self.server, address = await self.list_server.start()
         (self.folder / "pilot.ini").write_text(SETTINGS.format(seed=self.seed, upstream=address))
         port = self.folder / "port"
@@ -153,7 +153,7 @@
         """Make one change of the list and return what it cost."""
         first, cpu = len(self.seen), self.process.cpu_times()
         start = time.monotonic()
-        self.list_server.put(entry(k, state))
+        self.list_server.update_entries(entry(k, state))
         await self.until(lambda: len({n for _, n, *_ in self.seen[first:]}) >= self.gateways, 30)
         await self.wait_until_idle(0.4)
         responses = self.seen[first:]
@@ -228,7 +228,7 @@
     join = asyncio.get_running_loop().create_task(run.join(count, "late"))
     await run.until(lambda: len(run.seen) > first + count // 10, 60)
     start, mark = time.monotonic(), len(run.seen)
-    run.list_server.put(entry(SERVERS - 1, "terminating"))
+    run.list_server.update_entries(entry(SERVERS - 1, "terminating"))
     await run.until(lambda: len({n for _, n, *_ in run.seen[mark:] if n in earlier_clients}) >= count, 60)
     last = max(next(t for t, m, *_ in run.seen[mark:] if m == n) for n in earlier_clients)
     return {"joined_s": round(await join, 2), "drain_last_ack_ms_of_those_there": round((last - start) * 1e3, 1)}
--- a/benchmarks/proxy_rate.py
+++ b/benchmarks/proxy_rate.py
@@ -141,9 +141,9 @@
     entries = {f"127.0.0.1:{p}": ReceivedEntry(1000, "a") for p in ports}
     gateway.received_state.tables["slice/0"] = ReceivedTable(entries, {})
 
-    async def handle(headers: dict[str, str]) -> http.Answer:
+    async def handle(headers: dict[str, str]) -> http.Response:
         good, _ = await gateway.serve("r", kind, "slice/0", 1.0)
-        return http.Answer(200 if good else 502, {}, b"ok")
+        return http.Response(200 if good else 502, {}, b"ok")
 
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1", backlog=2048)
     async with anyio.create_task_group() as group:
--- a/damsonpick/cli/scenario.py
+++ b/damsonpick/cli/scenario.py
@@ -44,4 +44,4 @@
     from damsonpick.testing.scenarios import report
 
     pilot_command = shlex.split(pilot) if pilot else None
-    sys.exit(report.rehearse(scripts, seed, times, keep, pilot_command, as_json, proxies))
+    sys.exit(report.play_scenarios(scripts, seed, times, keep, pilot_command, as_json, proxies))
--- a/damsonpick/testing/fakes/collector.py
+++ b/damsonpick/testing/fakes/collector.py
@@ -46,7 +46,7 @@
         """Send bytes without a frame."""
         await self.stream.send(data)
 
-    async def gets_heartbeat(self) -> bool:
+    async def heartbeat_is_answered(self) -> bool:
         """Send a heartbeat request and return whether the pilot answers it."""
         await self.send({"@type": "hb"})
         return b"hb_ok" in await self.stream.receive(READ_BYTES)
--- a/damsonpick/testing/fakes/discovery.py
+++ b/damsonpick/testing/fakes/discovery.py
@@ -91,13 +91,13 @@
         """Respond with the list or open a watch; returns whether the connection stays open."""
         self.requested_targets.append(request.target)
         if self.is_down:
-            await stream.send(faulty_http.answer_bytes(b"", "503 Service Unavailable"))
+            await stream.send(faulty_http.response_bytes(b"", "503 Service Unavailable"))
             return False
         if self.holds_requests:
             await self.gate.wait()
         query = parse_qs(urlsplit(request.target).query)
         if "watch" not in query:
-            await stream.send(faulty_http.answer_bytes(self._full_list_message()))
+            await stream.send(faulty_http.response_bytes(self._full_list_message()))
             return True
         first_line = self._changes_message(int(query["from"][0]))
         await self.watch(stream, [b"" if self.omits_list else first_line])
--- a/damsonpick/testing/fakes/faulty_http.py
+++ b/damsonpick/testing/fakes/faulty_http.py
@@ -26,7 +26,7 @@
     body: bytes
 
 
-def answer_bytes(body: bytes, status: str = "200 OK") -> bytes:
+def response_bytes(body: bytes, status: str = "200 OK") -> bytes:
     """Return a complete response with a Content-Length header."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
--- a/damsonpick/testing/fakes/http.py
+++ b/damsonpick/testing/fakes/http.py
@@ -15,7 +15,7 @@
 READ_BYTES = 65_536
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """A complete HTTP response."""
 
     status: int
@@ -62,7 +62,7 @@
             raise NotSentError(f"{address}: {error or 'connect timed out'}") from None
         return cls(stream)
 
-    async def post(self, target: str, headers: dict[str, str]) -> Answer:
+    async def post(self, target: str, headers: dict[str, str]) -> Response:
         """Send a POST without a body and wait for the response.
 
         Raises:
@@ -76,7 +76,7 @@
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, h11.ProtocolError) as error:
             raise ConnectionBrokenError(str(error)) from None
 
-    async def _read_response(self) -> Answer:
+    async def _read_response(self) -> Response:
         head, body = None, b""
         while True:
             event = self._http.next_event()
@@ -87,7 +87,7 @@
             elif isinstance(event, h11.Data):
                 body += event.data
             elif isinstance(event, h11.EndOfMessage):
-                return Answer(head.status_code, _text_headers(head.headers), body)
+                return Response(head.status_code, _text_headers(head.headers), body)
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionBrokenError("connection closed before the whole response was received")
 
@@ -117,7 +117,7 @@
     return {name.decode(): value.decode() for name, value in headers}
 
 
-Handler = Callable[[dict[str, str]], Awaitable[Answer]]
+Handler = Callable[[dict[str, str]], Awaitable[Response]]
 
 
 async def serve_connection(stream: SocketStream, handler: Handler) -> None:
@@ -157,7 +157,7 @@
             return None
 
 
-async def _send_response(stream: SocketStream, http: h11.Connection, answer: Answer) -> None:
+async def _send_response(stream: SocketStream, http: h11.Connection, answer: Response) -> None:
     headers = [("content-length", str(len(answer.body))), *answer.headers.items()]
     head = http.send(h11.Response(status_code=answer.status, headers=headers))
     body = http.send(h11.Data(data=answer.body))
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -42,7 +42,7 @@
         await server.start()
         return server, f"127.0.0.1:{port}"
 
-    def put(self, *entries: api.EndpointEntry) -> None:
+    def update_entries(self, *entries: api.EndpointEntry) -> None:
         """Add or replace entries. An entry in state `terminated` is removed from the list."""
         for entry in entries:
             if entry.state == "terminated":
--- a/damsonpick/testing/fakes/registry.py
+++ b/damsonpick/testing/fakes/registry.py
@@ -93,13 +93,13 @@
 
     # Changes made by a test
 
-    async def take_slice(self, number: int) -> dict[str, float]:
+    async def revoke_slice(self, number: int) -> dict[str, float]:
         """End the pilot's ownership of a slice and report that on the watches; returns the table of the slice."""
         table = self.tables.pop(number)
         await self.send_line(_watch_line("owner", slice=number, on=False))
         return table
 
-    async def give_slice(self, number: int, table: dict[str, float]) -> None:
+    async def assign_slice(self, number: int, table: dict[str, float]) -> None:
         """Make the pilot the owner of a slice with this table, and report both on the watches."""
         self.tables[number] = dict(table)
         await self.send_line(_watch_line("owner", slice=number, on=True))
@@ -123,7 +123,7 @@
         try:
             orders = json.loads(request.body)["ops"]
         except (ValueError, KeyError, TypeError):
-            await stream.send(faulty_http.answer_bytes(SYNTAX_ANSWER, "400 Bad Request"))
+            await stream.send(faulty_http.response_bytes(SYNTAX_ANSWER, "400 Bad Request"))
             return True
         return await self._serve_orders(orders, stream)
 
@@ -140,7 +140,7 @@
         fault = self.faults.popleft() if self.faults else None
         if fault in REJECTIONS:
             body = json.dumps({"error": fault.name}).encode()
-            await stream.send(faulty_http.answer_bytes(body, "409 Conflict"))
+            await stream.send(faulty_http.response_bytes(body, "409 Conflict"))
             return True
         if fault is RequestFault.CONNECTION_CUT:
             return False
@@ -175,7 +175,7 @@
         if fault is RequestFault.ANSWER_WITHHELD:
             await anyio.sleep_forever()
         body = UNREADABLE_ANSWERS.get(fault, json.dumps({"taken": applied}).encode())
-        await stream.send(faulty_http.answer_bytes(body))
+        await stream.send(faulty_http.response_bytes(body))
         return True
 
     def _apply_order(self, order: Order) -> None:
--- a/damsonpick/testing/fakes/results_server.py
+++ b/damsonpick/testing/fakes/results_server.py
@@ -21,8 +21,8 @@
 
 # Work that a cold server tolerates above its limit, so that a few requests that coincide by chance do not crash it.
 BURST_ALLOWANCE_MS = 1500.0
-UNAVAILABLE = http.Answer(503, {"x-not-run": "1"}, b"")
-FAILED = http.Answer(500, {}, b"")
+UNAVAILABLE = http.Response(503, {"x-not-run": "1"}, b"")
+FAILED = http.Response(500, {}, b"")
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,7 +110,7 @@
         self.started = 0  # time of the last cold start, ns; 0 if the server is warm from the beginning
         self.faults = ServerFaults()
         self.is_up = False
-        self.fell_over = False
+        self.has_crashed = False
         self._scope: anyio.CancelScope | None = None
         self._cores = anyio.CapacityLimiter(config.cores)
         self._offered: deque[tuple[int, float]] = deque()  # time (ns) and work (ms) per request of the overload window
@@ -176,7 +176,7 @@
         finally:
             self._connections -= 1
 
-    async def _handle(self, headers: dict[str, str]) -> http.Answer:
+    async def _handle(self, headers: dict[str, str]) -> http.Response:
         request, faults = WorkRequest.from_headers(headers), self.faults
         now = self.clock.now()
         self.record.put(
@@ -217,13 +217,13 @@
             if self.rng.random() < faults.lost_answer_share:
                 raise http.ConnectionBrokenError("the response was lost")
 
-    def _success_response(self, faults: ServerFaults) -> http.Answer:
+    def _success_response(self, faults: ServerFaults) -> http.Response:
         """Return a success with a load report."""
         queue, latency_ms = self._queued, round(self._last_latency_ms)
         if faults.reports_idle:
             queue, latency_ms = 0, 1
         load = f"TEXT named_metrics.queue={queue}, named_metrics.latency_ms={latency_ms}"
-        return http.Answer(200, {"endpoint-load-metrics": load}, b"ok")
+        return http.Response(200, {"endpoint-load-metrics": load}, b"ok")
 
     def _crashes_from_overload(self, now: int, work_ms: float) -> bool:
         """Add offered work; return whether the server has crashed from overload.
@@ -239,10 +239,10 @@
         if warm_share < 1:
             limit_ms = self._overload_limit_ms(warm_share)
             if self._offered_ms > limit_ms + BURST_ALLOWANCE_MS:
-                self.fell_over = True
+                self.has_crashed = True
                 self.record.put("fell", server=self.address, sum=self._offered_ms, most=limit_ms)
                 self.stop("fell over")
-        return self.fell_over
+        return self.has_crashed
 
     def _overload_limit_ms(self, warm_share: float) -> float:
         config = self.config
--- a/damsonpick/testing/scenarios/environment.py
+++ b/damsonpick/testing/scenarios/environment.py
@@ -77,7 +77,7 @@
             server = FakeResultsServer(config, self.clock, self.record, server_random)
             await server.start(group, cold=False)
             self.servers.append(server)
-        self.endpoint_list.put(*(self._list_entry(server) for server in self.servers))
+        self.endpoint_list.update_entries(*(self._list_entry(server) for server in self.servers))
         self._list_server, address = await self.endpoint_list.start()
         self.pilot.settings_file.write_text(pilot_settings(self.script, self.seed, address))
         await self.pilot.start()
@@ -175,7 +175,7 @@
 
     def update_list(self, server: FakeResultsServer, state: str) -> None:
         """Set a server's state in the endpoint list."""
-        self.endpoint_list.put(self._list_entry(server, state))
+        self.endpoint_list.update_entries(self._list_entry(server, state))
 
     def update_list_after_notice(self, server: FakeResultsServer, state: str) -> None:
         """Set a server's state in the list after the script's notice, unless it started or stopped in the meantime."""
@@ -190,13 +190,13 @@
 
     async def restart_server(self, server: FakeResultsServer) -> None:
         """Start a new, cold process at the same address, unless the server has crashed from overload."""
-        if not server.fell_over:
+        if not server.has_crashed:
             await server.start(self._group, cold=True)
             self.update_list_after_notice(server, "in_service")
 
     def draw_servers(self, share: float) -> list[FakeResultsServer]:
         """Return a random share of the servers that are up: at least one, never all. Empty if fewer than two are up."""
-        up = [server for server in self.servers if server.is_up and not server.fell_over]
+        up = [server for server in self.servers if server.is_up and not server.has_crashed]
         if len(up) <= 1:
             return []
         count = min(len(up) - 1, round(share * len(up)))
--- a/damsonpick/testing/scenarios/report.py
+++ b/damsonpick/testing/scenarios/report.py
@@ -19,7 +19,7 @@
 EXIT_KEPT, EXIT_BROKEN, EXIT_UNREADABLE = 0, 1, 2
 
 
-def rehearse(
+def play_scenarios(
     paths: tuple[Path, ...],
     seed: int | None,
     times: int,
--- a/damsonpick/testing/soak/platform.py
+++ b/damsonpick/testing/soak/platform.py
@@ -138,7 +138,7 @@
         owned = list(self.registry.tables)
         if len(owned) > 1:
             number = rng.choice(owned)
-            await self.registry.take_slice(number)
+            await self.registry.revoke_slice(number)
             self._lost_slices.append(number)
 
     async def _do_slice_given(self, rng: random.Random, group: TaskGroup) -> None:
@@ -150,7 +150,7 @@
         """Return a lost slice to the pilot, with a table that another pilot has made for it."""
         number = self._lost_slices.pop(index)
         servers = list(self.discovery.servers) or ["s0"]
-        await self.registry.give_slice(number, {self._rng.choice(servers): 1.0})
+        await self.registry.assign_slice(number, {self._rng.choice(servers): 1.0})
 
     async def _do_slice_lost_twice(self, rng: random.Random, group: TaskGroup) -> None:
         await self._do_slice_lost(rng, group)
--- a/tests/test_platform_http_client.py
+++ b/tests/test_platform_http_client.py
@@ -13,7 +13,7 @@
 from damsonpick.protocols.platform import http_client
 from damsonpick.protocols.platform.address import Address
 from damsonpick.protocols.platform.errors import TransportError
-from damsonpick.testing.fakes.faulty_http import answer_bytes
+from damsonpick.testing.fakes.faulty_http import response_bytes
 
 
 def test_a_response_that_comes_byte_by_byte_has_no_more_time_than_another():
@@ -22,7 +22,7 @@
     async def send_bytewise(stream) -> None:
         async with stream:
             await stream.receive()
-            for byte in answer_bytes(b'{"taken":1}'):
+            for byte in response_bytes(b'{"taken":1}'):
                 await anyio.sleep(0.02)
                 await stream.send(bytes([byte]))
 
@@ -65,7 +65,7 @@
         with client, contextlib.suppress(OSError):
             while client.recv(65_536):
                 self.requests += 1
-                client.sendall(answer_bytes(b'{"taken":1}'))
+                client.sendall(response_bytes(b'{"taken":1}'))
 
     def close(self) -> None:
         self._listener.close()
--- a/tests/test_platform_order_client.py
+++ b/tests/test_platform_order_client.py
@@ -15,7 +15,7 @@
 from damsonpick.protocols.platform.pending_orders import PendingOrders
 from damsonpick.protocols.platform.registry import Registry
 from damsonpick.protocols.platform.watch_snapshot import WatchSnapshot
-from damsonpick.testing.fakes.faulty_http import answer_bytes
+from damsonpick.testing.fakes.faulty_http import response_bytes
 from damsonpick.testing.fakes.registry import FakeRegistry
 from tests.platform_world import until
 
@@ -28,15 +28,15 @@
     async def _serve_orders(self, orders, stream):
         if self.busy_responses:
             self.busy_responses -= 1
-            await stream.send(answer_bytes(b'{"error":"BUSY"}', "409 Conflict"))
+            await stream.send(response_bytes(b'{"error":"BUSY"}', "409 Conflict"))
             return True
         if any(order.get("server") == self.unparsable for order in orders):
             self.rejections += 1
-            await stream.send(answer_bytes(b'{"error":"SYNTAX"}', "400 Bad Request"))
+            await stream.send(response_bytes(b'{"error":"SYNTAX"}', "400 Bad Request"))
             return True
         usable = next((k for k, order in enumerate(orders) if order.get("server") == self.unknown), len(orders))
         await self._apply(orders[:usable], reports_sync=False)
-        await stream.send(answer_bytes(json.dumps({"taken": usable}).encode()))
+        await stream.send(response_bytes(json.dumps({"taken": usable}).encode()))
         return True
 
 
--- a/tests/test_platform_pilot.py
+++ b/tests/test_platform_pilot.py
@@ -37,7 +37,7 @@
     async def run_scenario():
         async with world(tmp_path) as site:
             collector = await site.connect_collector()
-            assert await collector.gets_heartbeat()
+            assert await collector.heartbeat_is_answered()
             await collector.send_report("a", "p")
             await site.discovery.update_server("q", "Terminating")
             await site.wait_until_avoided("q", 2.0)
@@ -171,7 +171,7 @@
             async with anyio.create_task_group() as group:
                 for invalid_input in invalid_inputs:
                     group.start_soon(_expect_rejection, site.port, invalid_input)
-            assert await collector.gets_heartbeat() and site.process.returncode is None
+            assert await collector.heartbeat_is_answered() and site.process.returncode is None
 
     run(run_scenario)
 
@@ -187,7 +187,7 @@
         async with world(tmp_path) as site:
             collector = await site.connect_collector()
             connections = [await FakeCollector.connect(site.port) for _ in range(400)]
-            assert await collector.gets_heartbeat()
+            assert await collector.heartbeat_is_answered()
             held = len(os.listdir(f"/proc/{site.process.pid}/fd"))
             assert held < 256
             for connection in connections:
@@ -206,7 +206,7 @@
             for message in INVALID_REPORTS:
                 await collector.send(message)
             await collector.send_report("a", "p", mean_ms=150.0)
-            assert await collector.gets_heartbeat()
+            assert await collector.heartbeat_is_answered()
             await site.wait_for_latency("p", 150)
             assert len(site.log_entries("input_dropped")) == len(INVALID_REPORTS)
             await collector.send_report("a", "q", mean_ms=170.0)
--- a/tests/test_platform_races.py
+++ b/tests/test_platform_races.py
@@ -46,9 +46,9 @@
             await site.discovery.update_server("q", "Terminating")
             await wait_for_gate(site.registry.gate)  # applied, but no response was sent
             assert site.registry.tables[number].keys() - {"q"}
-            await site.registry.take_slice(number)
+            await site.registry.revoke_slice(number)
             # The table has its old entries: those of the request were lost with the previous ownership.
-            await site.registry.give_slice(number, {"q": 1.0})
+            await site.registry.assign_slice(number, {"q": 1.0})
             # If there is a response, it arrives after the watch events.
             await site.wait_for_log_entry("order_request_unconfirmed")
             site.registry.gate.opened.set()
@@ -414,6 +414,6 @@
             rejected = await FakeCollector.connect(port)
             await rejected.send_bytes(frame({"@type": "hb"}) + frame({"@type": "SET"}))
             assert await rejected.is_closed_within(2.0) and failed
-            assert await (await FakeCollector.connect(port)).gets_heartbeat()
+            assert await (await FakeCollector.connect(port)).heartbeat_is_answered()
 
     run(run_scenario)
