--- a/benchmarks/sasp.py
+++ b/benchmarks/sasp.py
@@ -37,7 +37,7 @@
 from damsonpick.protocols.sasp.session import SaspSession
 from damsonpick.protocols.sasp.weights import MemberStatus
 from damsonpick.state.published_tables import PublishedTables
-from tests.gates import Gate
+from tests.gates import RecordingGateway
 from tests.pilots import Pilot, name
 
 NOW = 10**18
@@ -143,7 +143,7 @@
 async def measure_drains(pilot: Pilot, address: str, repeats: int) -> dict[str, list[float]]:
     """Return the times in ms from a change of the list to the push, and to the withdrawal at an xDS gateway."""
     pushes: list[Any] = []
-    xds_gateway, rng = Gate(pilot.folder, f"g-{time.monotonic_ns()}"), random.Random(repeats)
+    xds_gateway, rng = RecordingGateway(pilot.folder, f"g-{time.monotonic_ns()}"), random.Random(repeats)
     times: dict[str, list[float]] = {"push": [], "xds": []}
     async with (
         connect(address, f"push-{time.monotonic_ns()}".encode(), pushes.append) as client,
--- a/benchmarks/versions_kills.py
+++ b/benchmarks/versions_kills.py
@@ -27,7 +27,7 @@
 
 import anyio
 
-from tests.gates import Gate, say, settled
+from tests.gates import RecordingGateway, run_versions_command, wait_until_current
 from tests.pilots import Pilot
 
 SERVERS, GATEWAYS, GRACE_S = 6, 8, 2.2
@@ -37,21 +37,21 @@
     pilot.list(**{f"s{k}": "terminating" if k in draining else "in_service" for k in range(1, SERVERS + 1)})
 
 
-def reachable(gates: list[Gate], server: int) -> bool:
+def reachable(gates: list[RecordingGateway], server: int) -> bool:
     name = f"127.0.0.1:{9000 + server}"
     return any(name in g.received_state.available_entries(n) for g in gates for n in g.received_state.tables)
 
 
-def bare(gates: list[Gate]) -> int:
+def bare(gates: list[RecordingGateway]) -> int:
     """Return the number of slices without an available entry, over all gateways."""
     return sum(
         not g.received_state.available_entries(n) for g in gates for n in g.received_state.tables if n != "fleet"
     )
 
 
-async def run_turn(pilot: Pilot, gates: list[Gate], rng: random.Random, kill: bool) -> dict[str, Any]:
+async def run_turn(pilot: Pilot, gates: list[RecordingGateway], rng: random.Random, kill: bool) -> dict[str, Any]:
     """Make one change, kill the pilot if `kill` is true, and return how all gateways settled."""
-    first_version = (await say(pilot, "list"))["newest"]
+    first_version = (await run_versions_command(pilot, "list"))["newest"]
     draining = set(rng.sample(range(1, SERVERS + 1), rng.choice((1, 2))))
     rolls_back = rng.random() < 0.5
     write_list(pilot, draining)
@@ -70,7 +70,7 @@
         await anyio.to_thread.run_sync(pilot.start)
     else:
         start = time.monotonic()
-    held = await settled(pilot, gates)
+    held = await wait_until_current(pilot, gates)
     settle_s = time.monotonic() - start
     drain_s = None
     while time.monotonic() - told < GRACE_S + 5:
@@ -80,7 +80,7 @@
         await anyio.sleep(0.02)
     if rollback_process is not None:
         await anyio.to_thread.run_sync(rollback_process.wait)
-        await say(pilot, "release")
+        await run_versions_command(pilot, "release")
     result = {
         "back": rolls_back,
         "rest_s": settle_s,
@@ -97,13 +97,13 @@
     pilot = Pilot(folder, slices=24)
     write_list(pilot, set())
     await anyio.to_thread.run_sync(pilot.start)
-    gates = [Gate(folder, f"g{k}", "ab"[k % 2], k % 4 != 3) for k in range(GATEWAYS)]
+    gates = [RecordingGateway(folder, f"g{k}", "ab"[k % 2], k % 4 != 3) for k in range(GATEWAYS)]
     turns = []
     try:
         async with anyio.create_task_group() as group:
             for gate in gates:
                 group.start_soon(gate.watch_client.run)
-            await settled(pilot, gates)
+            await wait_until_current(pilot, gates)
             for k in range(kills):
                 turns.append(await run_turn(pilot, gates, rng, kill))
                 if k % 20 == 19:
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -19,11 +19,11 @@
 EMPTY_TABLE_LIMIT_S = 2.8  # s; the same as `bare_limit` in the pilots' settings
 
 
-class Gate:
+class RecordingGateway:
     """A gateway that subscribes to the pilot and stores what it receives."""
 
     def __init__(self, folder, name, zone="a", delta=True):
-        self.name, self.zone, self.received_state, self.got = name, zone, ReceivedState(), []
+        self.name, self.zone, self.received_state, self.received = name, zone, ReceivedState(), []
         log = structlog.wrap_logger(None, processors=[structlog.testing.LogCapture()])
 
         def pilots():
@@ -37,7 +37,7 @@
 
     def _store_received(self, event, **details):
         if event == "got":
-            self.got.append((anyio.current_time(), details))
+            self.received.append((anyio.current_time(), details))
 
 
 @contextlib.asynccontextmanager
@@ -45,7 +45,7 @@
     pilot = Pilot(folder, **more)
     pilot.list(**{f"s{k}": "in_service" for k in range(1, servers + 1)})
     await anyio.to_thread.run_sync(pilot.start)
-    gateways = [Gate(folder, f"g{k}", "ab"[k % 2], delta) for k in range(gates)]
+    gateways = [RecordingGateway(folder, f"g{k}", "ab"[k % 2], delta) for k in range(gates)]
     try:
         async with anyio.create_task_group() as group:
             for gate in gateways:
@@ -56,14 +56,14 @@
         pilot.stop()
 
 
-async def say(pilot, *words, code=0):
+async def run_versions_command(pilot, *words, code=0):
     """Run one `damsonpick versions` command of an operator, check its exit code, and return its output."""
     done = await anyio.to_thread.run_sync(lambda: pilot.versions(*words))
     assert done.returncode == code, (done.returncode, done.stdout, done.stderr)
     return json.loads(done.stdout) if done.stdout else done.stderr
 
 
-async def soon(condition):
+async def wait_for(condition):
     with anyio.fail_after(WAIT_TIMEOUT_S):
         while not (found := await condition()):
             await anyio.sleep(0.05)
@@ -80,12 +80,12 @@
     return reply if rows and all(g["holds"] and g["verified"] and not g["pending"] for g in rows) else None
 
 
-async def settled(pilot, gates):
+async def wait_until_current(pilot, gates):
     async def look():
         reply = await current_versions(pilot)
         return reply if reply and len(reply["gateways"]) == len(gates) else None
 
-    return await soon(look)
+    return await wait_for(look)
 
 
 def weights(gate):
@@ -96,7 +96,7 @@
     }
 
 
-async def not_bare(look):
+async def wait_within_empty_table_limit(look):
     """Wait until `look` holds, at most for the time for which the settings allow a slice to have no usable entry.
 
     Slices may have no usable entry for a short time, because a withdrawal arrives just before the new tables.
--- a/tests/test_learned_pilot.py
+++ b/tests/test_learned_pilot.py
@@ -24,7 +24,7 @@
 from damsonpick.testing.fakes.gateway_context import GatewayContext, Network, TrafficClass
 from damsonpick.testing.fakes.record import Recorder
 from damsonpick.testing.fakes.results_server import FakeResultsServer, ServerConfig
-from tests.gates import not_bare, soon, weights, world
+from tests.gates import wait_for, wait_within_empty_table_limit, weights, world
 from tests.learned_state import with_format
 from tests.pilots import Pilot, until
 
@@ -172,7 +172,7 @@
     async def look():
         return what()
 
-    return await soon(look)
+    return await wait_for(look)
 
 
 async def start_pilot(fake_fleet):
@@ -229,11 +229,11 @@
         before = [g.received_state.versions for g in gates]
         pilot.stop(signal.SIGKILL)
         for gate in gates:
-            gate.got.clear()
+            gate.received.clear()
         await anyio.to_thread.run_sync(pilot.start)
         await eventually(lambda: len(pilot.log("gateway_joined")) >= 6)
         await anyio.sleep(0.3)  # a pilot that lost the withdrawal would have sent an update by now
-        assert not any("fleet" in {n for n, *_ in d["resources"]} for g in gates for _, d in g.got)
+        assert not any("fleet" in {n for n, *_ in d["resources"]} for g in gates for _, d in g.received)
         assert [g.received_state.versions for g in gates] == before
 
 
@@ -369,7 +369,7 @@
             if unit.startswith("slice/") and key.partition(" ")[2] not in retired
         ]
         assert not moved_entries, "no entry moves unnecessarily"
-        await not_bare(fake_fleet.usable)
+        await wait_within_empty_table_limit(fake_fleet.usable)
         assert "Traceback" not in (tmp_path / "log").read_text()
 
 
@@ -396,7 +396,7 @@
         with anyio.fail_after(2.2):
             while fake_fleet.gateway_tables_with(draining):
                 await anyio.sleep(0.02)
-        await not_bare(fake_fleet.usable)
+        await wait_within_empty_table_limit(fake_fleet.usable)
 
 
 async def test_a_drain_known_before_the_crash_binds_while_discovery_is_down(tmp_path):
@@ -441,7 +441,7 @@
         with anyio.fail_after(10):
             while fake_fleet.gateway_tables_with(replaced_server.address):
                 await anyio.sleep(0.05)
-        await not_bare(fake_fleet.usable)
+        await wait_within_empty_table_limit(fake_fleet.usable)
 
 
 async def test_a_list_that_returns_half_empty_is_held_and_an_operator_ends_it(tmp_path):
@@ -461,7 +461,7 @@
         with anyio.fail_after(2.2):
             while any(fake_fleet.gateway_tables_with(s.address) for s in fake_fleet.servers[2:]):
                 await anyio.sleep(0.02)
-        await not_bare(fake_fleet.usable)
+        await wait_within_empty_table_limit(fake_fleet.usable)
         assert run_command(fake_fleet.pilot, "list", "accept").returncode == 1
 
 
@@ -487,7 +487,7 @@
         (tmp_path / "spare.part").write_text(spare[:at] + spare[at:].replace("in_service", "terminating", 1))
         (tmp_path / "spare.part").replace(tmp_path / "spare.ini")
         await eventually(lambda: not fake_fleet.gateway_tables_with(draining))
-        await not_bare(fake_fleet.usable)
+        await wait_within_empty_table_limit(fake_fleet.usable)
         assert fake_fleet.pilot.log("list_sources_disagreed")
 
 
--- a/tests/test_sasp_pilot.py
+++ b/tests/test_sasp_pilot.py
@@ -32,7 +32,7 @@
     WeightFlag,
     member,
 )
-from tests.gates import not_bare, soon, weights, world
+from tests.gates import wait_for, wait_within_empty_table_limit, weights, world
 from tests.pilots import Pilot, name, until
 
 pytestmark = pytest.mark.anyio
@@ -93,7 +93,7 @@
     async def look():
         return what()
 
-    return await soon(look)
+    return await wait_for(look)
 
 
 ALL_MEMBERS = [member(name(k)) for k in (1, 2, 3)]
@@ -110,7 +110,7 @@
         reply = await client.weights(*names)
         return reply if not reply.code and what(by_endpoint(reply)) else None
 
-    return await soon(look)
+    return await wait_for(look)
 
 
 async def test_weights_follow_the_tables_and_a_drain_has_the_same_effect_on_gateways_and_balancers(tmp_path):
@@ -175,7 +175,9 @@
         await client.ask(states(MemberFlag.QUIESCE))
         server.pilot.list(s1="in_service", s2="in_service", s3="in_service")
         await poll_until(client, lambda w: w[name(2)].weight == 0 and not w[name(3)].flags & WeightFlag.QUIESCE, b"web")
-        await not_bare(lambda: all(g.received_state.available_entries(n) for g in gates for n in weights(g)))
+        await wait_within_empty_table_limit(
+            lambda: all(g.received_state.available_entries(n) for g in gates for n in weights(g))
+        )
         assert not reached()
         await client.ask(states(MemberFlag(0)))
         await poll_until(client, lambda w: not w[name(2)].flags & WeightFlag.QUIESCE, b"web")
