--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -113,7 +113,7 @@
     return found
 
 
-def changed(variant: str, text: str) -> str:
+def make_variant(variant: str, text: str) -> str:
     """Return the text of a variant of the site `text`."""
     tables = sections(text)
     for (name, nth, key), value in VALUES[variant]:
@@ -132,7 +132,7 @@
     for variant in VALUES:
         folder = HERE / variant
         folder.mkdir(exist_ok=True)
-        (folder / f"{variant}.toml").write_text(changed(variant, site.read_text()))
+        (folder / f"{variant}.toml").write_text(make_variant(variant, site.read_text()))
         for name in COPIED_FILES:
             if (site.parent / name).exists():
                 (folder / name).unlink(missing_ok=True)
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -27,11 +27,11 @@
 
 def test_values_names_and_tables_are_changed_and_the_rest_stays(monkeypatch):
     monkeypatch.setitem(variants.VALUES, "druga", [(("net", 0, "zones"), '["north"]'), (("class", 0, "name"), '"all"')])
-    made = tomllib.loads(variants.changed("druga", SITE))
+    made = tomllib.loads(variants.make_variant("druga", SITE))
     assert made == {"name": "druga-kuca", "net": {"zones": ["north"]}, "class": [{"name": "all", "share": [0.5, 0.6]}]}
 
 
 def test_a_word_that_the_site_does_not_hold_is_an_error(monkeypatch):
     monkeypatch.setitem(variants.VALUES, "prva", [(("class", 1, "worth"), "4")])
     with pytest.raises(SystemExit, match="worth stands 0 times"):
-        variants.changed("prva", SITE)
+        variants.make_variant("prva", SITE)
