--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -128,7 +128,7 @@
         seed = self.settings.pilot.seed * MAX_PLANNERS_PER_SEED + self.failures
         events = self.planner_start.events(learned, replaces_planner)
         self._drop_stale_events(replaces_planner)
-        self.begin_with(self.make_planner(self.settings.planner(), seed), events)
+        self.install_planner(self.make_planner(self.settings.planner(), seed), events)
 
     def _drop_stale_events(self, replaces_planner: bool) -> None:
         """Drop the queued client events that do not apply to the new planner.
@@ -178,7 +178,7 @@
         Returns:
             Sessions that may acknowledge sync tokens now.
         """
-        change = self.published.touch(endpoints)
+        change = self.published.mark_changed(endpoints)
         now = self.clock.advance_to(now)
         return self._publish(now, change, "list", "endpoints that moved") if change.entries else []
 
@@ -205,9 +205,9 @@
     def due(self) -> int | None:
         """Return the time in ns at which the next step must run, or None if only an event requires a step."""
         times: list[int] = []
-        next_step = self.next_step()
-        if next_step is not None:
-            times.append(next_step)
+        next_due_at = self.next_due_at()
+        if next_due_at is not None:
+            times.append(next_due_at)
         if self.persistence.failing:
             times.append(self.persistence.retry_at)
         if self.pin.applied:
--- a/damsonpick/load_tool/player.py
+++ b/damsonpick/load_tool/player.py
@@ -39,7 +39,7 @@
         self.done = self.parser.get_status_code() >= 200
 
 
-class Player:
+class LoadGenerator:
     """One run of an experiment.
 
     Args:
@@ -117,7 +117,7 @@
         """Return an idle connection that is still open, or None. Close connections that the target closed."""
         while self.idle_connections:
             connection = self.idle_connections.pop()
-            if sockets.idle(connection):
+            if sockets.is_reusable(connection):
                 return connection
             await anyio.aclose_forcefully(connection)
         return None
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -147,7 +147,7 @@
             self._identify(lb, flags)
         return code
 
-    def _register(self, sender: Sender, groups: tuple[sasp.MembersOf, ...]) -> Code:
+    def _register(self, sender: Sender, groups: tuple[sasp.MemberGroup, ...]) -> Code:
         code = self.advisor.registry.register(self, sender, groups)
         if code == Code.OK and sender & Sender.BALANCER and groups:
             self._identify(groups[0].group.lb, self.flags)
@@ -357,7 +357,7 @@
         """
         return max(self._polled_at, self._pushed_at)
 
-    def held_counts(self) -> dict[str, int]:
+    def state_counts(self) -> dict[str, int]:
         """Return the number of groups whose advice was sent to the peer."""
         return {"groups": len(self._last_advice)}
 
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -69,7 +69,7 @@
 
     def __init__(self) -> None:
         """Build the message, which is the same for every resource."""
-        super().__init__("upstream list: a resource is not a valid ClusterLoadAssignment, though it says so")
+        super().__init__("upstream list: a resource is no ClusterLoadAssignment, though it says so")
 
 
 def read_entries(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.EndpointEntry]:
@@ -163,7 +163,7 @@
         """Yield lists without end; after each failure, yield the error instead of a list."""
         while True:
             await anyio.sleep(self.budget.wait(self.clock()) / 1e9)
-            self.budget.spend(self.clock())
+            self.budget.record_call(self.clock())
             try:
                 async for content in self._stream():
                     yield content
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -32,7 +32,7 @@
 
 
 class Change(NamedTuple):
-    """Result of one call of `PublishedTables.apply` or `PublishedTables.touch`.
+    """Result of one call of `PublishedTables.apply` or `PublishedTables.mark_changed`.
 
     Attributes:
         seq: Sequence number of the change.
@@ -140,7 +140,7 @@
         self.changed.update(dict.fromkeys(entries, self.seq))
         return Change(self.seq, entries, sync_tokens, urgent)
 
-    def touch(self, endpoints: Iterable[str]) -> Change:
+    def mark_changed(self, endpoints: Iterable[str]) -> Change:
         """Mark the entries of some endpoints as changed in all tables.
 
         This is needed when another property of the endpoints, such as their zone, has changed.
@@ -207,10 +207,10 @@
             scope = order.table, class_index
             if self.levels.get(scope, FULL_LEVEL) != order.level:
                 changed.append(ChangedEntry(unit, _level_key(class_index)))
-            if self.retries.get(scope, NO_RETRIES) != order.retry:
+            if self.retries.get(scope, NO_RETRIES) != order.retry_mode:
                 changed.append(ChangedEntry(ROUTES, _retry_key(order.table, class_index)))
             self.levels[scope] = order.level
-            self.retries[scope] = order.retry
+            self.retries[scope] = order.retry_mode
         return changed
 
 
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -14,7 +14,7 @@
 from damsonpick.state.published_tables import PublishedTables
 
 
-def deaf_to_drains() -> None:
+def ignore_drains() -> None:
     """Show the planner every endpoint as in service, even if the endpoint is draining or gone."""
 
     def apply_change(self, event):
@@ -25,7 +25,7 @@
     original, EndpointListTracker.apply_change = EndpointListTracker.apply_change, apply_change
 
 
-def bare() -> None:
+def remove_table_entries() -> None:
     """Remove all entries of every slice except the first, once the first tables have been published."""
 
     def apply(self, orders):
@@ -49,12 +49,12 @@
     original, PublishedTables.apply = PublishedTables.apply, apply
 
 
-def retrying() -> None:
+def retry_all_classes() -> None:
     """Let proxies retry requests of all classes after any failure."""
-    replace_admission(retry=3)
+    replace_admission(retry_mode=3)
 
 
-def reckless() -> None:
+def overload_warming_endpoints() -> None:
     """Treat warming endpoints as warm, send them all requests of their slices, and shed no load to protect them."""
     warming = set()
 
