--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -1,4 +1,4 @@
-"""A fake balancer: a fake gateway whose tables are made from SASP advice, with one group per slice."""
+"""A fake balancer: a fake gateway that makes its tables from SASP advice. It registers one group per slice."""
 
 from __future__ import annotations
 
--- a/damsonpick/testing/fakes/collector.py
+++ b/damsonpick/testing/fakes/collector.py
@@ -47,7 +47,7 @@
         await self.stream.send(data)
 
     async def gets_heartbeat(self) -> bool:
-        """Send a heartbeat request and return whether the pilot answers it."""
+        """Send a heartbeat request and return whether the next data from the pilot contains an answer to one."""
         await self.send({"@type": "hb"})
         return b"hb_ok" in await self.stream.receive(READ_BYTES)
 
--- a/damsonpick/testing/fakes/faulty_http.py
+++ b/damsonpick/testing/fakes/faulty_http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for fakes whose responses may break off at any byte.
+"""A small HTTP/1.1 server for fakes. A fake can break off a response at any byte.
 
 h11 parses the requests. This module formats the responses itself, so that a fake can send partial or invalid ones.
 """
@@ -165,7 +165,7 @@
             await anyio.aclose_forcefully(stream)
 
     async def watch(self, stream: SocketStream, lines: list[bytes]) -> None:
-        """Send lines as the start of a response.
+        """Start a response with `lines`, and register the connection so that later lines are sent on it.
 
         The response stays open until the peer sends a byte or closes the connection.
         """
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -65,7 +65,7 @@
     """
 
     def __init__(self, setup: dict[str, Any], rng: random.Random) -> None:
-        """Read rate, request classes and number of slices from the settings of the process."""
+        """Read rate, request classes and number of slices from the settings, and draw the popularity of each slice."""
         self.rate = setup["rate"]
         self.factor = 1.0
         self.hot_slices: list[int] = []
@@ -145,7 +145,7 @@
         return port_files.address(self._port_file.with_suffix(".sasp"))
 
     async def run(self) -> None:
-        """Run the gateways and clients and execute commands until the end of standard input."""
+        """Run the gateways and clients and execute commands until standard input ends; then record the process load."""
         async with anyio.create_task_group() as group:
             for gateway in self._gateways.values():
                 group.start_soon(gateway.follow)
@@ -160,7 +160,7 @@
     # Clients
 
     async def _generate_requests(self, group: TaskGroup) -> None:
-        """Start clients in a Poisson process.
+        """Start one client per arrival. The arrivals form a Poisson process.
 
         Each arrival is scheduled relative to the previous scheduled arrival, not to its actual start. A busy process
         therefore starts requests late but does not reduce their number.
--- a/damsonpick/testing/fakes/http.py
+++ b/damsonpick/testing/fakes/http.py
@@ -98,7 +98,7 @@
             return b""
 
     def prepare_reuse(self) -> bool:
-        """Prepare the connection for another request. Return False if one of the sides does not keep it open."""
+        """Prepare the connection for another request if both sides keep it open. Return whether they do."""
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             return True
--- a/damsonpick/testing/fakes/platform_config.py
+++ b/damsonpick/testing/fakes/platform_config.py
@@ -1,4 +1,7 @@
-"""Configuration of a pilot on the platform's protocol that runs against fakes: settings of a small site, and a port."""
+"""Settings of a small site, and a search for a free port, for a pilot that uses the platform's protocol.
+
+Tests and soaks run such a pilot against fakes.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +43,7 @@
 
 
 def free_port() -> int:
-    """Return a port that is free now, for a pilot, whose configuration must contain a fixed port.
+    """Return a port that is free now. Pilots need one because their configuration must contain a fixed port.
 
     The port is below the range from which the operating system chooses the ports of outgoing connections (32768 and
     above). Otherwise one of the many outgoing connections of a test run could take the port before the pilot opens it.
--- a/damsonpick/testing/fakes/registry.py
+++ b/damsonpick/testing/fakes/registry.py
@@ -1,6 +1,7 @@
 """A fake of the platform's registry of proxies: it stores tables, accepts requests and reports changes on a watch.
 
-A test queues faults in `FakeRegistry.faults`. Each request with orders removes the next fault and fails in this way.
+A test queues faults in `FakeRegistry.faults`. Each request with orders removes the first fault from the queue and fails
+accordingly.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
     ANSWER_INVALID = auto()  # applied; the response has a negative count of applied orders
     ANSWER_OUT_OF_RANGE = auto()  # applied; the response counts more orders than the request had
     ANSWER_HELD = auto()  # applied; the response is sent once the gate is opened
-    SYNC_WITHHELD = auto()  # applied, and the response is sent; the sync tokens are never reported
+    SYNC_WITHHELD = auto()  # applied, and the response is sent; the sync tokens are never acknowledged
     CONNECTION_CUT = auto()  # not applied; the connection is closed without a response
     IGNORED = auto()  # not applied; no response is sent
     BUSY = auto()  # rejected with the error BUSY
@@ -63,7 +64,7 @@
         members: Connected proxies by number, with the fields that the watch reports.
         levels: Admitted share, by route.
         withdrawn: Servers that no proxy may use.
-        faults: Faults of the next requests with orders, in order. Each request removes one.
+        faults: Queue of faults. Each request with orders removes the first fault and fails accordingly.
         request_count: Number of requests with orders received so far.
         gate: Blocks the responses of requests with the fault ANSWER_HELD.
     """
@@ -107,7 +108,7 @@
             await self.send_line(_watch_line("entry", slice=number, server=server, weight=weight))
 
     async def reconnect_proxies(self) -> None:
-        """Report that each proxy disconnects and connects again, with the tables that it still has (not `fresh`)."""
+        """Report on the watches that each proxy disconnects and connects again with its old tables, not `fresh`."""
         for member in self.members.values():
             await self.send_line(_watch_line("detach", proxy=member["proxy"]))
             member["fresh"] = False
@@ -151,9 +152,9 @@
         return await self._respond(len(applied), fault, stream)
 
     async def _apply(self, orders: list[Order], reports_sync: bool) -> None:
-        """Apply orders, and report on the watches that each proxy has reached their sync tokens.
+        """Apply orders. Then send to all watches, for each proxy, the acknowledgement of each sync token in the orders.
 
-        Sync tokens are not reported if `reports_sync` is False or the registry is silent.
+        No acknowledgement is sent if `reports_sync` is False or the registry is silent.
         """
         tokens = []
         for order in orders:
--- a/damsonpick/testing/fakes/results_server.py
+++ b/damsonpick/testing/fakes/results_server.py
@@ -127,7 +127,7 @@
         return self.config.cold_share + (1 - self.config.cold_share) * age / self.config.warm_up_ns
 
     async def start(self, group: TaskGroup, cold: bool) -> None:
-        """Start a process in `group`. If `cold`, the server has to warm up first."""
+        """Start a process without faults in `group`. If `cold`, the server has to warm up first."""
         port = int(self.address.rpartition(":")[2]) if self.address else 0
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
         self.address = "127.0.0.1:" + str(listener.extra(anyio.abc.SocketAttribute.local_port))
--- a/damsonpick/testing/fakes/server_picker.py
+++ b/damsonpick/testing/fakes/server_picker.py
@@ -1,4 +1,7 @@
-"""Server choice of a fake gateway: the less busy of two servers drawn by weight. Avoids ejected servers. No I/O."""
+"""Chooses the server for a request of a fake gateway: the less busy of two servers drawn by weight.
+
+Ejected servers are avoided. This module performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class ServerPicker:
-    """A gateway's own view of the servers: requests in flight, consecutive failures and ejections."""
+    """Picks servers by a gateway's own counts of their requests in flight, and ejects servers that fail repeatedly."""
 
     def __init__(self, rng: random.Random) -> None:
         """Create a picker that draws servers and ejection times from `rng`."""
@@ -22,7 +25,9 @@
         self._ejected_until: dict[str, int] = {}  # by server, ns
 
     def pick(self, now: int, entries: Mapping[str, tuple[int, str]], excluded: set[str]) -> str | None:
-        """Pick a server. Ejected servers are used only if no other server is left.
+        """Draw two servers by weight and return the less busy one. Both draws may give the same server.
+
+        Ejected servers are drawn only if no other server is left.
 
         Args:
             now: Current time, in ns.
@@ -30,7 +35,7 @@
             excluded: Servers that must not be picked.
 
         Returns:
-            The server, or None if every server is excluded.
+            The server, or None if `entries` is empty or every server is excluded.
         """
         weights = {server: weight for server, (weight, _) in entries.items() if server not in excluded}
         healthy = {server: weight for server, weight in weights.items() if self._ejected_until.get(server, 0) <= now}
@@ -45,7 +50,7 @@
         self._in_flight[server] = self._in_flight.get(server, 0) + 1
 
     def request_ended(self, now: int, server: str, succeeded: bool, ejection_failures: int) -> None:
-        """Count the end of a request.
+        """Count the end of a request, and eject the server after too many consecutive failures.
 
         Args:
             now: Current time, in ns.
--- a/damsonpick/testing/rules/__init__.py
+++ b/damsonpick/testing/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Checks the traffic that gateways, servers and the list server recorded against the five rules for a pilot."""
+"""Checks the five rules for a pilot. The input is the traffic that gateways, servers and the list server recorded."""
 
 from damsonpick.testing.rules.checker import Checker
 from damsonpick.testing.rules.limits import EffectRule, Limits
--- a/damsonpick/testing/rules/drains.py
+++ b/damsonpick/testing/rules/drains.py
@@ -15,7 +15,7 @@
 
 
 class DrainsRule:
-    """Measures how long gateways keep sending requests to a server that is draining or gone."""
+    """Measures how long gateways keep sending requests to a draining or departed server, and records breaches."""
 
     def __init__(self, limits: Limits, fleet: ObservedFleet, listed: ListedServers) -> None:
         """Check the requests of the gateways in `fleet`; `listed` states which servers are draining or gone."""
@@ -32,7 +32,10 @@
             self.result.tested += len(self.listed.leaving_since)
 
     def on_request_sent(self, record: RequestSent) -> None:
-        """Measure how long after the start of the grace a gateway sent a request to a draining or departed server."""
+        """Measure how long after the start of the grace a gateway sent a request to a draining or departed server.
+
+        A request sent after the end of the grace is a breach.
+        """
         leaving_since = self.listed.leaving_since.get(record.server)
         connected_ns = self.fleet.gateway(record.gateway).connected_ns
         if leaving_since is None or not connected_ns:
--- a/damsonpick/testing/rules/duplicate_effects.py
+++ b/damsonpick/testing/rules/duplicate_effects.py
@@ -23,7 +23,7 @@
 
 
 class DuplicateEffectsRule:
-    """Counts the executions of each request."""
+    """Counts the executions of each request, and records each execution or repeated send that breaks the rule."""
 
     def __init__(self, limits: Limits, fleet: ObservedFleet) -> None:
         """Check against `limits`; `fleet` provides the servers' zones."""
--- a/damsonpick/testing/rules/empty_tables.py
+++ b/damsonpick/testing/rules/empty_tables.py
@@ -1,7 +1,8 @@
 """Rule: no connected gateway has a slice without a usable server for longer than the limit.
 
-When the endpoint list has a warm server again, the measurement of every empty slice starts anew. The empty time counts
-as 0 if the list has no warm server when the slice gets a usable server, or at the end of the records.
+When the endpoint list has a warm server again, the measurement of every empty slice starts anew. The empty time is
+checked when the slice gets a usable server and at the end of the records. It counts as 0 if the list has no warm server
+at that time.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class EmptyTablesRule:
-    """Measures how long slices have no usable server."""
+    """Measures how long slices have no usable server, and records times above the limit as breaches."""
 
     def __init__(self, limits: Limits, fleet: ObservedFleet, listed: ListedServers) -> None:
         """Check the gateways of `fleet`; `listed` states whether the list has a warm server."""
@@ -30,7 +31,10 @@
             self._check_slices(record.time_ns, record.gateway, range(self.limits.slice_count))
 
     def on_response(self, record: ResponseRead) -> None:
-        """Check the slices that a response may have changed: all slices if it contains the withdrawn servers."""
+        """Check the slices that a response may have changed. If it contains the withdrawn servers, check all slices.
+
+        A response counts only if it is an accepted endpoint response of a connected gateway.
+        """
         if not record.is_endpoints or not self.fleet.gateway(record.gateway).connected_ns:
             return
         if record.withdrawn is not None:
--- a/damsonpick/testing/rules/limits.py
+++ b/damsonpick/testing/rules/limits.py
@@ -34,11 +34,11 @@
     Attributes:
         slice_count: Number of slices. Each gateway needs a table for each slice.
         empty_table_ns: Longest time for which a slice may have no usable entry.
-        drain_grace_ns: Time after which gateways must send no more requests to a draining or departed server.
+        drain_grace_ns: Longest time for which gateways may keep sending requests to a draining or departed server.
         warm_up_ns: Time for which a server is cold after its start.
         overload_multiple: Ratio of received work to current capacity above which a cold server crashes.
         overload_window_ns: Period over which the received work is summed.
-        queued_entries: Most table entries that the send queue may hold.
+        queued_entries: Most table entries that the send queue may hold, including the fixed costs of its messages.
         message_overhead_entries: Fixed cost of a message in addition to its entries, expressed in entries.
         messages_per_window: Most messages that the pilot may send to one gateway in a window; 0 for no limit.
         message_window_ns: Length of the message window.
--- a/damsonpick/testing/rules/records.py
+++ b/damsonpick/testing/rules/records.py
@@ -82,8 +82,9 @@
     """A gateway read a response.
 
     Attributes:
-        send_info: Parsed from the nonce `count.queued.sent.entries`. None if the nonce has another form or counts no
-            entries. The first tables of a stream count as no entries, because the pilot sends them as stored.
+        send_info: Accounting of the response, parsed from the nonce `count.queued.sent.entries`. None if the nonce has
+            another form or counts no entries. The first tables of a stream count as no entries, because the pilot sends
+            them as stored.
         is_endpoints: Whether the response has the type `ClusterLoadAssignment` and the gateway accepted it. Otherwise
             `tables` and `removed_slices` are empty and `withdrawn` is None.
         tables: Servers of each table in the response, by slice.
--- a/damsonpick/testing/rules/send_queue.py
+++ b/damsonpick/testing/rules/send_queue.py
@@ -10,7 +10,10 @@
 
 
 class SendQueueRule:
-    """Reconstructs the length of the pilot's send queue from the nonces of the responses."""
+    """Reconstructs the length of the pilot's send queue from the nonces of the responses.
+
+    Checks this length, and the number of messages to each gateway in a window.
+    """
 
     def __init__(self, limits: Limits) -> None:
         """Check against `limits`."""
@@ -20,7 +23,7 @@
         self._recently_sent: dict[str, deque[int]] = {}  # send times within the last message window, ns, by gateway
 
     def on_stream(self, record: StreamChanged) -> None:
-        """When a stream opens, discard the send times of the previous stream: the message window starts anew."""
+        """When a stream opens, discard the previous stream's send times, because the message window starts anew."""
         if record.is_open:
             self._recently_sent.pop(record.gateway, None)
 
--- a/damsonpick/testing/scenarios/environment.py
+++ b/damsonpick/testing/scenarios/environment.py
@@ -27,7 +27,7 @@
 
 CAPACITY_FACTORS = (0.8, 1.0, 1.25)  # speeds of a warm server's cores; one is drawn for each server
 MEAN_WORK_FACTOR = 1.083  # mean of the random factor that clients apply to a request's work
-GATEWAY_PROCESSES = 3  # most processes; there are several so that a delay in one does not delay all gateways
+GATEWAY_PROCESSES = 3  # most gateway processes; with several, a delay in one process does not delay all gateways
 SOTW_GATEWAY_EVERY = 4  # each fourth fake gateway uses the state-of-the-world variant of xDS
 
 
--- a/damsonpick/testing/scenarios/errors.py
+++ b/damsonpick/testing/scenarios/errors.py
@@ -16,11 +16,11 @@
 
     Attributes:
         problem: Description of the failure.
-        log_tail: Last characters of the process's log.
+        log_tail: Last characters of the log, which several processes may share.
     """
 
     def __init__(self, problem: str, log: Path) -> None:
         """Create the error; the message contains the end of `log`."""
         self.problem = problem
         self.log_tail = log.read_text()[-LOG_TAIL_CHARACTERS:]
-        super().__init__(f"{problem}; the end of its log: {self.log_tail}")
+        super().__init__(f"{problem}; the log ends with: {self.log_tail}")
--- a/damsonpick/testing/scenarios/faults.py
+++ b/damsonpick/testing/scenarios/faults.py
@@ -1,7 +1,8 @@
 """Injects each kind of fault into the environment.
 
-The script sets the times and the extent of a fault; the targets are drawn at random. The docstring of each kind's
-function states the meaning of `size` and `extra`. `extra` is in seconds unless stated otherwise.
+The script sets the times and the extent of a fault; the targets are drawn at random. The docstring of a kind's
+function, or its entry in `FAULTS`, shows the meaning of `size` and `extra`. `extra` is in seconds unless stated
+otherwise.
 """
 
 from __future__ import annotations
@@ -44,7 +45,10 @@
 
 
 async def deploy(environment: Environment, fault: Fault) -> None:
-    """A share of the servers is replaced in batches of `size` times the fleet. Each batch drains for `extra`."""
+    """A share of the servers is replaced in batches.
+
+    A batch contains as many servers as the share `size` of the fleet, but at least one. Each batch drains for `extra`.
+    """
     servers = environment.draw_servers(fault.affected_share)
     batch_size = max(1, round(fault.size * len(environment.servers)))
     batches = [servers[at : at + batch_size] for at in range(0, len(servers), batch_size)]
@@ -60,7 +64,7 @@
 async def shrink(environment: Environment, fault: Fault) -> None:
     """The fleet shrinks to 1/`size`.
 
-    The removed servers start to drain one after another over the duration, and stop `extra` after the end of it.
+    The removed servers start to drain one after another over the duration. All of them stop `extra` after the duration.
     """
     servers = environment.draw_servers(1 - 1 / fault.size)
     for server in servers:
@@ -120,7 +124,7 @@
 
 
 async def half_building(environment: Environment, fault: Fault) -> None:
-    """Half of the servers of a zone that are up crash at once. They restart cold after the duration."""
+    """Half of the running servers of a random zone crash at once. They restart cold after the duration."""
     zone = environment.random.choice(environment.script.day.zones)
     inside = [server for server in environment.servers if server.config.zone == zone and server.is_up]
     lost = environment.random.sample(inside, len(inside) // 2)
@@ -189,7 +193,7 @@
 
 
 async def origin_slow(environment: Environment, fault: Fault) -> None:
-    """Gateways take `size` times 100 ms longer to read a response of the pilot."""
+    """Gateways wait before they process a response of the pilot. The delay is 100 ms multiplied by `size`."""
     await environment.gateways.send_command("slow_reads", ns=int(fault.size * SLOW_READ_UNIT_NS))
     await environment.sleep(fault.duration)
     await environment.gateways.send_command("slow_reads", ns=0)
--- a/damsonpick/testing/scenarios/processes.py
+++ b/damsonpick/testing/scenarios/processes.py
@@ -123,7 +123,7 @@
         async with anyio.create_task_group() as group:
             for process in self._processes:
                 group.start_soon(wait_for, process)
-        raise ProcessError(f"a gateway process ended with exit code {exit_codes}", self.log_file)
+        raise ProcessError(f"a gateway process ended; exit codes of the ended processes: {exit_codes}", self.log_file)
 
     async def stop(self) -> None:
         """End all processes by closing their standard input; kill those that do not end in time."""
--- a/damsonpick/testing/scenarios/report.py
+++ b/damsonpick/testing/scenarios/report.py
@@ -40,7 +40,7 @@
         proxies: Whether real proxies forward the requests, instead of the fake gateways.
 
     Returns:
-        The exit code: 0 if all rules were kept, 1 if a rule was broken, 2 if a script cannot be read.
+        The exit code: 0 if all rules were kept, 1 if a rule was broken, 2 if a script is unreadable or invalid.
     """
     try:
         scripts = [(path, load(path)) for path in paths]
--- a/damsonpick/testing/soak/__init__.py
+++ b/damsonpick/testing/soak/__init__.py
@@ -1,1 +1,4 @@
-"""A seeded soak of the platform's pilot: the real program on sockets, against fakes with faults in random order."""
+"""Seeded soaks of a pilot that uses the platform's protocol.
+
+A soak runs the real program over sockets against fakes, and injects faults in random order.
+"""
--- a/damsonpick/testing/soak/clients.py
+++ b/damsonpick/testing/soak/clients.py
@@ -11,7 +11,7 @@
 from damsonpick.testing.fakes.collector import FakeCollector, frame
 
 LENGTH_BYTES = 4  # size of the length prefix of a frame
-HEARTBEAT_TIMEOUT_S = 0.4  # a heartbeat request sent this long before the pilot is ended must have been answered
+HEARTBEAT_TIMEOUT_S = 0.4  # heartbeat requests sent at least this long before the pilot is ended must be answered
 RECONNECT_DELAY_S = 0.05
 MIN_PAUSE_S, MAX_PAUSE_S = 0.005, 0.04  # range of the pause between two heartbeat requests of a collector
 UNJOINED_TIMEOUT_S = 30.0  # time after which a client that never joins closes its own connection
@@ -34,7 +34,7 @@
         del self._request_times_s.get(collector, [])[:count]
 
     def forget(self, collector: FakeCollector) -> None:
-        """Remove a closed connection. Its collector has received the responses or noticed that it was closed."""
+        """Remove a closed connection. The collector has received the responses or noticed the closing."""
         self._request_times_s.pop(collector, None)
 
     def clear(self) -> None:
--- a/damsonpick/testing/soak/player.py
+++ b/damsonpick/testing/soak/player.py
@@ -1,4 +1,4 @@
-"""Runs a soak: restarts one pilot several times, injects faults, and checks the invariants at the end of each run."""
+"""Runs a soak: starts one pilot several times, injects faults, and checks invariants as each incarnation ends."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
     Attributes:
         seed: Seed of the soak. The soak can be repeated with it.
-        endings: How each incarnation that was started ended, in order.
-        requests: Number of requests that the registry received.
+        endings: Planned ending of each incarnation that was started, in order.
+        requests: Number of requests with orders that the registry received.
         failures: Descriptions of the failures. Empty if the soak passed.
     """
 
@@ -120,7 +120,7 @@
         if incarnation.ending is Ending.TERM_BEFORE_READY:
             await anyio.sleep(self._rng.uniform(0.0, 0.6))
         elif not await self.pilot.wait_for_any(READY_EVENTS):
-            self._fail("the pilot did not become ready")
+            self._fail("the pilot ended early, or its wait for readiness did not end in time")
         for step in incarnation.steps:
             await anyio.sleep(step.pause_s)
             await self.platform.act(step, self._group)
@@ -160,12 +160,18 @@
     # Invariants at the end of the last incarnation
 
     async def _settle(self) -> None:
-        """End all faults, return all slices to the pilot, and wait until the tables are stable."""
+        """End all faults, return all slices to the pilot, and wait until the tables are stable.
+
+        Tables are stable if they have not changed for `STABLE_PERIOD_S` and no slice lacked a usable server meanwhile.
+        """
         await self.platform.end_faults()
         with anyio.move_on_after(SETTLE_TIMEOUT_S) as scope:
             await self._wait_until_stable()
         if scope.cancelled_caught:
-            self._fail(f"the tables were not stable within {SETTLE_TIMEOUT_S} s: {self.platform.describe_uncovered()}")
+            self._fail(
+                f"the tables were still changing or lacked a usable server after {SETTLE_TIMEOUT_S} s: "
+                f"{self.platform.describe_uncovered()}"
+            )
 
     async def _wait_until_stable(self) -> None:
         digest, since_s = 0, anyio.current_time()
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -71,7 +71,7 @@
 
 
 async def current_versions(pilot):
-    """Return the pilot's `versions who` reply if every gateway has verified the newest version, else None."""
+    """Return the `versions who` reply if it lists gateways that all verified the newest version, else None."""
     done = await anyio.to_thread.run_sync(lambda: pilot.versions("who"))
     if done.returncode not in (0, 1):
         return None
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -90,7 +90,10 @@
         self.handle(*events)
 
     def handle(self, *events: api.Event) -> list[api.Action]:
-        """Pass events to the planner at the current time, and apply its orders."""
+        """Pass events to the planner at the current time, and apply its orders.
+
+        If `acks` is set, all proxies acknowledge the last sync request among the orders at once. Returns all orders.
+        """
         orders = self.planner.handle(self.now, list(events))
         self.log += orders
         acks = []
--- a/tests/test_platform_races.py
+++ b/tests/test_platform_races.py
@@ -106,7 +106,9 @@
                     site.reload()
                     await until(lambda service=service: service.requested_targets)
                 await until(lambda: newest.watchers and not site.discovery.watchers)
-                slow.gate.opened.set()  # the slow service sends its state after the newest service has sent its own
+                # The slow service sends its state after the newest service has sent its own state.
+                # Then the slow service ends.
+                slow.gate.opened.set()
                 await anyio.sleep(0.2)
                 await slow.cut_watches()
                 assert len(slow.requested_targets) == 1
--- a/tests/versions_model.py
+++ b/tests/versions_model.py
@@ -4,7 +4,7 @@
 delivered in order on a stream that may break at any point. Every action is tried in every state up to a depth; states
 that were visited before are not explored again.
 
-    python -m tests.versions_model 8     # explore to depth 8 and print how many states there were
+    python -m tests.versions_model 8     # explore to depth 8 and print the numbers of states and steps
 """
 
 from __future__ import annotations
