--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -94,7 +94,9 @@
     try:
         return convert(values.get(key, default))
     except ValueError:
-        raise ListFileError(place, f"{key} = {values[key]!r}: write a number") from None
+        raise ListFileError(
+            place, f"{key} = {values[key]!r}: write a number, which must be whole for started"
+        ) from None
 
 
 def render(entries: list[api.EndpointEntry]) -> str:
--- a/damsonpick/protocols/platform/__main__.py
+++ b/damsonpick/protocols/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `python -m damsonpick.edge`: runs one pilot on the platform's protocol in the foreground."""
+"""Entry point of `python -m damsonpick.edge`: runs a pilot of the platform's protocol in the foreground."""
 
 from __future__ import annotations
 
--- a/damsonpick/protocols/platform/address.py
+++ b/damsonpick/protocols/platform/address.py
@@ -1,4 +1,4 @@
-"""Network addresses."""
+"""Defines the type for the TCP addresses of the pilot, the registry and discovery."""
 
 from __future__ import annotations
 
--- a/damsonpick/protocols/platform/config.py
+++ b/damsonpick/protocols/platform/config.py
@@ -148,7 +148,7 @@
     limits = tree.get("limits", {})
     descriptors = limits.get("sockets", DEFAULT_MAX_DESCRIPTORS) if isinstance(limits, dict) else None
     if not isinstance(descriptors, int) or isinstance(descriptors, bool) or descriptors < 1:
-        raise ConfigError("limits.sockets", "not a whole number of at least 1")
+        raise ConfigError("limits.sockets", "not a whole number of at least 1, or limits is not an object")
     return descriptors
 
 
--- a/damsonpick/protocols/platform/connection_handler.py
+++ b/damsonpick/protocols/platform/connection_handler.py
@@ -55,7 +55,7 @@
         self._report_count = 0
 
     def take_report_count(self) -> int:
-        """Return the number of reports received since the previous call."""
+        """Return the number of valid reports received since the previous call, and reset the number to 0."""
         count, self._report_count = self._report_count, 0
         return count
 
--- a/damsonpick/protocols/platform/connection_listener.py
+++ b/damsonpick/protocols/platform/connection_listener.py
@@ -51,7 +51,7 @@
     try:
         opened = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=BACKLOG)
     except OSError as error:
-        reason = f"{host}:{port}: {error.strerror or error}: the address is in use, or does not belong to this host"
+        reason = f"{host}:{port}: {error.strerror or error}: listen needs a free port and an address of this host"
         raise ConfigError("listen", reason) from None
     return cast(Listener, opened.listeners[0])
 
--- a/damsonpick/protocols/platform/discovery.py
+++ b/damsonpick/protocols/platform/discovery.py
@@ -94,7 +94,7 @@
 
 def _read_entry(item: object) -> api.EndpointEntry:
     if not isinstance(item, dict):
-        raise EndpointEntryError("", "id", "missing, or not text")
+        raise EndpointEntryError("", "id", "missing, because the entry is not an object")
     endpoint = item.get("id")
     if not isinstance(endpoint, str) or not endpoint:
         raise EndpointEntryError("", "id", "missing, empty, or not text")
--- a/damsonpick/protocols/platform/endpoint_list.py
+++ b/damsonpick/protocols/platform/endpoint_list.py
@@ -100,7 +100,8 @@
         """Return whether an update that is older than the known version is applied nevertheless.
 
         Raises:
-            EndpointListError: The update would be applied, but is partial: the complete list is required.
+            EndpointListError: The update is accepted now, but cannot be applied because it is partial. The complete
+                list is required.
         """
         if self._outdated_since_ns is None:
             self._outdated_since_ns = now_ns
@@ -110,6 +111,8 @@
             self._needs_full_list = True
             delay_s = self.rollback_delay_ns / NS_PER_SECOND
             raise EndpointListError(
-                "version", f"{update.version} after {self.version}: only older versions were received for {delay_s:g} s"
+                "version",
+                f"{update.version} after {self.version}: only older versions were received for {delay_s:g} s, and this "
+                "update is partial; a full update is required",
             )
         return True
--- a/damsonpick/protocols/platform/errors.py
+++ b/damsonpick/protocols/platform/errors.py
@@ -43,7 +43,10 @@
 
 
 class MalformedMessageError(MessageError):
-    """The bytes are not a JSON object, so the rest of the stream cannot be trusted."""
+    """The bytes cannot be decoded as JSON or are not a JSON object, so the rest of the stream cannot be trusted.
+
+    A collector's invalid message is also malformed if whitespace precedes its JSON object.
+    """
 
 
 class EndpointListError(PlatformError):
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -57,14 +57,16 @@
     timeout before bytes that have already arrived; the second wait then receives these bytes.
 
     Raises:
-        TransportError: No bytes were received in time, or the peer has closed the connection.
+        TransportError: No bytes were received in time, or the connection was closed or has failed.
     """
     for _ in range(2):
         with anyio.move_on_after(timeout_s / 2):
             try:
                 return await stream.receive(READ_BYTES)
             except STREAM_ERRORS as error:
-                raise TransportError("receive", f"connection closed: {type(error).__name__}") from None
+                raise TransportError(
+                    "receive", f"the connection was closed or has failed: {type(error).__name__}"
+                ) from None
     raise TransportError("receive", f"no data received for {timeout_s:g} s")
 
 
@@ -72,7 +74,7 @@
     """Send all bytes.
 
     Raises:
-        TransportError: The peer has not accepted the bytes in time, or has closed the connection.
+        TransportError: The peer has not accepted the bytes in time, or the connection was closed or has failed.
     """
     try:
         with anyio.fail_after(timeout_s):
--- a/damsonpick/protocols/platform/http_response.py
+++ b/damsonpick/protocols/platform/http_response.py
@@ -62,14 +62,14 @@
         """Decode received bytes.
 
         Raises:
-            TransportError: The bytes are not a valid HTTP response, or the response is too long.
+            TransportError: The bytes are not a valid HTTP response, or `body` is longer than `max_body_bytes`.
         """
         try:
             self._parser.feed_data(data)
         except PARSER_ERRORS as error:
             raise TransportError("response", f"invalid HTTP: {error}") from None
         if len(self.body) > self._max_body_bytes:
-            raise TransportError("response", f"over {self._max_body_bytes} bytes")
+            raise TransportError("response", f"over {self._max_body_bytes} bytes of the body are buffered")
 
     def status(self) -> int:
         """Return the status code, or 0 if the headers are not complete yet."""
--- a/damsonpick/protocols/platform/messages.py
+++ b/damsonpick/protocols/platform/messages.py
@@ -1,8 +1,8 @@
 """Decodes messages of collectors from JSON to validated types, and maps reports to events of the planner. No I/O.
 
 An `InvalidMessageError` is raised if a field is missing, out of range or of a wrong type, or names something unknown;
-it concerns only this message. A `MalformedMessageError` is raised if the input is not a JSON object; it ends the
-stream.
+it concerns only this message. A `MalformedMessageError` is raised if the input cannot be decoded as JSON or is not a
+JSON object; it ends the stream.
 """
 
 from __future__ import annotations
@@ -69,14 +69,15 @@
     """Decode one message of a collector.
 
     Raises:
-        InvalidMessageError: The body is a JSON object, but not a valid message.
-        MalformedMessageError: The body is not a JSON object, or it is invalid and does not start with `{`.
+        InvalidMessageError: The body is a JSON object that begins at the first byte, but not a valid message.
+        MalformedMessageError: The body cannot be decoded as JSON, or is not a JSON object. An invalid message after
+            leading whitespace also raises this error, because only the first byte is compared with `{`.
     """
     try:
         return _decoder.decode(body)
     except msgspec.ValidationError as error:
         if body[:1] != b"{":
-            raise MalformedMessageError("", "not a JSON object") from None
+            raise MalformedMessageError("", "the message is invalid and its first byte is not '{'") from None
         raise invalid_message("", error) from None
     except DECODE_ERRORS as error:
         raise MalformedMessageError("", str(error)) from None
--- a/damsonpick/protocols/platform/ownership.py
+++ b/damsonpick/protocols/platform/ownership.py
@@ -18,7 +18,10 @@
 
 
 class OwnershipTracker:
-    """Counts changes of ownership, so that a change during a request can be detected when the request has finished."""
+    """Records, by slice, changes of ownership and gaps of the watch in which a change may have been missed.
+
+    After a request has finished, the tracker shows whether a change or a gap was recorded during the request.
+    """
 
     def __init__(self) -> None:
         """Create a tracker at epoch 0, without changes."""
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -1,4 +1,4 @@
-"""One pilot on the platform's protocol: creates its components and runs their tasks.
+"""Creates the components of a pilot that uses the platform's protocol, and runs their tasks.
 
 Only the planner makes decisions; the components read, validate, merge and compare data.
 """
--- a/damsonpick/protocols/platform/planner_driver.py
+++ b/damsonpick/protocols/platform/planner_driver.py
@@ -33,7 +33,7 @@
 
 
 class PlannerDriver:
-    """Runs the planner in a task.
+    """Runs the steps of the planner in a task, and starts a new planner after a planner has failed.
 
     Attributes:
         clock: Clock of the planner.
--- a/damsonpick/protocols/platform/registry_events.py
+++ b/damsonpick/protocols/platform/registry_events.py
@@ -75,7 +75,7 @@
 
     Raises:
         InvalidMessageError: The line is a JSON object, but not a valid event.
-        MalformedMessageError: The line is not a JSON object.
+        MalformedMessageError: The line cannot be decoded as JSON, or is not a JSON object.
     """
     try:
         message = _decoder.decode(line)
--- a/damsonpick/protocols/platform/registry_watch.py
+++ b/damsonpick/protocols/platform/registry_watch.py
@@ -95,7 +95,7 @@
             Whether the snapshot is complete.
 
         Raises:
-            TransportError: A line is not a JSON object, so the watch must be opened again.
+            TransportError: A line cannot be decoded as JSON or is not a JSON object, so the watch must be opened again.
         """
         for line in filter(None, lines):
             try:
--- a/damsonpick/protocols/platform/rejected_orders.py
+++ b/damsonpick/protocols/platform/rejected_orders.py
@@ -30,8 +30,8 @@
 class RejectedOrders:
     """Keeps rejected orders until they are due to be resent. The delay doubles with each rejection, up to a maximum.
 
-    The order client uses it for all orders except those that set a single entry. A newer order with the same key
-    replaces the rejected order.
+    The order client adds rejected orders of every kind except orders that set a table entry. A newer order with the
+    same key replaces the rejected order.
     """
 
     def __init__(self) -> None:
--- a/damsonpick/protocols/platform/stored_state.py
+++ b/damsonpick/protocols/platform/stored_state.py
@@ -1,4 +1,4 @@
-"""Applies orders to the state that the registry stores: table entries and admission levels."""
+"""Applies orders to table entries and admission levels as the registry does, and computes a checksum of all tables."""
 
 from __future__ import annotations
 
--- a/damsonpick/protocols/sasp/access.py
+++ b/damsonpick/protocols/sasp/access.py
@@ -33,7 +33,7 @@
         return "fleet" if self.settings.sasp.default_coverage == "fleet" else None
 
     def access_of(self, lb: bytes) -> AccessLevel:
-        """Return the access level of a load balancer: its own section's rights, else the default rights."""
+        """Return the access level from the load balancer's section, or the default level if it has no section."""
         section = self._section(lb)
         rights = section.rights if section is not None else self.settings.sasp.default_rights
         return AccessLevel[rights.upper()]
--- a/damsonpick/protocols/sasp/client.py
+++ b/damsonpick/protocols/sasp/client.py
@@ -16,7 +16,7 @@
 
 
 class SaspError(Exception):
-    """Raised when a request to the manager fails: no connection, a closed connection or a reply of the wrong type."""
+    """Raised when the connection to the manager cannot be opened, fails or ends, or a reply has the wrong type."""
 
 
 class Client:
@@ -71,7 +71,7 @@
         """Send a request and return its reply.
 
         Raises:
-            SaspError: The connection failed or was closed before the reply arrived.
+            SaspError: The connection failed or ended before the reply arrived.
         """
         self._number += 1
         number = self._number
@@ -86,7 +86,7 @@
             event.set()
         await event.wait()
         if number not in self._replies:
-            raise SaspError("the manager closed the connection before it replied")
+            raise SaspError("the connection ended before the manager replied")
         return self._replies.pop(number)
 
     async def _ask_for_code(self, body: sasp.Body) -> int:
@@ -113,8 +113,7 @@
         """Poll the weights of the named groups, or of all groups of the load balancer if no names are given.
 
         Raises:
-            SaspError: The connection failed or was closed before the reply arrived, or the reply is not a Get Weights
-                Reply.
+            SaspError: The connection failed or ended before the reply arrived, or the reply is not a Get Weights Reply.
         """
         reply = await self.ask(sasp.GetWeights(tuple(Group(self.lb, name) for name in names)))
         if not isinstance(reply, sasp.WeightsReply):
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -417,7 +417,7 @@
     kind = 0
     try:
         if version != sasp.VERSION:
-            raise MessageError(f"version {version} is not supported, this manager supports version {sasp.VERSION}")
+            raise MessageError(f"version {version} is not supported; version {sasp.VERSION} is expected")
         reader = Reader(memoryview(data)[sasp.HEADER_SIZE :], "the message")
         kind, size = reader.unpack(COMPONENT)
         _check_size(kind, size, len(data) - sasp.HEADER_SIZE)
@@ -457,7 +457,11 @@
     def _frame_bytes(self) -> int | None:
         """Return the size of the first frame in the buffer, or None if it is not known yet.
 
-        Each field of the header is checked as soon as it has been received.
+        The type and length of the header are checked once they have been received, and the message length once the
+        header is complete. `decode` checks the version.
+
+        Raises:
+            FrameError: One of these checks failed.
         """
         if len(self.buffer) >= COMPONENT.size:
             kind, header_bytes = COMPONENT.unpack_from(self.buffer)
--- a/damsonpick/protocols/sasp/errors.py
+++ b/damsonpick/protocols/sasp/errors.py
@@ -12,5 +12,7 @@
 
     def __init__(self, address: str, cause: OSError) -> None:
         """Build a message with the setting, the error of the operating system and the remedy."""
-        super().__init__(f"[sasp] listen = {address}: cannot be opened ({cause}); free the port or choose another")
+        super().__init__(
+            f"[sasp] listen = {address}: cannot be opened ({cause}); use a free port and an address of this host"
+        )
         self.address = address
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -16,7 +16,8 @@
 from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberFlag, MembersOf, Sender, StatesOf
 from damsonpick.time_units import NS_PER_SECOND
 
-REGISTRATION_RETENTION_NS = 60 * NS_PER_SECOND  # time for which registrations are kept after their last session ends
+# Time for which the registrations of a load balancer are kept after its last session has ended.
+REGISTRATION_RETENTION_NS = 60 * NS_PER_SECOND
 MAX_GROUP_BYTES = 65_535  # largest size that the length field of a component can represent
 GROUP_HEAD_BYTES = 12  # encoded group without names and entries: two component heads, count, two name lengths
 WEIGHT_BYTES = 32  # size of a weight entry with an empty label
@@ -189,7 +190,11 @@
     # -- requests
 
     def register(self, session: RegisteredSession, sender: Sender, groups: Iterable[MembersOf]) -> Code:
-        """Carry out a registration request (RFC 4678, 6.1)."""
+        """Carry out a registration request (RFC 4678, 6.1).
+
+        If a load balancer sends the request and it is carried out, the session also becomes a session of each load
+        balancer that the groups name.
+        """
         seen: set[tuple[Group, Member]] = set()
         for group, members in groups:
             code = self._check_registration(sender, group, members, seen)
--- a/damsonpick/protocols/sasp/session.py
+++ b/damsonpick/protocols/sasp/session.py
@@ -331,7 +331,7 @@
         self._pending_units.update(units)
 
     def ready(self) -> bool:
-        """Return whether the socket has accepted the last push."""
+        """Return whether no push is being written."""
         return not self._writing_seq
 
     def oldest_unacknowledged(self) -> int:
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -1,10 +1,11 @@
-"""Derives the weights of a group's members from the published tables. Sans I/O.
-
-A member's share of a set of slices is the fraction of their requests that the tables send to it. It is the mean over
-the slices, weighted by load, of the member's fraction of the total weight of the slice's routable entries. Shares are
-converted to the 16-bit weights of RFC 4678. The conversion preserves the order of shares and the difference between
-zero and non-zero. An endpoint that is withdrawn, not in service or quiesced on request has weight 0 and the flag
-QUIESCE.
+"""Derives the weights of a group's members from the published tables or from capacities. Sans I/O.
+
+With the tables, the share of a member is the fraction of the requests for a set of slices that the tables send to the
+member. It is a mean over the slices with routable entries, weighted by load: each slice contributes the weight of the
+member's entry divided by the total weight of the slice's routable entries. With capacities, the share is the member's
+fraction of the total capacity. Shares are converted to the 16-bit weights of RFC 4678. The conversion preserves the
+order of shares and the difference between zero and non-zero. An endpoint that is withdrawn, not in service or quiesced
+on request has weight 0 and the flag QUIESCE.
 """
 
 from __future__ import annotations
@@ -75,8 +76,8 @@
         load_of: Returns the requests per second of a slice.
 
     Returns:
-        Shares by endpoint, which add up to 1. All shares are equal if no slice has any load. Empty if no slice has a
-        routable entry.
+        Shares by endpoint, which add up to 1. All shares are equal if no slice with a routable entry has load. Empty
+        if no slice has a routable entry.
     """
     rates: dict[str, float] = {}
     for number in slices:
@@ -150,10 +151,12 @@
     """Return the advice on the endpoints of a group.
 
     Args:
-        shares: Shares by endpoint over the slices that the group covers.
+        shares: Shares by endpoint, as `traffic_shares` returns them for the slices that the group covers, or as
+            `capacity_shares` returns them. An endpoint without a share has share 0.
         endpoints: Endpoints of the group's members.
         status_of: Returns the status of an endpoint.
-        exclusions: Endpoints to quiesce, and endpoints that registered themselves.
+        exclusions: Endpoints to quiesce (`withdrawn` and `quiesced`), and endpoints that registered themselves.
+            Endpoints that are not in service are quiesced too.
 
     Returns:
         Advice by endpoint, in the order of `endpoints`.
--- a/damsonpick/protocols/shared/instance_settings.py
+++ b/damsonpick/protocols/shared/instance_settings.py
@@ -85,7 +85,7 @@
         value = self._value(path, default)
         number = _whole_number(value)
         if number is None:
-            raise SettingError.invalid(path, "not a whole number", value)
+            raise SettingError.invalid(path, "not a whole number of magnitude below 2^62", value)
         if not minimum <= number <= maximum:
             raise SettingError.invalid(path, f"not between {minimum} and {maximum}", value)
         return number
@@ -146,7 +146,7 @@
         value = self._value(path, "")
         parts = value.split(",") if isinstance(value, str) else value
         if not isinstance(parts, list) or not all(isinstance(part, str) for part in parts):
-            raise SettingError.invalid(path, "not a list of words", value)
+            raise SettingError.invalid(path, "not text or a list of texts", value)
         return tuple(part for part in parts if part and part != "-")
 
     def flag(self, path: str) -> bool:
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -16,7 +16,8 @@
 from damsonpick.state.history.digest import Digest
 from damsonpick.state.published_tables import FLEET, Change, PublishedTables
 
-# Most versions whose rejecting nodes are remembered. Above this number, only those of stopped versions are kept.
+# Most versions whose rejecting nodes are remembered. Above this number, only the nodes that rejected a stopped version
+# are remembered.
 MAX_REMEMBERED_REJECTIONS = 10_000
 FIRST_DUPLICATE_NUMBER = 60_000  # first of the client numbers for additional streams of a node id already in use
 LAST_DUPLICATE_NUMBER = 65_534
--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -191,7 +191,7 @@
 
     def _topology(self, values: list[str]) -> api.EndpointListChanged:
         if len(values) < 2:
-            raise ValueError("wants mode, rev and entries")
+            raise ValueError("wants mode and rev, and optionally the number of ITEM lines")
         mode = _change_kind(values[0])
         count = _optional_int(values[2]) if len(values) > 2 else 0
         return api.EndpointListChanged(mode, tuple(self._entry() for _ in range(count)))
--- a/damsonpick/protocols/simulator/host.py
+++ b/damsonpick/protocols/simulator/host.py
@@ -44,7 +44,7 @@
 
     def _require_started(self, instance: str) -> None:
         if instance not in self._planners:
-            raise codec.WireError(f"event for {instance}, which was never started or has exited")
+            raise codec.WireError(f"stop or event for {instance}, which was never started or has exited")
 
     def _run(self, instance: str, now: int, events: list[api.Event]) -> list[str]:
         try:
