--- a/damsonpick/controller/decision_log.py
+++ b/damsonpick/controller/decision_log.py
@@ -82,7 +82,7 @@
         if planner.admitted_share >= 1:
             why = "all requests are admitted"
         else:
-            why = f"responses are late: {planner.admitted_rate_limit:.0f} requests/s are admitted"
+            why = f"load is shed: at most {planner.admitted_rate_limit:.0f} requests/s are to be admitted"
         admitted = dict(zip(self.published.classes, self.levels, strict=True))
         self.log.info("admission_changed", admitted_share=admitted, why=why)
 
--- a/damsonpick/controller/list_queries.py
+++ b/damsonpick/controller/list_queries.py
@@ -64,7 +64,7 @@
         }
 
     def _confirmed_s_ago(self, now: int, endpoint: str) -> float | None:
-        """Return the seconds since a source or a successful response last confirmed an endpoint, or None if unknown."""
+        """Return the seconds since `ListConfidence.last_evidence_at` of an endpoint, or None if it is unknown."""
         latest = self.updater.confidence.last_evidence_at(endpoint)
         return _seconds_since(now, latest) if latest > 0 else None
 
--- a/damsonpick/controller/list_updates.py
+++ b/damsonpick/controller/list_updates.py
@@ -1,4 +1,4 @@
-"""Validates and stores endpoint lists and passes them to the engine, with the confidence in each entry."""
+"""Validates and stores endpoint lists, and passes them and changed confidences in their entries to the engine."""
 
 from __future__ import annotations
 
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -74,7 +74,7 @@
         return self.clock.now() if is_up else 0
 
     async def run(self) -> None:
-        """Watch all sources until cancelled."""
+        """Watch all sources until cancelled. Merge and recheck their lists every `RECHECK_PERIOD_NS`."""
         async with anyio.create_task_group() as group:
             for name, source_settings in self.source_settings.items():
                 group.start_soon(self._watch, name, source_settings)
--- a/damsonpick/controller/load_report_task.py
+++ b/damsonpick/controller/load_report_task.py
@@ -39,7 +39,7 @@
     log: FilteringBoundLogger
 
     def receive(self, report: ClientReport) -> None:
-        """Add one load report of a gateway."""
+        """Register the gateway, add its load report, and log the first `MAX_LOGGED_PROBLEMS` faults of the report."""
         now = self.clock.now()
         self.load_reports.join(now, report.client)
         problems = self.load_reports.add(now, report)
--- a/damsonpick/decisions/admission.py
+++ b/damsonpick/decisions/admission.py
@@ -126,7 +126,7 @@
         self.advised_capacity = event.rate
 
     def hold_limit(self) -> None:
-        """Prevent overload from lowering the limit for `LIMIT_HOLD_NS`."""
+        """Start a time of `LIMIT_HOLD_NS` during which overload does not lower the limit."""
         self.last_decrease_at = self.fleet.now
 
     def scale_limit(self, count: int, count_before: int) -> None:
@@ -187,7 +187,7 @@
         return covered / (sum(capacities[n] for n in assigned) or 1.0)
 
     def _apply_restored_levels(self, admitted: float) -> None:
-        """Set the initial limit to the rate that the restored levels admit, if any of these levels is below 1."""
+        """If levels were restored, mark the best throughput as restored, and derive a limit from levels below 1."""
         if not self.levels_restored:
             return
         self.levels_restored = False
--- a/damsonpick/decisions/balancing_round.py
+++ b/damsonpick/decisions/balancing_round.py
@@ -36,7 +36,7 @@
     next_part_at: int = 0
 
     def start_if_due(self) -> None:
-        """Start a round if it is due, any report has been received, and earlier moves are settled.
+        """Start a round if it is due, no search is running, any report was received, and earlier moves are settled.
 
         Earlier moves are settled if all have been sent, and have been acknowledged or are overdue.
         """
@@ -50,7 +50,10 @@
         placement.repair_assignments(self.fleet)
 
     def continue_search(self, actions: list[api.Action]) -> None:
-        """Run the next part of the running search if it is due."""
+        """Run the next part of the running search if it is due, and order a timer for the part after it.
+
+        When the search ends, its moves have been applied, and the assignments are repaired.
+        """
         if self.search is None or self.fleet.now < self.next_part_at:
             return
         self.next_part_at = self.fleet.now + SEARCH_PART_INTERVAL_NS
--- a/damsonpick/decisions/cluster_copy.py
+++ b/damsonpick/decisions/cluster_copy.py
@@ -138,7 +138,7 @@
         return CostTerms(load_squares, count_squares, warmth_lost, moved)
 
     def apply(self, moves: list[Move], terms: CostTerms) -> None:
-        """Apply moves whose resulting cost terms have been computed."""
+        """Apply moves, and store the cost terms that `terms_after` returned for them."""
         self.terms = terms
         for replica, endpoint in moves:
             old = self.endpoint_of[replica]
--- a/damsonpick/decisions/publisher.py
+++ b/damsonpick/decisions/publisher.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, eq=False)
 class Publisher:
-    """Sends orders to the proxies and tracks the state that they have been sent.
+    """Builds the messages to the proxies, and records the state that the messages publish.
 
     The parameter `room` of its methods is the number of table entries that a message may contain, indexed by `Urgency`.
 
--- a/damsonpick/state/endpoint_list/sources.py
+++ b/damsonpick/state/endpoint_list/sources.py
@@ -24,7 +24,7 @@
 
 
 class ListError(Exception):
-    """Raised if an endpoint list cannot be used. The text names the source, the place of the error and the remedy."""
+    """Reason why a source has no usable list, as text for operators. It is passed on in place of a list."""
 
 
 class Source:
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -113,7 +113,10 @@
         return self.apply(now, self.received_entries, is_lost) if self.held else None
 
     def accept(self, now: int, is_lost: IsLost) -> ListValidation | None:
-        """Remove the held entries, because an operator has accepted the list; return None if no entry is held."""
+        """Remove the held entries, because an operator has accepted the list.
+
+        If no entry is held, return None. The acceptance then applies to the next list that is applied.
+        """
         self.accepted = True
         return self.recheck(now, is_lost)
 
--- a/damsonpick/state/history/database.py
+++ b/damsonpick/state/history/database.py
@@ -31,7 +31,12 @@
 
 
 class LoadedVersions(NamedTuple):
-    """Versions, oldest first, and the reason why others were ignored; empty if none was ignored."""
+    """Versions read from the database, and the problem of the read.
+
+    Attributes:
+        versions: The usable versions, oldest first.
+        problem: Why stored versions were not loaded, as text for operators; empty if all were loaded.
+    """
 
     versions: list[Version]
     problem: str
--- a/damsonpick/state/history/recorder.py
+++ b/damsonpick/state/history/recorder.py
@@ -133,7 +133,7 @@
         return None
 
     def set_pin(self, version: int, until: int, caps_levels: bool = False) -> None:
-        """Pin the tables at a version until a clock time, and save the pin.
+        """Pin the tables at a version until a clock time, and save the pin. A failure to save it is only logged.
 
         Args:
             version: Number of the version.
@@ -144,7 +144,7 @@
         self._save_pin()
 
     def release_pin(self) -> None:
-        """End the pin, so that all actions pass again, and save this change."""
+        """End the pin, so that all actions pass again, and save this change. A failure to save it is only logged."""
         self.pin.release()
         self._save_pin()
 
@@ -153,11 +153,13 @@
         error = self._write_pin(StoredPin(pin.version, pin.until, pin.generation, pin.caps_levels))
         if error is not None:
             self.log.error(
-                "pin_not_written", error=str(error), remedy="the pin is active until this pilot ends; free disk space"
+                "pin_not_written",
+                error=str(error),
+                remedy="this change of the pin is not saved and applies at most until this pilot ends; free disk space",
             )
 
     def _write_pin(self, stored: StoredPin) -> Exception | None:
-        """Write the pin; return any error instead of raising it, as the pin remains active in memory."""
+        """Write the pin or its release; return any error instead of raising it, as the change applies in memory."""
         try:
             self.database.save_pin(stored)
         except Exception as error:
--- a/damsonpick/state/history/rollback.py
+++ b/damsonpick/state/history/rollback.py
@@ -7,7 +7,8 @@
     any other                      the entry is restored as in the version
     no entry remains for a slice   the slice keeps its present entries
 
-Each entry that differs from the version is reported as a `KeptEntry`.
+Each entry that differs from the version is reported as a `KeptEntry`. For a slice that keeps its present entries, there
+is only one `KeptEntry`, for the whole slice.
 """
 
 from __future__ import annotations
--- a/damsonpick/state/learned/codec.py
+++ b/damsonpick/state/learned/codec.py
@@ -69,9 +69,14 @@
     magic, found_format, reserved, length = HEADER.unpack_from(data)
     body = data[HEADER.size + CHECKSUM_BYTES :]
     if magic != MAGIC or reserved:
-        raise SnapshotCorruptError("header", "it does not begin with the magic bytes of a snapshot")
+        raise SnapshotCorruptError(
+            "header", "its header lacks the magic bytes of a snapshot, or the reserved field is not zero"
+        )
     if length != len(body) or length > MAX_BODY_BYTES:
-        raise SnapshotCorruptError("length", f"the header states a body of {length} bytes, there are {len(body)}")
+        raise SnapshotCorruptError(
+            "length",
+            f"the header states a body of {length} bytes, there are {len(body)}: they differ or exceed the limit",
+        )
     stated_checksum = data[HEADER.size : HEADER.size + CHECKSUM_BYTES]
     if xxhash.xxh3_128_digest(data[: HEADER.size] + body) != stated_checksum:
         raise SnapshotCorruptError("checksum", "the checksum is wrong")
--- a/damsonpick/state/learned/list_confidence.py
+++ b/damsonpick/state/learned/list_confidence.py
@@ -7,11 +7,11 @@
     up to FRESH_AGE_NS       as listed
     up to MAX_AGE_NS         a reduced share, until a successful response
     older                    last resort: used only if no other endpoint is left, and put on trial one at a time
-    ejected, only failures   last resort, and put on trial again up to MAX_RETRIALS times; then not until a source
+    ejected                  last resort, and put on trial again up to MAX_RETRIALS times; then not until a source
                              confirms the entry
 
-A successful response in this incarnation restores full confidence. After a source has sent a list, all its entries have
-full confidence.
+An endpoint is ejected after `MIN_FAILED_ATTEMPTS` failed attempts without a success in between. A successful response
+in this incarnation restores full confidence. After a source has sent a list, all its entries have full confidence.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
     on_trial: bool = False
 
     def age_ns(self, now: int) -> int:
-        """Return the time since a source last confirmed the entry or it last responded, according to `times`, ns."""
+        """Return the time since the later of the two `times`, ns; 0 if that time is in the future."""
         return max(0, now - max(self.times))
 
 
@@ -131,7 +131,10 @@
         return entry.ejections > 0 or is_outdated
 
     def last_evidence_at(self, name: str) -> int:
-        """Return the clock time when a source or a successful response last confirmed an endpoint, ns; 0 if unknown."""
+        """Return the latest known time of a confirmation or successful response of an endpoint, ns; 0 if unknown.
+
+        The confirmation is the one in `EntryState.times`, which later lists do not update.
+        """
         entry = self.entries.get(name)
         times = entry.times if entry is not None else EntryTimes(0, 0)
         return max(*times, self.last_success_at.get(name, 0), 0)
@@ -168,7 +171,10 @@
                 return
 
     def changes(self, now: int) -> list[api.EndpointConfidenceChanged]:
-        """Return events for the planner with the confidences that have changed since the last call."""
+        """Return events with the confidences that have changed since the last call, and record them as published.
+
+        Before `is_settled`, nothing is returned or recorded. The call may put an endpoint on trial.
+        """
         if not self.is_settled(now):
             return []
         events = []
--- a/damsonpick/state/load_reports.py
+++ b/damsonpick/state/load_reports.py
@@ -1,4 +1,4 @@
-"""Aggregates the load reports of clients into reports for the planner. Sans I/O: times are passed in nanoseconds.
+"""Aggregates the load reports of clients into reports for the planner. Sans I/O. Callers pass times in nanoseconds.
 
 Each report is validated before it is counted. The Load Reporting Service (LRS) does not number its reports. A repeated
 report is therefore detected only because the client's reports would cover more time than has passed, and it is dropped.
@@ -157,7 +157,7 @@
         if failures > stats.attempts or stats.timed_successes > successes or stats.total_latency < 0:
             problems.append(
                 f"{stats.endpoint}: {failures} failures and {stats.timed_successes} successes "
-                f"in {stats.attempts} attempts: cut to possible values"
+                f"in {stats.attempts} attempts, or a negative latency: cut to possible values"
             )
             failures = min(failures, stats.attempts)
         timed_successes = min(stats.timed_successes, stats.attempts - failures)
--- a/damsonpick/state/store/connection.py
+++ b/damsonpick/state/store/connection.py
@@ -36,7 +36,7 @@
 
 @contextmanager
 def transaction(connection: sqlite3.Connection) -> Iterator[None]:
-    """Run the block in a write transaction: commit at its end, roll back if it raises."""
+    """Run the block in a write transaction. Commit after the block, or roll back if the block raises an exception."""
     connection.execute("BEGIN IMMEDIATE")
     try:
         yield
