--- a/damsonpick/cli/explain.py
+++ b/damsonpick/cli/explain.py
@@ -1,4 +1,4 @@
-"""`damsonpick explain`: the reasons behind what is published."""
+"""`damsonpick explain`: shows the solver's last plan and the limits that led to its weights."""
 
 from __future__ import annotations
 
--- a/damsonpick/cli/learned.py
+++ b/damsonpick/cli/learned.py
@@ -62,7 +62,7 @@
         click.echo(problem, err=True)
     written = found.snapshot
     if written is None:
-        fail(f"{folder}: nothing is kept", EXIT_NEGATIVE_RESULT)
+        fail(f"{folder}: no valid snapshot is stored", EXIT_NEGATIVE_RESULT)
     age = ageing.age_of(written.taken_at, host_time())
     aged = ageing.decay(written, age.ns)
     age_s = age.ns / NS_PER_SECOND
@@ -118,7 +118,10 @@
 @learned.command()
 @settings_file
 def verify(file: Path) -> None:
-    """Read every snapshot generation and report which are valid. Exit code 1: an existing one is invalid."""
+    """Read every snapshot generation and report which are valid.
+
+    Exit code 1: an existing generation is invalid or cannot be read.
+    """
     from damsonpick.state.learned import codec, generations
     from damsonpick.state.learned.errors import SnapshotError
 
@@ -146,7 +149,7 @@
     folder = load_settings(file).learned_path()
     snapshot = _find_newest(folder).snapshot
     if snapshot is None:
-        fail(f"{folder}: nothing is kept", EXIT_NEGATIVE_RESULT)
+        fail(f"{folder}: no valid snapshot is stored", EXIT_NEGATIVE_RESULT)
     try:
         out.write_bytes(msgspec.json.format(msgspec.json.encode(snapshot), indent=1) + b"\n")
     except OSError as error:
--- a/damsonpick/cli/pilot.py
+++ b/damsonpick/cli/pilot.py
@@ -55,7 +55,8 @@
 def run(file: Path, port_file: Path | None) -> None:
     """Run the pilot that FILE describes until SIGTERM or SIGINT.
 
-    Logs are written to standard error. Exit code 0: shut down cleanly; 2: settings, store or address cannot be used.
+    Logs are written to standard error. Exit code 0: shut down cleanly; 2: the settings, the state folder, an address or
+    the port file cannot be used.
     """
     run_pilot(load_settings(file), port_file)
 
@@ -63,6 +64,8 @@
 def run_pilot(settings: PilotSettings, port_file: Path | None, **parts: Any) -> None:
     """Run a pilot in the foreground until a signal ends it.
 
+    Ends the program with exit code 2 if the pilot cannot start or if a port file cannot be written.
+
     Args:
         settings: Validated settings.
         port_file: File to which the xDS port is written. The SASP port is written to the same path with the suffix
--- a/damsonpick/cli/proxy.py
+++ b/damsonpick/cli/proxy.py
@@ -15,9 +15,10 @@
 @click.option("--port-file", type=click.Path(path_type=Path), help="Write the port to this file once it is open.")
 @click.option("--log-format", type=click.Choice(["console", "json"]), default="console", show_default=True)
 def proxy(file: Path, port_file: Path | None, log_format: str) -> None:
-    """Run a proxy that follows the pilots' tables until SIGTERM or SIGINT; requests in progress may then finish.
+    """Run a proxy that routes by the pilots' tables. After SIGTERM or SIGINT, requests in progress may finish.
 
-    Exit code 0: shut down cleanly; 2: settings or address cannot be used.
+    Exit code 0: shut down cleanly; 2: the settings, the address, the state folder or the port file
+    cannot be used.
     """
     from damsonpick.proxy import program
     from damsonpick.proxy.settings import load
@@ -32,4 +33,7 @@
     except (SettingsError, PortFileError) as error:
         fail(str(error), EXIT_WRONG_INPUT)
     except OSError as error:
-        fail(f"[proxy] listen: cannot be opened ({error}); free the port or choose another", EXIT_WRONG_INPUT)
+        fail(
+            f"[proxy] listen or state: cannot be opened ({error}); free the port, or choose another address or folder",
+            EXIT_WRONG_INPUT,
+        )
--- a/damsonpick/cli/versions.py
+++ b/damsonpick/cli/versions.py
@@ -28,7 +28,9 @@
 SHORT_ROOT_CHARS = 12  # length of a root as printed in a table
 
 expect = click.option(
-    "--expect", type=int, help="Run the command only if `list` still shows this generation (pins and releases so far)."
+    "--expect",
+    type=int,
+    help="Run the command only if `list` still shows this generation. Each pin, rollback and release adds 1 to it.",
 )
 span = click.option(
     "--for", "span", help="How long the tables stay pinned, such as 10 min; default: as in the settings."
--- a/damsonpick/load_tool/player.py
+++ b/damsonpick/load_tool/player.py
@@ -53,7 +53,9 @@
         self.idle_connections: list[SocketStream] = []
         self.slots = anyio.CapacityLimiter(experiment.load.connections)
         self.results = {name: ClassResults() for name in experiment.classes}
-        self.max_lateness_ns = 0  # largest delay, caused by this tool, from a due time to the start of the sending task
+        # Largest delay between the due time of a request and the start of the task that sends it. This tool causes the
+        # delay, not the target.
+        self.max_lateness_ns = 0
         self.started_ns = 0
 
     async def run(self) -> dict[str, Any]:
--- a/damsonpick/load_tool/results.py
+++ b/damsonpick/load_tool/results.py
@@ -74,14 +74,14 @@
     Classes that the earlier file does not contain are left out.
 
     Raises:
-        ValueError: The file is not a results file, or it belongs to another experiment.
+        ValueError: The file cannot be read, is not a results file, or belongs to another experiment.
     """
     try:
         before = json.loads(path.read_text())
         classes = before["classes"]
     except (OSError, ValueError, KeyError) as error:
         raise ValueError(
-            f"{path}: is not a results file of this tool ({error}); pass a file that --out wrote"
+            f"{path}: cannot be read as a results file of this tool ({error}); pass a file that --out wrote"
         ) from None
     if before["experiment"] != now["experiment"]:
         raise ValueError(f"{path}: is from another experiment; compare runs of the same experiment file")
--- a/damsonpick/protocols/xds/delta_session.py
+++ b/damsonpick/protocols/xds/delta_session.py
@@ -1,4 +1,4 @@
-"""The incremental variant of ADS: DeltaDiscoveryRequest and DeltaDiscoveryResponse. Sans I/O."""
+"""Sessions of the incremental variant of ADS (DeltaDiscoveryRequest and DeltaDiscoveryResponse). Sans I/O."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
             _unsubscribe_from(watch, name)
 
     def _start(self, watch: ResourceWatch, request: discovery_pb2.DeltaDiscoveryRequest) -> None:
-        """Initialize the watch with the versions that the client states to have from earlier streams.
+        """Initialize the watch with the resource versions that the client reports from earlier streams.
 
-        A client that states any version is not fresh.
+        A client that reports any version is not fresh.
         """
         watch.started = True
         versions = dict(request.initial_resource_versions)
--- a/damsonpick/protocols/xds/sotw_session.py
+++ b/damsonpick/protocols/xds/sotw_session.py
@@ -1,4 +1,4 @@
-"""The state-of-the-world variant of ADS: DiscoveryRequest and DiscoveryResponse. Sans I/O."""
+"""Sessions of the state-of-the-world variant of ADS (DiscoveryRequest and DiscoveryResponse). Sans I/O."""
 
 from __future__ import annotations
 
--- a/damsonpick/proxy/client.py
+++ b/damsonpick/proxy/client.py
@@ -1,4 +1,4 @@
-"""Connection from a client. Requests are read as events, and a small body is stored so that a retry can send it."""
+"""Reads requests from a client connection as events and sends responses. A small body is stored for a retry."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
             HttpProtocolError: The received data is not a valid request, or the rest of the previous body is malformed,
                 too large or stalled.
             ClientDisconnectedError: The connection is lost, or the client closed it within the previous body.
-            TimeoutError: No request was received, or its head was not complete in time.
+            TimeoutError: No complete request head was received in time.
         """
         while not self.request_complete:  # discard the unread rest of the previous request's body
             await self.next()
--- a/damsonpick/proxy/load_balancer.py
+++ b/damsonpick/proxy/load_balancer.py
@@ -2,8 +2,9 @@
 
 There are three policies: power of two choices (M. Mitzenmacher, "The power of two choices in randomized load
 balancing", 2001), weighted random, and smooth weighted round robin. A server that fails several requests of this proxy
-in a row is ejected for a random time of 2 to 6 s, or until a request succeeds that was sent to it after the ejection.
-If all remaining candidates are ejected, the policy picks among them nevertheless.
+in a row is ejected for a random time of 2 to 6 s. The ejection ends early if a request to the server
+succeeds, provided that the request was sent after the ejection started. If all remaining candidates are ejected, the
+policy picks among them nevertheless.
 """
 
 from __future__ import annotations
--- a/damsonpick/proxy/messages.py
+++ b/damsonpick/proxy/messages.py
@@ -371,7 +371,7 @@
 
 
 def _check_framing(lengths: list[bytes], codings: list[bytes]) -> None:
-    """Check that content-length and transfer-encoding headers state the length of a body at most once.
+    """Check that the values of content-length and transfer-encoding headers are valid and state a length at most once.
 
     Raises:
         HttpProtocolError: The length is stated more than once, a content-length is not a number of at most
--- a/damsonpick/proxy/pool.py
+++ b/damsonpick/proxy/pool.py
@@ -131,7 +131,7 @@
         Args:
             now: Time in ns.
             name: Server of the connection.
-            connection: The connection, or None if it was closed.
+            connection: The connection, or None if it was closed or never opened.
 
         Returns:
             The first waiter of the queue, which leaves the queue and should try to get a connection now. None if no
@@ -146,7 +146,7 @@
     def pop_expired(self, now: int) -> list[Connection]:
         """Remove and return the connections that exceeded the idle time. The caller closes them.
 
-        Servers without connections and waiters are removed as well.
+        Servers that have neither connections nor waiters are removed as well.
         """
         expired = []
         for name, server in list(self._servers.items()):
--- a/damsonpick/proxy/stream.py
+++ b/damsonpick/proxy/stream.py
@@ -24,10 +24,18 @@
 
 
 class StreamWait:
-    """Waits in one direction of a stream. `until` is a time of the event loop in seconds.
-
-    One timer serves all waits of the direction. It is set again only if a new deadline is earlier. If the timer fires
-    while no task waits, the next wait starts it again. If it fires too early for the current wait, it restarts itself.
+    """Lets a task wait in one direction of a stream, up to a deadline.
+
+    One timer serves all waits of the direction. A wait sets the timer if it is not set, or if it is set to a time after
+    the wait's deadline. A timer that fires while no task waits is not set again until the next wait. A timer that fires
+    more than `TIMER_TOLERANCE_S` before the current wait's deadline is set again to this deadline.
+
+    Attributes:
+        loop: Event loop of the stream.
+        until: Deadline of the current or last wait, in seconds on the clock of the event loop.
+        armed_for: Time to which the timer was last set, on the same clock.
+        future: Future that the waiting task awaits. None if no task waits.
+        timer: The timer. None if it is not set.
     """
 
     __slots__ = ("armed_for", "future", "loop", "timer", "until")
@@ -43,8 +51,11 @@
     async def wait(self, until: float) -> None:
         """Wait until `wake` is called.
 
+        Args:
+            until: Deadline, in seconds on the clock of the event loop.
+
         Raises:
-            TimeoutError: `until` passed first.
+            TimeoutError: The deadline passed first.
             Exception: The error that was passed to `wake`.
         """
         self.until = until
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -108,7 +108,7 @@
 
         Raises:
             AttemptError: The server sent no response, an invalid response or a 5xx response.
-            TimeoutError: The attempt reached its end.
+            TimeoutError: `until` passed first, or writing a part of the body took longer than the stall timeout.
             ClientDisconnectedError: The client no longer waits for the response.
             HttpProtocolError: The client's body is malformed, too large or stalled.
         """
@@ -314,6 +314,6 @@
 
 
 def _stated_length(response: http.Head) -> int:
-    """Return the content-length of a response that has no body, such as the response to a HEAD request, or 0."""
+    """Return the content-length that a response without a body states (for example to HEAD), or 0 if it states none."""
     stated = response.get(b"content-length")
     return int(stated) if stated.isdigit() else 0
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -1,4 +1,4 @@
-"""Streams of a proxy to the control service: ADS for tables, LRS for load reports.
+"""Connects a proxy to the control service: receives tables on an ADS stream and sends load reports on an LRS stream.
 
 This module only transfers messages. `AdsClient` builds and parses them.
 """
--- a/damsonpick/runtime/loop_lag.py
+++ b/damsonpick/runtime/loop_lag.py
@@ -43,27 +43,27 @@
 
 
 class LoopLagMonitor:
-    """Measures the lag of the event loop that it runs on.
+    """Measures the lag of the event loop that executes `run`, and the CPU time of the process.
 
     Args:
         log: Logger for the event `loop_lagged`. If None, nothing is logged.
     """
 
     def __init__(self, log: FilteringBoundLogger | None = None) -> None:
-        """Start measuring."""
+        """Record the wall time and the CPU time at which the monitor starts. `run` measures the lag."""
         self._log = log
         self._longest_lag_s = 0.0
         self._started_s = time.monotonic()
         self._started_cpu_s = time.process_time()
 
     def load(self) -> LoopLoad:
-        """Return the lag and the CPU time since the start."""
+        """Return the longest lag that `run` has measured, and the CPU and wall time since the monitor was created."""
         return LoopLoad(
             self._longest_lag_s, time.process_time() - self._started_cpu_s, time.monotonic() - self._started_s
         )
 
     async def run(self) -> None:
-        """Measure until cancelled. A lag at or above the limit is logged, at most once per period."""
+        """Measure until cancelled. After each period, log its longest lag if this is at least `LAG_LIMIT_S`."""
         while True:
             await self._measure_period()
 
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -121,8 +121,10 @@
     zone_pair_costs: ZonePairCosts = Field((), alias="pairs")
     move_cost: float = Field(0.05, ge=0, alias="move")
     min_share: float = Field(0.1, ge=0, le=0.5, alias="least")  # fraction of an even share that every server keeps
-    max_move_share: float = Field(0.2, gt=0, le=1, alias="bound")  # largest share of all work that one plan may move
-    headroom: float = Field(0.1, ge=0, le=1, alias="margin")  # share of the demand for which capacity is kept free
+    # Largest share of all work that one plan may move, in addition to work that must move.
+    max_move_share: float = Field(0.2, gt=0, le=1, alias="bound")
+    # Capacity that is kept free on every server, as a share of the largest load that a plan may assign.
+    headroom: float = Field(0.1, ge=0, le=1, alias="margin")
     # Largest deviation of a zone's demand from its estimate, as a share of the estimate.
     demand_spread: float = Field(0.35, ge=0, lt=1, alias="spread")
 
@@ -250,7 +252,7 @@
         return self.pilot.state / "control.sock"
 
     def planner(self, instances: int = 1, instance: int = 0, proxies: int = 0) -> api.Settings:
-        """Return the settings of the planner. The rate and limit of an unlimited channel are never reached."""
+        """Return the settings of the planner. An unlimited channel gets a rate and a limit that are never reached."""
         channel, rules = self.channel, self.rules
         unlimited = channel.lines_per_second == 0
         return api.Settings(
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -277,7 +277,7 @@
         ]
 
     def _sustainable_rate(self, plan: Plan) -> float:
-        """Return the requests per second that the fleet can sustain, or 0 if the plan admits nearly all demand."""
+        """Return the requests per second that the fleet can sustain, or 0 if the plan sheds little or none."""
         if all(share > FULLY_ADMITTED for share in plan.admitted.values()):
             return 0.0
         if sum(plan.shed.values()) <= 0:
--- a/tests/test_learned_pilot.py
+++ b/tests/test_learned_pilot.py
@@ -315,7 +315,7 @@
     assert run_command(pilot, "knowledge", "export", str(tmp_path / "no" / "where")).returncode == 2
     assert "forgotten: 1 files" in run_command(pilot, "knowledge", "forget").stdout.replace("2 files", "1 files")
     gone = run_command(pilot, "knowledge", "show")
-    assert gone.returncode == 1 and "nothing is kept" in gone.stderr
+    assert gone.returncode == 1 and "no valid snapshot is stored" in gone.stderr
     pilot.start()
     try:
         assert "learns anew" in run_command(pilot, "knowledge", "forget").stdout
--- a/tests/test_load_tool.py
+++ b/tests/test_load_tool.py
@@ -75,7 +75,7 @@
     earlier.write_text(json.dumps(report))
     assert all(row[-1] == "1.00" for row in results.compare(report, earlier) if row[2])
     earlier.write_text("{}")
-    with pytest.raises(ValueError, match="is not a results file"):
+    with pytest.raises(ValueError, match="cannot be read as a results file"):
         results.compare(report, earlier)
 
 
