--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -238,7 +238,7 @@
             {
                 Query.STATUS: status.answer,
                 Query.TABLES: TablesQuery(self.published, self.catalogue).answer,
-                Query.WEIGHTS: weights_query(self.advisor, self.settings.solved),
+                Query.WEIGHTS: weights_query(self.advisor, self.settings.needs_solver),
                 Query.VERSIONS: self._answer_versions,
                 Query.LIST: ListQuery(self.list_watch, self.list_updater, self.clock).answer,
                 Query.SASP: sasp_query(self.sasp),
@@ -251,10 +251,13 @@
         return self.endpoint_list.known_zones.get(endpoint, "")
 
     def _list_changed(self) -> None:
-        """Update SASP advice and solver-assigned tables immediately after a change of the endpoint list."""
+        """Refresh the statuses in SASP advice after a change of the list.
+
+        If the solver is enabled, also step the engine and send advice that needs no solve.
+        """
         if self.sasp is not None:
             self.sasp.update_statuses()
-        if self.settings.solved:
+        if self.settings.needs_solver:
             self.engine.step(self.clock.now())
             self.solver_task.send_immediate_advice()
 
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -2,7 +2,7 @@
 
 The engine is the only caller of `Planner.handle` and the only writer of the published state. If the planner raises an
 exception, the last tables stay published, the engine logs the events that led to the exception, and a new planner
-starts from the store: immediately after the first failure, within a second after each further one.
+starts from the published tables: immediately after the first failure, within a second after each further one.
 """
 
 from __future__ import annotations
@@ -32,7 +32,8 @@
 from damsonpick.state.published_tables import Change, PublishedTables
 from damsonpick.state.store.sqlite import Store
 
-MAX_PLANNERS_PER_SEED = 1000  # planners that get distinct random seeds from one seed of the settings
+# Number of planner seeds for each seed in the settings. The number of failures in a row selects one of them.
+MAX_PLANNERS_PER_SEED = 1000
 
 
 class Engine(DecisionLoop):
@@ -96,7 +97,7 @@
 
         Args:
             now: Current time in ns.
-            learned: Learned state of an earlier process, with its aging applied.
+            learned: Learned state of an earlier process, with its aging applied, or None if there is none.
             away: Time in ns since that process was last seen, or None if unknown.
         """
         now = self.clock.advance_to(now)
@@ -119,20 +120,22 @@
         """Start a planner and queue the current state as its first events.
 
         Args:
-            learned: Learned state of an earlier planner, with its aging applied.
-            replaces_planner: Whether a planner of this process is running. Always treated as true after a failure.
+            learned: Learned state of an earlier planner, with its aging applied, or None if there is none.
+            replaces_planner: Whether the new planner replaces a planner of this process. After a failure, this is
+                assumed even if the argument is False.
         """
         replaces_planner = replaces_planner or bool(self.failures)
         seed = self.settings.pilot.seed * MAX_PLANNERS_PER_SEED + self.failures
         events = self.planner_start.events(learned, replaces_planner)
         self._drop_stale_events(replaces_planner)
-        self.begin_with(self.make_planner(self.settings.planner(), seed), events)
+        self.install_planner(self.make_planner(self.settings.planner(), seed), events)
 
     def _drop_stale_events(self, replaces_planner: bool) -> None:
-        """Drop client events that are older than the new planner.
+        """Drop the queued client events that do not apply to the new planner.
 
-        Sync tokens of an earlier planner are meaningless to the new planner. If it replaces a planner of this process,
-        its first events already include the clients that joined earlier.
+        If the new planner replaces a planner of this process, its first events include the connected clients, so all
+        queued client events are dropped. Otherwise only acknowledgements are dropped, because the new planner did not
+        issue their sync tokens.
         """
         manager = self.session_manager
         if replaces_planner:
@@ -141,7 +144,7 @@
             manager.events = [event for event in manager.events if not isinstance(event, api.SyncAcknowledged)]
 
     def set_confidence_source(self, events: Callable[[], list[api.Event]]) -> None:
-        """Set the function whose events report the current confidence in endpoint list entries to a new planner."""
+        """Set the function that returns the confidence in endpoint list entries, as events for a new planner."""
         self.planner_start.confidence_events = events
 
     def learned_state(self) -> Snapshot | None:
@@ -153,7 +156,8 @@
     def capture_learned_state(self) -> None:
         """Capture the learned state of a planner that failed, if it can be read.
 
-        The learned state may have caused the failure, so a new planner receives it only after the first failure.
+        The learned state may have caused the failure, so it is captured only after the first of consecutive failures.
+        After each further failure in a row, the next planner starts without learned state.
         """
         self.captured_state = None
         try:
@@ -169,17 +173,17 @@
         self.list_changed |= any(isinstance(event, api.EndpointListChanged) for event in events)
 
     def relocate(self, now: int, endpoints: Iterable[str]) -> list[Session]:
-        """Publish again the tables that contain endpoints whose zone has changed.
+        """Publish again the tables that contain endpoints whose zone is new or has changed.
 
         Returns:
             Sessions that may acknowledge sync tokens now.
         """
-        change = self.published.touch(endpoints)
+        change = self.published.mark_changed(endpoints)
         now = self.clock.advance_to(now)
         return self._publish(now, change, "list", "endpoints that moved") if change.entries else []
 
     def renew(self, now: int) -> None:
-        """Renew the leases and notify the planner of slices that were lost to or taken over from another controller."""
+        """Renew the leases and notify the planner of slices that this controller has lost or acquired."""
         claimed = self.ownership.claim(self.clock.advance_to(now))
         for number in sorted(self.owned - claimed):
             self.enqueue(api.SliceOwnershipChanged(number, False))
@@ -201,9 +205,9 @@
     def due(self) -> int | None:
         """Return the time in ns at which the next step must run, or None if only an event requires a step."""
         times: list[int] = []
-        next_step = self.next_step()
-        if next_step is not None:
-            times.append(next_step)
+        next_due_at = self.next_due_at()
+        if next_due_at is not None:
+            times.append(next_due_at)
         if self.persistence.failing:
             times.append(self.persistence.retry_at)
         if self.pin.applied:
@@ -215,6 +219,9 @@
     def step(self, now: int) -> list[Session]:
         """Pass pending events to the planner and apply its orders.
 
+        Before that, retry failed writes that are due, start a planner if none runs, and apply the start or end of a
+        pin. If no planner runs and the start of the next one is not due yet, only the failed writes are retried.
+
         Returns:
             Sessions that may acknowledge sync tokens now.
         """
@@ -273,13 +280,13 @@
     # -- pin and rollback
 
     def roll_back(self, now: int, request: RollbackRequest) -> dict[str, Any]:
-        """Restore the tables of a kept version as far as is safe, and pin them.
+        """Restore the tables of a version in the history, as far as is safe, and pin them.
 
         Returns:
             The changes made, or planned in a dry run, in the reply format of `damsonpick versions rollback`.
 
         Raises:
-            ValueError: The version is not kept, or another operator changed the pin in the meantime.
+            ValueError: The history does not contain the version, or the pin was changed in the meantime.
         """
         now = self.clock.advance_to(now)
         plan = self.pin.plan_rollback(request, self.owned, self.is_unroutable, self.is_warming_up)
@@ -329,7 +336,10 @@
         return entry is None or entry.state != "in_service" or name in self.published.withdrawn
 
     def is_warming_up(self, name: str) -> bool:
-        """Return whether an endpoint has not reached its full share of requests since its start."""
+        """Return whether an endpoint has not reached its full share of requests since its start.
+
+        It is False if no planner runs or the planner does not know the endpoint.
+        """
         planner = self.planner
         endpoint = planner.endpoints.get(name) if planner else None
         return planner is not None and endpoint is not None and planner.warm_up_share(endpoint) < 1
--- a/damsonpick/controller/list_queries.py
+++ b/damsonpick/controller/list_queries.py
@@ -1,4 +1,7 @@
-"""Answers `damsonpick list`: the active source, the confidence in each endpoint, and the endpoints held in the list."""
+"""Answers `damsonpick list`: the list sources, the confidence in each endpoint, and the held endpoints.
+
+An endpoint is held while it stays in use although the newest list omits it.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +64,7 @@
         }
 
     def _confirmed_s_ago(self, now: int, endpoint: str) -> float | None:
-        """Return the seconds since a source or a successful response last confirmed an endpoint, or None if unknown."""
+        """Return the seconds since `ListConfidence.last_evidence_at` of an endpoint, or None if it is unknown."""
         latest = self.updater.confidence.last_evidence_at(endpoint)
         return _seconds_since(now, latest) if latest > 0 else None
 
--- a/damsonpick/controller/list_watch.py
+++ b/damsonpick/controller/list_watch.py
@@ -18,9 +18,9 @@
 from damsonpick.settings.model import ListSource, PilotSettings
 from damsonpick.state.endpoint_list.sources import ListError, Sources
 
-RECHECK_PERIOD_NS = 250_000_000  # between checks for changes that depend only on elapsed time
+RECHECK_PERIOD_NS = 250_000_000  # time between checks for changes that need no new list
 FIRST_SOURCE = "list"  # source that the settings section [list] configures
-SASP_SOURCE = "sasp members"  # lowest-ranked source: members that trusted members and balancers report over SASP
+SASP_SOURCE = "sasp members"  # lowest-ranked source: members of the balancers that may set member states over SASP
 
 ListResult = list[api.EndpointEntry] | ListError
 
@@ -29,7 +29,7 @@
     """A connection to one source."""
 
     def lists(self) -> AsyncIterator[ListResult]:
-        """Yield each list that the source returns, or an error that says why it returned none."""
+        """Yield each list that the source returns, or an error with the reason why it returned none."""
 
 
 class ListWatch:
@@ -74,7 +74,7 @@
         return self.clock.now() if is_up else 0
 
     async def run(self) -> None:
-        """Watch all sources until cancelled."""
+        """Watch all sources until cancelled. Merge and recheck their lists every `RECHECK_PERIOD_NS`."""
         async with anyio.create_task_group() as group:
             for name, source_settings in self.source_settings.items():
                 group.start_soon(self._watch, name, source_settings)
@@ -97,7 +97,8 @@
     def receive_members(self, entries: list[api.EndpointEntry]) -> None:
         """Process the members registered over SASP as a list of the lowest-ranked source.
 
-        A quiesced member drains, because a drain that any live source reports is binding.
+        A quiesced member drains, because a drain that any live source reports is binding. If no members are registered
+        any more, the source counts as failed.
         """
         if entries:
             self.receive(SASP_SOURCE, entries)
@@ -105,11 +106,14 @@
             self.receive(SASP_SOURCE, ListError("no members are registered"))
 
     def receive(self, name: str, result: ListResult) -> None:
-        """Process a list of one source, or the error that says why it returned none."""
+        """Process a list of one source, or an error with the reason why it returned none.
+
+        An empty list counts as a failure of the source if the current list has entries.
+        """
         now = self.clock.now()
         if not isinstance(result, ListError) and not result and self.updater.endpoint_list.entries:
             result = ListError(
-                f"{name}: the list is empty; the source counts as failed and the kept list stays in force"
+                f"{name}: the list is empty; the source counts as failed and the previous list stays in use"
             )
             self.log.warning("list_validation_failed", reason=str(result))
         if isinstance(result, ListError):
@@ -129,7 +133,7 @@
             self.updater.list_unavailable()
 
     def _merge(self, now: int) -> None:
-        """Merge the lists of the sources and apply the result if it differs from the list that was applied last."""
+        """Merge the lists of the sources. Apply the result unless it and the active source are unchanged."""
         merged = self.sources.merged(now)
         for disagreement in merged.disputes:
             if disagreement not in self.disagreements:
--- a/damsonpick/decisions/balancing_round.py
+++ b/damsonpick/decisions/balancing_round.py
@@ -12,9 +12,9 @@
 from damsonpick.decisions.search import Search
 from damsonpick.decisions.time_units import NS_PER_SECOND
 
-ROUND_PERIOD_NS = 2 * NS_PER_SECOND
+ROUND_PERIOD_NS = 2 * NS_PER_SECOND  # minimum time between the starts of two rounds
 SEARCH_PART_INTERVAL_NS = NS_PER_SECOND // 200  # pause between parts, for handling list changes and reports
-ACKNOWLEDGEMENT_TIMEOUT_NS = 2 * NS_PER_SECOND  # longest wait of a round for acknowledgements, excluding transit times
+ACKNOWLEDGEMENT_TIMEOUT_NS = 2 * NS_PER_SECOND  # longest wait for acknowledgements, in addition to transit times
 
 
 @dataclass(slots=True, eq=False)
@@ -36,7 +36,10 @@
     next_part_at: int = 0
 
     def start_if_due(self) -> None:
-        """Start a round if it is due, reports have been received, and earlier moves are settled."""
+        """Start a round if it is due, no search is running, any report was received, and earlier moves are settled.
+
+        Earlier moves are settled if all have been sent, and have been acknowledged or are overdue.
+        """
         if not self._is_due() or not self._earlier_moves_are_settled():
             return
         self.next_round_at = self.fleet.now + ROUND_PERIOD_NS
@@ -47,7 +50,10 @@
         placement.repair_assignments(self.fleet)
 
     def continue_search(self, actions: list[api.Action]) -> None:
-        """Run the next part of the running search if it is due."""
+        """Run the next part of the running search if it is due, and order a timer for the part after it.
+
+        When the search ends, its moves have been applied, and the assignments are repaired.
+        """
         if self.search is None or self.fleet.now < self.next_part_at:
             return
         self.next_part_at = self.fleet.now + SEARCH_PART_INTERVAL_NS
@@ -62,7 +68,11 @@
         return bool(self.fleet.now >= self.next_round_at and self.fleet.last_report_at and self.search is None)
 
     def _earlier_moves_are_settled(self) -> bool:
-        """Return whether all earlier moves have been sent, and have been acknowledged or have timed out."""
+        """Return whether all earlier moves have been sent, and have been acknowledged or are overdue.
+
+        Moves count as acknowledged once half of the recipients have acknowledged their message or a later one. They are
+        overdue when the timeout has passed since the newest message of any kind.
+        """
         if not self.publisher.moves_published:
             return False
         flow_control = self.publisher.flow_control
--- a/damsonpick/decisions/cluster_copy.py
+++ b/damsonpick/decisions/cluster_copy.py
@@ -1,4 +1,4 @@
-"""The copy of the assignments on which the search tries moves: the virtual cluster of HBase's balancer.
+"""The copy of the assignments on which the search tries moves, like the virtual cluster of HBase's balancer.
 
 A replica is the assignment of a slice to one of its endpoints. Endpoints and replicas are numbered from 0 and described
 by parallel lists, since the search reads them millions of times per minute.
@@ -12,7 +12,7 @@
 from damsonpick.decisions.fleet_state import FleetState
 from damsonpick.decisions.slice_state import SliceState
 
-MIN_CAPACITY = 1e-6
+MIN_CAPACITY = 1e-6  # keeps load ratios defined if a capacity is 0
 
 
 class Replica(NamedTuple):
@@ -64,7 +64,7 @@
         replica_loads: Load by replica, requests/s.
         endpoint_of: Endpoint by replica.
         start_of: Endpoint by replica before any move.
-        warmest_first: Endpoints by replica, sorted by descending warmth for its slice.
+        warmest_first: Endpoints that have warmth for the slice of a replica, the warmest first, by replica.
         total_load: Load of all endpoints, requests/s; 1 if there is no load.
         total_capacity: Capacity of all endpoints; 1 if there is no capacity.
         warming_limit: Maximum load of a warming endpoint per unit of capacity, requests/s.
@@ -90,7 +90,7 @@
     )
 
     def __init__(self, fleet: FleetState, capacities: dict[str, float]) -> None:
-        """Copy the assignments to the endpoints of `capacities`."""
+        """Copy the assignments whose endpoint is in `capacities`."""
         self.names = list(capacities)
         self.capacities = [max(MIN_CAPACITY, capacities[name]) for name in self.names]
         self.warming = [slow_start.is_warming_up(fleet, name) for name in self.names]
@@ -138,7 +138,7 @@
         return CostTerms(load_squares, count_squares, warmth_lost, moved)
 
     def apply(self, moves: list[Move], terms: CostTerms) -> None:
-        """Apply moves whose resulting cost terms have been computed."""
+        """Apply moves, and store the cost terms that `terms_after` returned for them."""
         self.terms = terms
         for replica, endpoint in moves:
             old = self.endpoint_of[replica]
@@ -149,7 +149,7 @@
             self._add_load(endpoint, self.replica_loads[replica])
 
     def _add_slice(self, slice_state: SliceState, numbers: dict[str, int]) -> None:
-        """Add a slice's load, and its replicas unless its table was calculated outside the decisions."""
+        """Add a slice's load, and its replicas unless its whole table was calculated by the solver."""
         for position, name in enumerate(slice_state.assigned):
             endpoint = numbers.get(name)
             if endpoint is None:
--- a/damsonpick/decisions/endpoint_state.py
+++ b/damsonpick/decisions/endpoint_state.py
@@ -11,9 +11,11 @@
 
 EndpointListing = api.EndpointStatus | Literal["unlisted"]
 
-OUTCOME_TAU_S = 2.5  # time constant of the outcomes from which one endpoint is assessed
-RECENT_TAU_S = 1.0  # time constant of the fleet-wide latency; shorter, since it is computed from many responses
-ZONE_VIEW_TTL_NS = 2 * OUTCOME_TAU_S * NS_PER_SECOND  # age from which a zone's view is ignored
+OUTCOME_TAU_S = 2.5  # time constant with which the reported outcomes of one endpoint decay
+# Time constant of the outcomes from which the fleet's median latency is computed. It is shorter than `OUTCOME_TAU_S`,
+# since the median is computed from many responses.
+RECENT_TAU_S = 1.0
+ZONE_VIEW_TTL_NS = 2 * OUTCOME_TAU_S * NS_PER_SECOND  # age of its newest report from which a zone's view is ignored
 
 
 @dataclass(slots=True, eq=False)
@@ -56,24 +58,25 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """One endpoint that the endpoint list or a table names.
+    """One endpoint that the endpoint list, a stored table entry or a restored withdrawal names.
 
     Attributes:
         name: Address that identifies the endpoint.
-        state: State in the endpoint list; `unlisted` while only a table or a report names the endpoint.
+        state: State in the endpoint list; `unlisted` while only a stored table entry names the endpoint.
         weight: Listed weight, relative to other endpoints.
         started: Start time of the process, ns; 0 if it was long ago.
         capacity_factor: Learned correction of the weight, 1 for the fleet's median. It is kept when the process
-            restarts, since it is a property of the machine.
-        restored_share: Share of `capacity_factor` that is restored from a snapshot and not yet confirmed, 0 to 1.
+            restarts, since it is a property of the machine. A factor restored from a snapshot is then reset to 1.
+        restored_share: Share of `capacity_factor` that is restored from a snapshot and not yet confirmed by reports,
+            0 to 1.
         list_confidence: Confidence in what the list states about the endpoint, 0 to 1.
         attempts: Decaying number of attempts over all zones.
         failures: Decaying number of failed attempts over all zones.
         latency: Mean latency of the successful responses, ns; 0 if there are none.
-        answer_rate: Successful responses per second over all zones.
+        response_rate: Successful responses per second over all zones.
         success_ratio: Share of successful attempts in the zone where this share is highest. A lower share in another
             zone may be caused by the network link of that zone.
-        reporting_zones: Number of zones with a recent report.
+        reporting_zones: Number of zones whose newest report was younger than `ZONE_VIEW_TTL_NS` at `last_report_at`.
         last_report_at: Time of the newest report, ns; 0 if there is none.
         zone_views: Outcomes by zone of the reporting proxies.
     """
@@ -88,7 +91,7 @@
     attempts: float = 0.0
     failures: float = 0.0
     latency: float = 0.0
-    answer_rate: float = 0.0
+    response_rate: float = 0.0
     success_ratio: float = 1.0
     reporting_zones: int = 0
     last_report_at: int = 0
@@ -96,7 +99,7 @@
 
     def reset_outcomes(self) -> None:
         """Discard all reports, which describe an earlier process with the same name."""
-        self.attempts = self.failures = self.latency = self.answer_rate = 0.0
+        self.attempts = self.failures = self.latency = self.response_rate = 0.0
         self.success_ratio = 1.0
         self.reporting_zones = self.last_report_at = 0
         self.zone_views = {}
@@ -117,6 +120,6 @@
         self.attempts = sum(v.attempts for v in views)
         self.failures = self.attempts - successes
         self.latency = latency_sum / successes if successes > 0 else 0.0
-        self.answer_rate = sum(v.successes / v.covered_s for v in views)
+        self.response_rate = sum(v.successes / v.covered_s for v in views)
         self.success_ratio = max(v.successes / v.attempts for v in views)
         self.reporting_zones = len(views)
--- a/damsonpick/decisions/flow_control.py
+++ b/damsonpick/decisions/flow_control.py
@@ -14,16 +14,16 @@
 SYNC_TOKEN_MODULUS = 65536
 SYNC_ENTRIES = 2  # size of the sync request at the end of each message, in table entries
 MIN_CRITICAL_ENTRIES = 2  # critical entries allowed in an empty channel even if its limit is below one message
-UNSPACED_DIVISOR = 4  # critical messages need no spacing until 1/4 of the messages allowed in the window is used
+UNSPACED_DIVISOR = 4  # critical messages need no spacing until more than 1/4 of a window's messages are used
 
 
 class Urgency(IntEnum):
     """Urgency of an order. A lower value is more urgent."""
 
     CRITICAL = 0  # withdrawals, and changes of tables without a routable entry
-    CONTROL = 1  # admission levels, and withdrawal states sent again to a proxy that rejoined
-    REBALANCE = 2  # changes of tables that gain or lose an endpoint in service
-    CLEANUP = 3  # removal of the entries of withdrawn endpoints
+    CONTROL = 1  # admission levels, and withdrawal states sent again because a proxy has rejoined
+    REBALANCE = 2  # moves: changes of tables that are neither critical nor cleanup
+    CLEANUP = 3  # removal of the entries of withdrawn endpoints from tables that need no other change
 
 
 # Share of the channel's limit that orders of each urgency may use. It is below half, because a message whose outcome is
@@ -45,13 +45,15 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightMessage:
-    """A message that not all of its recipients have acknowledged.
+    """A message in flight: fewer than half of its recipients have acknowledged it.
+
+    A recipient that has left counts as one that has acknowledged the message.
 
     Attributes:
         token: Sync token that the recipients acknowledge.
         cost: Total size over all recipients, in table entries.
         recipients: Number of proxies to which the message was sent.
-        unacknowledged: Zone by proxy, for the recipients that have not acknowledged the message.
+        unacknowledged: Zone by proxy, for the recipients that have neither acknowledged the message nor left.
     """
 
     token: int
@@ -64,7 +66,7 @@
         return self.cost * len(self.unacknowledged) / self.recipients
 
     def is_acknowledged_by_half(self) -> bool:
-        """Return whether half of the recipients have acknowledged the message.
+        """Return whether at least half of the recipients have acknowledged the message or left.
 
         Waiting for all recipients would let one stalled proxy block all others.
         """
@@ -78,8 +80,8 @@
     Attributes:
         settings: Settings with the limits of the channel.
         proxies: Zone by joined proxy.
-        in_flight: Messages sent after the newest message that half of its recipients have acknowledged, in send order.
-        sent_at: Send times of the messages in the current window, ns.
+        in_flight: Messages sent after the newest message that half of its recipients have acknowledged, oldest first.
+        sent_at: Send times of the messages in the last `Settings.message_window`, ns, oldest first.
         last_sent_at: Send time of the newest message, ns.
         last_token: Sync token of the newest message.
         last_move_token: Sync token of the newest message that contained more than cleanup.
@@ -109,7 +111,7 @@
         return room if 2 * room >= self.message_capacity(urgency, 0.0) else 0
 
     def message_capacity(self, urgency: Urgency, outstanding: float) -> int:
-        """Return the number of entries that a message to all proxies may contain.
+        """Return the number of entries that a message to all proxies may contain. It may be negative.
 
         Args:
             urgency: Urgency of the orders in the message.
@@ -120,7 +122,11 @@
         return int((share - outstanding) / proxies - self.message_overhead)
 
     def moves_acknowledged(self) -> bool:
-        """Return whether no moves are in flight. Cleanup may be in flight, since it need not delay a round."""
+        """Return whether no message with moves is in flight.
+
+        A message is in flight until half of its recipients have acknowledged it, or until half of the recipients of a
+        later message have acknowledged that one. Cleanup may be in flight, since it need not delay a round.
+        """
         return all(message.token != self.last_move_token for message in self.in_flight)
 
     def send(self, now: int, entries: int, moves: bool) -> api.RequestSync:
@@ -147,8 +153,8 @@
     def acknowledge(self, proxy: int, token: int | None) -> None:
         """Record that a proxy has applied the message with a token, or that it has left if the token is None.
 
-        Proxies apply messages in order. A message that half of its recipients have acknowledged therefore counts as an
-        acknowledgement of all earlier messages.
+        A message is no longer in flight once at least half of its recipients have acknowledged it or left. Proxies
+        apply messages in order, so all earlier messages are then no longer in flight either.
         """
         acknowledged_count = 0
         for position, message in enumerate(self.in_flight, start=1):
--- a/damsonpick/load_tool/player.py
+++ b/damsonpick/load_tool/player.py
@@ -39,7 +39,7 @@
         self.done = self.parser.get_status_code() >= 200
 
 
-class Player:
+class LoadGenerator:
     """One run of an experiment.
 
     Args:
@@ -53,7 +53,9 @@
         self.idle_connections: list[SocketStream] = []
         self.slots = anyio.CapacityLimiter(experiment.load.connections)
         self.results = {name: ClassResults() for name in experiment.classes}
-        self.max_lateness_ns = 0  # largest delay between the due time and the send of a request, caused by this tool
+        # Largest delay between the due time of a request and the start of the task that sends it. This tool causes the
+        # delay, not the target.
+        self.max_lateness_ns = 0
         self.started_ns = 0
 
     async def run(self) -> dict[str, Any]:
@@ -79,7 +81,7 @@
             await anyio.lowlevel.checkpoint()
 
     async def _send(self, arrival: Arrival) -> None:
-        """Send one request and record its result. The latency counts from the due time."""
+        """Send one request and record its result, except during the warm-up. The latency counts from the due time."""
         spec = self.experiment.classes[arrival.request_class]
         outcome = "timed out"
         with anyio.move_on_after(spec.timeout / NS_PER_SECOND):
@@ -117,7 +119,7 @@
         """Return an idle connection that is still open, or None. Close connections that the target closed."""
         while self.idle_connections:
             connection = self.idle_connections.pop()
-            if sockets.idle(connection):
+            if sockets.is_reusable(connection):
                 return connection
             await anyio.aclose_forcefully(connection)
         return None
--- a/damsonpick/protocols/platform/__main__.py
+++ b/damsonpick/protocols/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `python -m damsonpick.edge`: runs one pilot on the platform's protocol in the foreground."""
+"""Entry point of `python -m damsonpick.edge`: runs a pilot of the platform's protocol in the foreground."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def main() -> int:
-    """Serve until SIGTERM; return the exit code."""
+    """Run the pilot until SIGTERM; return `EXIT_OK`, or `EXIT_CONFIG_ERROR` if the pilot cannot start."""
     # Signals stay blocked until the pilot has opened their receiver; an unblocked SIGHUP would end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     log = logs.configure("json", "info")
--- a/damsonpick/protocols/platform/connection_listener.py
+++ b/damsonpick/protocols/platform/connection_listener.py
@@ -51,7 +51,7 @@
     try:
         opened = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=BACKLOG)
     except OSError as error:
-        reason = f"{host}:{port}: {error.strerror or error}: the address is in use, or does not belong to this host"
+        reason = f"{host}:{port}: {error.strerror or error}: listen needs a free port and an address of this host"
         raise ConfigError("listen", reason) from None
     return cast(Listener, opened.listeners[0])
 
@@ -96,10 +96,11 @@
     async def _handle_accept_error(self, error: OSError) -> None:
         self._dropped_input_log.record(DroppedInput.ACCEPT, str(error))
         if error.errno in RESOURCE_EXHAUSTED:
-            # Without the pause the loop would run continuously until a descriptor is free.
+            # Without the pause, the loop would retry continuously until the resource is available again.
             self._close(self._limiter.oldest_unjoined())
             await anyio.sleep(ACCEPT_RETRY_DELAY_S)
-        else:  # the peer reset the connection before it was accepted; no other connection needs to be closed
+        else:
+            # For example, the peer reset the connection before it was accepted. No other connection needs to be closed.
             await anyio.sleep(0)
 
     def _open(self, stream: SocketStream, group: TaskGroup) -> None:
--- a/damsonpick/protocols/platform/errors.py
+++ b/damsonpick/protocols/platform/errors.py
@@ -21,7 +21,10 @@
 
 
 class ConfigError(PlatformError):
-    """The configuration is invalid. The error text names the file, the field, the reason and the remedy."""
+    """The configuration is missing, unreadable or invalid, or the listening socket cannot be opened.
+
+    The error text states the reason and, if they are known, the file and the field.
+    """
 
 
 class FrameError(PlatformError):
@@ -33,15 +36,21 @@
 
 
 class InvalidMessageError(MessageError):
-    """A JSON object has a field that is missing, out of range or unknown. Only this message is dropped."""
+    """A JSON object is not a valid message, for example because a field is missing, out of range or unknown.
+
+    Only this message is dropped, unless its sender is a client that has not joined a zone; that client is rejected.
+    """
 
 
 class MalformedMessageError(MessageError):
-    """The bytes are not a JSON object, so the rest of the stream cannot be trusted."""
+    """The bytes cannot be decoded as JSON or are not a JSON object, so the rest of the stream cannot be trusted.
+
+    A collector's invalid message is also malformed if whitespace precedes its JSON object.
+    """
 
 
 class EndpointListError(PlatformError):
-    """Discovery sent a value that is not a valid update of the endpoint list."""
+    """An update of the endpoint list, from discovery or from the configuration, is invalid or cannot be applied."""
 
 
 class EndpointEntryError(EndpointListError):
@@ -55,4 +64,4 @@
 
 
 class TransportError(PlatformError):
-    """A connection to the registry or to discovery has failed. `field` names the operation that failed."""
+    """A connection has failed, or its peer sent invalid data. `field` names the operation or the kind of data."""
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -10,12 +10,13 @@
 from damsonpick.protocols.platform.address import Address
 from damsonpick.protocols.platform.errors import TransportError
 from damsonpick.protocols.platform.http_response import ResponseReader, build_request
-from damsonpick.runtime.sockets import idle
+from damsonpick.runtime.sockets import is_reusable
 from damsonpick.runtime.timeouts import complete_within
 
 READ_BYTES = 65_536
-# Bytes that arrived during a long step of the event loop are still received after the deadline: MAX_LATE_RECEIVES times
-# at most, each time with this timeout.
+# While a long step blocks the event loop, a deadline may pass although bytes have arrived in time. To receive these
+# bytes, each receive of a response or a watch has a timeout of at least MIN_RECEIVE_TIMEOUT_S, and up to
+# MAX_LATE_RECEIVES receives of a response may start after its deadline.
 MIN_RECEIVE_TIMEOUT_S = 0.05
 MAX_LATE_RECEIVES = 2
 STREAM_ERRORS = (  # includes TimeoutError, which is a subclass of OSError
@@ -56,14 +57,16 @@
     timeout before bytes that have already arrived; the second wait then receives these bytes.
 
     Raises:
-        TransportError: No bytes were received in time, or the peer has closed the connection.
+        TransportError: No bytes were received in time, or the connection was closed or has failed.
     """
     for _ in range(2):
         with anyio.move_on_after(timeout_s / 2):
             try:
                 return await stream.receive(READ_BYTES)
             except STREAM_ERRORS as error:
-                raise TransportError("receive", f"connection closed: {type(error).__name__}") from None
+                raise TransportError(
+                    "receive", f"the connection was closed or has failed: {type(error).__name__}"
+                ) from None
     raise TransportError("receive", f"no data received for {timeout_s:g} s")
 
 
@@ -71,7 +74,7 @@
     """Send all bytes.
 
     Raises:
-        TransportError: The peer has not accepted the bytes in time, or has closed the connection.
+        TransportError: The peer has not accepted the bytes in time, or the connection was closed or has failed.
     """
     try:
         with anyio.fail_after(timeout_s):
@@ -81,7 +84,7 @@
 
 
 class HttpConnection:
-    """Sends requests over one persistent connection, and replaces the connection before a request if it is stale."""
+    """Sends requests over one persistent connection. `connect` replaces the connection if it is stale."""
 
     def __init__(self, address: Address, max_idle_s: float) -> None:
         """Create a client that is not connected yet.
@@ -108,11 +111,13 @@
             self._stream = await dial(self.address, timeout_s)
 
     def _is_stale(self, stream: SocketStream) -> bool:
-        return anyio.current_time() - self._last_used_s > self.max_idle_s or not idle(stream)
+        return anyio.current_time() - self._last_used_s > self.max_idle_s or not is_reusable(stream)
 
     async def request(self, method: str, path: str, body: bytes, timeout_s: float) -> HttpResponse:
         """Send a request and return its response; call `connect` first.
 
+        The connection is closed if the request fails or the response does not allow the connection to be reused.
+
         Args:
             method: HTTP method.
             path: Request path.
@@ -138,7 +143,11 @@
                 await self.close()
 
     async def _read_response(self, stream: SocketStream, reader: ResponseReader, timeout_s: float) -> None:
-        """Read the complete response. The timeout covers the whole response, also if it arrives byte by byte."""
+        """Read the complete response.
+
+        The timeout covers the whole response, even if it arrives byte by byte. After the timeout, at most
+        `MAX_LATE_RECEIVES` further receives are made.
+        """
         deadline_s = anyio.current_time() + timeout_s
         late_receives = 0
         while not reader.complete:
--- a/damsonpick/protocols/platform/http_response.py
+++ b/damsonpick/protocols/platform/http_response.py
@@ -37,7 +37,8 @@
         """Create a reader for a new response.
 
         Args:
-            max_body_bytes: Largest length of the body, or of one line if the body is read with `take_lines`.
+            max_body_bytes: Largest length of `body`: of the whole body, or of the part that `take_lines` has not
+                removed yet.
         """
         self.body = bytearray()
         self.complete = False
@@ -61,14 +62,14 @@
         """Decode received bytes.
 
         Raises:
-            TransportError: The bytes are not a valid HTTP response, or the response is too long.
+            TransportError: The bytes are not a valid HTTP response, or `body` is longer than `max_body_bytes`.
         """
         try:
             self._parser.feed_data(data)
         except PARSER_ERRORS as error:
             raise TransportError("response", f"invalid HTTP: {error}") from None
         if len(self.body) > self._max_body_bytes:
-            raise TransportError("response", f"over {self._max_body_bytes} bytes")
+            raise TransportError("response", f"over {self._max_body_bytes} bytes of the body are buffered")
 
     def status(self) -> int:
         """Return the status code, or 0 if the headers are not complete yet."""
@@ -79,7 +80,7 @@
         return self._parser.should_keep_alive()
 
     def take_lines(self) -> list[bytes]:
-        """Remove the complete lines from the received body and return them."""
+        """Remove the complete lines from the received body and return them without surrounding whitespace."""
         *complete, rest = self.body.split(b"\n")
         self.body = bytearray(rest)
         return [bytes(line).strip() for line in complete]
--- a/damsonpick/protocols/platform/messages.py
+++ b/damsonpick/protocols/platform/messages.py
@@ -1,7 +1,8 @@
 """Decodes messages of collectors from JSON to validated types, and maps reports to events of the planner. No I/O.
 
-A field that is missing, out of range, of a wrong type or that names something unknown causes an `InvalidMessageError`;
-only this message is dropped. Input that is not a JSON object causes a `MalformedMessageError`, which ends the stream.
+An `InvalidMessageError` is raised if a field is missing, out of range or of a wrong type, or names something unknown;
+it concerns only this message. A `MalformedMessageError` is raised if the input cannot be decoded as JSON or is not a
+JSON object; it ends the stream.
 """
 
 from __future__ import annotations
@@ -68,14 +69,15 @@
     """Decode one message of a collector.
 
     Raises:
-        InvalidMessageError: The body is a JSON object, but not a valid message.
-        MalformedMessageError: The body is not a JSON object.
+        InvalidMessageError: The body is a JSON object that begins at the first byte, but not a valid message.
+        MalformedMessageError: The body cannot be decoded as JSON, or is not a JSON object. An invalid message after
+            leading whitespace also raises this error, because only the first byte is compared with `{`.
     """
     try:
         return _decoder.decode(body)
     except msgspec.ValidationError as error:
         if body[:1] != b"{":
-            raise MalformedMessageError("", "not a JSON object") from None
+            raise MalformedMessageError("", "the message is invalid and its first byte is not '{'") from None
         raise invalid_message("", error) from None
     except DECODE_ERRORS as error:
         raise MalformedMessageError("", str(error)) from None
@@ -114,7 +116,7 @@
             )
         if report.request_class not in self.classes:
             raise _unknown_name("range_stats.class", report.request_class)
-        # There may be more failures than requests, as a failed request may have arrived in an earlier period.
+        # There may be more failures than requests, because a failed request may have arrived in an earlier period.
         period_ns = int(report.period_ms * NS_PER_MS)
         return api.SliceDemand(report.slice, report.request_class, report.requests, report.failures, period_ns)
 
@@ -136,7 +138,10 @@
         )
 
     def _load(self, load: dict[str, Any] | None) -> tuple[float, ...]:
-        """Return the load values in the order of the settings, or an empty tuple if any value is missing or invalid."""
+        """Return the values of all configured load fields in the order of the settings.
+
+        The tuple is empty if any value is missing or invalid.
+        """
         if not load or not self.load_fields:
             return ()
         values: list[Any] = [load.get(field) for field in self.load_fields]
--- a/damsonpick/protocols/platform/stored_state.py
+++ b/damsonpick/protocols/platform/stored_state.py
@@ -1,4 +1,4 @@
-"""Applies orders to the state that the registry stores: table entries and admission levels."""
+"""Applies orders to table entries and admission levels as the registry does, and computes a checksum of all tables."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from damsonpick import interface as api
 
 TableEntries = dict[str, float]  # weight by endpoint
-AdmissionLevels = dict[int, float]  # by index of the request class
+AdmissionLevels = dict[int, float]  # level by index of the request class
 
 
 def tables_digest(tables: Mapping[int, TableEntries]) -> int:
-    """Return a checksum of all entries, to check whether two programs know the same stored state.
+    """Return a checksum of all tables and entries, to check whether two programs know the same stored state.
 
     Weights are rounded to six significant digits, as on the wire.
     """
--- a/damsonpick/protocols/sasp/access.py
+++ b/damsonpick/protocols/sasp/access.py
@@ -20,8 +20,8 @@
     def coverage_of(self, group: bytes) -> str | None:
         """Return which slices a group with this name covers, or None if groups with this name are rejected.
 
-        A group without a section in the settings covers one slice if its name is `slice/NUMBER`, and has the default
-        coverage otherwise.
+        A group without a section in the settings covers one slice if its name is `slice/NUMBER` with the number of an
+        existing table. Otherwise it covers the fleet if this is the default coverage, and is rejected if not.
         """
         name = group.decode("utf-8", "replace")
         section = self.settings.sasp_groups.get(name)
@@ -33,7 +33,7 @@
         return "fleet" if self.settings.sasp.default_coverage == "fleet" else None
 
     def access_of(self, lb: bytes) -> AccessLevel:
-        """Return the access level of a load balancer: its own section's rights, else the default rights."""
+        """Return the access level from the load balancer's section, or the default level if it has no section."""
         section = self._section(lb)
         rights = section.rights if section is not None else self.settings.sasp.default_rights
         return AccessLevel[rights.upper()]
--- a/damsonpick/protocols/sasp/client.py
+++ b/damsonpick/protocols/sasp/client.py
@@ -10,13 +10,13 @@
 
 from damsonpick.protocols.sasp import codec
 from damsonpick.protocols.sasp import layout as sasp
-from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MembersOf, Sender
+from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberGroup, Sender
 
 READ_BYTES = 65_536
 
 
 class SaspError(Exception):
-    """Raised when a request to the manager fails: no connection, a closed connection or a reply of the wrong type."""
+    """Raised when the connection to the manager cannot be opened, fails or ends, or a reply has the wrong type."""
 
 
 class Client:
@@ -71,7 +71,7 @@
         """Send a request and return its reply.
 
         Raises:
-            SaspError: The stream ended before the reply arrived.
+            SaspError: The connection failed or ended before the reply arrived.
         """
         self._number += 1
         number = self._number
@@ -86,7 +86,7 @@
             event.set()
         await event.wait()
         if number not in self._replies:
-            raise SaspError("the manager closed the connection before it replied")
+            raise SaspError("the connection ended before the manager replied")
         return self._replies.pop(number)
 
     async def _ask_for_code(self, body: sasp.Body) -> int:
@@ -95,25 +95,25 @@
             raise SaspError(f"the manager replied to {type(body).__name__} with {type(reply).__name__}")
         return reply.code
 
-    async def hello(self, flags: int = 0, health: int = 127) -> int:
+    async def set_lb_state(self, flags: int = 0, health: int = 127) -> int:
         """Identify the load balancer to the manager with Set LB State and return the reply code."""
         return await self._ask_for_code(sasp.SetLbState(self.lb, health, LbFlag(flags)))
 
     async def register(self, name: bytes, members: list[Member], sender: Sender = Sender.BALANCER) -> int:
         """Register members of a group and return the reply code."""
-        body = sasp.Register(sender, (MembersOf(Group(self.lb, name), tuple(members)),))
+        body = sasp.Register(sender, (MemberGroup(Group(self.lb, name), tuple(members)),))
         return await self._ask_for_code(body)
 
     async def deregister(self, name: bytes) -> int:
         """Deregister a group with all its members and return the reply code."""
-        body = sasp.Deregister(Sender.BALANCER, 0, (MembersOf(Group(self.lb, name), ()),))
+        body = sasp.Deregister(Sender.BALANCER, 0, (MemberGroup(Group(self.lb, name), ()),))
         return await self._ask_for_code(body)
 
     async def weights(self, *names: bytes) -> sasp.WeightsReply:
         """Poll the weights of the named groups, or of all groups of the load balancer if no names are given.
 
         Raises:
-            SaspError: The stream ended before the reply arrived, or the reply is not a Get Weights Reply.
+            SaspError: The connection failed or ended before the reply arrived, or the reply is not a Get Weights Reply.
         """
         reply = await self.ask(sasp.GetWeights(tuple(Group(self.lb, name) for name in names)))
         if not isinstance(reply, sasp.WeightsReply):
@@ -129,7 +129,7 @@
 async def connect(
     address: str, lb: bytes, on_push: Callable[[sasp.SendWeights], None] = _ignore_push
 ) -> AsyncIterator[Client]:
-    """Open a session with the manager at an address such as 127.0.0.1:3860.
+    """Open a connection to the manager at an address such as 127.0.0.1:3860, and close it at the end of the context.
 
     Raises:
         SaspError: The connection cannot be opened.
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -1,8 +1,8 @@
 """Encodes and decodes SASP messages and splits a byte stream into frames. Sans I/O.
 
-Memory is allocated only for bytes that were received, never for what a length or a count field claims. A message with
-a valid frame and invalid content leaves the stream usable: its reply has the code NOT_UNDERSTOOD. A frame with an
-invalid header ends the stream, because the start of the next frame cannot be determined.
+Memory is allocated only for bytes that were received, never for a size that only a length or count field states. A
+message with a valid frame and invalid content leaves the stream usable: its reply has the code NOT_UNDERSTOOD. A frame
+with an invalid header ends the stream, because the start of the next frame cannot be determined.
 """
 
 from __future__ import annotations
@@ -24,6 +24,7 @@
 MAX_COMPONENT_BYTES = 0xFFFF
 MAX_NAME_BYTES = 255
 MAX_MESSAGE_BYTES = 1_048_576
+# Masks of the flags that this version defines. Other flags are ignored when a message is read.
 KNOWN_WEIGHT_FLAGS = 0x0F
 KNOWN_MEMBER_FLAGS = 0x01
 KNOWN_LB_FLAGS = 0x07
@@ -33,7 +34,7 @@
 MIN_GROUP_BYTES = 6
 MIN_WEIGHT_BYTES = 32
 MIN_STATE_BYTES = 30
-MIN_GROUP_OF_BYTES = 12  # a group of members, weights or states without any rows
+MIN_GROUP_OF_BYTES = 12  # component with a group and its members, weights or states, if it has no such rows
 
 T = TypeVar("T")
 
@@ -131,21 +132,21 @@
     return b"".join((REPLY_HEAD.pack(code, interval), COUNT.pack(len(groups)), *groups))
 
 
-def _write_member_groups(groups: Sequence[sasp.MembersOf]) -> bytes:
+def _write_member_groups(groups: Sequence[sasp.MemberGroup]) -> bytes:
     encoded = []
     for group, members in groups:
         encoded.append(_write_group_of(sasp.MEMBERS_OF, group, [write_member(member) for member in members]))
     return write_groups(encoded)
 
 
-def _write_weight_groups(groups: Sequence[sasp.WeightsOf]) -> list[bytes]:
+def _write_weight_groups(groups: Sequence[sasp.WeightGroup]) -> list[bytes]:
     encoded = []
     for group, weights in groups:
         encoded.append(_write_group_of(sasp.WEIGHTS_OF, group, [write_weight(weight) for weight in weights]))
     return encoded
 
 
-def _write_state_groups(groups: Sequence[sasp.StatesOf]) -> bytes:
+def _write_state_groups(groups: Sequence[sasp.StateGroup]) -> bytes:
     encoded = []
     for group, states in groups:
         encoded.append(_write_group_of(sasp.STATES_OF, group, [_write_state(state) for state in states]))
@@ -227,7 +228,9 @@
         start = self.position
         end = start + count
         if end > len(self.data):
-            raise MessageError(f"{self.what}: {count} bytes are read at {start}, but it has {len(self.data)}")
+            raise MessageError(
+                f"{self.what}: {count} bytes are read at offset {start}, but only {len(self.data)} exist"
+            )
         self.position = end
         return self.data[start:end]
 
@@ -244,7 +247,7 @@
         return int.from_bytes(self.take(2), "big")
 
     def name(self) -> bytes:
-        """Read a name, which has its length in the byte before it."""
+        """Read a name, which is preceded by its length in one byte."""
         return bytes(self.take(self.byte()))
 
     def component(self, kind: int) -> Reader:
@@ -318,16 +321,16 @@
     return group, rows
 
 
-def _read_members_of(reader: Reader) -> sasp.MembersOf:
-    return sasp.MembersOf(*_read_group_of(reader, sasp.MEMBERS_OF, MIN_MEMBER_BYTES, _read_member))
+def _read_members_of(reader: Reader) -> sasp.MemberGroup:
+    return sasp.MemberGroup(*_read_group_of(reader, sasp.MEMBERS_OF, MIN_MEMBER_BYTES, _read_member))
 
 
-def _read_weights_of(reader: Reader) -> sasp.WeightsOf:
-    return sasp.WeightsOf(*_read_group_of(reader, sasp.WEIGHTS_OF, MIN_WEIGHT_BYTES, _read_weight))
+def _read_weights_of(reader: Reader) -> sasp.WeightGroup:
+    return sasp.WeightGroup(*_read_group_of(reader, sasp.WEIGHTS_OF, MIN_WEIGHT_BYTES, _read_weight))
 
 
-def _read_states_of(reader: Reader) -> sasp.StatesOf:
-    return sasp.StatesOf(*_read_group_of(reader, sasp.STATES_OF, MIN_STATE_BYTES, _read_state))
+def _read_states_of(reader: Reader) -> sasp.StateGroup:
+    return sasp.StateGroup(*_read_group_of(reader, sasp.STATES_OF, MIN_STATE_BYTES, _read_state))
 
 
 def _read_sender(reader: Reader) -> sasp.Sender:
@@ -395,7 +398,10 @@
 
 
 def _check_size(kind: int, size: int, available: int) -> None:
-    """Raise MessageError if the length of the message component contradicts the message length in the header."""
+    """Raise MessageError if the length of the message component contradicts the message length in the header.
+
+    The length of a message of an unknown type is not checked.
+    """
     is_known = kind in CODE_REPLIES or kind in BODY_READERS
     if is_known and size != min(available, MAX_COMPONENT_BYTES):
         raise MessageError(f"message 0x{kind:04x} says it has {size} bytes, but {available} follow the header")
@@ -411,7 +417,7 @@
     kind = 0
     try:
         if version != sasp.VERSION:
-            raise MessageError(f"version {version} is not supported, this manager supports version {sasp.VERSION}")
+            raise MessageError(f"version {version} is not supported; version {sasp.VERSION} is expected")
         reader = Reader(memoryview(data)[sasp.HEADER_SIZE :], "the message")
         kind, size = reader.unpack(COMPONENT)
         _check_size(kind, size, len(data) - sasp.HEADER_SIZE)
@@ -451,7 +457,11 @@
     def _frame_bytes(self) -> int | None:
         """Return the size of the first frame in the buffer, or None if it is not known yet.
 
-        Each field of the header is checked as soon as it has been received.
+        The type and length of the header are checked once they have been received, and the message length once the
+        header is complete. `decode` checks the version.
+
+        Raises:
+            FrameError: One of these checks failed.
         """
         if len(self.buffer) >= COMPONENT.size:
             kind, header_bytes = COMPONENT.unpack_from(self.buffer)
--- a/damsonpick/protocols/sasp/layout.py
+++ b/damsonpick/protocols/sasp/layout.py
@@ -71,7 +71,7 @@
 
 
 class Sender(IntFlag):
-    """Who sends a registration or member states: the load balancer if BALANCER is set, else the member itself."""
+    """Sender of a request about members: the load balancer if BALANCER is set, else the member itself."""
 
     BALANCER = 0x01
 
@@ -132,7 +132,7 @@
     name: bytes
 
 
-class MembersOf(NamedTuple):
+class MemberGroup(NamedTuple):
     """A group with some of its members."""
 
     group: Group
@@ -148,7 +148,7 @@
     weight: int  # 0 to 65535
 
 
-class WeightsOf(NamedTuple):
+class WeightGroup(NamedTuple):
     """A group with weights of its members."""
 
     group: Group
@@ -163,7 +163,7 @@
     flags: MemberFlag
 
 
-class StatesOf(NamedTuple):
+class StateGroup(NamedTuple):
     """A group with states of its members."""
 
     group: Group
@@ -174,22 +174,23 @@
     """Registration request (RFC 4678, 6.1)."""
 
     sender: Sender
-    groups: tuple[MembersOf, ...]
+    groups: tuple[MemberGroup, ...]
 
 
 class Deregister(NamedTuple):
     """Deregistration request (RFC 4678, 6.2).
 
-    Without groups it applies to all groups of the sender. A group without members is deregistered with all its members.
+    A request without groups applies to all groups of the sender. A group that is listed without members is deregistered
+    with all its members.
     """
 
     sender: Sender
     reason: int
-    groups: tuple[MembersOf, ...]
+    groups: tuple[MemberGroup, ...]
 
 
 class GetWeights(NamedTuple):
-    """Get Weights request (RFC 4678, 6.3): a poll. Without groups it asks for all groups of the sender."""
+    """Get Weights request (RFC 4678, 6.3): a poll. A request without groups asks for all groups of the sender."""
 
     groups: tuple[Group, ...]
 
@@ -199,13 +200,13 @@
 
     code: int
     interval: int  # advised time until the next poll, seconds
-    groups: tuple[WeightsOf, ...]
+    groups: tuple[WeightGroup, ...]
 
 
 class SendWeights(NamedTuple):
     """Send Weights (RFC 4678, 6.4): a push, which the manager sends without a request."""
 
-    groups: tuple[WeightsOf, ...]
+    groups: tuple[WeightGroup, ...]
 
 
 class SetLbState(NamedTuple):
@@ -220,7 +221,7 @@
     """Set Member State request (RFC 4678, 6.6)."""
 
     sender: Sender
-    groups: tuple[StatesOf, ...]
+    groups: tuple[StateGroup, ...]
 
 
 class Reply(NamedTuple):
--- a/damsonpick/protocols/sasp/registry.py
+++ b/damsonpick/protocols/sasp/registry.py
@@ -13,14 +13,15 @@
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
-from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberFlag, MembersOf, Sender, StatesOf
+from damsonpick.protocols.sasp.layout import Code, Group, LbFlag, Member, MemberFlag, MemberGroup, Sender, StateGroup
 from damsonpick.time_units import NS_PER_SECOND
 
-REGISTRATION_RETENTION_NS = 60 * NS_PER_SECOND  # time for which registrations are kept after their last session ends
+# Time for which the registrations of a load balancer are kept after its last session has ended.
+REGISTRATION_RETENTION_NS = 60 * NS_PER_SECOND
 MAX_GROUP_BYTES = 65_535  # largest size that the length field of a component can represent
 GROUP_HEAD_BYTES = 12  # encoded group without names and entries: two component heads, count, two name lengths
 WEIGHT_BYTES = 32  # size of a weight entry with an empty label
-MAX_SHARED_SNAPSHOTS = 10_000  # number of snapshots above which those that no group uses are dropped
+MAX_SHARED_SNAPSHOTS = 10_000  # number of stored snapshots above which the snapshots that no group uses are dropped
 
 
 class AccessLevel(IntEnum):
@@ -142,7 +143,7 @@
     # -- sessions
 
     def set_lb(self, session: RegisteredSession, lb: bytes, health: int, flags: LbFlag) -> Code:
-        """Carry out Set LB State (RFC 4678, 6.5): a load balancer identifies itself or changes its flags."""
+        """Carry out Set LB State (RFC 4678, 6.5): a load balancer identifies itself, or changes its health or flags."""
         if not lb:
             return Code.EMPTY_LB_UID
         if not self.may(lb, AccessLevel.READ):
@@ -188,8 +189,12 @@
 
     # -- requests
 
-    def register(self, session: RegisteredSession, sender: Sender, groups: Iterable[MembersOf]) -> Code:
-        """Carry out a registration request (RFC 4678, 6.1)."""
+    def register(self, session: RegisteredSession, sender: Sender, groups: Iterable[MemberGroup]) -> Code:
+        """Carry out a registration request (RFC 4678, 6.1).
+
+        If a load balancer sends the request and it is carried out, the session also becomes a session of each load
+        balancer that the groups name.
+        """
         seen: set[tuple[Group, Member]] = set()
         for group, members in groups:
             code = self._check_registration(sender, group, members, seen)
@@ -202,7 +207,10 @@
     def _check_registration(
         self, sender: Sender, group: Group, members: Sequence[Member], seen: set[tuple[Group, Member]]
     ) -> Code:
-        """Check whether members may be added to a group; `seen` collects the members of the whole request."""
+        """Return `Code.OK` if members may be added to a group, or the reply code of the rejection.
+
+        `seen` collects the members of the whole request, so that a duplicate is found.
+        """
         code = _check_names(group) or self._check_sender(sender, group.lb, AccessLevel.REGISTER)
         if code != Code.OK:
             return code
@@ -239,11 +247,11 @@
             registered.members[member] = MemberRegistration(self_registered=not is_balancer)
         self._update_snapshot(registered)
 
-    def deregister(self, session: RegisteredSession, sender: Sender, groups: tuple[MembersOf, ...]) -> Code:
+    def deregister(self, session: RegisteredSession, sender: Sender, groups: tuple[MemberGroup, ...]) -> Code:
         """Carry out a deregistration request (RFC 4678, 6.2).
 
-        A group without members is removed with all its members. Without groups, all groups of the load balancer are
-        removed.
+        If the request lists a group without members, the group is removed with all its members. If the request lists no
+        groups, all groups of the session's load balancer are removed.
         """
         if not groups:
             return self._deregister_all(session, sender)
@@ -264,7 +272,7 @@
         return Code.OK
 
     def _deregister_all(self, session: RegisteredSession, sender: Sender) -> Code:
-        """Remove all groups of the session's load balancer."""
+        """Remove all groups of each load balancer to which the session belongs."""
         balancers = [balancer for balancer in self.balancers.values() if session in balancer.sessions]
         if not sender & Sender.BALANCER or not balancers:
             return Code.UNKNOWN_LB
@@ -282,7 +290,7 @@
             del groups[group.name]
         self._update_snapshot(registered)
 
-    def set_states(self, sender: Sender, groups: Iterable[StatesOf]) -> Code:
+    def set_states(self, sender: Sender, groups: Iterable[StateGroup]) -> Code:
         """Carry out Set Member State (RFC 4678, 6.6): set opaque states and quiesce or resume members."""
         for group, states in groups:
             registered = self._find_changeable(sender, group, AccessLevel.STATE)
@@ -302,7 +310,7 @@
         return Code.OK
 
     def find(self, group: Group) -> RegisteredGroup | Code:
-        """Return a registered group, or the reply code that says why it cannot be read."""
+        """Return a registered group, or the reply code with the reason if it cannot be read."""
         code = _check_names(group)
         if code != Code.OK:
             return code
@@ -323,7 +331,7 @@
         return self.balancers[group.lb].groups.get(group.name) or Code.UNKNOWN_GROUP
 
     def _check_sender(self, sender: Sender, lb: bytes, level: AccessLevel) -> Code:
-        """Check whether this sender may change groups of a load balancer."""
+        """Return `Code.OK` if this sender may change groups of a load balancer, or the reply code of the rejection."""
         if sender & Sender.BALANCER:
             return Code.OK if self.may(lb, level) else Code.NOT_FROM_SENDER
         if lb not in self.balancers or not self.balancers[lb].sessions:
--- a/damsonpick/protocols/sasp/weights.py
+++ b/damsonpick/protocols/sasp/weights.py
@@ -1,9 +1,11 @@
-"""Derives the weights of a group's members from the published tables. Sans I/O.
-
-A member's share of a set of slices is the fraction of their requests that the tables send to it: the sum over the
-slices of the slice's load times the member's fraction of the weight of all routable entries. Shares are converted to
-the 16-bit weights of RFC 4678. The conversion preserves the order of shares and the difference between zero and
-non-zero. Withdrawn endpoints have weight 0 and are quiesced.
+"""Derives the weights of a group's members from the published tables or from capacities. Sans I/O.
+
+With the tables, the share of a member is the fraction of the requests for a set of slices that the tables send to the
+member. It is a mean over the slices with routable entries, weighted by load: each slice contributes the weight of the
+member's entry divided by the total weight of the slice's routable entries. With capacities, the share is the member's
+fraction of the total capacity. Shares are converted to the 16-bit weights of RFC 4678. The conversion preserves the
+order of shares and the difference between zero and non-zero. An endpoint that is withdrawn, not in service or quiesced
+on request has weight 0 and the flag QUIESCE.
 """
 
 from __future__ import annotations
@@ -15,8 +17,10 @@
 from damsonpick.protocols.sasp.layout import MAX_WEIGHT, WeightFlag
 from damsonpick.state.published_tables import PublishedTables
 
-LARGEST_SHARE_WEIGHT = 60_000  # the range above it, up to MAX_WEIGHT, separates shares that round to the same number
-EQUAL_SHARE_TOLERANCE = 1e-9  # fraction of the largest share; shares that differ by less get the same weight
+# Weight of the largest share. The range from it to MAX_WEIGHT is reserved to separate shares that round to the same
+# number; the largest share gets a weight from this range if many smaller shares must be separated.
+LARGEST_SHARE_WEIGHT = 60_000
+EQUAL_SHARE_TOLERANCE = 1e-9  # largest difference between shares of equal weight, as a fraction of the largest share
 WEIGHT_CHANGE_TOLERANCE = 0.05  # relative change of a weight up to which it is not pushed
 
 
@@ -36,9 +40,9 @@
     """Status of an endpoint, independent of the tables.
 
     Attributes:
-        listed: Whether it is on the endpoint list.
-        serving: Whether the endpoint list has it as in service.
-        has_recent_reports: Whether recent load reports include it.
+        listed: Whether the endpoint is on the endpoint list.
+        serving: Whether the endpoint is on the list with the state `in_service`.
+        has_recent_reports: Whether recent load reports include the endpoint.
     """
 
     listed: bool
@@ -72,8 +76,8 @@
         load_of: Returns the requests per second of a slice.
 
     Returns:
-        Shares by endpoint, which add up to 1. All shares are equal if no slice has any load. Empty if no slice has a
-        routable entry.
+        Shares by endpoint, which add up to 1. All shares are equal if no slice with a routable entry has load. Empty
+        if no slice has a routable entry.
     """
     rates: dict[str, float] = {}
     for number in slices:
@@ -102,8 +106,9 @@
 def whole_weights(shares: Mapping[str, float]) -> dict[str, int]:
     """Convert shares to integer weights.
 
-    Only a share of 0 gets weight 0, a larger share gets a larger weight, and equal shares get equal weights. Within
-    these constraints, weights are as close to proportional as possible.
+    Only a share of 0 gets weight 0, a larger share gets a larger weight, and shares that are equal within
+    `EQUAL_SHARE_TOLERANCE` get equal weights. Apart from these constraints and rounding, weights are proportional
+    to shares.
     """
     largest = max(shares.values(), default=0.0)
     weights = dict.fromkeys(shares, 0)
@@ -146,10 +151,12 @@
     """Return the advice on the endpoints of a group.
 
     Args:
-        shares: Shares by endpoint over the slices that the group covers.
+        shares: Shares by endpoint, as `traffic_shares` returns them for the slices that the group covers, or as
+            `capacity_shares` returns them. An endpoint without a share has share 0.
         endpoints: Endpoints of the group's members.
         status_of: Returns the status of an endpoint.
-        exclusions: Endpoints to quiesce, and endpoints that registered themselves.
+        exclusions: Endpoints to quiesce (`withdrawn` and `quiesced`), and endpoints that registered themselves.
+            Endpoints that are not in service are quiesced too.
 
     Returns:
         Advice by endpoint, in the order of `endpoints`.
@@ -184,8 +191,8 @@
 def is_significant(before: Mapping[str, Advice], after: Mapping[str, Advice]) -> bool:
     """Return whether a change of advice must be pushed.
 
-    It must if the set of members changes, a weight becomes zero or non-zero, a member becomes quiesced or is no longer
-    quiesced, or a weight changes by more than `WEIGHT_CHANGE_TOLERANCE`.
+    This is the case if the set of members changes, a weight becomes zero or non-zero, a member becomes quiesced or is
+    no longer quiesced, or a weight changes by more than `WEIGHT_CHANGE_TOLERANCE`.
     """
     if before.keys() != after.keys():
         return True
--- a/damsonpick/protocols/shared/instance_settings.py
+++ b/damsonpick/protocols/shared/instance_settings.py
@@ -85,7 +85,7 @@
         value = self._value(path, default)
         number = _whole_number(value)
         if number is None:
-            raise SettingError.invalid(path, "not a whole number", value)
+            raise SettingError.invalid(path, "not a whole number of magnitude below 2^62", value)
         if not minimum <= number <= maximum:
             raise SettingError.invalid(path, f"not between {minimum} and {maximum}", value)
         return number
@@ -136,15 +136,17 @@
         raise SettingError.invalid(path, f"none of {', '.join(allowed)}", text)
 
     def names(self, path: str) -> tuple[str, ...]:
-        """Return a list of names, given as a JSON list or as text separated by commas. Empty if the setting is absent.
+        """Return names that are given as a JSON list or as text separated by commas.
+
+        Empty names and the name `-` are omitted. The tuple is empty if the setting is absent.
 
         Raises:
-            SettingError: The setting is neither.
+            SettingError: The setting is neither text nor a list of texts.
         """
         value = self._value(path, "")
         parts = value.split(",") if isinstance(value, str) else value
         if not isinstance(parts, list) or not all(isinstance(part, str) for part in parts):
-            raise SettingError.invalid(path, "not a list of words", value)
+            raise SettingError.invalid(path, "not text or a list of texts", value)
         return tuple(part for part in parts if part and part != "-")
 
     def flag(self, path: str) -> bool:
@@ -170,7 +172,10 @@
 
 
 def _whole_number(value: Any) -> int | None:
-    """Return a number or its text as a whole number, or None if it is not one or reaches `INTEGER_LIMIT`."""
+    """Return a number or its text as a whole number.
+
+    The result is None if the value is not a whole number or if its magnitude reaches `INTEGER_LIMIT`.
+    """
     try:
         number = int(value)
     except (TypeError, ValueError, OverflowError):
@@ -182,7 +187,7 @@
 
 
 def _finite_number(value: Any) -> float | None:
-    """Return a number or its text as a finite number, or None if it is not one."""
+    """Return a number or its text as a finite number, or None if the value is not a finite number."""
     try:
         number = float(value)
     except (TypeError, ValueError, OverflowError):
@@ -196,11 +201,11 @@
     """Return the settings of the planner.
 
     Args:
-        values: Values by path, as `flatten` yields them.
+        values: Values by path: plain JSON, as `flatten` yields it, or text.
 
     Raises:
-        SettingError: A setting is absent, has the wrong type or is out of range. The message states the path, the value
-            and what is allowed.
+        SettingError: A setting is absent, has the wrong type or is out of range. The message states the path and, if
+            the setting is present, the value and what is wrong with it.
     """
     get = SettingsReader(values)
     class_count = get.integer("grades.count", minimum=1, maximum=MAX_CLASSES)
--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -17,11 +17,14 @@
 
 
 class WireError(Exception):
-    """Raised for input that violates the wire protocol. The text states the line number, the message and the reason."""
+    """Raised for input that violates the wire protocol.
+
+    The text states the reason and, if `Reader` raises the error, the line number.
+    """
 
 
 class Start(NamedTuple):
-    """The start of an instance, with its name, seed and settings."""
+    """The start of an instance with the given name, seed and settings."""
 
     instance: str
     seed: int
@@ -188,7 +191,7 @@
 
     def _topology(self, values: list[str]) -> api.EndpointListChanged:
         if len(values) < 2:
-            raise ValueError("wants mode, rev and entries")
+            raise ValueError("wants mode and rev, and optionally the number of ITEM lines")
         mode = _change_kind(values[0])
         count = _optional_int(values[2]) if len(values) > 2 else 0
         return api.EndpointListChanged(mode, tuple(self._entry() for _ in range(count)))
@@ -235,10 +238,10 @@
         ALL_TABLES if a.table is None else a.table,
         _class_mask(a.classes),
         _decimal(a.level),
-        a.retry,
+        a.retry_mode,
     ),
     api.RequestSync: lambda a: ("SEAL", a.token, int(a.all_proxies)),
-    api.SubscribeEndpointList: lambda a: ("LISTEN", int(a.on)),
+    api.SubscribeEndpointList: lambda a: ("LISTEN", int(a.subscribe)),
     api.FetchEndpointList: lambda a: ("GET_LIST",),
     api.SetTimer: lambda a: ("WAKE_ME", a.delay, a.token),
     api.Probe: lambda a: ("SOUND_OUT", a.endpoint),
--- a/damsonpick/protocols/xds/delta_session.py
+++ b/damsonpick/protocols/xds/delta_session.py
@@ -1,4 +1,4 @@
-"""The incremental variant of ADS: DeltaDiscoveryRequest and DeltaDiscoveryResponse. Sans I/O."""
+"""Sessions of the incremental variant of ADS (DeltaDiscoveryRequest and DeltaDiscoveryResponse). Sans I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         names = list(request.resource_names_subscribe)
         if not watch.started:
             self._start(watch, request)
-            names = names or [WILDCARD]  # the older form of a wildcard
+            names = names or [WILDCARD]  # a first request without names is the older form of a wildcard
         if WILDCARD in names and not watch.wildcard:
             watch.wildcard = True
             watch.request(now, [*self.catalogue.by_type[watch.type_url], *list(watch.expected)])
@@ -30,7 +30,10 @@
             _unsubscribe_from(watch, name)
 
     def _start(self, watch: ResourceWatch, request: discovery_pb2.DeltaDiscoveryRequest) -> None:
-        """Initialize the watch with the versions that the client states to have from earlier streams."""
+        """Initialize the watch with the resource versions that the client reports from earlier streams.
+
+        A client that reports any version is not fresh.
+        """
         watch.started = True
         versions = dict(request.initial_resource_versions)
         watch.reset(versions)
@@ -54,7 +57,8 @@
 def _subscribe_to(now: int, watch: ResourceWatch, name: str) -> None:
     """Subscribe to a name.
 
-    The client always gets a response if it was already subscribed to the name, or if no such resource exists.
+    If the client was already subscribed to the name, or if no such resource exists, a response is sent even if the
+    client is expected to know the current state of the resource.
     """
     repeated = name in watch.names
     watch.names.add(name)
@@ -65,7 +69,8 @@
 def _unsubscribe_from(watch: ResourceWatch, name: str) -> None:
     """End the subscription to a name.
 
-    For the wildcard, end the subscription to all resources that the client does not also subscribe to by name.
+    For the wildcard, this ends the subscription to all resources that the client does not also subscribe to by name.
+    For a resource, the subscription continues as long as a wildcard includes the resource.
     """
     if name == WILDCARD:
         watch.wildcard = False
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -32,7 +32,7 @@
     health_check_pb2.DRAINING: "terminating",
 }
 HEALTH_BY_STATE = {"in_service": health_check_pb2.HEALTHY, "terminating": health_check_pb2.DRAINING}
-MAX_LOGGED_VALUE = 60  # characters
+MAX_LOGGED_VALUE = 60  # characters of an invalid start time that an error message quotes
 KEEPALIVE = [("grpc.keepalive_time_ms", 5000), ("grpc.keepalive_timeout_ms", 3000)]
 
 
@@ -69,7 +69,7 @@
 
     def __init__(self) -> None:
         """Build the message, which is the same for every resource."""
-        super().__init__("upstream list: a resource is not a valid ClusterLoadAssignment, though it says so")
+        super().__init__("upstream list: a resource is no ClusterLoadAssignment, though it says so")
 
 
 def read_entries(assignment: endpoint_pb2.ClusterLoadAssignment) -> list[api.EndpointEntry]:
@@ -110,7 +110,10 @@
 
 
 def write_entries(cluster: str, entries: list[api.EndpointEntry]) -> endpoint_pb2.ClusterLoadAssignment:
-    """Build an assignment from entries, the inverse of `read_entries`; for fake list servers."""
+    """Build an assignment from entries, for fake list servers.
+
+    `read_entries` converts it back to these entries, sorted by zone and with weights rounded to integers of at least 1.
+    """
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=cluster)
     by_zone: dict[str, list[api.EndpointEntry]] = {}
     for entry in entries:
@@ -136,7 +139,7 @@
 class UpstreamSource:
     """Yields each complete list that the upstream server sends.
 
-    If the stream breaks, it yields a ListError and connects again.
+    It yields a ListError for each invalid response, and when the stream ends. After the end it connects again.
     """
 
     def __init__(
@@ -157,10 +160,10 @@
         self.clock = clock
 
     async def lists(self) -> AsyncIterator[list[api.EndpointEntry] | ListError]:
-        """Yield lists without end; after a failure, yield the error instead of a list."""
+        """Yield lists without end; after each failure, yield the error instead of a list."""
         while True:
             await anyio.sleep(self.budget.wait(self.clock()) / 1e9)
-            self.budget.spend(self.clock())
+            self.budget.record_call(self.clock())
             try:
                 async for content in self._stream():
                     yield content
@@ -193,7 +196,13 @@
                     await grpc_stream.write(call, self._request(accepted_version, response.nonce, str(error)))
 
     def _request(self, version: str = "", nonce: str = "", rejection: str = "") -> discovery_pb2.DiscoveryRequest:
-        """Build a request that accepts `version` or, if `rejection` is given, rejects the response with that nonce."""
+        """Build a subscription request.
+
+        Args:
+            version: Version of the last accepted response; empty if none was accepted.
+            nonce: Nonce of the response that the request answers; empty in the first request.
+            rejection: Reason for which that response is rejected; empty if it is accepted.
+        """
         request = discovery_pb2.DiscoveryRequest(
             node=base_pb2.Node(id=self.node),
             type_url=EDS,
@@ -211,7 +220,8 @@
     """Unpack all assignments in a response.
 
     Raises:
-        UpstreamTypeError: A resource has another type; nothing in the response is used then.
+        UpstreamTypeError: A resource has another type.
+        UpstreamFormatError: A resource cannot be decoded.
     """
     return [_unpack(body) for body in response.resources]
 
--- a/damsonpick/protocols/xds/server.py
+++ b/damsonpick/protocols/xds/server.py
@@ -41,7 +41,7 @@
         """Create a stream for a session and the type of the requests that the session accepts."""
         self.session = session
         self.request_type = request_type
-        self.error: StreamError | None = None  # why the server ends the stream; None if the server does not end it
+        self.error: StreamError | None = None  # error with which the server ends the stream; None if there is none
         self._wakeup = anyio.Event()
 
     def notify(self) -> None:
@@ -208,20 +208,21 @@
     async def _serve_load_stats(self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext) -> None:
         """Receive load reports.
 
-        The first message identifies the node; the server responds with the statistics that the client must report.
+        The first message identifies the node. The server answers it with a LoadStatsResponse, which asks the client to
+        report on all clusters and their endpoints once per report period.
         """
         node, zone, number = "", "", -1
         async for raw_request in requests:
             try:
                 request = lrs_pb2.LoadStatsRequest.FromString(raw_request)
             except DecodeError:
-                await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "a report is not a valid LoadStatsRequest")
+                await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "a report is no LoadStatsRequest")
             if not node:
                 node, zone = request.node.id, request.node.locality.zone
                 if not node:
-                    await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report has no node.id")
+                    await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "the first report names no node.id")
                 number = self.session_manager.number_of(node)
-                await context.write(load_stats.subscription(self.report_period).SerializeToString())
+                await context.write(load_stats.report_request(self.report_period).SerializeToString())
             report = load_stats.read(number, zone, request)
             if report is not None:
                 self._receive_report(report)
--- a/damsonpick/proxy/program.py
+++ b/damsonpick/proxy/program.py
@@ -27,9 +27,10 @@
 from damsonpick.runtime.supervision import keep_running
 
 LISTEN_BACKLOG = 1024
-SAVE_DELAY_S = 1.0  # delay after a change; further changes during the delay are saved with it
+SAVE_DELAY_S = 1.0  # time from a change of the tables to saving it; changes during this time are saved with it
 DRAIN_CHECK_PERIOD_S = 0.02
-FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0  # delays between connections to the control service
+# Upper bounds of the first delay and of every delay between connections to the control service.
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0
 
 
 class Proxy:
@@ -48,7 +49,7 @@
         Args:
             settings: Validated settings.
             log: A structlog logger.
-            record: Called with the events on the sockets, for test scenarios.
+            record: Called with the name and fields of each observed event, for test scenarios.
             seed: Seed of all random draws. None uses a different seed each time.
             delta: Whether to use the delta variant of xDS.
         """
@@ -105,7 +106,7 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[TaskGroup]:
-        """Serve clients while the `async with` block runs."""
+        """Load the cached tables, then serve clients and watch the control service during the `async with` block."""
         self._restore()
         host, _, port = self.settings.proxy.listen.rpartition(":")
         async with anyio.create_task_group() as group:
@@ -133,7 +134,7 @@
                 group.cancel_scope.cancel()
 
     def _restore(self) -> None:
-        """Load the cached tables, if there are any."""
+        """Load the cached tables, if there are any. If the cache is damaged, log it and start without tables."""
         path = self.cache_path()
         if path is None:
             return
@@ -163,10 +164,12 @@
         try:
             table_cache.save(path, self.resources)
         except OSError as error:
-            self.log.error("tables_not_kept", error=str(error), remedy="free space or rights on the state folder")
+            self.log.error(
+                "tables_not_kept", error=str(error), remedy="check free space and permissions of the state folder"
+            )
 
     async def drain(self) -> None:
-        """Stop accepting connections and requests. Requests in flight may finish within the drain time."""
+        """Abort new connections, and wait up to the drain time until all requests received so far are served."""
         self.requests.drain()
         with anyio.move_on_after(self.clock.seconds(self.settings.limits.drain_time)):
             while self.requests.clients:
--- a/damsonpick/proxy/settings.py
+++ b/damsonpick/proxy/settings.py
@@ -31,7 +31,7 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Own(Section):
+class ProxySection(Section):
     """[proxy]: the proxy's identity and addresses.
 
     Attributes:
@@ -40,8 +40,8 @@
         listen: Address at which the proxy accepts client connections.
         state: Folder of the table cache. Tables are not cached if it is None.
         pilots: Addresses of the control service, in order of preference.
-        port_file: File that contains the port of the control service. It is read before each connection and replaces
-            `pilots`.
+        port_file: File that contains the port of the control service. It is read before each connection to the control
+            service and replaces `pilots`.
         slices: Number of slices that keys are hashed into. If it is 0, there is a table per zone and class.
         key_header: Header that contains the key of a request.
         class_header: Header that contains the class of a request.
@@ -74,7 +74,7 @@
         per_server: Most connections to one server.
         waiting: Most requests that wait for a connection to one server.
         churn: Most new connections to one server per second.
-        head_time: Timeout for receiving a message head.
+        head_time: Timeout for receiving the rest of a partly received request head.
         idle_time: Time after which an idle client connection is closed.
         pool_time: Time after which an idle connection to a server is closed.
         write_fresh: Longest idle time of a connection that is reused for a non-idempotent request.
@@ -127,7 +127,7 @@
         clock_rate: Nanoseconds of the proxy's clock per true nanosecond, for test scenarios.
     """
 
-    proxy: Own
+    proxy: ProxySection
     limits: Limits = Limits()
     classes: dict[str, RequestClass]
     clock_rate: float = Field(1.0, gt=0)
@@ -144,7 +144,7 @@
         path: Path of the INI file.
 
     Raises:
-        SettingsError: The settings are invalid. The error lists every problem with section, key, value and remedy.
+        SettingsError: The settings are invalid. The error lists problems with section, key, value and remedy.
     """
     read_settings, problems = sections.read(path, ProxySettings, ("proxy", "limits"), {"class": "classes"})
     proxy_section = read_settings.proxy
@@ -160,4 +160,4 @@
     return read_settings.model_copy(update={"proxy": proxy_section.model_copy(update=absolute_paths)})
 
 
-__all__ = ["Limits", "Own", "ProxySettings", "RequestClass", "load"]
+__all__ = ["Limits", "ProxySection", "ProxySettings", "RequestClass", "load"]
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -1,4 +1,4 @@
-"""Streams of a proxy to the control service: ADS for tables, LRS for load reports.
+"""Connects a proxy to the control service: receives tables on an ADS stream and sends load reports on an LRS stream.
 
 This module only transfers messages. `AdsClient` builds and parses them.
 """
@@ -44,7 +44,7 @@
         record: Called with the name and fields of an event, for test scenarios.
         may_connect: Returns whether a connection to the control service is allowed. An open stream ends when it is no
             longer allowed.
-        read_pause: Returns the true seconds to wait before a response is processed.
+        read_pause: Returns the wall seconds to wait before a response is processed.
     """
 
     addresses: Callable[[], list[str]]
@@ -56,7 +56,7 @@
 
 
 class WatchClient:
-    """Watches one instance of the control service at a time, and the next one after a stream ends.
+    """Watches one instance of the control service at a time, and switches to the next instance when the stream ends.
 
     Attributes:
         callbacks: Functions of the owner. Each may be replaced.
@@ -97,7 +97,7 @@
         self._clock = clock
         self._backoff = backoff
         self._log = log
-        self._was_connected = False  # whether an earlier stream was connected
+        self._was_connected = False  # whether the tables were requested on any stream so far
         self._version_info: dict[str, str] = {}  # version of the last applied response by type URL
 
     async def run(self) -> None:
@@ -122,7 +122,9 @@
             self._log.error("watch_failed", pilot=address, error=reason, exc_info=group.exceptions[0])
         if self.connected:
             self.connected = False
-            self._log.warning("pilot_disconnected", pilot=address, reason=reason, tables="the last good ones stay")
+            self._log.warning(
+                "pilot_disconnected", pilot=address, reason=reason, tables="the last accepted tables stay in use"
+            )
             self.callbacks.record("stream", up=False)
 
     async def _stream(self, address: str) -> None:
@@ -205,7 +207,7 @@
     async def _send_reports(self, channel: grpc.aio.Channel) -> None:
         """Send load reports with the period that the control service requests."""
         call = lrs_pb2_grpc.LoadReportingServiceStub(channel).StreamLoadStats()
-        await grpc_stream.write(call, load_stats.introduction(self.name, self.zone))
+        await grpc_stream.write(call, load_stats.identification_request(self.name, self.zone))
         subscription = await grpc_stream.read(call)
         period = subscription.load_reporting_interval.ToNanoseconds()
         self.callbacks.take_counts()  # discard the counts from the time without a stream
--- a/damsonpick/state/endpoint_list/validation.py
+++ b/damsonpick/state/endpoint_list/validation.py
@@ -2,12 +2,13 @@
 
 A list may be wrong, so it is made consistent first. An endpoint that is listed twice gets the safer of its states. A
 start time in the future is replaced by the time when the endpoint was first seen. An empty list after one with entries
-is treated as a failure of the source, because a real fleet does not disappear within one response: the effective list
-does not change.
+is treated as a failure of the source, because a real fleet does not disappear within one response. It does not change
+the effective list, which is the list that the planner uses.
 
-Entries that are missing from a list are held if they are a large part of the endpoints in service. They are held until
-the list has omitted them for `CONFIRM_NS`, an operator accepts the list, or nothing indicates any more that they exist
-(all requests of clients to them fail). The states terminating and terminated apply at once, for any number of entries.
+If the entries missing from a list are a large part of the endpoints in service, they are held: they stay in the
+effective list. They are held until entries have been held for `CONFIRM_NS` without interruption, an operator accepts
+the list, or nothing indicates any more that they exist (for example, all requests of clients to them fail). The states
+terminating and terminated apply at once, for any number of entries.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from damsonpick import interface as api
 from damsonpick.time_units import NS_PER_SECOND
 
-MAX_MISSING_SHARE = 0.4  # share of the endpoints in service that may be missing from a list without being held
-MIN_MISSING = 3  # endpoints; if fewer are missing, none is held
-CONFIRM_NS = 30 * NS_PER_SECOND  # time for which a list must omit held endpoints before they are removed
-MAX_WEIGHT = 1e6  # exclusive upper bound
-DEFAULT_WEIGHT = 1.0
+MAX_MISSING_SHARE = 0.4  # if at most this share of the endpoints in service is missing from a list, none is held
+MIN_MISSING = 3  # if fewer endpoints are missing from a list, none is held
+CONFIRM_NS = 30 * NS_PER_SECOND  # time for which entries are held without interruption before all of them are removed
+MAX_WEIGHT = 1e6  # exclusive upper bound on a listed weight
+DEFAULT_WEIGHT = 1.0  # replaces an invalid weight
 STATES_BY_SAFETY: tuple[api.EndpointStatus, ...] = ("in_service", "terminating", "terminated")  # safest last
 
 IsLost = Callable[[str], bool]  # whether nothing indicates any more that an endpoint exists
@@ -56,11 +57,13 @@
         """Create an empty list that no source has confirmed."""
         self.zones = zones
         self.entries: dict[str, api.EndpointEntry] = {}
-        self.confirmed = False  # whether a source has sent a list since the start
+        self.confirmed = False  # whether the list of a source has been applied since the start
         self.received_entries: list[api.EndpointEntry] = []  # the last list of a source, before validation
-        self.held: dict[str, api.EndpointEntry] = {}  # entries that are missing from that list but still effective
-        self.held_since = 0  # time since which entries are held, ns; valid only while `held` is not empty
-        self.accepted = False  # whether an operator has accepted the missing entries
+        self.held: dict[str, api.EndpointEntry] = {}  # entries missing from `received_entries` that stay effective
+        # Time since which `held` has not been empty, ns; valid only while it is not empty. Entries that are held later
+        # do not change it, so they are held for less than `CONFIRM_NS`.
+        self.held_since = 0
+        self.accepted = False  # whether an operator has accepted that entries are missing; reset when a list is applied
         self.known_zones: dict[str, str] = {}  # zone by endpoint, also of endpoints that are no longer listed
 
     def restore(self, entries: Iterable[api.EndpointEntry]) -> api.EndpointListChanged:
@@ -76,7 +79,7 @@
         self.known_zones.update((entry.endpoint, entry.zone) for entry in entries)
         return changed
 
-    def failed(self) -> api.EndpointListChanged:
+    def unavailable_event(self) -> api.EndpointListChanged:
         """Return the event for a source that sends no list."""
         return api.EndpointListChanged("unavailable", ())
 
@@ -93,7 +96,7 @@
         listed = self._consistent_entries(now, problems)
         if not listed and self.entries:
             problems.append("the list is empty: treated as a failed source, the previous list stays effective")
-            return ListValidation(self.failed(), problems)
+            return ListValidation(self.unavailable_event(), problems)
         self._update_held(now, listed, is_lost, problems)
         listed.update(self.held)
         if self.confirmed and listed == self.entries:
@@ -102,11 +105,18 @@
         return ListValidation(api.EndpointListChanged("replace", tuple(listed.values())), problems)
 
     def recheck(self, now: int, is_lost: IsLost) -> ListValidation | None:
-        """Check whether held entries can be removed now; return None if no entry is held."""
+        """Apply the last list again, so that entries that need not be held any more are removed.
+
+        Returns:
+            The result, or None if no entry is held.
+        """
         return self.apply(now, self.received_entries, is_lost) if self.held else None
 
     def accept(self, now: int, is_lost: IsLost) -> ListValidation | None:
-        """Remove the held entries, as an operator has accepted the list; return None if no entry is held."""
+        """Remove the held entries, because an operator has accepted the list.
+
+        If no entry is held, return None. The acceptance then applies to the next list that is applied.
+        """
         self.accepted = True
         return self.recheck(now, is_lost)
 
@@ -115,7 +125,11 @@
     def _update_held(
         self, now: int, listed: dict[str, api.EndpointEntry], is_lost: IsLost, problems: list[str]
     ) -> None:
-        """Set `held` to the missing entries that stay effective for now."""
+        """Set `held` to the missing entries that stay effective for now, and reset `accepted`.
+
+        The reported problem gives the whole `CONFIRM_NS`, which applies only to the first held entries: if more entries
+        are held later, all are removed `CONFIRM_NS` after the first.
+        """
         serving = [endpoint for endpoint, entry in self.entries.items() if entry.state == "in_service"]
         missing = [endpoint for endpoint in serving if endpoint not in listed]
         held: dict[str, api.EndpointEntry] = {}
--- a/damsonpick/state/history/database.py
+++ b/damsonpick/state/history/database.py
@@ -1,7 +1,8 @@
 """Stores the history in a database of its own, so that a full history never blocks writes to the store of the tables.
 
 Each version is one row, and each write is one transaction. A difference is stored as compressed JSON. A checksum (XXH3)
-covers each row. If a row's checksum does not match, this row and all older ones are ignored.
+covers each row. If a row's checksum does not match, or a row is not the parent of the next newer version, this row and
+all older ones are ignored.
 """
 
 from __future__ import annotations
@@ -30,7 +31,12 @@
 
 
 class LoadedVersions(NamedTuple):
-    """Versions, oldest first, and the reason why others were ignored; empty if none was ignored."""
+    """Versions read from the database, and the problem of the read.
+
+    Attributes:
+        versions: The usable versions, oldest first.
+        problem: Why stored versions were not loaded, as text for operators; empty if all were loaded.
+    """
 
     versions: list[Version]
     problem: str
@@ -86,7 +92,7 @@
             raise HistoryDatabaseError(path, error) from None
 
     def load(self) -> LoadedVersions:
-        """Return the longest sequence of valid versions without a gap that ends at the newest."""
+        """Return the longest sequence of valid versions that ends at the newest and has no gap."""
         newest_first: list[Version] = []
         problem = ""
         try:
--- a/damsonpick/state/store/connection.py
+++ b/damsonpick/state/store/connection.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-LOCK_TIMEOUT_S = 2.0
+LOCK_TIMEOUT_S = 2.0  # longest wait of a statement for a lock of another connection
 
 
 def connect(path: Path, check_same_thread: bool = True) -> sqlite3.Connection:
@@ -36,7 +36,7 @@
 
 @contextmanager
 def transaction(connection: sqlite3.Connection) -> Iterator[None]:
-    """Run the block in a write transaction: commit at its end, roll back if it raises."""
+    """Run the block in a write transaction. Commit after the block, or roll back if the block raises an exception."""
     connection.execute("BEGIN IMMEDIATE")
     try:
         yield
--- a/damsonpick/testing/fakes/balancer.py
+++ b/damsonpick/testing/fakes/balancer.py
@@ -1,4 +1,4 @@
-"""A fake balancer: it takes its weights from SASP advice, one group per slice, and forwards as the gateways do."""
+"""A fake balancer: a fake gateway that makes its tables from SASP advice. It registers one group per slice."""
 
 from __future__ import annotations
 
@@ -8,7 +8,16 @@
 import anyio
 
 from damsonpick.protocols.sasp.client import Client, SaspError, connect
-from damsonpick.protocols.sasp.layout import Group, LbFlag, MembersOf, Register, Sender, SendWeights, WeightsOf, member
+from damsonpick.protocols.sasp.layout import (
+    Group,
+    LbFlag,
+    MemberGroup,
+    Register,
+    Sender,
+    SendWeights,
+    WeightGroup,
+    member,
+)
 from damsonpick.protocols.xds.names import EDS
 from damsonpick.proxy.received_resources import ReceivedEntry, ReceivedTable
 from damsonpick.runtime.backoff import Backoff
@@ -39,7 +48,7 @@
             zone: Zone of the balancer.
             pilot_address: Returns the address of the pilot's SASP port, or '' while the port is not open.
             context: Objects shared by all gateways of the process.
-            rng: Source of the random draws for server choice and backoff.
+            rng: Source of the random draws for server choice, backoff and admission.
             members: Zone of each server, by server address.
             slices: Number of slices. The balancer registers one group per slice.
         """
@@ -81,14 +90,14 @@
                 self.record.put("stream", gw=self.name, up=False)
 
     async def _register(self, client: Client) -> None:
-        if code := await client.hello(LbFlag.PUSH | LbFlag.NO_CHANGE):
+        if code := await client.set_lb_state(LbFlag.PUSH | LbFlag.NO_CHANGE):
             raise SaspError(f"refused with 0x{code:02x}")
         listed = tuple(member(name) for name in self.members)
         group_names = [f"slice/{n}".encode() for n in range(self.slices)]
         for k in range(0, len(group_names), GROUPS_PER_REGISTRATION):
             body = Register(
                 Sender.BALANCER,
-                tuple(MembersOf(Group(client.lb, n), listed) for n in group_names[k : k + GROUPS_PER_REGISTRATION]),
+                tuple(MemberGroup(Group(client.lb, n), listed) for n in group_names[k : k + GROUPS_PER_REGISTRATION]),
             )
             code = (await client.ask(body)).code
             if code not in (0, 0x40):  # 0x40: still registered from the previous session
@@ -97,7 +106,7 @@
     async def _poll(self, client: Client) -> None:
         """Poll the weights at the interval that the pilot recommends.
 
-        A push leaves out weight changes that count as noise; only a poll returns them.
+        The pilot does not push advice if weights have changed only slightly. Only a poll returns such advice.
         """
         while True:
             reply = await client.weights()
@@ -109,8 +118,8 @@
             await anyio.sleep(0.05)
         scope.cancel()
 
-    async def _apply_advice(self, groups: tuple[WeightsOf, ...]) -> None:
-        """Apply advice to the tables, once a stall of this balancer is over and its read delay has passed."""
+    async def _apply_advice(self, groups: tuple[WeightGroup, ...]) -> None:
+        """Apply advice to the tables, after any stall of this balancer and then its read delay have passed."""
         if (wait := self.clock.seconds(max(self.stalled_until - self.clock.now(), 0) + self.read_delay)) > 0:
             await anyio.sleep(wait)
         shown = {}
--- a/damsonpick/testing/fakes/collector.py
+++ b/damsonpick/testing/fakes/collector.py
@@ -34,7 +34,7 @@
         return cls(await anyio.connect_tcp("127.0.0.1", port))
 
     async def join(self, zone: str) -> FakeCollector:
-        """Announce the zone of the load reports; returns this collector."""
+        """Announce the zone of the load reports and return this collector."""
         await self.send({"@type": "telemetry", "zone": zone})
         return self
 
@@ -46,8 +46,8 @@
         """Send bytes without a frame."""
         await self.stream.send(data)
 
-    async def gets_heartbeat(self) -> bool:
-        """Send a heartbeat request and return whether the pilot answers it."""
+    async def heartbeat_is_answered(self) -> bool:
+        """Send a heartbeat request and return whether the next data from the pilot contains an answer to one."""
         await self.send({"@type": "hb"})
         return b"hb_ok" in await self.stream.receive(READ_BYTES)
 
--- a/damsonpick/testing/fakes/discovery.py
+++ b/damsonpick/testing/fakes/discovery.py
@@ -35,7 +35,7 @@
         requested_targets: HTTP targets of all requests received so far.
         is_down: Whether every request is answered with status 503.
         holds_requests: Whether requests wait for `gate` before they are answered.
-        omits_list: Whether a watch begins with a heartbeat instead of the list.
+        omits_list: Whether a watch begins with a heartbeat instead of the list or its changes.
         gate: Blocks requests while `holds_requests` is set.
     """
 
@@ -88,16 +88,16 @@
         await self.send_line(self._list_message(False, entries))
 
     async def serve(self, request: faulty_http.Request, stream: SocketStream) -> bool:
-        """Respond with the list or open a watch; returns whether the connection stays open."""
+        """Respond with the list or open a watch. Return whether the connection stays open."""
         self.requested_targets.append(request.target)
         if self.is_down:
-            await stream.send(faulty_http.answer_bytes(b"", "503 Service Unavailable"))
+            await stream.send(faulty_http.response_bytes(b"", "503 Service Unavailable"))
             return False
         if self.holds_requests:
             await self.gate.wait()
         query = parse_qs(urlsplit(request.target).query)
         if "watch" not in query:
-            await stream.send(faulty_http.answer_bytes(self._full_list_message()))
+            await stream.send(faulty_http.response_bytes(self._full_list_message()))
             return True
         first_line = self._changes_message(int(query["from"][0]))
         await self.watch(stream, [b"" if self.omits_list else first_line])
--- a/damsonpick/testing/fakes/faulty_http.py
+++ b/damsonpick/testing/fakes/faulty_http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for fakes whose responses may break off at any byte.
+"""A small HTTP/1.1 server for fakes. A fake can break off a response at any byte.
 
 h11 parses the requests. This module formats the responses itself, so that a fake can send partial or invalid ones.
 """
@@ -26,7 +26,7 @@
     body: bytes
 
 
-def answer_bytes(body: bytes, status: str = "200 OK") -> bytes:
+def response_bytes(body: bytes, status: str = "200 OK") -> bytes:
     """Return a complete response with a Content-Length header."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
@@ -135,7 +135,7 @@
         self._write_lock = anyio.Lock()  # one send completes before the next one starts, so lines never interleave
 
     async def serve(self, request: Request, stream: SocketStream) -> bool:
-        """Respond to a request; returns whether the connection stays open."""
+        """Respond to a request. Return whether the connection stays open."""
         raise NotImplementedError
 
     @asynccontextmanager
@@ -165,7 +165,10 @@
             await anyio.aclose_forcefully(stream)
 
     async def watch(self, stream: SocketStream, lines: list[bytes]) -> None:
-        """Send these lines as the start of a response and keep it open until the peer sends a byte or closes."""
+        """Start a response with `lines`, and register the connection so that later lines are sent on it.
+
+        The response stays open until the peer sends a byte or closes the connection.
+        """
         first_chunks = [chunk_bytes(line + b"\n") for line in lines]
         await stream.send(CHUNKED_HEAD + b"".join(first_chunks))
         self.watchers.add(stream)
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -20,18 +20,22 @@
 from damsonpick.testing.fakes.server_picker import ServerPicker
 from damsonpick.time_units import NS_PER_MS
 
-TABLE_WAIT_NS = 500_000_000  # longest time that a request waits for a table with an entry
+TABLE_WAIT_NS = 500_000_000  # longest time that a request waits for a table with an available entry
 CONNECT_TIMEOUT_NS = 400_000_000
 RETRY_ON_CONNECT_FAILURE = "connect-failure"
 RETRY_ON_ANY_FAILURE = "5xx"
 NOT_RUN_HEADER = "x-not-run"
+# Logger that discards every event.
 NO_LOG = structlog.wrap_logger(None, processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
 
 
 def response_details(
     received_state: ReceivedState, kind: str, nonce: str, resources: list, removed: list[str], bad: str
 ) -> dict[str, Any]:
-    """Return an xDS response as the details of a `got` record, which the rule checker reads."""
+    """Return an xDS response as the details of a `got` record, which the rule checker reads.
+
+    `bad` is the reason for which the gateway rejects the response, or '' if it accepts the response.
+    """
     found: dict[str, Any] = {}
     for name, version, _ in resources:
         found[name] = {"v": version}
@@ -85,7 +89,7 @@
         zone: Zone of the locality.
         received_state: State received from the pilot.
         stalled_until: Time until which the gateway reads and forwards nothing, in ns of the scenario's clock.
-        read_delay: Additional delay before it reads a response of the pilot, in ns.
+        read_delay: Time in ns that the gateway waits, after any stall, before it processes a response of the pilot.
     """
 
     def __init__(
@@ -102,7 +106,7 @@
         Args:
             name: Node id.
             zone: Zone of the locality.
-            delta: Whether it uses the delta variant of xDS instead of state of the world.
+            delta: Whether the gateway uses the delta variant of xDS instead of state of the world.
             pilot_address: Returns the pilot's address, or '' while the pilot has none.
             context: Objects shared by all gateways of the process.
             rng: Source of the random draws for server choice, backoff and admission.
@@ -130,7 +134,7 @@
 
     @property
     def report_delay(self) -> int:
-        """Additional delay before a load report is sent, in ns."""
+        """Time in ns by which each load report is sent late."""
         return self.watch_client.report_delay
 
     @report_delay.setter
@@ -192,7 +196,11 @@
         return outcome
 
     async def _attempt_until_answered(self, request: ForwardedRequest) -> str:
-        """Make attempts within the published retry settings; returns how the last attempt ended."""
+        """Make attempts within the published retry settings.
+
+        Returns:
+            How the last attempt ended, or `Ending.NO_SERVER` if no attempt was made.
+        """
         attempted: set[str] = set()
         retries = self.received_state.retries_of(request.cluster, request.traffic_class.name)
         ending: str = Ending.NO_SERVER
@@ -228,7 +236,7 @@
                 await self.changed.wait()
 
     async def _attempt(self, request: ForwardedRequest, server: str) -> str:
-        """Make, count and record one attempt; returns how it ended."""
+        """Make, count and record one attempt. Return how it ended."""
         start = self.clock.now()
         entry = self.received_state.available_entries(request.cluster).get(server)
         zone = entry.zone if entry else ""
@@ -246,9 +254,9 @@
         return ending
 
     async def _exchange(self, request: ForwardedRequest, server: str, zone: str) -> str:
-        """Send the request and read the response; returns how the exchange ended."""
+        """Send the request and read the response. Return how the exchange ended."""
         if zone and not self.network.connects(self.zone, zone):
-            await anyio.sleep(self.clock.seconds(CONNECT_TIMEOUT_NS))  # no server across a cut link responds
+            await anyio.sleep(self.clock.seconds(CONNECT_TIMEOUT_NS))  # a server in an unreachable zone never responds
             return Ending.NEVER_RAN
         connection, complete = None, False
         try:
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -15,7 +15,7 @@
 
 
 class FakeListServer(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
-    """Sends the whole list on each change, and records each list that it sends as the pilot's knowledge.
+    """Sends the whole list on each change, and records each list that it sends.
 
     Attributes:
         entries: Entries of the list, by endpoint.
@@ -35,14 +35,14 @@
         self._wakeups: set[anyio.Event] = set()
 
     async def start(self) -> tuple[grpc.aio.Server, str]:
-        """Start a gRPC server on a free port; returns the server and its address."""
+        """Start a gRPC server on a free port. Return the server and its address."""
         server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         ads_pb2_grpc.add_AggregatedDiscoveryServiceServicer_to_server(self, server)
         port = server.add_insecure_port("127.0.0.1:0")
         await server.start()
         return server, f"127.0.0.1:{port}"
 
-    def put(self, *entries: api.EndpointEntry) -> None:
+    def update_entries(self, *entries: api.EndpointEntry) -> None:
         """Add or replace entries. An entry in state `terminated` is removed from the list."""
         for entry in entries:
             if entry.state == "terminated":
@@ -78,7 +78,7 @@
             group.cancel_scope.cancel()
 
     async def _send_changes(self, context: grpc.aio.ServicerContext) -> None:
-        """Send the list now and on each change until the server is down."""
+        """Send the list now, unless it has never been changed, and on each change until the server is down."""
         sent_version = 0
         while not self._is_down:
             wakeup = anyio.Event()
@@ -106,7 +106,7 @@
     async def _read_requests(
         self, requests: AsyncIterator[discovery_pb2.DiscoveryRequest], scope: anyio.CancelScope
     ) -> None:
-        """Discard acknowledgements; cancel the stream when the client closes it."""
+        """Discard all requests. End the serving of the stream once the client has closed its side."""
         async for _ in requests:
             pass
         scope.cancel()
--- a/damsonpick/testing/fakes/registry.py
+++ b/damsonpick/testing/fakes/registry.py
@@ -1,6 +1,7 @@
 """A fake of the platform's registry of proxies: it stores tables, accepts requests and reports changes on a watch.
 
-A test queues faults in `FakeRegistry.faults`; each request takes the next one.
+A test queues faults in `FakeRegistry.faults`. Each request with orders removes the first fault from the queue and fails
+accordingly.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 INVALID_ANSWER = b'{"taken":-1}'
 OUT_OF_RANGE_ANSWER = b'{"taken":999999}'
 SYNTAX_ANSWER = b'{"error":"SYNTAX"}'
-SYNC_LATENCY_MS = 1.0
+SYNC_LATENCY_MS = 1.0  # latency that the fake reports for every sync token
 
 
 class RequestFault(Enum):
-    """How a request with orders fails."""
+    """How a request with orders fails. The comments say first whether the orders are applied."""
 
     ANSWER_LOST = auto()  # applied; the connection is closed before the response
     ANSWER_WITHHELD = auto()  # applied; no response is sent
     ANSWER_INVALID = auto()  # applied; the response has a negative count of applied orders
     ANSWER_OUT_OF_RANGE = auto()  # applied; the response counts more orders than the request had
     ANSWER_HELD = auto()  # applied; the response is sent once the gate is opened
-    SYNC_WITHHELD = auto()  # applied, and the response is sent; the sync tokens are never reported
+    SYNC_WITHHELD = auto()  # applied, and the response is sent; the sync tokens are never acknowledged
     CONNECTION_CUT = auto()  # not applied; the connection is closed without a response
     IGNORED = auto()  # not applied; no response is sent
     BUSY = auto()  # rejected with the error BUSY
@@ -39,7 +40,7 @@
 
 
 class PartlyApplied(NamedTuple):
-    """A request of which only the first orders are applied, as the response states.
+    """A fault with which only the first orders of a request are applied. The response states their number.
 
     Attributes:
         orders: Number of orders that are applied.
@@ -63,7 +64,7 @@
         members: Connected proxies by number, with the fields that the watch reports.
         levels: Admitted share, by route.
         withdrawn: Servers that no proxy may use.
-        faults: Faults of the next requests, in order. Each request removes one.
+        faults: Queue of faults. Each request with orders removes the first fault and fails accordingly.
         request_count: Number of requests with orders received so far.
         gate: Blocks the responses of requests with the fault ANSWER_HELD.
     """
@@ -93,13 +94,13 @@
 
     # Changes made by a test
 
-    async def take_slice(self, number: int) -> dict[str, float]:
-        """End the pilot's ownership of a slice and report that on the watches; returns the table of the slice."""
+    async def revoke_slice(self, number: int) -> dict[str, float]:
+        """End the pilot's ownership of a slice, report the end on the watches, and return the table of the slice."""
         table = self.tables.pop(number)
         await self.send_line(_watch_line("owner", slice=number, on=False))
         return table
 
-    async def give_slice(self, number: int, table: dict[str, float]) -> None:
+    async def assign_slice(self, number: int, table: dict[str, float]) -> None:
         """Make the pilot the owner of a slice with this table, and report both on the watches."""
         self.tables[number] = dict(table)
         await self.send_line(_watch_line("owner", slice=number, on=True))
@@ -107,7 +108,7 @@
             await self.send_line(_watch_line("entry", slice=number, server=server, weight=weight))
 
     async def reconnect_proxies(self) -> None:
-        """Report that each proxy disconnects and connects again, with the tables that it still has (not `fresh`)."""
+        """Report on the watches that each proxy disconnects and connects again with its old tables, not `fresh`."""
         for member in self.members.values():
             await self.send_line(_watch_line("detach", proxy=member["proxy"]))
             member["fresh"] = False
@@ -116,14 +117,14 @@
     # Requests
 
     async def serve(self, request: faulty_http.Request, stream: SocketStream) -> bool:
-        """Open a watch or respond to a request with orders; returns whether the connection stays open."""
+        """Open a watch or respond to a request with orders. Return whether the connection stays open."""
         if request.method == "GET" and request.target == "/watch":
             await self.watch(stream, self._initial_lines())
             return False
         try:
             orders = json.loads(request.body)["ops"]
         except (ValueError, KeyError, TypeError):
-            await stream.send(faulty_http.answer_bytes(SYNTAX_ANSWER, "400 Bad Request"))
+            await stream.send(faulty_http.response_bytes(SYNTAX_ANSWER, "400 Bad Request"))
             return True
         return await self._serve_orders(orders, stream)
 
@@ -140,7 +141,7 @@
         fault = self.faults.popleft() if self.faults else None
         if fault in REJECTIONS:
             body = json.dumps({"error": fault.name}).encode()
-            await stream.send(faulty_http.answer_bytes(body, "409 Conflict"))
+            await stream.send(faulty_http.response_bytes(body, "409 Conflict"))
             return True
         if fault is RequestFault.CONNECTION_CUT:
             return False
@@ -151,7 +152,10 @@
         return await self._respond(len(applied), fault, stream)
 
     async def _apply(self, orders: list[Order], reports_sync: bool) -> None:
-        """Apply orders, and report on the watches that each proxy has reached their sync tokens."""
+        """Apply orders. Then send to all watches, for each proxy, the acknowledgement of each sync token in the orders.
+
+        No acknowledgement is sent if `reports_sync` is False or the registry is silent.
+        """
         tokens = []
         for order in orders:
             if order["op"] == "SYNC":
@@ -172,7 +176,7 @@
         if fault is RequestFault.ANSWER_WITHHELD:
             await anyio.sleep_forever()
         body = UNREADABLE_ANSWERS.get(fault, json.dumps({"taken": applied}).encode())
-        await stream.send(faulty_http.answer_bytes(body))
+        await stream.send(faulty_http.response_bytes(body))
         return True
 
     def _apply_order(self, order: Order) -> None:
--- a/damsonpick/testing/fakes/results_server.py
+++ b/damsonpick/testing/fakes/results_server.py
@@ -19,9 +19,10 @@
 from damsonpick.testing.fakes.record import Recorder
 from damsonpick.time_units import MS_PER_SECOND, NS_PER_MS
 
-BURST_ALLOWANCE_MS = 1500.0  # work that a cold server tolerates above its limit: a few requests that coincide by chance
-UNAVAILABLE = http.Answer(503, {"x-not-run": "1"}, b"")
-FAILED = http.Answer(500, {}, b"")
+# Work that a cold server tolerates above its limit, so that a few requests that coincide by chance do not crash it.
+BURST_ALLOWANCE_MS = 1500.0
+UNAVAILABLE = http.Response(503, {"x-not-run": "1"}, b"")
+FAILED = http.Response(500, {}, b"")
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +32,7 @@
     Attributes:
         zone: Zone of the server.
         cores: Number of requests that run concurrently.
-        capacity_factor: Speed of a core when the server is warm. At speed 1 a request takes its work in ms.
+        capacity_factor: Speed of a core when the server is warm. At speed 1, a request runs for as many ms as its work.
         cold_share: Share of the warm speed that a cold server has right after its start.
         warm_up_ns: Time from a cold start until the server has its full speed.
         overload_multiple: Ratio of offered work to current capacity above which a cold server crashes.
@@ -109,7 +110,7 @@
         self.started = 0  # time of the last cold start, ns; 0 if the server is warm from the beginning
         self.faults = ServerFaults()
         self.is_up = False
-        self.fell_over = False
+        self.has_crashed = False
         self._scope: anyio.CancelScope | None = None
         self._cores = anyio.CapacityLimiter(config.cores)
         self._offered: deque[tuple[int, float]] = deque()  # time (ns) and work (ms) per request of the overload window
@@ -126,7 +127,7 @@
         return self.config.cold_share + (1 - self.config.cold_share) * age / self.config.warm_up_ns
 
     async def start(self, group: TaskGroup, cold: bool) -> None:
-        """Start a process in `group`. If `cold`, the server has to warm up first."""
+        """Start a process without faults in `group`. If `cold`, the server has to warm up first."""
         port = int(self.address.rpartition(":")[2]) if self.address else 0
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
         self.address = "127.0.0.1:" + str(listener.extra(anyio.abc.SocketAttribute.local_port))
@@ -162,7 +163,7 @@
             self._scope.cancel()
 
     def record_slowdown(self) -> None:
-        """Record the current slowdown, for plans that are given the true capacity."""
+        """Record the current slowdown, so that plans can be computed with the true capacity."""
         self.record.put("speed", server=self.address, slow=self.faults.slowdown)
 
     async def _serve_connection(self, stream: SocketStream) -> None:
@@ -175,7 +176,7 @@
         finally:
             self._connections -= 1
 
-    async def _handle(self, headers: dict[str, str]) -> http.Answer:
+    async def _handle(self, headers: dict[str, str]) -> http.Response:
         request, faults = WorkRequest.from_headers(headers), self.faults
         now = self.clock.now()
         self.record.put(
@@ -216,18 +217,19 @@
             if self.rng.random() < faults.lost_answer_share:
                 raise http.ConnectionBrokenError("the response was lost")
 
-    def _success_response(self, faults: ServerFaults) -> http.Answer:
+    def _success_response(self, faults: ServerFaults) -> http.Response:
         """Return a success with a load report."""
         queue, latency_ms = self._queued, round(self._last_latency_ms)
         if faults.reports_idle:
             queue, latency_ms = 0, 1
         load = f"TEXT named_metrics.queue={queue}, named_metrics.latency_ms={latency_ms}"
-        return http.Answer(200, {"endpoint-load-metrics": load}, b"ok")
+        return http.Response(200, {"endpoint-load-metrics": load}, b"ok")
 
     def _crashes_from_overload(self, now: int, work_ms: float) -> bool:
-        """Add offered work; return whether the server has crashed from overload.
+        """Add the work of a request to the offered work. Return whether the server has ever crashed from overload.
 
-        A cold server crashes if the work within the window exceeds its limit and the burst allowance. It stays down.
+        A cold server crashes if the work offered within the window exceeds its limit plus the burst allowance. It stays
+        down.
         """
         self._offered.append((now, work_ms))
         self._offered_ms += work_ms
@@ -237,10 +239,10 @@
         if warm_share < 1:
             limit_ms = self._overload_limit_ms(warm_share)
             if self._offered_ms > limit_ms + BURST_ALLOWANCE_MS:
-                self.fell_over = True
+                self.has_crashed = True
                 self.record.put("fell", server=self.address, sum=self._offered_ms, most=limit_ms)
                 self.stop("fell over")
-        return self.fell_over
+        return self.has_crashed
 
     def _overload_limit_ms(self, warm_share: float) -> float:
         config = self.config
--- a/damsonpick/testing/soak/platform.py
+++ b/damsonpick/testing/soak/platform.py
@@ -13,7 +13,7 @@
 from damsonpick.testing.fakes.registry import FakeRegistry, PartlyApplied, RequestFault
 from damsonpick.testing.soak.plan import Action, SoakPlan, Step
 
-REGISTRY_SILENCE_S = 2.6  # longer than the pilot tolerates a watch without heartbeats
+REGISTRY_SILENCE_S = 2.6  # longer than the time for which the pilot tolerates a watch without heartbeats
 DISCOVERY_OUTAGE_S = 0.5
 ODD_SERVERS = ("odd", "Odd")  # names of servers that malformed entries may contain
 ODD_VALUES = (["Ready"], {"Ready": 1}, None, 7, "", "Odd", [[]], 1e300)  # values of a field in a malformed entry
@@ -33,7 +33,7 @@
     Args:
         plan: Plan of the soak, with the numbers of servers, slices and proxies.
         rng: Source of the random draws for the tables that another pilot makes while it owns a slice.
-        reload: Makes the pilot reload its configuration. The argument says whether that configuration is valid.
+        reload: Makes the pilot reload its configuration. The argument states whether the new configuration is valid.
 
     Attributes:
         registry_ports: Ports of the registry. The pilot's configuration contains the first one.
@@ -56,8 +56,8 @@
     async def end_faults(self) -> None:
         """End all faults, report the servers of malformed entries as gone, and return all slices to the pilot.
 
-        An entry that was meant to be malformed may be valid after all, for example that of a server without a zone. The
-        pilot then uses this server rightly.
+        An entry that was meant to be malformed may be valid after all, for example the entry of a server without a
+        zone. The pilot then rightly uses this server.
         """
         self.registry.faults.clear()
         self.registry.silent = self.discovery.silent = self.discovery.is_down = False
@@ -79,7 +79,10 @@
         return f"tables without a usable server {uncovered}, servers {states}, withdrawn {self.registry.withdrawn}"
 
     async def act(self, step: Step, group: TaskGroup) -> None:
-        """Carry out one step of a plan. Tasks that end a temporary fault later run in `group`."""
+        """Carry out one step of a plan.
+
+        If the step injects a temporary fault, a task in `group` ends the fault after some time.
+        """
         rng = random.Random(step.choice_seed)
         if step.action in REQUEST_FAULTS:
             self.registry.faults.extend([REQUEST_FAULTS[step.action]] * rng.randint(1, 2))
@@ -138,7 +141,7 @@
         owned = list(self.registry.tables)
         if len(owned) > 1:
             number = rng.choice(owned)
-            await self.registry.take_slice(number)
+            await self.registry.revoke_slice(number)
             self._lost_slices.append(number)
 
     async def _do_slice_given(self, rng: random.Random, group: TaskGroup) -> None:
@@ -150,7 +153,7 @@
         """Return a lost slice to the pilot, with a table that another pilot has made for it."""
         number = self._lost_slices.pop(index)
         servers = list(self.discovery.servers) or ["s0"]
-        await self.registry.give_slice(number, {self._rng.choice(servers): 1.0})
+        await self.registry.assign_slice(number, {self._rng.choice(servers): 1.0})
 
     async def _do_slice_lost_twice(self, rng: random.Random, group: TaskGroup) -> None:
         await self._do_slice_lost(rng, group)
--- a/damsonpick/testing/soak/player.py
+++ b/damsonpick/testing/soak/player.py
@@ -1,4 +1,4 @@
-"""Runs a soak: restarts one pilot several times, injects faults, and checks the invariants at the end of each run."""
+"""Runs a soak: starts one pilot several times, injects faults, and checks invariants as each incarnation ends."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from damsonpick.testing.soak.plan import Ending, Incarnation, SoakPlan, draw_plan
 from damsonpick.testing.soak.platform import ODD_VALUES, SoakPlatform
 
-SETTLE_TIMEOUT_S = 8.0
-SETTLE_POLL_S = 0.05
+SETTLE_TIMEOUT_S = 8.0  # time after the end of all faults within which the tables must have become stable
+SETTLE_POLL_S = 0.05  # interval between checks whether the tables have changed
 STABLE_PERIOD_S = 1.2  # time without changes at the end of a soak; longer than the time between two heartbeats
 READY_EVENTS = frozenset(("pilot_ready", "readiness_timed_out"))
-MAX_IDLE_DESCRIPTORS = 40  # of a pilot without clients that never join
+MAX_IDLE_DESCRIPTORS = 40  # open file descriptors allowed to the pilot, not counting those of unjoined clients
 SIGNALS_BY_ENDING: dict[Ending, tuple[signal.Signals, ...]] = {
     Ending.TERM: (signal.SIGTERM,),
     Ending.TERM_TWICE: (signal.SIGTERM, signal.SIGTERM),
@@ -37,9 +37,9 @@
     """The result of a soak.
 
     Attributes:
-        seed: Seed of the soak, with which it can be repeated.
-        endings: How each incarnation that was started ended, in order.
-        requests: Number of requests that the registry received.
+        seed: Seed of the soak. The soak can be repeated with it.
+        endings: Planned ending of each incarnation that was started, in order.
+        requests: Number of requests with orders that the registry received.
         failures: Descriptions of the failures. Empty if the soak passed.
     """
 
@@ -69,7 +69,7 @@
         self._group: TaskGroup | None = None
 
     async def play(self) -> SoakResult:
-        """Run all incarnations of the pilot; returns the result."""
+        """Run all incarnations of the pilot and return the result."""
         async with (
             self.platform.registry.running() as first_port,
             self.platform.registry.running() as second_port,
@@ -120,7 +120,7 @@
         if incarnation.ending is Ending.TERM_BEFORE_READY:
             await anyio.sleep(self._rng.uniform(0.0, 0.6))
         elif not await self.pilot.wait_for_any(READY_EVENTS):
-            self._fail("the pilot did not become ready")
+            self._fail("the pilot ended early, or its wait for readiness did not end in time")
         for step in incarnation.steps:
             await anyio.sleep(step.pause_s)
             await self.platform.act(step, self._group)
@@ -152,7 +152,7 @@
         allowed = (0,) if had_started else (0, -signal.SIGTERM)
         if exit_code not in allowed:
             self._fail(
-                f"after {ending} the pilot exited with {exit_code} (None: it did not exit within the platform's time)"
+                f"after {ending} the pilot exited with {exit_code} (None if it did not exit within the platform's time)"
             )
         elif is_last:
             self._check_known_state()
@@ -160,12 +160,18 @@
     # Invariants at the end of the last incarnation
 
     async def _settle(self) -> None:
-        """End all faults, return all slices to the pilot, and wait until the tables are stable."""
+        """End all faults, return all slices to the pilot, and wait until the tables are stable.
+
+        Tables are stable if they have not changed for `STABLE_PERIOD_S` and no slice lacked a usable server meanwhile.
+        """
         await self.platform.end_faults()
         with anyio.move_on_after(SETTLE_TIMEOUT_S) as scope:
             await self._wait_until_stable()
         if scope.cancelled_caught:
-            self._fail(f"the tables were not stable within {SETTLE_TIMEOUT_S} s: {self.platform.describe_uncovered()}")
+            self._fail(
+                f"the tables were still changing or lacked a usable server after {SETTLE_TIMEOUT_S} s: "
+                f"{self.platform.describe_uncovered()}"
+            )
 
     async def _wait_until_stable(self) -> None:
         digest, since_s = 0, anyio.current_time()
@@ -183,7 +189,10 @@
             self._fail(f"{held} descriptors open, at most {allowed} expected, limit {self.plan.max_descriptors}")
 
     def _check_known_state(self) -> None:
-        """Check that the registry stores what the pilot believes to be stored, and has applied all of its orders."""
+        """Check that the registry stores the tables that the pilot, at its end, believes to be stored.
+
+        They differ if the registry has not applied all orders of the pilot.
+        """
         endings = [entry for entry in self.pilot.entries() if entry["event"] == "pilot_ended"]
         if not endings:
             self._fail("the log contains no pilot_ended event")
@@ -196,5 +205,5 @@
 
 
 async def play(seed: int, folder: Path) -> SoakResult:
-    """Run the soak of a seed in an empty folder; returns its result."""
+    """Run the soak of a seed in an empty folder and return its result."""
     return await Soak(draw_plan(seed), folder).play()
--- a/tests/decisions/test_channel_at_scale.py
+++ b/tests/decisions/test_channel_at_scale.py
@@ -5,7 +5,7 @@
 import pytest
 
 from damsonpick import interface as api
-from tests.helpers import SECOND, World, entry
+from tests.helpers import SECOND, SimulatedFleet, entry
 
 ENDPOINT_NAMES = [f"e{k:02}" for k in range(80)]
 PROXIES = 100
@@ -24,7 +24,7 @@
         in_transit: Time of acknowledgement (ns) and sync token of each message in transit.
     """
 
-    def __init__(self, world: World, rate: float, latency: int = SECOND // 4) -> None:
+    def __init__(self, world: SimulatedFleet, rate: float, latency: int = SECOND // 4) -> None:
         self.world, self.rate, self.latency = world, rate, latency
         self.free_at, self.max_queued = world.now, 0.0
         self.sent_at: list[int] = []
@@ -59,16 +59,18 @@
         return orders
 
     def wait_until_withdrawn(self, names: list[str], notified: int, grace: int) -> None:
-        """Wait until proxies send to none of these endpoints. The orders must reach the proxies within the grace."""
+        """Wait until proxies send to none of these endpoints. All orders must arrive within `grace` of `notified`."""
         while any(map(self.world.count, names)):
             self.run(0.05)
             assert self.world.now - notified < grace
         assert self.free_at + self.latency - notified <= grace
 
 
-def large_fleet(**changes: object) -> World:
+def large_fleet(**changes: object) -> SimulatedFleet:
     base = {"channel_rate": 8500.0, "channel_limit": 8500.0, "message_overhead": 16.0}
-    return World(names=ENDPOINT_NAMES, slices=500, proxies=PROXIES, **{**base, "messages_per_window": 12, **changes})
+    return SimulatedFleet(
+        names=ENDPOINT_NAMES, slices=500, proxies=PROXIES, **{**base, "messages_per_window": 12, **changes}
+    )
 
 
 @pytest.mark.parametrize("slower", [1, 4])
@@ -103,7 +105,10 @@
 
 
 def test_messages_to_the_first_proxies_do_not_block_the_channel():
-    """Regression (ocitanja-vode big-2): a message to the first proxies waited for half of all proxies joining later."""
+    """Regression (ocitanja-vode big-2): a message to the first proxies waited for acknowledgements of half of all.
+
+    Most proxies joined only after this message.
+    """
     world = large_fleet()
     world.acks = False
     world.proxies = [0, 1, 2]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -51,7 +51,7 @@
     return [order for order in orders if isinstance(order, api.SetEntry)]
 
 
-class World:
+class SimulatedFleet:
     """A planner, the tables that result from its orders, and proxies that acknowledge each message at once.
 
     Attributes:
@@ -90,7 +90,10 @@
         self.handle(*events)
 
     def handle(self, *events: api.Event) -> list[api.Action]:
-        """Pass events to the planner at the current time, and apply its orders."""
+        """Pass events to the planner at the current time, and apply its orders.
+
+        If `acks` is set, all proxies acknowledge the last sync request among the orders at once. Returns all orders.
+        """
         orders = self.planner.handle(self.now, list(events))
         self.log += orders
         acks = []
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -236,7 +236,7 @@
         client.until(served(client))
         until(lambda: pilot.log("planner_failed"))
         before = dict(client.tables)
-        client.settle()
+        client.acknowledge_until_quiet()
         assert all(client.tables[s] for s in SLICES) and before
         pilot.list(s1="terminating", s2="in_service", s3="in_service")
         client.until(lambda: drained(pilot, client, 1))
@@ -247,8 +247,10 @@
 
 
 def test_a_withdrawal_from_before_a_restart_is_shown_and_its_readmission_logged(tmp_path):
-    """A restarted engine showed an endpoint withdrawn before the restart as in full service and did not log its
-    readmission."""
+    """Regression: a restarted engine showed an endpoint as in full service that was withdrawn before the restart.
+
+    It did not log the readmission of this endpoint either.
+    """
     harness = EngineHarness(tmp_path)
     harness.published.apply([api.SetWithdrawn("127.0.0.1:9002", True)])
     harness.engine.persistence.save(harness.now)
--- a/tests/test_platform_http_client.py
+++ b/tests/test_platform_http_client.py
@@ -13,16 +13,16 @@
 from damsonpick.protocols.platform import http_client
 from damsonpick.protocols.platform.address import Address
 from damsonpick.protocols.platform.errors import TransportError
-from damsonpick.testing.fakes.faulty_http import answer_bytes
+from damsonpick.testing.fakes.faulty_http import response_bytes
 
 
 def test_a_response_that_comes_byte_by_byte_has_no_more_time_than_another():
-    """Guards against a timeout for each wait in place of the whole response: an endless response delayed a drain."""
+    """Guards against a timeout that applies to each read, not to the response: an endless response delayed a drain."""
 
     async def send_bytewise(stream) -> None:
         async with stream:
             await stream.receive()
-            for byte in answer_bytes(b'{"taken":1}'):
+            for byte in response_bytes(b'{"taken":1}'):
                 await anyio.sleep(0.02)
                 await stream.send(bytes([byte]))
 
@@ -65,7 +65,7 @@
         with client, contextlib.suppress(OSError):
             while client.recv(65_536):
                 self.requests += 1
-                client.sendall(answer_bytes(b'{"taken":1}'))
+                client.sendall(response_bytes(b'{"taken":1}'))
 
     def close(self) -> None:
         self._listener.close()
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("use_uvloop", [False, True])
 def test_a_request_is_confirmed_though_each_turn_of_the_loop_takes_longer_than_its_timeout(use_uvloop):
-    """Guards against a late event loop that timed out answered requests: resending their orders delayed it further."""
+    """Guards against timeouts of answered requests on a late event loop: resending the orders delayed it further."""
     server = AnsweringThread()
 
     async def block_event_loop() -> None:
--- a/tests/test_platform_races.py
+++ b/tests/test_platform_races.py
@@ -46,9 +46,9 @@
             await site.discovery.update_server("q", "Terminating")
             await wait_for_gate(site.registry.gate)  # applied, but no response was sent
             assert site.registry.tables[number].keys() - {"q"}
-            await site.registry.take_slice(number)
+            await site.registry.revoke_slice(number)
             # The table has its old entries: those of the request were lost with the previous ownership.
-            await site.registry.give_slice(number, {"q": 1.0})
+            await site.registry.assign_slice(number, {"q": 1.0})
             # If there is a response, it arrives after the watch events.
             await site.wait_for_log_entry("order_request_unconfirmed")
             site.registry.gate.opened.set()
@@ -106,12 +106,14 @@
                     site.reload()
                     await until(lambda service=service: service.requested_targets)
                 await until(lambda: newest.watchers and not site.discovery.watchers)
-                slow.gate.opened.set()  # it sends its state after the newest service has sent its own, and ends
+                # The slow service sends its state after the newest service has sent its own state.
+                # Then the slow service ends.
+                slow.gate.opened.set()
                 await anyio.sleep(0.2)
                 await slow.cut_watches()
                 assert len(slow.requested_targets) == 1
                 site.discovery = newest
-                await newest.cut_watches()  # the pilot reconnects to it
+                await newest.cut_watches()  # the pilot reconnects to the newest service
                 await until(lambda: newest.watchers)
                 await site.drain("q")
                 assert len(slow.requested_targets) == 1
@@ -414,6 +416,6 @@
             rejected = await FakeCollector.connect(port)
             await rejected.send_bytes(frame({"@type": "hb"}) + frame({"@type": "SET"}))
             assert await rejected.is_closed_within(2.0) and failed
-            assert await (await FakeCollector.connect(port)).gets_heartbeat()
+            assert await (await FakeCollector.connect(port)).heartbeat_is_answered()
 
     run(run_scenario)
