--- a/damsonpick/controller/solver_task.py
+++ b/damsonpick/controller/solver_task.py
@@ -86,7 +86,7 @@
             result = await self._solve(has_slices)
             planner = self.engine.planner
             if planner is None:
-                return  # the planner is being restarted; the next plan is computed for the new planner
+                return  # the planner is being restarted; the result is discarded, and a later solve advises the new one
             events = self._advice(result, planner)
         except TimeoutError:
             self._failed("the solve took too long")
--- a/damsonpick/decisions/endpoint_state.py
+++ b/damsonpick/decisions/endpoint_state.py
@@ -1,4 +1,8 @@
-"""The state of one endpoint: its list entry, the outcomes that proxies report, and the factors learned from them."""
+"""The state of one endpoint.
+
+It consists of the list entry with the confidence in it, the start time of the process, the outcomes that proxies
+report, and the learned capacity factor.
+"""
 
 from __future__ import annotations
 
--- a/damsonpick/decisions/retention.py
+++ b/damsonpick/decisions/retention.py
@@ -1,4 +1,4 @@
-"""Retention: removal of long terminated endpoints and of the oldest withdrawals, so that the state stays bounded."""
+"""Retention: removal of endpoints terminated long ago and of the oldest withdrawals, to keep the state bounded."""
 
 from __future__ import annotations
 
--- a/damsonpick/protocols/platform/connection_handler.py
+++ b/damsonpick/protocols/platform/connection_handler.py
@@ -64,7 +64,7 @@
 
         Args:
             opened: The connection.
-            on_joined: Called when its collector has joined a zone.
+            on_joined: Called when the collector that opened the connection has joined a zone.
 
         Raises:
             anyio.EndOfStream, anyio.BrokenResourceError, OSError: The peer has closed the connection.
--- a/damsonpick/protocols/platform/endpoint_list.py
+++ b/damsonpick/protocols/platform/endpoint_list.py
@@ -112,7 +112,8 @@
             delay_s = self.rollback_delay_ns / NS_PER_SECOND
             raise EndpointListError(
                 "version",
-                f"{update.version} after {self.version}: only older versions were received for {delay_s:g} s, and this "
-                "update is partial; a full update is required",
+                f"{update.version} after {self.version}: the received version is older than the known version; only "
+                f"older versions were received for {delay_s:g} s, and this update is partial; a full update is "
+                "required",
             )
         return True
--- a/damsonpick/protocols/platform/endpoint_list_watch.py
+++ b/damsonpick/protocols/platform/endpoint_list_watch.py
@@ -42,7 +42,10 @@
         self._version: int | None = None  # version of the last update of this watch; None before the first update
 
     def path(self) -> str:
-        """Return the path of the watch, with the version since which changes are requested."""
+        """Return the path of the watch. `from` is the version since which changes are requested.
+
+        If `from` is 0, the complete list is requested.
+        """
         return f"/catalog/members?watch=1&from={self._endpoint_list.watch_from()}"
 
     def process(self, lines: list[bytes]) -> bool:
@@ -69,7 +72,11 @@
 
     def _process_update(self, update: EndpointListUpdate) -> None:
         if self._version is not None and update.version < self._version:
-            raise EndpointListError("version", f"{update.version} after {self._version} in the same watch")
+            raise EndpointListError(
+                "version",
+                f"received version {update.version}, which is older than version {self._version} of the previous "
+                "update in the same watch",
+            )
         self._version = update.version
         for problem in update.problems:
             self._dropped_input_log.record(DroppedInput.ENDPOINT_LIST, problem)
--- a/damsonpick/protocols/platform/pilot.py
+++ b/damsonpick/protocols/platform/pilot.py
@@ -1,6 +1,7 @@
 """Creates the components of a pilot that uses the platform's protocol, and runs their tasks.
 
-Only the planner makes decisions; the components read, validate, merge and compare data.
+Only the planner decides on table entries, withdrawals and admission levels. The other components read, validate, merge
+and compare data, send and resend orders, and close connections.
 """
 
 from __future__ import annotations
--- a/damsonpick/protocols/sasp/codec.py
+++ b/damsonpick/protocols/sasp/codec.py
@@ -193,7 +193,8 @@
     """Encode a message as one frame.
 
     Raises:
-        ValueError: A name or a group is longer than its length field can represent.
+        ValueError: A name or the label of a member is longer than 255 bytes, or the component of a group and its
+            members, weights or states is longer than 65535 bytes.
     """
     kind, body = _write_body(message.body)
     return frame(message.number, kind, body)
--- a/damsonpick/protocols/xds/rejections.py
+++ b/damsonpick/protocols/xds/rejections.py
@@ -19,7 +19,9 @@
 from damsonpick.state.history import root_statement
 from damsonpick.state.history.digest import RANGE_COUNT, Digest, range_of
 
-MAX_REASON_CHARS = 1500  # longer error texts are cut; the text for a wrong root contains 1024 digits of range sums
+# Length to which error texts are cut before they are parsed. It must exceed the length of the text for a wrong root, so
+# that the 1024 digits of range sums at the end of that text are not cut.
+MAX_REASON_CHARS = 1500
 
 
 class RejectionHandler:
--- a/damsonpick/protocols/xds/resource_watch.py
+++ b/damsonpick/protocols/xds/resource_watch.py
@@ -114,7 +114,10 @@
                 self.pending.setdefault(name, CoveredChanges(0, now, 0))
 
     def drop(self, name: str) -> None:
-        """Remove the state of a resource to which the client no longer subscribes."""
+        """Remove a resource to which the client no longer subscribes from `expected`, `acknowledged` and `pending`.
+
+        Its rejected version, if any, is kept.
+        """
         self.expect(name, "")
         self.acknowledged.pop(name, None)
         self.pending.pop(name, None)
--- a/damsonpick/proxy/pool.py
+++ b/damsonpick/proxy/pool.py
@@ -47,9 +47,10 @@
         """Create an empty pool.
 
         Args:
-            per_server: Most connections to one server.
-            waiting: Most requests that may wait for a connection to one server.
-            opening_rate: Most new connections per second to one server.
+            per_server: Maximum number of connections to one server.
+            waiting: Maximum number of requests that may wait for a connection to one server.
+            opening_rate: Maximum average number of new connections to one server per second. It is also the size of
+                the token bucket.
             idle_ns: Time in ns for which an idle connection is kept.
         """
         self.per_server = per_server
--- a/damsonpick/proxy/upstream_request.py
+++ b/damsonpick/proxy/upstream_request.py
@@ -12,7 +12,8 @@
 from damsonpick.proxy.settings import Limits
 from damsonpick.proxy.stream import READ_AHEAD_BYTES, ConnectionLostError, Stream
 
-NOT_RUN = b"x-not-run"  # header of a 503 response, by which the server states that it did not begin to execute
+# Header of a 503 response, by which the server states that it did not begin to execute the request.
+NOT_RUN = b"x-not-run"
 DEADLINE = b"x-request-timeout-ms"
 CONNECTION_CLOSED, TIMED_OUT = "the server closed the connection", "timed out"
 
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -135,9 +135,9 @@
             if not self.delta:
                 self.received_state.start_sotw_stream()
             await grpc_stream.write(call, ads.subscribe(CDS, [], self._version_info.get(CDS, "")))
-            if (
-                self.delta and self.received_state.versions[CDS]
-            ):  # the control service does not respond if no cluster changed
+            # If no cluster has changed since the last stream, no response with clusters follows, so the tables of the
+            # known clusters are requested now.
+            if self.delta and self.received_state.versions[CDS]:
                 await self._request_tables(call, ads, address)
             async with anyio.create_task_group() as group:
                 group.start_soon(self._send_reports, channel)
--- a/damsonpick/settings/model.py
+++ b/damsonpick/settings/model.py
@@ -153,9 +153,9 @@
     listen: Address | None = None  # without an address the server is off
     default_rights: SaspRights = Field("register", alias="unknown")  # rights of balancers without a section
     default_coverage: Literal["fleet", "refuse"] = Field("fleet", alias="unmapped")  # for groups without a section
-    sessions: int = Field(100, ge=1)  # most sessions from one address
-    groups: int = Field(2000, ge=1)  # most groups of one balancer
-    members: int = Field(1000, ge=1)  # most members of one group
+    sessions: int = Field(100, ge=1)  # maximum number of sessions from one address
+    groups: int = Field(2000, ge=1)  # maximum number of groups of one balancer
+    members: int = Field(1000, ge=1)  # maximum number of members of one group
     messages_per_second: float = Field(50, gt=0, alias="messages")  # highest rate of one session
     # Longest time to send a message. If it is exceeded, the session ends.
     send_timeout: Duration = Field(10 * SECOND, alias="patience")
--- a/damsonpick/state/history/pin.py
+++ b/damsonpick/state/history/pin.py
@@ -28,7 +28,8 @@
     Attributes:
         version: Number of the pinned version; 0 before the first pin and after a release. An expired pin keeps it.
         until: Clock time when the pin ends, ns; 0 before the first pin and after a release.
-        generation: Incremented by each pin and release. If two operators act at the same time, the second is rejected.
+        generation: Incremented by each pin and release. If two operators act at the same time, the second change is
+            rejected, provided that its request states the generation that the operator saw.
         caps_levels: Whether admission levels were rolled back too. Actions that only raise them are then held back.
     """
 
--- a/damsonpick/state/learned/generations.py
+++ b/damsonpick/state/learned/generations.py
@@ -121,7 +121,7 @@
             problems.append(f"{path}: {error}; it is left alone, and no snapshot is written: {remedy}")
             continue
         except SnapshotCorruptError as error:
-            problems.append(f"{path}: {error}; it is not used")
+            problems.append(f"{path}: {error}; this file is not used")
             continue
         if newest is None or snapshot.sequence > newest.sequence:
             newest, generation = snapshot, name
--- a/damsonpick/state/load_reports.py
+++ b/damsonpick/state/load_reports.py
@@ -1,9 +1,9 @@
 """Aggregates the load reports of clients into reports for the planner. Sans I/O. Callers pass times in nanoseconds.
 
 Each report is validated before it is counted. The Load Reporting Service (LRS) does not number its reports. A repeated
-report is therefore detected only because the client's reports would cover more time than has passed, and it is dropped.
-A late report is counted with the period that it covers. Contradictory counts are reduced to possible values; failures
-take precedence over successes.
+report is therefore detected, and dropped, only if with it the client's reports would cover more time than has passed
+plus a tolerance (`TIMER_TOLERANCE_SHARE` of a report period). A late report is counted with the period that it covers.
+Contradictory counts are reduced to possible values; failures take precedence over successes.
 """
 
 from __future__ import annotations
--- a/damsonpick/testing/fakes/fleet.py
+++ b/damsonpick/testing/fakes/fleet.py
@@ -32,7 +32,8 @@
 NO_SLICE = -1
 # Sigma of the lognormal factors on the popularity of slices, the work of requests and the gateways' traffic shares.
 SLICE_SPREAD, WORK_SPREAD, GATEWAY_SPREAD = 0.6, 0.4, 0.8
-NOT_RUN_ENDINGS = (Ending.REFUSED, Ending.NO_SERVER, Ending.NEVER_RAN)  # no server has run the request
+# Endings that show that no server ran the last attempt. They do not show whether an earlier attempt ran.
+NOT_RUN_ENDINGS = (Ending.REFUSED, Ending.NO_SERVER, Ending.NEVER_RAN)
 
 Command = dict[str, Any]
 Gateway = FakeGateway | ProxyGateway
--- a/damsonpick/testing/fakes/gateway.py
+++ b/damsonpick/testing/fakes/gateway.py
@@ -223,7 +223,8 @@
     async def _choose_server(self, request: ForwardedRequest, attempted: set[str], may_wait: bool) -> str | None:
         """Return the server for an attempt, or None if there is none.
 
-        If `may_wait` is set, wait up to `TABLE_WAIT_NS`, but not beyond the deadline, for a table with an entry.
+        If `may_wait` is set, wait up to `TABLE_WAIT_NS`, but not beyond the deadline, for a table with an entry that is
+        not withdrawn.
         """
         until = min(request.deadline, self.clock.now() + TABLE_WAIT_NS) if may_wait else 0
         while True:
--- a/damsonpick/testing/rules/checker.py
+++ b/damsonpick/testing/rules/checker.py
@@ -45,8 +45,8 @@
     def feed(self, events: Iterable[dict[str, Any]]) -> Checker:
         """Process all records, finish the checks at the time of the last record, and return this checker.
 
-        Each record advances the current time, and a server may have finished its warm-up by then. A record without a
-        handler has no other effect.
+        Each record, even one without a handler, advances the current time and updates which servers have finished their
+        warm-up. A record without a handler has no other effect.
         """
         now = 0
         for event in events:
