--- a/damsonpick/interface.py
+++ b/damsonpick/interface.py
@@ -315,7 +315,7 @@
     table: int | None
     classes: tuple[int, ...]
     level: float
-    retry_mode: int  # 0: never, 1: once if the request was provably not executed, 2: once after any failure, 3: twice
+    retry: int  # 0: never, 1: once if the request was provably not executed, 2: once after any failure, 3: twice
 
 
 class RequestSync(NamedTuple):
--- a/damsonpick/protocols/platform/order_codec.py
+++ b/damsonpick/protocols/platform/order_codec.py
@@ -108,7 +108,7 @@
             "table": "*" if order.table is None else order.table,
             "routes": [self.class_names[index] for index in order.classes] or "*",
             "admit": shorten_number(order.level),
-            "policy": order.retry_mode,
+            "policy": order.retry,
         }
 
 
--- a/damsonpick/protocols/simulator/codec.py
+++ b/damsonpick/protocols/simulator/codec.py
@@ -238,7 +238,7 @@
         ALL_TABLES if a.table is None else a.table,
         _class_mask(a.classes),
         _decimal(a.level),
-        a.retry_mode,
+        a.retry,
     ),
     api.RequestSync: lambda a: ("SEAL", a.token, int(a.all_proxies)),
     api.SubscribeEndpointList: lambda a: ("LISTEN", int(a.subscribe)),
--- a/damsonpick/state/published_tables.py
+++ b/damsonpick/state/published_tables.py
@@ -207,10 +207,10 @@
             scope = order.table, class_index
             if self.levels.get(scope, FULL_LEVEL) != order.level:
                 changed.append(ChangedEntry(unit, _level_key(class_index)))
-            if self.retries.get(scope, NO_RETRIES) != order.retry_mode:
+            if self.retries.get(scope, NO_RETRIES) != order.retry:
                 changed.append(ChangedEntry(ROUTES, _retry_key(order.table, class_index)))
             self.levels[scope] = order.level
-            self.retries[scope] = order.retry_mode
+            self.retries[scope] = order.retry
         return changed
 
 
--- a/tests/broken_pilot.py
+++ b/tests/broken_pilot.py
@@ -51,7 +51,7 @@
 
 def retry_all_classes() -> None:
     """Let proxies retry requests of all classes after any failure."""
-    replace_admission(retry_mode=3)
+    replace_admission(retry=3)
 
 
 def overload_warming_endpoints() -> None:
--- a/tests/decisions/test_publisher.py
+++ b/tests/decisions/test_publisher.py
@@ -21,7 +21,7 @@
 def test_non_idempotent_classes_never_retry_without_proof():
     world = SimulatedFleet()
     world.run(10, latency=dict.fromkeys("pqrs", 900), failing={"p": 1.0})
-    modes = {o.retry_mode for o in world.log if isinstance(o, api.SetAdmission) and 1 in o.classes}
+    modes = {o.retry for o in world.log if isinstance(o, api.SetAdmission) and 1 in o.classes}
     assert modes and modes <= {0, 1}
 
 
