--- a/damsonpick/controller/queries.py
+++ b/damsonpick/controller/queries.py
@@ -35,7 +35,7 @@
 
     def __init__(self, number: int, slice_count: int) -> None:
         """Build the message from the slice number and the number of slices."""
-        super().__init__(f"slice {number}", f"does not exist; the number of slices is {slice_count}, counted from 0")
+        super().__init__(f"slice {number}", f"does not exist; there are {slice_count} slices, numbered from 0")
         self.number = number
         self.slice_count = slice_count
 
--- a/damsonpick/protocols/list_file.py
+++ b/damsonpick/protocols/list_file.py
@@ -82,7 +82,7 @@
     if state not in STATES_BY_SAFETY:
         raise ListFileError(place, f"state = {state!r}: write one of {', '.join(STATES_BY_SAFETY)}")
     if "zone" not in values:
-        raise ListFileError(place, "zone is missing; give the zone of the server")
+        raise ListFileError(place, "zone is missing; give the zone of the server, which is the building it stands in")
     weight = _number(place, values, "weight", DEFAULT_WEIGHT, float)
     started = _number(place, values, "started", DEFAULT_STARTED, int)
     return api.EndpointEntry(endpoint, values["zone"], state, weight, started)
--- a/tests/test_queries.py
+++ b/tests/test_queries.py
@@ -31,7 +31,9 @@
     assert list(reply) == ["error"] and reply["error"].startswith("bad request: ")
 
 
-@pytest.mark.parametrize("error", [ValueError("slice 9: there are 6, from 0"), KeyError("version")])
+@pytest.mark.parametrize(
+    "error", [ValueError("slice 9: does not exist; there are 6 slices, numbered from 0"), KeyError("version")]
+)
 def test_a_request_that_cannot_be_carried_out_says_why(error):
     def refuse(request):
         raise error
