--- a/damsonpick/controller/components.py
+++ b/damsonpick/controller/components.py
@@ -253,7 +253,8 @@
     def _list_changed(self) -> None:
         """Refresh the statuses in SASP advice after a change of the list.
 
-        If the solver is enabled, also step the engine and send advice that needs no solve.
+        If the solver is enabled, also step the engine and send advice that needs no solve, so that the tables that the
+        solver assigns follow the change at once.
         """
         if self.sasp is not None:
             self.sasp.update_statuses()
--- a/damsonpick/controller/engine.py
+++ b/damsonpick/controller/engine.py
@@ -331,7 +331,11 @@
         self._start_planner(self.learned_state(), replaces_planner=True)
 
     def is_unroutable(self, name: str) -> bool:
-        """Return whether an endpoint must not receive requests: it is unlisted, draining, gone or withdrawn."""
+        """Return whether an endpoint must not receive requests: it is unlisted, draining, gone or withdrawn.
+
+        `Planner.is_unroutable` differs: it ignores withdrawals, and until a list newer than the restored one is
+        received, it is False for an endpoint that only a stored table names.
+        """
         entry = self.endpoint_list.entries.get(name)
         return entry is None or entry.state != "in_service" or name in self.published.withdrawn
 
--- a/damsonpick/controller/table_pin.py
+++ b/damsonpick/controller/table_pin.py
@@ -92,7 +92,7 @@
 
         Args:
             orders: Orders of the planner for tables, withdrawals and admission.
-            is_unroutable: Returns whether an endpoint must not receive requests now.
+            is_unroutable: Returns whether an endpoint is draining, gone, unlisted or withdrawn.
         """
         if not self.applied:
             return orders
--- a/damsonpick/decisions/cluster_copy.py
+++ b/damsonpick/decisions/cluster_copy.py
@@ -1,7 +1,7 @@
 """The copy of the assignments on which the search tries moves, like the virtual cluster of HBase's balancer.
 
 A replica is the assignment of a slice to one of its endpoints. Endpoints and replicas are numbered from 0 and described
-by parallel lists, since the search reads them millions of times per minute.
+by parallel lists, since the search reads them about a million times per minute.
 """
 
 from __future__ import annotations
--- a/damsonpick/decisions/warm_restart.py
+++ b/damsonpick/decisions/warm_restart.py
@@ -25,8 +25,8 @@
 def restore_slice(fleet: FleetState, event: api.SliceRestored) -> None:
     """Restore the rates and the warmth of an owned slice that has no reports.
 
-    The first report of a class is averaged in with the gain of a surge. While the slice is newly owned, however,
-    reports below the current rate do not lower it. Reports after that time average a lower rate in.
+    The first report of a class counts as a surge and replaces most of the restored rate. While the slice is newly
+    owned, however, a report below the current rate does not lower it. Only after that time can reports lower the rate.
     """
     slice_state = fleet.slices.get(event.slice)
     if slice_state is None or any(slice_state.last_reports_at) or len(event.rates) != len(slice_state.rates):
--- a/damsonpick/protocols/platform/http_client.py
+++ b/damsonpick/protocols/platform/http_client.py
@@ -84,7 +84,10 @@
 
 
 class HttpConnection:
-    """Sends requests over one persistent connection. `connect` replaces the connection if it is stale."""
+    """Sends requests over one persistent connection.
+
+    `connect` replaces the connection if it is stale, so that no request is written to a stale connection.
+    """
 
     def __init__(self, address: Address, max_idle_s: float) -> None:
         """Create a client that is not connected yet.
--- a/damsonpick/protocols/platform/pending_orders.py
+++ b/damsonpick/protocols/platform/pending_orders.py
@@ -3,7 +3,8 @@
 At most one request is in flight; it contains the oldest orders. Pending orders are merged: a newer order replaces an
 older order for the same object, such as a table entry, so the number of pending orders is bounded. A request whose
 outcome is unknown was applied once or not at all. Its orders stay pending until they are accepted or newer orders
-replace them. The following requests therefore lead to the desired state in both cases.
+replace them, and no newer order is sent before the request has ended. Sending them again, merged with newer orders,
+therefore leads to the desired state in both cases.
 
 The planner adds new entries of a table before it removes old entries (make before break). This sequence is kept
 regardless of where the orders are split into requests and of whether a request is applied: the orders for one table are
--- a/damsonpick/protocols/sasp/advisor.py
+++ b/damsonpick/protocols/sasp/advisor.py
@@ -103,6 +103,7 @@
     fallback_capacities: Callable[[], dict[str, float]] = _no_capacities
     _shares: dict[str, CachedShares] = field(default_factory=dict, init=False)  # by coverage
     _advice: dict[AdviceKey, CachedAdvice] = field(default_factory=dict, init=False)
+    # encoded weight entries by member, its opaque state, and advice (weight and flags)
     _entries: dict[tuple[Member, int, Advice], bytes] = field(default_factory=dict, init=False)
     _units: dict[str, dict[str, None]] = field(default_factory=dict, init=False)  # by coverage
     _status_revision: int = field(default=0, init=False)
--- a/damsonpick/protocols/shared/session_manager.py
+++ b/damsonpick/protocols/shared/session_manager.py
@@ -114,7 +114,7 @@
         self.clients: dict[int, Client] = {}  # by number
         self.by_session: dict[Session, Client] = {}
         self.events: list[api.Event] = []  # events for the planner, in order
-        self.stop_share = 1.0  # share of the clients (at least of 2) whose rejections stop the rollout of a version
+        self.stop_share = 1.0  # share of the clients whose rejections stop a rollout; a single client counts as two
         self.stopped_rollouts: list[StoppedRollout] = []  # newly stopped rollouts, for the log
         self._next_duplicate_number = FIRST_DUPLICATE_NUMBER
         self._rejecting_nodes: dict[RejectedVersion, set[str]] = {}
@@ -250,9 +250,10 @@
             session.rejected_ranges.clear()
 
     def _oldest_unacknowledged(self, client: Client) -> int:
-        """Return the lowest sequence number that is queued or unacknowledged.
+        """Return the lower of two sequence numbers of a client.
 
-        If there is none, the result is higher than every sequence number.
+        These are `first_seq`, the number of the change that was queued first, and the session's oldest unacknowledged
+        number. Staged changes are not included. If there is neither, the result is higher than every sequence number.
         """
         return min(client.session.oldest_unacknowledged(), self._oldest_queued(client.number))
 
--- a/damsonpick/protocols/xds/endpoint_list_client.py
+++ b/damsonpick/protocols/xds/endpoint_list_client.py
@@ -217,7 +217,7 @@
 
 
 def _unpack_all(response: discovery_pb2.DiscoveryResponse) -> list[endpoint_pb2.ClusterLoadAssignment]:
-    """Unpack all assignments in a response.
+    """Unpack all assignments in a response. If one resource is invalid, nothing of the response is used.
 
     Raises:
         UpstreamTypeError: A resource has another type.
--- a/damsonpick/proxy/load_balancer.py
+++ b/damsonpick/proxy/load_balancer.py
@@ -161,7 +161,8 @@
         Args:
             now: Time in ns.
             server: Server that the request was sent to.
-            succeeded: Whether the request succeeded. If False, its end counts as a failure of the server.
+            succeeded: Whether the server is not to blame for the end of the request, which is also the case if the
+                client disconnected. If False, the end counts as a failure of the server.
             started: Time in ns at which the request was sent, or None if it was sent just now. If the request was sent
                 before the server was ejected, its success says nothing about the server's present state, and the server
                 stays ejected.
--- a/damsonpick/proxy/watch_client.py
+++ b/damsonpick/proxy/watch_client.py
@@ -1,6 +1,7 @@
 """Connects a proxy to the control service: receives tables on an ADS stream and sends load reports on an LRS stream.
 
-This module only transfers messages. `AdsClient` builds and parses them.
+This module only transfers messages. `AdsClient` builds and parses those of ADS, and `load_stats` builds the load
+reports.
 """
 
 from __future__ import annotations
--- a/damsonpick/runtime/decision_loop.py
+++ b/damsonpick/runtime/decision_loop.py
@@ -1,8 +1,7 @@
 """Runs the planner: queues events, keeps timers, calls `Planner.handle` once per step, and schedules restarts.
 
 The planner is restarted if it raises an exception or if the owner of the loop calls `fail_planner`. The loop uses no
-sockets and no store.
-The owner of the loop starts the planner and executes the actions that a step returns.
+sockets and no store. The owner of the loop starts the planner and executes the actions that a step returns.
 """
 
 from __future__ import annotations
--- a/damsonpick/solver/advice.py
+++ b/damsonpick/solver/advice.py
@@ -211,8 +211,8 @@
     def advice_for_changed_fleet(self, planner: Planner) -> list[api.Event]:
         """Return advice when servers were added, removed or restarted, without waiting for a solve.
 
-        The result is empty if the fleet has not changed since the last repair, in a deployment with slices, or if no
-        tables have been advised yet.
+        The result is empty in a deployment with slices, if no tables have been advised yet, or if the fleet is the same
+        as at the last call that computed advice.
 
         Servers keep their last weights. Servers that are new to a table get the mean weight per capacity of the others,
         multiplied by their `max_share`.
--- a/damsonpick/solver/latency.py
+++ b/damsonpick/solver/latency.py
@@ -105,7 +105,8 @@
         cores: Number of cores of the server.
         patience: Longest acceptable wait in mean service times.
         spread: Largest deviation of demand from its estimate, as a share.
-        max_slope: Upper bound to which the spread may raise slopes. It is derived from the value of the cheapest work.
+        max_slope: Upper bound to which the spread may raise slopes. For a whole plan, it is derived from the value of
+            the cheapest work; for the weights of slices, it is 1.
     """
     slopes = _grid_slopes(_loss_curve(cores, patience, 0.0))
     if spread:
--- a/damsonpick/testing/fakes/list_server.py
+++ b/damsonpick/testing/fakes/list_server.py
@@ -15,7 +15,9 @@
 
 
 class FakeListServer(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
-    """Sends the whole list on each change, and records each list that it sends.
+    """Sends the whole list on each change.
+
+    Each list that is sent is recorded; the rules take it as what the pilot knows.
 
     Attributes:
         entries: Entries of the list, by endpoint.
--- a/damsonpick/testing/rules/records.py
+++ b/damsonpick/testing/rules/records.py
@@ -1,7 +1,8 @@
 """The records that the rules read, with one type per kind of event.
 
-The fakes write the records as JSON objects (see `damsonpick.testing.fakes.record`); for these kinds, only this module
-reads the JSON keys other than the time `t` and the kind `e`. Times are in ns of the scenario's clock.
+The fakes write the records as JSON objects (see `damsonpick.testing.fakes.record`). Within the package, only this
+module reads their JSON keys other than the time `t` and the kind `e`; some benchmarks read them too. Times are in ns of
+the scenario's clock.
 """
 
 from __future__ import annotations
--- a/fuzz/edge_messages.py
+++ b/fuzz/edge_messages.py
@@ -129,7 +129,7 @@
     whole, cut_in_two = reader([body]), reader([body[:cut], body[cut:]])
     if reader is read_connection:
         assert whole == cut_in_two
-    else:  # The cut decides how much is read next to invalid bytes, so one result is a prefix of the other.
+    else:  # An error loses the valid lines of its piece, so with another cut one result may be a prefix of the other.
         assert whole[: len(cut_in_two)] == cut_in_two[: len(whole)]
     Planner(SETTINGS, 1).handle(NOW, [event for event in whole if event != REJECTED])
     decode_response(body, 3)
--- a/fuzz/http_messages.py
+++ b/fuzz/http_messages.py
@@ -30,7 +30,7 @@
         nothing.
 
     Raises:
-        Exception: Every exception that this function does not catch (HttpProtocolError) is a finding.
+        Exception: A finding. The function catches `HttpProtocolError`; every other exception passes through.
     """
     reader = http.Reader(requests, 4096)
     parsed: list[tuple[http.Head, bytes, list]] = []
--- a/tests/slow_solver_pilot.py
+++ b/tests/slow_solver_pilot.py
@@ -13,7 +13,7 @@
 
 
 def slow(problem, limit):
-    """Run far longer than any time limit in a busy loop that does not check for a request to stop."""
+    """Run far longer than any time limit, in a busy loop that reacts to no request to stop."""
     end = time.monotonic() + 60
     while time.monotonic() < end:
         pass
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -53,7 +53,7 @@
 
 
 def test_a_configuration_with_any_part_of_another_type_is_read_or_rejected():
-    """Guards against a pilot that could not start: a `state` that was a list or an object raised an exception."""
+    """Regression: a `state` that was a list or an object ended the pilot with a traceback at each start."""
     accepted = 0
     for tree in with_odd_values(config_file(known=KNOWN)):
         try:
--- a/tests/test_platform_pending_orders.py
+++ b/tests/test_platform_pending_orders.py
@@ -99,7 +99,8 @@
 @settings(max_examples=400)
 @given(TARGETS)
 def test_no_table_is_empty_between_the_orders_of_any_steps(steps):
-    """Make before break holds wherever the orders are split into requests and whether a request is applied or not."""
+    """Make before break, in the sequence that the planner orders, holds wherever the orders are split into requests and
+    whether a request is applied or not."""
     pending, store = PendingOrders(("x",)), {0: {"p": 1.0}, 1: {"q": 1.0}}
     ordered = {table: set(entries) for table, entries in store.items()}
     for table, target, outcome, length in [*steps, *((table, {"s"}, "taken", 99) for table in (0, 1))]:
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -24,7 +24,7 @@
     assert draw_plan(5) == draw_plan(5) != draw_plan(6)
 
 
-def test_the_fixed_seeds_cover_many_strangers_and_every_ending():
+def test_the_fixed_seeds_cover_many_unjoined_clients_and_every_ending():
     plans = [draw_plan(seed) for seed in SEEDS]
     assert any(plan.unjoined_clients > 100 for plan in plans) and any(plan.malformed_cached_list for plan in plans)
     assert {incarnation.ending for plan in plans for incarnation in plan.incarnations} == set(Ending)
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -60,7 +60,7 @@
 # (5.1 to 5.8).
 HEAD = "2010 000d 01"  # type, header length, version; message length and message id follow
 HEX_GROUP = "3011 000c 03 6c6231 03 776562"  # length 12: 4 bytes head, 1 + "lb1", 1 + "web"
-HEX_V4 = "3010 0018 06 0050 00000000000000000000ffff0a000001 00"  # 24 bytes; the label is empty
+HEX_V4 = "3010 0018 06 0050 00000000000000000000ffff0a000001 00"  # 24 bytes: head 4, protocol, port, address, no label
 HEX_V6 = "3010 001b 11 1f90 20010db8000000000000000000000001 03 736978"
 VECTORS = {
     "registration request (6.1)": (
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -466,7 +466,8 @@
 def test_a_server_that_misreports_its_load_as_low_gets_no_more_work(tmp_path):
     """A server that responds four times slower and reports that it is idle must not attract work.
 
-    Only its responses count: its share must not grow in the first report periods, and must shrink after them.
+    Only its responses count. There is one report per second, delayed by 1 to 3 s. After each of the first 3 s, its
+    share may be at most 1.1 times the former share; after 30 s, it must be less than 0.6 times the former share.
     """
     loop = DecisionLoop(tmp_path, [1.0] * 8, rate=12.0, noise=0.1)
     loop.run(30)
--- a/tests/test_versions_pilot.py
+++ b/tests/test_versions_pilot.py
@@ -229,6 +229,7 @@
         other_gate = RecordingGateway(tmp_path, "stranger", "b")
         for n in range(6):  # versions that this pilot never created
             other_gate.received_state._set_version(EDS, f"slice/{n}", f"{n:016x}")
+        # One name that the pilot does not have.
         for kind in (CDS, EDS):
             other_gate.received_state._set_version(kind, "slice/99", "9" * 16)
         async with anyio.create_task_group() as group:
